--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -3,12 +3,12 @@
 use std::hint::black_box;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use kitepulley::decide::admit::{Ended, Gate};
+use kitepulley::decide::admission::{AdmissionController, Outcome};
+use kitepulley::decide::availability::Signal;
 use kitepulley::decide::cascade::{BINS, Belief, Cell, Rungs, solve};
 use kitepulley::decide::replica::{Replica, choose};
 use kitepulley::decide::rollout::{Arm, Policy, View, decide};
 use kitepulley::decide::sequential::Count;
-use kitepulley::decide::standing::Said;
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::server::Fleet;
 use kitepulley::unit::{Moment, Parts, Span};
@@ -70,14 +70,14 @@
 }
 
 fn gate(bench: &mut Criterion) {
-    let mut gate = Gate::new(64.0);
+    let mut gate = AdmissionController::new(64.0);
     let workspace = "roasters".parse().expect("a name");
     let mut now = 1_000_000;
     bench.bench_function("gate", |b| {
         b.iter(|| {
             now += 100;
-            if gate.offer(&workspace, 1.0, Moment(now)) {
-                gate.ended(&workspace, Ended::Good, Moment(now));
+            if gate.try_admit(&workspace, 1.0, Moment(now)) {
+                gate.on_end(&workspace, Outcome::Good, Moment(now));
             }
         });
     });
@@ -93,9 +93,10 @@
         for at in 0..count {
             let life = life(at);
             fleet.put(life.clone(), now);
-            let said = Said { leaves: at % 20 == 1, rest: (at % 10 == 2).then(|| Span::secs(1)) };
+            let said =
+                Signal { draining: at % 20 == 1, backoff: (at % 10 == 2).then(|| Span::secs(1)) };
             if let Some(server) = fleet.life_mut(&life) {
-                server.standing.hear(said, now);
+                server.standing.observe(said, now);
             }
         }
         let service = life(0).service;
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use crate::decide::cold::Bound;
+use crate::decide::cold_start::ColdStart;
 use crate::unit::{Model, Region, Revision, Service, Span, Workspace};
 
 /// What a route allows a request to do.
@@ -102,7 +102,7 @@
     /// Connections that one server takes from all VMs together.
     pub connections: u32,
     /// What a server bears that has just started; none if it bears all at once.
-    pub cold: Option<Bound>,
+    pub cold: Option<ColdStart>,
 }
 
 /// What a caller may send.
--- a/src/decide/admit.rs
+++ b/src/decide/admission.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use super::fair;
-use super::limit::Concurrency;
+use super::limit::ConcurrencyLimit;
 use crate::unit::{Moment, Span, Workspace};
 
 /// Time between two looks at demand.
@@ -27,7 +27,7 @@
 
 /// How a request that was let in ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// In time.
     Good,
     /// Late, or not at all.
@@ -49,8 +49,8 @@
 
 /// One VM's gate towards one pool.
 #[derive(Clone, Debug)]
-pub struct Gate {
-    concurrency: Concurrency,
+pub struct AdmissionController {
+    concurrency: ConcurrencyLimit,
     running: f64,
     ended: f64,
     /// Requests let in that end in a second, and how many run at once, both of late.
@@ -61,11 +61,11 @@
     demands: BTreeMap<Workspace, Demand>,
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate towards a pool of so many slots; it begins as if this VM were alone.
-    pub fn new(slots: f64) -> Gate {
-        Gate {
-            concurrency: Concurrency::new(slots, MOST),
+    pub fn new(slots: f64) -> AdmissionController {
+        AdmissionController {
+            concurrency: ConcurrencyLimit::new(slots, MOST),
             running: 0.0,
             ended: 0.0,
             rate: 0.0,
@@ -77,7 +77,7 @@
     }
 
     /// Lets a request in, or not; the share of its workspace goes by `weight`.
-    pub fn offer(&mut self, workspace: &Workspace, weight: f64, now: Moment) -> bool {
+    pub fn try_admit(&mut self, workspace: &Workspace, weight: f64, now: Moment) -> bool {
         self.look(now);
         let crowded = self.running >= NEARLY_FULL * self.concurrency.limit();
         let demand = match self.demands.get_mut(workspace) {
@@ -99,12 +99,12 @@
     }
 
     /// A request that was let in ended.
-    pub fn ended(&mut self, workspace: &Workspace, how: Ended, now: Moment) {
+    pub fn on_end(&mut self, workspace: &Workspace, how: Outcome, now: Moment) {
         self.look(now);
         match how {
-            Ended::Good => self.concurrency.good(),
-            Ended::Bad | Ended::Full => self.concurrency.bad(),
-            Ended::Unrelated => {}
+            Outcome::Good => self.concurrency.record_success(),
+            Outcome::Bad | Outcome::Full => self.concurrency.record_overload(),
+            Outcome::Unrelated => {}
         }
         self.ended += 1.0;
         self.running = (self.running - 1.0).max(0.0);
@@ -114,7 +114,7 @@
     }
 
     /// Whether a request that must end by `deadline` can be expected to.
-    pub fn in_time(&self, now: Moment, deadline: Moment) -> bool {
+    pub fn can_meet_deadline(&self, now: Moment, deadline: Moment) -> bool {
         now + Span((self.time * SPREAD * 1e6) as u64) < deadline
     }
 
@@ -160,17 +160,17 @@
 
     #[test]
     fn an_idle_pool_lets_everyone_in() {
-        let mut gate = Gate::new(64.0);
+        let mut gate = AdmissionController::new(64.0);
         for i in 0..1000u64 {
             let now = Moment(1_000_000 + i * 1000);
-            assert!(gate.offer(&name(0), 1.0, now));
-            gate.ended(&name(0), Ended::Good, now);
+            assert!(gate.try_admit(&name(0), 1.0, now));
+            gate.on_end(&name(0), Outcome::Good, now);
         }
     }
 
     #[test]
     fn a_full_pool_keeps_the_share_of_the_small() {
-        let mut gate = Gate::new(64.0);
+        let mut gate = AdmissionController::new(64.0);
         let (mut small, mut small_in) = (0, 0);
         let mut running = std::collections::VecDeque::new();
         // A large workspace offers 20 for each one of the small; 64 fit, each for 100 ms.
@@ -178,15 +178,15 @@
             let now = Moment(1_000_000 + i * 100);
             while running.front().is_some_and(|(end, _)| *end <= now) {
                 let (_, who) = running.pop_front().unwrap();
-                gate.ended(
+                gate.on_end(
                     &name(who),
-                    if running.len() > 64 { Ended::Full } else { Ended::Good },
+                    if running.len() > 64 { Outcome::Full } else { Outcome::Good },
                     now,
                 );
             }
             let is_small = i % 21 == 0;
             let who = usize::from(is_small);
-            let admitted = gate.offer(&name(who), 1.0, now);
+            let admitted = gate.try_admit(&name(who), 1.0, now);
             if admitted {
                 running.push_back((now + Span::millis(100), who));
             }
--- a/src/decide/standing.rs
+++ b/src/decide/availability.rs
@@ -6,9 +6,9 @@
 
 use std::fmt;
 
-use super::bound::Limit;
-use super::ends::End;
-use super::outlier::Record;
+use super::outcome::AttemptOutcome;
+use super::outlier::OutlierDetector;
+use super::server_limit::Limit;
 use crate::unit::{Moment, Span};
 
 /// The longest rest that is believed. A server whose number is wrong is asked again after it; longer rests would be taken for an
@@ -24,65 +24,67 @@
 
 /// What the head of one answer says of its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct Signal {
     /// It leaves.
-    pub leaves: bool,
+    pub draining: bool,
     /// It wants nothing for so long.
-    pub rest: Option<Span>,
+    pub backoff: Option<Span>,
 }
 
 /// Why a server is to get nothing now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
+pub enum Unavailable {
     /// It has said, or its entry, so long ago that it leaves.
-    Leaves(Span),
+    Draining(Span),
     /// Its entry went, or a later life of it began.
-    IsGone,
+    Removed,
     /// Another server answered at its address.
-    IsAnother,
+    AddressReused,
     /// An order empties its data centre.
-    IsEmptied,
+    Evacuated,
     /// It wants nothing for so much longer.
-    Rests(Span),
+    BackingOff(Span),
     /// Its rest is over, and a request that tries it is under way; the next may try it after so long.
-    IsTried(Span),
+    Probing(Span),
     /// It failed of late, and is left out for so much longer.
-    IsLeftOut(Span),
+    Ejected(Span),
 }
 
-impl Bar {
+impl Unavailable {
     /// Whether it holds also where no other server is left. That another server has its address is only concluded, from a refusal that
     /// has other reasons too.
-    pub fn binds(self) -> bool {
-        !matches!(self, Bar::IsLeftOut(_) | Bar::IsAnother)
+    pub fn is_hard(self) -> bool {
+        !matches!(self, Unavailable::Ejected(_) | Unavailable::AddressReused)
     }
 }
 
-impl fmt::Display for Bar {
+impl fmt::Display for Unavailable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Bar::Leaves(since) => write!(f, "it said {since} ago that it leaves"),
-            Bar::IsGone => write!(f, "its entry went"),
-            Bar::IsAnother => write!(f, "another server has its address"),
-            Bar::IsEmptied => write!(f, "an order empties its data centre"),
-            Bar::Rests(left) => write!(f, "it wants rest for {left} more"),
-            Bar::IsTried(left) => write!(f, "it is tried after a rest, the next may in {left}"),
-            Bar::IsLeftOut(left) => write!(f, "it is left out for {left} more"),
+            Unavailable::Draining(since) => write!(f, "it said {since} ago that it leaves"),
+            Unavailable::Removed => write!(f, "its entry went"),
+            Unavailable::AddressReused => write!(f, "another server has its address"),
+            Unavailable::Evacuated => write!(f, "an order empties its data centre"),
+            Unavailable::BackingOff(left) => write!(f, "it wants rest for {left} more"),
+            Unavailable::Probing(left) => {
+                write!(f, "it is tried after a rest, the next may in {left}")
+            }
+            Unavailable::Ejected(left) => write!(f, "it is left out for {left} more"),
         }
     }
 }
 
 /// When a caller is to come back if no server takes it now, each for so much longer; `random` is from 0 to 1.
-pub fn come_back(rests: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
+pub fn retry_after(rests: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
     rests.min().map(|left| Span(left.0 + SPREAD.part(random).0))
 }
 
 /// What is known of one life of a server. A new life begins with a new one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Standing {
+pub struct Availability {
     /// How much it takes from all VMs together.
     pub limit: Limit,
-    record: Record,
+    record: OutlierDetector,
     /// Since when its entry says that it leaves.
     listed_leaving: Option<Moment>,
     /// Since when it has said so itself.
@@ -92,25 +94,25 @@
     is_another: bool,
 }
 
-impl Standing {
+impl Availability {
     /// Takes what its entry in the store says, which a later entry may take back. No entry takes back what the server said itself, since it may
     /// be of before.
-    pub fn enter(&mut self, ready: bool, now: Moment) {
+    pub fn apply_entry(&mut self, ready: bool, now: Moment) {
         self.listed_leaving = (!ready).then(|| self.listed_leaving.unwrap_or(now));
     }
 
     /// Takes what the head of an answer says. Whether that changes anything. Of two rests the one that ends later holds, since answers on
     /// several connections overtake each other.
-    pub fn hear(&mut self, said: Said, now: Moment) -> bool {
+    pub fn observe(&mut self, said: Signal, now: Moment) -> bool {
         // What comes after a rest and asks for none ends it.
-        if said.rest.is_none() && self.rests_until.is_some_and(|until| until <= now) {
+        if said.backoff.is_none() && self.rests_until.is_some_and(|until| until <= now) {
             (self.rests_until, self.tried) = (None, None);
         }
         let before = (self.said_leaving, self.rests_until);
-        if said.leaves {
+        if said.draining {
             self.said_leaving = self.said_leaving.or(Some(now));
         }
-        if let Some(rest) = said.rest {
+        if let Some(rest) = said.backoff {
             let until = now + rest.min(LONGEST_REST);
             self.rests_until = self.rests_until.max(Some(until));
             self.tried = None;
@@ -119,29 +121,29 @@
     }
 
     /// A request is sent there.
-    pub fn send(&mut self, now: Moment) {
+    pub fn on_send(&mut self, now: Moment) {
         if self.rests_until.is_some() {
             self.tried = Some(now);
         }
     }
 
     /// Another server answered at its address.
-    pub fn note_another(&mut self) {
+    pub fn mark_address_reused(&mut self) {
         self.is_another = true;
     }
 
     /// Notes how an attempt ended; `usual` is the pool's share of failures. Whether the server is left out from now on.
-    pub fn note(&mut self, end: End, usual: f64, now: Moment) -> bool {
-        self.record.note(end, usual, now)
+    pub fn record(&mut self, end: AttemptOutcome, usual: f64, now: Moment) -> bool {
+        self.record.record(end, usual, now)
     }
 
     /// Share of its answers that were failures, of late.
-    pub fn failures(&self) -> f64 {
-        self.record.failures()
+    pub fn failure_rate(&self) -> f64 {
+        self.record.failure_rate()
     }
 
     /// Whether it has said that it leaves, or its entry has.
-    pub fn leaves(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.leaves_since().is_some()
     }
 
@@ -151,13 +153,13 @@
     }
 
     /// Why it is to get nothing now; what binds comes first.
-    pub fn bar(&self, now: Moment) -> Option<Bar> {
+    pub fn unavailable_reason(&self, now: Moment) -> Option<Unavailable> {
         let left = |until: Moment| Some(until.since(now)).filter(|left| *left > Span(0));
-        let leaves = || self.leaves_since().map(|since| Bar::Leaves(now.since(since)));
-        let another = || self.is_another.then_some(Bar::IsAnother);
-        let rests = || self.rests_until.and_then(left).map(Bar::Rests);
-        let tried = || self.tried.and_then(|at| left(at + TRIED_FOR)).map(Bar::IsTried);
-        let left_out = || self.record.out_until().and_then(left).map(Bar::IsLeftOut);
+        let leaves = || self.leaves_since().map(|since| Unavailable::Draining(now.since(since)));
+        let another = || self.is_another.then_some(Unavailable::AddressReused);
+        let rests = || self.rests_until.and_then(left).map(Unavailable::BackingOff);
+        let tried = || self.tried.and_then(|at| left(at + TRIED_FOR)).map(Unavailable::Probing);
+        let left_out = || self.record.ejected_until().and_then(left).map(Unavailable::Ejected);
         leaves().or_else(another).or_else(rests).or_else(tried).or_else(left_out)
     }
 }
--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -18,28 +18,28 @@
 impl Backlog {
     /// Adds work that was just sent, by this VM or another.
     pub fn add(&mut self, work: Span, now: Moment) {
-        self.left = Span(self.usual(now).0 + work.0);
+        self.left = Span(self.expected(now).0 + work.0);
         self.at = now;
     }
 
     /// This VM waits for the first event of a prompt.
-    pub fn wait_for(&mut self, work: Span) {
+    pub fn add_own(&mut self, work: Span) {
         self.own = Span(self.own.0 + work.0);
     }
 
     /// It came, or nobody waits for it any more.
-    pub fn came(&mut self, work: Span) {
+    pub fn remove_own(&mut self, work: Span) {
         self.own = Span(self.own.0.saturating_sub(work.0));
     }
 
     /// What is left of it.
-    pub fn left(&self, now: Moment) -> Span {
-        self.usual(now).max(Span((self.own.0 as f64 * SURE) as u64))
+    pub fn remaining(&self, now: Moment) -> Span {
+        self.expected(now).max(Span((self.own.0 as f64 * SURE) as u64))
     }
 
     /// What would be left of it if the server had done its work at the usual pace, and none was its own
     /// fault.
-    pub fn usual(&self, now: Moment) -> Span {
+    pub fn expected(&self, now: Moment) -> Span {
         Span(self.left.0.saturating_sub(now.since(self.at).0))
     }
 }
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -23,18 +23,18 @@
 
 /// One VM's budget towards one service.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     step: Span,
     share: f64,
     extra: u32,
     steps: VecDeque<Step>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of `share` of the requests in `window`, and one more until an extra is set.
-    pub fn new(window: Span, share: f64) -> Budget {
+    pub fn new(window: Span, share: f64) -> RetryBudget {
         let step = Span((window.0 / STEPS).max(1));
-        Budget { step, share: share * USED, extra: 1, steps: VecDeque::new() }
+        RetryBudget { step, share: share * USED, extra: 1, steps: VecDeque::new() }
     }
 
     /// Sets the repeats beyond the share: this VM's part of what all may spend.
@@ -43,17 +43,17 @@
     }
 
     /// Counts a request that is sent for the first time.
-    pub fn first(&mut self, now: Moment) {
+    pub fn record_first(&mut self, now: Moment) {
         self.at(now).firsts += 1;
     }
 
     /// Takes a repeated send, if one is left.
-    pub fn spend(&mut self, now: Moment) -> bool {
+    pub fn try_spend(&mut self, now: Moment) -> bool {
         self.spend_of(1.0, now)
     }
 
     /// Takes a repeated send that serves no failure, if more are left than failures may need.
-    pub fn spend_spare(&mut self, now: Moment) -> bool {
+    pub fn try_spend_optional(&mut self, now: Moment) -> bool {
         self.spend_of(1.0 - RESERVED, now)
     }
 
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -11,15 +11,15 @@
 
 /// A workspace's part of its limit on one VM.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
     at: Moment,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn new(rate: Rate, now: Moment) -> Bucket {
-        Bucket { level: (rate.0 * BURST_SECS).max(1.0), at: now }
+    pub fn new(rate: Rate, now: Moment) -> TokenBucket {
+        TokenBucket { level: (rate.0 * BURST_SECS).max(1.0), at: now }
     }
 
     /// Takes a request, or says how long to wait.
@@ -37,7 +37,7 @@
 }
 
 /// This VM's part of a limit, from the demand it met and that of all VMs.
-pub fn part(limit: Rate, own: f64, all: f64, vms: usize) -> Rate {
+pub fn local_share(limit: Rate, own: f64, all: f64, vms: usize) -> Rate {
     let even = 1.0 / vms.max(1) as f64;
     let share = if all > 0.0 { own / all } else { even };
     let floor = LEAST * even;
@@ -49,7 +49,7 @@
 const SHARED_OUT: f64 = 0.85;
 
 /// One VM's even part of a limit on what many have open, at least one.
-pub fn even_part(limit: u32, vms: u32) -> u32 {
+pub fn even_share(limit: u32, vms: u32) -> u32 {
     ((f64::from(limit) * SHARED_OUT / f64::from(vms.max(1))) as u32).max(1)
 }
 
@@ -65,7 +65,7 @@
 
 /// Concurrency of one VM towards one pool, which adapts to late answers and refusals.
 #[derive(Clone, Copy, Debug)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     limit: f64,
     most: f64,
     good: f64,
@@ -73,10 +73,10 @@
     used: bool,
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// Begins at `limit` and never exceeds `most`.
-    pub fn new(limit: f64, most: f64) -> Concurrency {
-        Concurrency { limit: limit.clamp(1.0, most), most, good: 0.0, bad: 0.0, used: false }
+    pub fn new(limit: f64, most: f64) -> ConcurrencyLimit {
+        ConcurrencyLimit { limit: limit.clamp(1.0, most), most, good: 0.0, bad: 0.0, used: false }
     }
 
     /// The present limit.
@@ -92,12 +92,12 @@
     }
 
     /// An answer came in time.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         self.good += 1.0;
     }
 
     /// An answer came late, or no back end had room.
-    pub fn bad(&mut self) {
+    pub fn record_overload(&mut self) {
         self.bad += 1.0;
     }
 
@@ -126,26 +126,26 @@
     #[test]
     fn parts_of_all_vms_sum_to_the_limit() {
         let demands = [10.0, 0.0, 30.0];
-        let sum: f64 = demands.iter().map(|own| part(Rate(100.0), *own, 40.0, 3).0).sum();
+        let sum: f64 = demands.iter().map(|own| local_share(Rate(100.0), *own, 40.0, 3).0).sum();
         assert!((sum - 100.0).abs() < 1e-9, "{sum}");
     }
 
     #[test]
     fn a_bucket_says_when_to_come_back() {
-        let mut bucket = Bucket::new(Rate(1.0), Moment(0));
+        let mut bucket = TokenBucket::new(Rate(1.0), Moment(0));
         assert!(bucket.take(Rate(1.0), Moment(0)).is_ok());
         assert_eq!(bucket.take(Rate(1.0), Moment(500_000)), Err(Span(500_000)));
     }
 
     #[test]
     fn concurrency_falls_with_the_share_of_the_bad_and_rises_when_used() {
-        let mut pool = Concurrency::new(100.0, 200.0);
-        (0..10).for_each(|_| pool.bad());
+        let mut pool = ConcurrencyLimit::new(100.0, 200.0);
+        (0..10).for_each(|_| pool.record_overload());
         pool.adapt();
         assert!(pool.limit() < 80.0, "{}", pool.limit());
         for _ in 0..50 {
             assert!(!pool.admits(200.0));
-            pool.good();
+            pool.record_success();
             pool.adapt();
         }
         assert_eq!(pool.limit(), 200.0);
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -27,22 +27,22 @@
     }
 
     /// One more is open.
-    pub fn add(&mut self) {
+    pub fn on_open(&mut self) {
         self.open += 1;
     }
 
     /// One ended.
-    pub fn remove(&mut self) {
+    pub fn on_close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
     /// Notes how many requests the server said that it holds.
-    pub fn hear(&mut self, held: u32, now: Moment) {
+    pub fn observe(&mut self, held: u32, now: Moment) {
         self.told = Some(Told { held, open: self.open, at: now });
     }
 
     /// Requests that it is thought to hold: what was told, and what this VM sent since.
-    pub fn level(&self, now: Moment) -> f64 {
+    pub fn estimate(&self, now: Moment) -> f64 {
         let own = f64::from(self.open);
         let Some(told) = self.told.filter(|told| now.since(told.at) < TOLD_FOR) else {
             return own;
--- a/src/decide/ends.rs
+++ b/src/decide/outcome.rs
@@ -4,7 +4,7 @@
 
 /// How an attempt at one server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum AttemptOutcome {
     /// No connection opened, or no byte was sent.
     NotSent,
     /// It was kept back before a byte left: what was heard of the server since it was chosen forbids it.
@@ -21,10 +21,10 @@
     Late,
 }
 
-impl End {
+impl AttemptOutcome {
     /// Whether no byte of the request left for the server.
     pub fn is_unsent(self) -> bool {
-        matches!(self, End::NotSent | End::Withheld)
+        matches!(self, AttemptOutcome::NotSent | AttemptOutcome::Withheld)
     }
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Another server, if attempts, budget and time allow it.
-    Elsewhere,
+    Retry,
     /// The caller gets what the server gave.
     Deliver,
     /// The caller is told that it may have run.
@@ -40,20 +40,22 @@
 }
 
 /// What follows an end; what may run twice goes elsewhere, what may not is left as it is.
-pub fn next(end: End, repeat: Repeat) -> Next {
+pub fn next(end: AttemptOutcome, repeat: Repeat) -> Next {
     match (end, repeat) {
-        (End::Good, _) => Next::Deliver,
-        (End::NotSent | End::Withheld | End::NotRun, _) => Next::Elsewhere,
-        (End::Late, _) => Next::Unknown,
-        (End::Failed, Repeat::Never) => Next::Deliver,
-        (End::Broken, Repeat::Never) => Next::Unknown,
-        (End::Failed | End::Broken, _) => Next::Elsewhere,
+        (AttemptOutcome::Good, _) => Next::Deliver,
+        (AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun, _) => {
+            Next::Retry
+        }
+        (AttemptOutcome::Late, _) => Next::Unknown,
+        (AttemptOutcome::Failed, Repeat::Never) => Next::Deliver,
+        (AttemptOutcome::Broken, Repeat::Never) => Next::Unknown,
+        (AttemptOutcome::Failed | AttemptOutcome::Broken, _) => Next::Retry,
     }
 }
 
 /// What the caller gets when no other server may be tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Last {
+pub enum FinalResponse {
     /// A refusal: it did not run and will not.
     Refused,
     /// The server's own failure.
@@ -63,11 +65,17 @@
 }
 
 /// The last word after an attempt that ended so, if no attempt before it may have run.
-pub fn last(end: End, ran_before: bool) -> Last {
+pub fn final_response(end: AttemptOutcome, ran_before: bool) -> FinalResponse {
     match end {
-        End::NotSent | End::Withheld | End::NotRun if ran_before => Last::Unknown,
-        End::NotSent | End::Withheld | End::NotRun => Last::Refused,
-        End::Failed | End::Good => Last::Delivered,
-        End::Broken | End::Late => Last::Unknown,
+        AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun
+            if ran_before =>
+        {
+            FinalResponse::Unknown
+        }
+        AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun => {
+            FinalResponse::Refused
+        }
+        AttemptOutcome::Failed | AttemptOutcome::Good => FinalResponse::Delivered,
+        AttemptOutcome::Broken | AttemptOutcome::Late => FinalResponse::Unknown,
     }
 }
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -1,6 +1,6 @@
 //! Whether a backend server is left out for a while, and when it is tried again.
 
-use super::ends::End;
+use super::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span};
 
 /// Failures to connect, or broken answers, in a row that leave a server out.
@@ -27,7 +27,7 @@
 
 /// What one VM has met at one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Record {
+pub struct OutlierDetector {
     unreachable: u32,
     broken: u32,
     refused: u32,
@@ -37,54 +37,56 @@
     times_out: u32,
 }
 
-impl Record {
+impl OutlierDetector {
     /// Share of answers that were failures, of late.
-    pub fn failures(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.share
     }
 
     /// Until when requests should go elsewhere.
-    pub fn out_until(&self) -> Option<Moment> {
+    pub fn ejected_until(&self) -> Option<Moment> {
         self.out_until
     }
 
     /// Whether requests should go elsewhere.
-    pub fn is_out(&self, now: Moment) -> bool {
+    pub fn is_ejected(&self, now: Moment) -> bool {
         self.out_until.is_some_and(|until| now < until)
     }
 
     /// Notes how an attempt ended; `usual` is the pool's share of failures. Whether the server
     /// is left out from now on.
-    pub fn note(&mut self, end: End, usual: f64, now: Moment) -> bool {
+    pub fn record(&mut self, end: AttemptOutcome, usual: f64, now: Moment) -> bool {
         match end {
-            End::NotSent => {
+            AttemptOutcome::NotSent => {
                 self.unreachable += 1;
             }
-            End::Broken | End::Late => {
+            AttemptOutcome::Broken | AttemptOutcome::Late => {
                 self.broken += 1;
                 self.count(1.0);
             }
-            End::Failed => {
+            AttemptOutcome::Failed => {
                 self.answered();
                 self.count(1.0);
             }
-            End::Good => {
+            AttemptOutcome::Good => {
                 self.answered();
                 self.count(0.0);
             }
-            End::NotRun => {
+            AttemptOutcome::NotRun => {
                 self.unreachable = 0;
                 return self.turned_away(now);
             }
             // Nothing was asked of it.
-            End::Withheld => return false,
+            AttemptOutcome::Withheld => return false,
         }
         let worse = self.answers >= KNOWN && self.share > 2.0 * usual + WORSE;
         if self.unreachable >= UNREACHABLE || self.broken >= BROKEN || worse {
             self.leave_out(now);
             return true;
         }
-        if end == End::Good && self.out_until.is_some_and(|until| now >= until + LONGEST_OUT) {
+        if end == AttemptOutcome::Good
+            && self.out_until.is_some_and(|until| now >= until + LONGEST_OUT)
+        {
             self.times_out = 0;
             self.out_until = None;
         }
--- a/src/decide/place.rs
+++ b/src/decide/placement.rs
@@ -21,12 +21,12 @@
     /// Requests that it works on at once.
     pub slots: f64,
     /// Whether it is in the VM's own data centre.
-    pub near: bool,
+    pub local: bool,
     /// Time until the prompt would be read there: what waits, and its own tokens that the server
     /// does not hold.
-    pub until_read: Span,
+    pub until_prefilled: Span,
     /// The part of it that is the reading of its own tokens.
-    pub reads: Span,
+    pub prefill: Span,
 }
 
 impl Candidate {
@@ -38,8 +38,8 @@
 /// The candidate where a prompt of so many bytes is read soonest; none if there is no candidate.
 pub fn soonest(candidates: &[Candidate], bytes: usize) -> Option<usize> {
     let score = |one: &Candidate| {
-        let carry = if one.near { 0.0 } else { bytes as f64 * CARRY };
-        one.until_read.0 as f64 + one.fullness() * FULL + carry
+        let carry = if one.local { 0.0 } else { bytes as f64 * CARRY };
+        one.until_prefilled.0 as f64 + one.fullness() * FULL + carry
     };
     let scores = candidates.iter().map(score).enumerate();
     scores.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
@@ -47,7 +47,7 @@
 
 /// The least loaded candidate; `point` between 0 and 1 decides between equals.
 pub fn least_loaded(candidates: &[Candidate], point: f64) -> Option<usize> {
-    let score = |one: &Candidate| one.fullness() + if one.near { 0.0 } else { FAR };
+    let score = |one: &Candidate| one.fullness() + if one.local { 0.0 } else { FAR };
     let least = candidates.iter().map(score).fold(f64::MAX, f64::min);
     let equal: Vec<usize> =
         (0..candidates.len()).filter(|i| score(&candidates[*i]) <= least + 1e-9).collect();
--- a/src/decide/pace.rs
+++ b/src/decide/prefill.rs
@@ -33,7 +33,7 @@
 
 /// Time that a model takes to read a token, learned from answers.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct PrefillEstimator {
     /// Microseconds for each token.
     micros: f64,
     /// Microseconds of a first event beside the reading.
@@ -42,15 +42,19 @@
     seen: VecDeque<f64>,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { micros: FIRST_PACE, base: FIRST_BASE, seen: VecDeque::from([FIRST_PACE]) }
+impl Default for PrefillEstimator {
+    fn default() -> PrefillEstimator {
+        PrefillEstimator {
+            micros: FIRST_PACE,
+            base: FIRST_BASE,
+            seen: VecDeque::from([FIRST_PACE]),
+        }
     }
 }
 
-impl Pace {
+impl PrefillEstimator {
     /// Notes the time to the first event of a prompt of which so many tokens had to be read.
-    pub fn note(&mut self, tokens: u64, time: Span) {
+    pub fn record(&mut self, tokens: u64, time: Span) {
         let time = time.0 as f64;
         self.base = if time < self.base { time } else { self.base * (1.0 + FORGET) };
         if tokens < TELLING {
@@ -66,13 +70,13 @@
     }
 
     /// Time to read so many tokens.
-    pub fn time(&self, tokens: u64) -> Span {
+    pub fn prefill_time(&self, tokens: u64) -> Span {
         Span((work(tokens) * self.micros) as u64)
     }
 
     /// Time to the first event of a prompt that need not wait.
-    pub fn first_event(&self, tokens: u64) -> Span {
-        Span(self.base as u64 + self.time(tokens).0)
+    pub fn time_to_first_event(&self, tokens: u64) -> Span {
+        Span(self.base as u64 + self.prefill_time(tokens).0)
     }
 }
 
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -23,7 +23,7 @@
 
 impl Pressure {
     /// Notes that a request waited so long, beside its own reading.
-    pub fn note(&mut self, waited: Span, goal: Span, now: Moment) {
+    pub fn record(&mut self, waited: Span, goal: Span, now: Moment) {
         let kept = self.kept(now);
         let part = waited.0 as f64 / goal.0.max(1) as f64;
         self.waited = self.waited * kept + part.min(LONGEST);
--- a/src/decide/rank.rs
+++ b/src/decide/priority.rs
@@ -16,7 +16,7 @@
 const MIDDLING: f64 = 0.2;
 
 /// The rank, 0 first, of a prompt that takes `reads` to read and has `left` to its goal.
-pub fn of(workspace: u32, reads: Span, left: Span) -> u32 {
+pub fn prompt_priority(workspace: u32, reads: Span, left: Span) -> u32 {
     let (reads, left) = (reads.0 as f64, left.0 as f64);
     let reading = match reads {
         _ if reads <= SHORT * left => 0,
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -42,13 +42,13 @@
     /// This VM's own requests there now.
     pub own: f64,
     /// This VM's own requests there when the report was made.
-    pub own_then: f64,
+    pub own_at_report: f64,
     /// Whether it may get new work.
-    pub open: bool,
+    pub accepting: bool,
     /// When a request last failed there without having run.
     pub failed_at: Option<Moment>,
     /// One-way latency to it.
-    pub distance: Span,
+    pub latency: Span,
 }
 
 impl Replica {
@@ -60,23 +60,23 @@
             reported: 0.0,
             reported_at: Moment(0),
             own: 0.0,
-            own_then: 0.0,
-            open: true,
+            own_at_report: 0.0,
+            accepting: true,
             failed_at: None,
-            distance: Span(0),
+            latency: Span(0),
         }
     }
 
     /// Whether new work may go there now.
     pub fn usable(&self, now: Moment) -> bool {
-        self.open && self.failed_at.is_none_or(|at| now.since(at) >= BACK_OFF)
+        self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= BACK_OFF)
     }
 
     /// Expected load in shares of its slots; `mean` is that of all.
     fn load(&self, mean: f64, now: Moment) -> f64 {
         let age = now.since(self.reported_at).as_secs() / HALF_LIFE.as_secs();
         let trust = 0.5f64.powf(age);
-        let since = (self.own - self.own_then).max(0.0);
+        let since = (self.own - self.own_at_report).max(0.0);
         let believed = trust * self.reported / self.slots + (1.0 - trust) * mean;
         believed.max(self.own / self.slots) + since / self.slots
     }
@@ -111,7 +111,7 @@
     let mut best: Option<(f64, usize)> = None;
     let mut weigh = |i: usize, bonus: f64| {
         let replica = &replicas[i];
-        let far = replica.distance.as_secs() * 10.0;
+        let far = replica.latency.as_secs() * 10.0;
         // A tie is broken by chance, or every VM would break it alike.
         let chance = (mix(point, i as u64) >> 40) as f64 / (1u64 << 24) as f64 * 1e-3;
         let score = cost(replica.load(mean, now)) + far + chance - bonus;
@@ -146,7 +146,7 @@
 fn mean(replicas: &[Replica]) -> f64 {
     let (load, slots) = replicas
         .iter()
-        .filter(|replica| replica.open)
+        .filter(|replica| replica.accepting)
         .fold((0.0, 0.0), |(load, slots), r| (load + r.reported, slots + r.slots));
     if slots > 0.0 { load / slots } else { 0.0 }
 }
@@ -164,7 +164,7 @@
         let now = Moment(1_000_000);
         let mut replicas: Vec<Replica> = (0..10).map(idle).collect();
         for replica in &mut replicas[..9] {
-            replica.open = false;
+            replica.accepting = false;
         }
         for point in 0..200 {
             assert_eq!(choose(&replicas, Some(point), point, now), Some(9));
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -36,12 +36,12 @@
 
 impl Budget {
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.level = (self.level + SHARE).min(SAVED);
     }
 
     /// Takes a retry, if one is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
         }
@@ -51,7 +51,7 @@
 }
 
 /// Whether an attempt may be followed by another, apart from the budget.
-pub fn allowed(
+pub fn is_allowed(
     failure: Failure,
     repeatable: bool,
     attempts: u32,
@@ -69,7 +69,7 @@
 
     #[test]
     fn what_may_not_be_repeated_is_tried_again_only_if_it_did_not_run() {
-        let ask = |failure| allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
+        let ask = |failure| is_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
         assert!(ask(Failure::NotSent));
         assert!(ask(Failure::NotRun));
         assert!(!ask(Failure::Broken));
@@ -80,14 +80,14 @@
         let mut budget = Budget::default();
         let mut retries = 0;
         for _ in 0..1000 {
-            budget.earn();
-            retries += u32::from(budget.spend());
+            budget.deposit();
+            retries += u32::from(budget.try_spend());
         }
         assert!((100..=111).contains(&retries), "{retries}");
     }
 
     #[test]
     fn no_retry_starts_past_the_deadline() {
-        assert!(!allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
+        assert!(!is_allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
     }
 }
--- a/src/decide/bound.rs
+++ b/src/decide/server_limit.rs
@@ -38,39 +38,39 @@
 
 /// Requests that a server bears, from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct RateLimit {
     /// In the long run.
     pub rate: Rate,
     /// Any such time holds no more than the rate allows for it, or one.
     pub window: Span,
 }
 
-impl Bound {
+impl RateLimit {
     /// The bound of a server that names a limit.
-    pub fn of_limit(rate: Rate) -> Bound {
-        Bound { rate: Rate(rate.0.clamp(LEAST.0, MOST.0)), window: LIMIT_WINDOW }
+    pub fn advertised(rate: Rate) -> RateLimit {
+        RateLimit { rate: Rate(rate.0.clamp(LEAST.0, MOST.0)), window: LIMIT_WINDOW }
     }
 
     /// What keeps both.
-    pub fn and(self, other: Bound) -> Bound {
+    pub fn strictest(self, other: RateLimit) -> RateLimit {
         let rate = Rate(self.rate.0.min(other.rate.0));
-        Bound { rate, window: self.window.min(other.window) }
+        RateLimit { rate, window: self.window.min(other.window) }
     }
 }
 
 /// How a bound is parted among VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Share {
     /// VMs that send to the server.
     pub senders: usize,
     /// Time between two requests of one of them.
-    pub gap: Span,
+    pub interval: Span,
 }
 
-impl Part {
+impl Share {
     /// The parts of so many VMs. In any window the senders together reach at most what the bound allows, or one request. The largest
     /// number of senders that uses most of it is taken, so that few VMs have no part for their callers.
-    pub fn new(bound: &Bound, vms: usize) -> Part {
+    pub fn new(bound: &RateLimit, vms: usize) -> Share {
         let rate = bound.rate.0.clamp(LEAST.0, MOST.0);
         let window = bound.window.as_secs();
         let whole = ((rate * window) as usize).max(1);
@@ -79,13 +79,13 @@
         let senders = (1..=vms.clamp(1, whole)).rev().find(enough).unwrap_or(1);
         let each = (whole / senders) as f64;
         let gap = (APART * window / each).max(senders as f64 / rate);
-        Part { senders, gap: Span((gap * 1e6) as u64) }
+        Share { senders, interval: Span((gap * 1e6) as u64) }
     }
 }
 
 /// Whether a VM is among the senders to a server, given the hashes of their names: those with the highest weights for
 /// that server. VMs that do not know of each other differ in few servers.
-pub fn is_sender(part: &Part, server: u64, own: u64, others: &[u64]) -> bool {
+pub fn is_sender(part: &Share, server: u64, own: u64, others: &[u64]) -> bool {
     let own = mix(server, own);
     let before = others.iter().filter(|other| mix(server, **other) > own);
     before.take(part.senders).count() < part.senders
@@ -93,7 +93,7 @@
 
 /// A turn that was taken, with what gives it back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ticket {
+pub struct Reservation {
     /// When the turn is.
     pub at: Moment,
     before: Option<Moment>,
@@ -101,30 +101,30 @@
 
 /// One VM's turns at one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Turns {
+pub struct Pacer {
     last: Option<Moment>,
 }
 
-impl Turns {
+impl Pacer {
     /// When the next turn is.
-    pub fn next(&self, part: &Part, now: Moment) -> Moment {
-        self.last.map_or(now, |last| now.max(last + part.gap))
+    pub fn next_send(&self, part: &Share, now: Moment) -> Moment {
+        self.last.map_or(now, |last| now.max(last + part.interval))
     }
 
     /// Takes the next turn.
-    pub fn take(&mut self, part: &Part, now: Moment) -> Ticket {
-        let ticket = Ticket { at: self.next(part, now), before: self.last };
+    pub fn reserve(&mut self, part: &Share, now: Moment) -> Reservation {
+        let ticket = Reservation { at: self.next_send(part, now), before: self.last };
         self.last = Some(ticket.at);
         ticket
     }
 
     /// A request leaves on its turn: the next one counts from then, as a connection may have taken a while to open.
-    pub fn spend(&mut self, now: Moment) {
+    pub fn on_send(&mut self, now: Moment) {
         self.last = self.last.max(Some(now));
     }
 
     /// Nothing was sent on a turn. If others were taken since, it is lost.
-    pub fn give_back(&mut self, ticket: Ticket) {
+    pub fn release(&mut self, ticket: Reservation) {
         if self.last == Some(ticket.at) {
             self.last = ticket.before;
         }
@@ -133,19 +133,19 @@
 
 /// What the head of one answer says of a limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Word {
+pub enum LimitHeader {
     /// Nothing.
     #[default]
-    Unnamed,
+    Absent,
     /// Something that is no rate.
-    Unreadable,
+    Invalid,
     /// Requests a second from all VMs together.
-    Named(Rate),
+    Present(Rate),
 }
 
 /// What is known of a limit at a moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// The limit, if there is one.
     pub rate: Option<Rate>,
     /// When that was heard; of the end of a limit, when the request was sent whose answer told it.
@@ -154,7 +154,7 @@
 
 /// Who is to be told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Audience {
+pub enum Recipients {
     /// All VMs, each of which passes it on.
     All,
     /// The senders to a server that named the one rate and names the other: nothing changes for VMs that have no part of either.
@@ -162,8 +162,8 @@
 }
 
 /// How many VMs of so many have a part of a limit of either rate. Less may have more senders.
-pub fn senders(rates: [Rate; 2], vms: usize) -> usize {
-    let senders = rates.map(|rate| Part::new(&Bound::of_limit(rate), vms).senders);
+pub fn max_senders(rates: [Rate; 2], vms: usize) -> usize {
+    let senders = rates.map(|rate| Share::new(&RateLimit::advertised(rate), vms).senders);
     senders[0].max(senders[1])
 }
 
@@ -179,7 +179,7 @@
 /// What one VM knows of the limit of one life of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Limit {
-    known: Option<News>,
+    known: Option<Update>,
     /// Since when a limit is known without a break.
     since: Option<Moment>,
     /// What the other VMs know, as far as this one told them or heard it from them.
@@ -189,29 +189,31 @@
 impl Limit {
     /// Takes what the head of an answer says to a request that was sent at `asked`. Whether that changes the limit. An answer without one ends
     /// it only if its request was sent after the limit was heard: answers overtake each other.
-    pub fn hear(&mut self, word: Word, asked: Moment, now: Moment) -> bool {
+    pub fn observe(&mut self, word: LimitHeader, asked: Moment, now: Moment) -> bool {
         match (word, self.known) {
-            (Word::Named(rate), _) => self.learn(News { rate: Some(rate), as_of: now }, now),
-            (Word::Unnamed, Some(known)) if asked > known.as_of => {
-                self.learn(News { rate: None, as_of: asked }, now)
+            (LimitHeader::Present(rate), _) => {
+                self.learn(Update { rate: Some(rate), as_of: now }, now)
             }
-            (Word::Unnamed | Word::Unreadable, _) => false,
+            (LimitHeader::Absent, Some(known)) if asked > known.as_of => {
+                self.learn(Update { rate: None, as_of: asked }, now)
+            }
+            (LimitHeader::Absent | LimitHeader::Invalid, _) => false,
         }
     }
 
     /// Takes what another VM says, if that is newer than what is known. Whether it is news to pass on to all: what all were told a while ago is,
     /// since each VM counts that time a little differently.
-    pub fn hear_told(&mut self, news: News, now: Moment) -> bool {
+    pub fn merge(&mut self, news: Update, now: Moment) -> bool {
         if self.known.is_some_and(|known| known.as_of >= news.as_of) {
             return false;
         }
         self.learn(news, now);
-        let passes_on = self.audience(TOLD_EVERY.half(), now) == Some(Audience::All);
+        let passes_on = self.audience(TOLD_EVERY.half(), now) == Some(Recipients::All);
         self.note_told(passes_on, now);
         passes_on
     }
 
-    fn learn(&mut self, news: News, now: Moment) -> bool {
+    fn learn(&mut self, news: Update, now: Moment) -> bool {
         let before = self.rate(now);
         self.known = Some(news);
         let goes_on = before.is_some() && news.rate.is_some();
@@ -222,9 +224,9 @@
     }
 
     /// What other VMs are to be told now, if anything, and who; they then know it.
-    pub fn tell(&mut self, now: Moment) -> Option<(News, Audience)> {
+    pub fn next_announcement(&mut self, now: Moment) -> Option<(Update, Recipients)> {
         let audience = self.audience(TOLD_EVERY, now)?;
-        self.note_told(audience == Audience::All, now);
+        self.note_told(audience == Recipients::All, now);
         Some((self.known?, audience))
     }
 
@@ -236,20 +238,20 @@
     }
 
     /// Who knows something else, or may soon forget: all, if they were told nothing for `every`.
-    fn audience(&self, every: Span, now: Moment) -> Option<Audience> {
+    fn audience(&self, every: Span, now: Moment) -> Option<Recipients> {
         let known = self.known?.rate;
-        let Some(told) = self.told else { return known.map(|_| Audience::All) };
+        let Some(told) = self.told else { return known.map(|_| Recipients::All) };
         let (known, before) = match (known, told.rate) {
             (None, None) => return None,
             (Some(known), Some(before)) => (known, before),
-            (Some(_), None) | (None, Some(_)) => return Some(Audience::All),
+            (Some(_), None) | (None, Some(_)) => return Some(Recipients::All),
         };
         if now.since(told.all_at) >= every {
-            return Some(Audience::All);
+            return Some(Recipients::All);
         }
         let fell = known.0 < before.0 * (1.0 - CHANGE);
         let rose = known.0 > before.0 * (1.0 + CHANGE) && now.since(told.at) >= RISES_APART;
-        (fell || rose).then_some(Audience::Senders([before, known]))
+        (fell || rose).then_some(Recipients::Senders([before, known]))
     }
 
     /// The limit, if there is one.
@@ -266,9 +268,9 @@
 
 /// Why a request that was to leave for a server may not.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NoTurn(pub Bound);
+pub struct Throttled(pub RateLimit);
 
-impl fmt::Display for NoTurn {
+impl fmt::Display for Throttled {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "it bears {} from all VMs, and it is not this one's turn", self.0.rate)
     }
--- a/src/entry/drive/attempts.rs
+++ b/src/entry/drive/attempts.rs
@@ -5,7 +5,7 @@
 
 use super::{Drive, Stop};
 use crate::config::{Allowed, Snapshot};
-use crate::decide::admit::Ended;
+use crate::decide::admission::Outcome;
 use crate::decide::poison::{Broken, RAN_FOR};
 use crate::decide::retry::{self, Failure};
 use crate::engine::wire::{End, Generate};
@@ -61,8 +61,8 @@
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
         let (in_time, fits) = self.vm.gate(&target.model, |gate| {
-            let in_time = gate.in_time(now, deadline);
-            (in_time, in_time && gate.offer(&workspace.name, workspace.limit.0, now))
+            let in_time = gate.can_meet_deadline(now, deadline);
+            (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
         });
         let refuse = |kind, words| Err(Stop::Refused(Refusal::because(kind, words)));
         match (in_time, fits) {
@@ -74,18 +74,18 @@
 
     fn let_out(&self, target: &Target, outcome: &Result<End, Stop>, late: bool) {
         let how = match outcome {
-            Ok(_) if late => Ended::Bad,
-            Ok(_) => Ended::Good,
-            Err(Stop::Gone) => Ended::Unrelated,
+            Ok(_) if late => Outcome::Bad,
+            Ok(_) => Outcome::Good,
+            Err(Stop::Gone) => Outcome::Unrelated,
             Err(Stop::Refused(refusal)) => match refusal.kind {
-                Refused::NoServer => Ended::Full,
-                Refused::Broken | Refused::Late => Ended::Bad,
-                _ => Ended::Unrelated,
+                Refused::NoServer => Outcome::Full,
+                Refused::Broken | Refused::Late => Outcome::Bad,
+                _ => Outcome::Unrelated,
             },
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm.gate(&target.model, |gate| gate.ended(workspace, how, now));
+        self.vm.gate(&target.model, |gate| gate.on_end(workspace, how, now));
     }
 
     async fn attempts(
@@ -153,7 +153,7 @@
             self.may_have_run |= failure == Failure::Broken;
             let now = self.vm.clock.now();
             // A model's answer may be taken up again at its offset.
-            let may = retry::allowed(failure, true, tries, now, self.job.deadline, LEAST);
+            let may = retry::is_allowed(failure, true, tries, now, self.job.deadline, LEAST);
             if !may || !self.vm.spend_retry() {
                 return Err(Stop::Refused(self.given_up(failure, &words, now)));
             }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -371,7 +371,7 @@
             let request = Broken { content, ran: false };
             poison::broke(vm, &picked.server, picked.address, request);
         }
-        let may = retry::allowed(failure, call.repeatable, tries, now, call.deadline, LEAST);
+        let may = retry::is_allowed(failure, call.repeatable, tries, now, call.deadline, LEAST);
         if !may || !vm.spend_retry() {
             let kind = if failure == Failure::Broken { Refused::Broken } else { Refused::NoServer };
             return Err(Refusal::new(kind));
--- a/src/experiment/bound/world.rs
+++ b/src/experiment/bound/world.rs
@@ -7,8 +7,9 @@
 use rand::rngs::SmallRng;
 
 use super::{Skew, Way};
-use crate::decide::bound::{
-    Audience, Bound, LIMIT_WINDOW, Limit, News, Part, Turns, Word, is_sender, senders,
+use crate::decide::server_limit::{
+    LIMIT_WINDOW, Limit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender,
+    max_senders,
 };
 use crate::peer::neighbours;
 use crate::unit::{Moment, Rate, Span, Vm as Name, hash};
@@ -38,7 +39,7 @@
 const AWAY: Span = Span::millis(2);
 
 /// A server of which no limit is known yet.
-const FREE: Part = Part { senders: 1, gap: Span(0) };
+const FREE: Share = Share { senders: 1, interval: Span(0) };
 
 /// Bytes of one word between VMs.
 const WORD: u64 = 120;
@@ -82,7 +83,7 @@
     /// The head of the answer is there.
     Heard(usize, usize, Rate, Moment),
     /// A word of another VM.
-    Told(usize, usize, News),
+    Told(usize, usize, Update),
     /// A server names another limit.
     Changes(usize),
 }
@@ -90,7 +91,7 @@
 #[derive(Clone, Copy, Default)]
 struct View {
     limit: Limit,
-    turns: Turns,
+    turns: Pacer,
     first_heard: Option<Moment>,
 }
 
@@ -100,7 +101,7 @@
     earlier: VecDeque<(Moment, Rate)>,
     arrivals: VecDeque<Moment>,
     /// The dispatcher's turns.
-    turns: Turns,
+    turns: Pacer,
     number: u64,
 }
 
@@ -138,7 +139,7 @@
             rate: Rate(rng.random_range(RATES)),
             earlier: VecDeque::new(),
             arrivals: VecDeque::new(),
-            turns: Turns::default(),
+            turns: Pacer::default(),
             number: hash::stable(&[&format!("i-{number}")]),
         };
         let servers = (0..count).map(|number| server(number, &mut rng)).collect();
@@ -213,23 +214,23 @@
     }
 
     /// A VM's part of the limit of a server by its way; none if it has no part. `Err` if it knows of no limit.
-    fn part(&self, vm: usize, server: usize) -> Result<Option<Part>, ()> {
+    fn part(&self, vm: usize, server: usize) -> Result<Option<Share>, ()> {
         let rate = self.views[vm][server].limit.rate(self.now).ok_or(())?;
         let vms = self.names.len();
-        let each = |rate: f64| Some(Part { senders: vms, gap: Span((1e6 / rate) as u64) });
+        let each = |rate: f64| Some(Share { senders: vms, interval: Span((1e6 / rate) as u64) });
         let part = match self.way {
             Way::Unheeded => return Err(()),
             Way::Alone => each(rate.0),
             Way::Even => each(rate.0 / vms as f64),
-            Way::One => self.as_sender(vm, server, Part::new(&Bound::of_limit(rate), 1)),
+            Way::One => self.as_sender(vm, server, Share::new(&RateLimit::advertised(rate), 1)),
             Way::Senders | Way::Leases | Way::Dispatcher => {
-                self.as_sender(vm, server, Part::new(&Bound::of_limit(rate), vms))
+                self.as_sender(vm, server, Share::new(&RateLimit::advertised(rate), vms))
             }
         };
         Ok(part)
     }
 
-    fn as_sender(&self, vm: usize, server: usize, part: Part) -> Option<Part> {
+    fn as_sender(&self, vm: usize, server: usize, part: Share) -> Option<Share> {
         let others: Vec<u64> =
             (0..self.names.len()).filter(|at| *at != vm).map(|at| self.names[at]).collect();
         let number = self.servers[server].number;
@@ -240,38 +241,40 @@
     fn turn(&self, vm: usize, server: usize) -> Option<Moment> {
         let (now, at) = (self.now, &self.servers[server]);
         match self.way {
-            Way::Dispatcher => return Some(at.turns.next(&whole(at.rate), now)),
-            Way::Leases => return self.lease(vm, server).map(|part| at.turns.next(&part, now)),
+            Way::Dispatcher => return Some(at.turns.next_send(&whole(at.rate), now)),
+            Way::Leases => {
+                return self.lease(vm, server).map(|part| at.turns.next_send(&part, now));
+            }
             _ => {}
         }
         match self.part(vm, server) {
             Err(()) => Some(self.now),
-            Ok(part) => Some(self.views[vm][server].turns.next(&part?, self.now)),
+            Ok(part) => Some(self.views[vm][server].turns.next_send(&part?, self.now)),
         }
     }
 
     /// What the first VM for a server, which alone counts its turns, grants another; a VM that does not reach it gets none.
-    fn lease(&self, vm: usize, server: usize) -> Option<Part> {
+    fn lease(&self, vm: usize, server: usize) -> Option<Share> {
         let number = self.servers[server].number;
         let weight = |at: &usize| hash::mix(number, self.names[*at]);
         let first = (0..self.names.len()).max_by_key(weight)?;
         let is_reached = vm == first || !(self.cut[vm] || self.cut[first]);
         let rate = self.views[first][server].limit.rate(self.now);
         let rate = rate.or(self.views[vm][server].limit.rate(self.now));
-        is_reached.then(|| rate.map_or(FREE, |rate| Part::new(&Bound::of_limit(rate), 1)))
+        is_reached.then(|| rate.map_or(FREE, |rate| Share::new(&RateLimit::advertised(rate), 1)))
     }
 
     fn take(&mut self, vm: usize, server: usize) {
         let now = self.now;
         if self.way == Way::Dispatcher {
             let server = &mut self.servers[server];
-            server.turns.take(&whole(server.rate), now);
+            server.turns.reserve(&whole(server.rate), now);
         } else if self.way == Way::Leases {
             let part = self.lease(vm, server).expect("its turn was asked for");
-            self.servers[server].turns.take(&part, now);
+            self.servers[server].turns.reserve(&part, now);
             self.counts.bytes += 2 * WORD;
         } else if let Ok(Some(part)) = self.part(vm, server) {
-            self.views[vm][server].turns.take(&part, self.now);
+            self.views[vm][server].turns.reserve(&part, self.now);
         }
     }
 
@@ -342,35 +345,35 @@
         let now = self.now;
         let view = &mut self.views[vm][server];
         view.first_heard = view.first_heard.or(Some(now));
-        view.limit.hear(Word::Named(rate), asked, now);
-        match view.limit.tell(now) {
-            Some((news, Audience::All)) => self.tell_all(vm, server, news),
-            Some((news, Audience::Senders(rates))) => self.tell_senders(vm, server, rates, news),
+        view.limit.observe(LimitHeader::Present(rate), asked, now);
+        match view.limit.next_announcement(now) {
+            Some((news, Recipients::All)) => self.tell_all(vm, server, news),
+            Some((news, Recipients::Senders(rates))) => self.tell_senders(vm, server, rates, news),
             None => {}
         }
     }
 
-    fn told(&mut self, vm: usize, server: usize, news: News) {
+    fn told(&mut self, vm: usize, server: usize, news: Update) {
         let view = &mut self.views[vm][server];
-        if view.limit.hear_told(news, self.now) {
+        if view.limit.merge(news, self.now) {
             self.tell_all(vm, server, news);
         }
     }
 
-    fn tell_all(&mut self, vm: usize, server: usize, news: News) {
+    fn tell_all(&mut self, vm: usize, server: usize, news: Update) {
         let near = self.near[vm].clone();
         self.tell(vm, server, &near, news);
     }
 
-    fn tell_senders(&mut self, vm: usize, server: usize, rates: [Rate; 2], news: News) {
+    fn tell_senders(&mut self, vm: usize, server: usize, rates: [Rate; 2], news: Update) {
         let mut all: Vec<usize> = (0..self.names.len()).collect();
         let weight = |at: &usize| Reverse(hash::mix(self.servers[server].number, self.names[*at]));
         all.sort_unstable_by_key(weight);
-        all.truncate(senders(rates, self.names.len()));
+        all.truncate(max_senders(rates, self.names.len()));
         self.tell(vm, server, &all, news);
     }
 
-    fn tell(&mut self, vm: usize, server: usize, others: &[usize], news: News) {
+    fn tell(&mut self, vm: usize, server: usize, others: &[usize], news: Update) {
         if !self.way.tells() || self.cut[vm] {
             return;
         }
@@ -385,6 +388,6 @@
 }
 
 /// All of a limit, for one that sends for all.
-fn whole(rate: Rate) -> Part {
-    Part { senders: 1, gap: Span((1e6 / rate.0) as u64) }
+fn whole(rate: Rate) -> Share {
+    Share { senders: 1, interval: Span((1e6 / rate.0) as u64) }
 }
--- a/src/experiment/overload.rs
+++ b/src/experiment/overload.rs
@@ -8,7 +8,7 @@
 
 use super::options::Options;
 use super::table::{Row, Table};
-use crate::decide::admit::{Ended, Gate};
+use crate::decide::admission::{AdmissionController, Outcome};
 use crate::unit::{Moment, Workspace};
 
 /// Entry VMs, replicas and slots of the pool.
@@ -94,7 +94,7 @@
 struct Run {
     kind: Kind,
     replicas: Vec<Replica>,
-    gates: Vec<Gate>,
+    gates: Vec<AdmissionController>,
     running: Vec<f64>,
     names: Vec<Workspace>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -149,8 +149,8 @@
             Kind::Ours => {
                 let name = self.names[request.workspace].clone();
                 let deadline = Moment(request.born + DEADLINE);
-                let in_time = self.gates[vm].in_time(Moment(now), deadline);
-                in_time && self.gates[vm].offer(&name, 1.0, Moment(now))
+                let in_time = self.gates[vm].can_meet_deadline(Moment(now), deadline);
+                in_time && self.gates[vm].try_admit(&name, 1.0, Moment(now))
             }
         };
         if !admitted {
@@ -186,7 +186,7 @@
                 return;
             }
         }
-        self.leave(now, &request, Ended::Full);
+        self.leave(now, &request, Outcome::Full);
         self.refused(now, request);
     }
 
@@ -204,11 +204,11 @@
         if load(a) <= load(b) { a } else { b }
     }
 
-    fn leave(&mut self, now: u64, request: &Request, how: Ended) {
+    fn leave(&mut self, now: u64, request: &Request, how: Outcome) {
         self.running[request.vm] -= 1.0;
         if self.kind == Kind::Ours {
             let name = &self.names[request.workspace];
-            self.gates[request.vm].ended(name, how, Moment(now));
+            self.gates[request.vm].on_end(name, how, Moment(now));
         }
     }
 
@@ -226,7 +226,7 @@
             self.tally.good += 1.0;
             self.tally.by_workspace.entry(request.workspace).or_default().1 += 1.0;
         }
-        self.leave(now, &request, if late { Ended::Bad } else { Ended::Good });
+        self.leave(now, &request, if late { Outcome::Bad } else { Outcome::Good });
         self.replicas[at].running -= 1;
         self.refill(now, at);
         if late && self.kind != Kind::Ours {
@@ -239,7 +239,7 @@
             // Ours drops what cannot be in time; it has not run.
             let hopeless = now + request.work / 2 > request.born + DEADLINE;
             if self.kind == Kind::Ours && hopeless {
-                self.leave(now, &request, Ended::Bad);
+                self.leave(now, &request, Outcome::Bad);
                 self.refused(now, request);
                 continue;
             }
@@ -251,7 +251,7 @@
     }
 
     fn failed(&mut self, now: u64, request: Request) {
-        self.leave(now, &request, Ended::Bad);
+        self.leave(now, &request, Outcome::Bad);
         self.again(now, request, AGAIN);
     }
 
@@ -294,7 +294,7 @@
     let mut run = Run {
         kind,
         replicas: (0..REPLICAS).map(|_| Replica::default()).collect(),
-        gates: vec![Gate::new((REPLICAS * SLOTS) as f64); VMS],
+        gates: vec![AdmissionController::new((REPLICAS * SLOTS) as f64); VMS],
         running: vec![0.0; VMS],
         names: (0..LARGE + SMALL).map(name).collect(),
         queue: BinaryHeap::new(),
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -172,11 +172,11 @@
                 for (replica, load) in view.iter_mut().zip(&loads) {
                     replica.reported = *load;
                     replica.reported_at = Moment(at);
-                    replica.own_then = replica.own;
+                    replica.own_at_report = replica.own;
                 }
                 for (sent, server) in &self.own[vm] {
                     if *sent > at {
-                        view[*server].own_then -= 1.0;
+                        view[*server].own_at_report -= 1.0;
                     }
                 }
             }
@@ -208,7 +208,7 @@
             let known = &mut self.views[request.vm][server];
             known.reported = load;
             known.reported_at = Moment(now);
-            known.own_then = known.own;
+            known.own_at_report = known.own;
             if load < SLOTS as f64 {
                 break;
             }
--- a/src/experiment/shed/world.rs
+++ b/src/experiment/shed/world.rs
@@ -7,9 +7,9 @@
 use rand::rngs::SmallRng;
 
 use super::Way;
+use crate::decide::availability::{self, Availability, Signal, Unavailable};
 use crate::decide::load::Load;
-use crate::decide::place::{Candidate, least_loaded};
-use crate::decide::standing::{self, Bar, Said, Standing};
+use crate::decide::placement::{Candidate, least_loaded};
 use crate::unit::{Moment, Span};
 
 /// Servers for each VM, as on the users' large site; and the fewest.
@@ -73,7 +73,7 @@
     /// Reaches a server.
     Reaches(Request, usize),
     /// A server's answer reaches the VM: what its head says, and the load that it tells.
-    Heard(Request, usize, u64, Said, u32, bool),
+    Heard(Request, usize, u64, Signal, u32, bool),
     /// A run ends at a life of a server.
     Ends(usize, usize, u64),
     Leaves(usize),
@@ -102,7 +102,7 @@
 /// What one VM knows of one server.
 #[derive(Clone, Default)]
 struct View {
-    standing: Standing,
+    standing: Availability,
     load: Load,
     life: u64,
     /// Since when it knows that the server rests or leaves, by its own ears.
@@ -239,10 +239,13 @@
     }
 
     /// Why a VM sends nothing to a server now, by its way.
-    fn bar(&self, vm: usize, server: usize) -> Option<Bar> {
-        let bar = self.views[vm][server].standing.bar(self.now).filter(|bar| bar.binds());
+    fn bar(&self, vm: usize, server: usize) -> Option<Unavailable> {
+        let bar = self.views[vm][server]
+            .standing
+            .unavailable_reason(self.now)
+            .filter(|bar| bar.is_hard());
         match (self.way, bar) {
-            (Way::Unheeded, _) | (Way::Alone, Some(Bar::IsTried(_))) => None,
+            (Way::Unheeded, _) | (Way::Alone, Some(Unavailable::Probing(_))) => None,
             (_, bar) => bar,
         }
     }
@@ -259,11 +262,11 @@
             let more = if cared { f64::from(SLOTS) } else { 0.0 };
             let zero = Span(0);
             Candidate {
-                load: view.load.level(self.now) + more,
+                load: view.load.estimate(self.now) + more,
                 slots: f64::from(SLOTS),
-                near: true,
-                until_read: zero,
-                reads: zero,
+                local: true,
+                until_prefilled: zero,
+                prefill: zero,
             }
         };
         let candidates: Vec<Candidate> = open.iter().map(candidate).collect();
@@ -278,7 +281,7 @@
         }
         let rests: Vec<Span> = (0..self.servers.len())
             .filter_map(|server| match self.bar(vm, server) {
-                Some(Bar::Rests(left) | Bar::IsTried(left)) => Some(left),
+                Some(Unavailable::BackingOff(left) | Unavailable::Probing(left)) => Some(left),
                 _ => None,
             })
             .collect();
@@ -299,7 +302,7 @@
         if std::mem::replace(&mut request.came_back, true) {
             return;
         }
-        let after = standing::come_back(rests.into_iter(), self.rng.random());
+        let after = availability::retry_after(rests.into_iter(), self.rng.random());
         let after = after.unwrap_or(COME_BACK).min(Span(PATIENCE.0 / 3));
         (request.attempts, request.tried) = (0, Vec::new());
         request.vm = self.rng.random_range(0..self.views.len());
@@ -312,8 +315,8 @@
         self.counts.sends += 1;
         let now = self.now;
         let view = &mut self.views[request.vm][server];
-        view.load.add();
-        view.standing.send(now);
+        view.load.on_open();
+        view.standing.on_send(now);
         let is_against = |(since, until): (Moment, Moment)| now >= since + HEARD && now < until;
         self.counts.against += u64::from(view.barred.is_some_and(is_against));
         let way = Span(self.rng.random_range(500..AWAY.0));
@@ -329,7 +332,14 @@
         let (life, leaves, lives) = (server.life, server.leaves, server.lives);
         if !lives || is_grey || is_full {
             let rest = lives.then_some(self.rest);
-            return self.answer(request, at, life, Said { leaves, rest }, held, false);
+            return self.answer(
+                request,
+                at,
+                life,
+                Signal { draining: leaves, backoff: rest },
+                held,
+                false,
+            );
         }
         if server.running < SLOTS {
             server.running += 1;
@@ -345,7 +355,7 @@
         let long = Span((-(1.0 - self.rng.random::<f64>()).ln() * RUNS.0 as f64) as u64);
         self.push(self.now + long, Event::Ends(request.vm, at, life));
         self.begun[(self.now.0 / 100_000) as usize] = true;
-        self.answer(request, at, life, Said { leaves, rest: None }, held, true);
+        self.answer(request, at, life, Signal { draining: leaves, backoff: None }, held, true);
     }
 
     fn answer(
@@ -353,7 +363,7 @@
         request: Request,
         at: usize,
         life: u64,
-        said: Said,
+        said: Signal,
         held: u32,
         taken: bool,
     ) {
@@ -366,7 +376,7 @@
         request: Request,
         at: usize,
         life: u64,
-        said: Said,
+        said: Signal,
         held: u32,
         taken: bool,
     ) {
@@ -377,11 +387,11 @@
         if view.life != life {
             *view = View { life, load: view.load, ..View::default() };
         }
-        view.standing.hear(said, now);
-        view.load.hear(held, now);
-        if said.leaves {
+        view.standing.observe(said, now);
+        view.load.observe(held, now);
+        if said.draining {
             view.barred.get_or_insert((now, Moment(u64::MAX)));
-        } else if said.rest.is_some() && view.barred.is_none_or(|(_, until)| until <= now) {
+        } else if said.backoff.is_some() && view.barred.is_none_or(|(_, until)| until <= now) {
             view.barred = Some((now, now + rest));
         }
         if taken {
@@ -390,9 +400,9 @@
             self.counts.in_aim += u64::from(late <= AIM);
             return;
         }
-        view.load.remove();
+        view.load.on_close();
         self.counts.turned_away += 1;
-        if said.rest.is_some() && self.way == Way::Told {
+        if said.backoff.is_some() && self.way == Way::Told {
             self.tell(vm, at, now + rest);
         }
         if request.attempts < ATTEMPTS {
@@ -423,7 +433,7 @@
     }
 
     fn ends(&mut self, vm: usize, at: usize, life: u64) {
-        self.views[vm][at].load.remove();
+        self.views[vm][at].load.on_close();
         let server = &mut self.servers[at];
         if server.life != life || !server.lives {
             return;
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -15,9 +15,9 @@
 use super::said;
 use super::vm::Vm;
 use crate::config::Repeat;
-use crate::decide::bound;
-use crate::decide::ends::End;
+use crate::decide::outcome::AttemptOutcome;
 use crate::decide::poison::Broken;
+use crate::decide::server_limit;
 use crate::platform::header::{self, Extra};
 use crate::unit::{Model, Moment, Rate, Span};
 
@@ -37,7 +37,7 @@
 /// What an attempt brought.
 pub struct Outcome {
     /// How it ended.
-    pub end: End,
+    pub end: AttemptOutcome,
     /// Why, in words, if it is no good end.
     pub why: String,
     /// The answer's head, as the server gave it and as it was understood.
@@ -84,7 +84,7 @@
 }
 
 impl Outcome {
-    fn without_answer(end: End, why: impl Into<String>) -> Outcome {
+    fn without_answer(end: AttemptOutcome, why: impl Into<String>) -> Outcome {
         Outcome { end, why: why.into(), head: None, body: Bytes::new(), stream: None }
     }
 }
@@ -111,12 +111,16 @@
     let is_lost = outcome.as_ref().is_err_and(|why| *why == BEFORE_A_LATER_LIFE);
     let outcome = match outcome {
         Ok(outcome) => outcome,
-        Err(why) if sent => Outcome::without_answer(End::Late, format!("no answer {why}")),
-        Err(why) => Outcome::without_answer(End::NotSent, format!("no connection {why}")),
+        Err(why) if sent => {
+            Outcome::without_answer(AttemptOutcome::Late, format!("no answer {why}"))
+        }
+        Err(why) => {
+            Outcome::without_answer(AttemptOutcome::NotSent, format!("no connection {why}"))
+        }
     };
     drop(waiting);
     note(job, replica, &outcome);
-    if outcome.end == End::Broken || is_lost {
+    if outcome.end == AttemptOutcome::Broken || is_lost {
         crash::suspect(vm, replica, Broken { content: job.content, ran: false });
     }
     outcome
@@ -133,15 +137,15 @@
     let usual = fleet.failures(&job.service, now);
     let Some(server) = fleet.life_mut(replica) else { return };
     if let Some(load) = outcome.head.as_ref().and_then(|(_, answer)| answer.load) {
-        server.load.hear(load.running + load.waiting, now);
+        server.load.observe(load.running + load.waiting, now);
     }
     let is_another =
         |(head, _): &(ResponseHead, Answer)| head.status == StatusCode::MISDIRECTED_REQUEST;
     if outcome.head.as_ref().is_some_and(is_another) {
-        server.standing.note_another();
+        server.standing.mark_address_reused();
     }
-    let left_out = server.standing.note(outcome.end, usual, now);
-    let failures = server.standing.failures();
+    let left_out = server.standing.record(outcome.end, usual, now);
+    let failures = server.standing.failure_rate();
     drop(fleet);
     if left_out {
         vm.log(
@@ -179,11 +183,11 @@
     let forbidden = vm.fleet.borrow().forbids(replica, vm.now());
     if let Some(bar) = forbidden {
         keep(job, replica, connection, None);
-        return Outcome::without_answer(End::Withheld, bar.to_string());
+        return Outcome::without_answer(AttemptOutcome::Withheld, bar.to_string());
     }
     if let Err(why) = waiting.turn.spend(vm.now()) {
         keep(job, replica, connection, None);
-        return Outcome::without_answer(End::Withheld, why.to_string());
+        return Outcome::without_answer(AttemptOutcome::Withheld, why.to_string());
     }
     let extra = Extra {
         replica,
@@ -201,7 +205,10 @@
         Err(fault) => return broken(fault),
     };
     if head.status.is_success() && (!answer.signed || answer.encoded) {
-        return Outcome::without_answer(End::Broken, "a success that the server did not sign");
+        return Outcome::without_answer(
+            AttemptOutcome::Broken,
+            "a success that the server did not sign",
+        );
     }
     if head.status.is_success() && job.route.streams {
         return first_event(vm, connection, open, head, answer).await;
@@ -211,12 +218,13 @@
         Err(fault) => return broken(fault),
     };
     let end = match (answer.not_run, head.status.is_server_error()) {
-        (true, _) => End::NotRun,
-        (false, true) => End::Failed,
-        (false, false) => End::Good,
+        (true, _) => AttemptOutcome::NotRun,
+        (false, true) => AttemptOutcome::Failed,
+        (false, false) => AttemptOutcome::Good,
     };
     keep(job, replica, connection, answer.rest);
-    let why = if end == End::Good { String::new() } else { head.status.as_str().to_owned() };
+    let why =
+        if end == AttemptOutcome::Good { String::new() } else { head.status.as_str().to_owned() };
     Outcome { end, why, head: Some((head, answer)), body, stream: None }
 }
 
@@ -280,15 +288,15 @@
         let mut fleet = vm.fleet.borrow_mut();
         let Some(server) = fleet.life_mut(replica) else { return };
         let standing = &mut server.standing;
-        let limited = standing.limit.hear(answer.limit, asked.unwrap_or_default(), now);
-        (standing.hear(answer.said, now), limited, standing.limit.rate(now))
+        let limited = standing.limit.observe(answer.limit, asked.unwrap_or_default(), now);
+        (standing.observe(answer.said, now), limited, standing.limit.rate(now))
     };
     said::tell_limit(vm, replica);
     let news = [
-        ("leaves", heard && answer.said.leaves),
-        ("rest", heard && !answer.said.leaves),
+        ("leaves", heard && answer.said.draining),
+        ("rest", heard && !answer.said.draining),
         ("limit", limited),
-        ("unreadable limit", answer.limit == bound::Word::Unreadable),
+        ("unreadable limit", answer.limit == server_limit::LimitHeader::Invalid),
     ];
     let mut is_news = false;
     for (word, _) in news.iter().filter(|(_, is_new)| *is_new) {
@@ -298,21 +306,21 @@
     if is_news {
         log_said(job, replica, answer, rate);
     }
-    if heard && answer.said.leaves {
+    if heard && answer.said.draining {
         said::tell_leave(vm, replica);
     }
 }
 
 /// Tells what the head of an answer said of its server, which now has this limit.
 fn log_said(job: &Job, replica: &Replica, answer: &Answer, limit: Option<Rate>) {
-    let is_read = answer.limit != bound::Word::Unreadable;
+    let is_read = answer.limit != server_limit::LimitHeader::Invalid;
     let fields = [
         ("server", replica.id.as_str().into()),
         ("born_ms", replica.born.unwrap_or_default().into()),
         ("request", job.call.id.as_str().into()),
         ("status", u32::from(answer.status.as_u16()).into()),
-        ("leaves", answer.said.leaves.into()),
-        ("rest_ms", answer.said.rest.map_or(-1.0, Span::as_millis).into()),
+        ("leaves", answer.said.draining.into()),
+        ("rest_ms", answer.said.backoff.map_or(-1.0, Span::as_millis).into()),
         ("limit_per_s", limit.map_or(-1.0, |rate| rate.0).into()),
         ("limit_read", is_read.into()),
     ];
@@ -340,7 +348,7 @@
     }
     stream.begun = vm.now();
     Outcome {
-        end: End::Good,
+        end: AttemptOutcome::Good,
         why: String::new(),
         head: Some((head, answer)),
         body: Bytes::new(),
@@ -350,8 +358,8 @@
 
 fn broken(fault: Fault) -> Outcome {
     match fault {
-        Fault::NotSent(why) => Outcome::without_answer(End::NotSent, why),
-        Fault::Broken(why) => Outcome::without_answer(End::Broken, why),
+        Fault::NotSent(why) => Outcome::without_answer(AttemptOutcome::NotSent, why),
+        Fault::Broken(why) => Outcome::without_answer(AttemptOutcome::Broken, why),
     }
 }
 
--- a/src/forward/bounded.rs
+++ b/src/forward/bounded.rs
@@ -1,4 +1,4 @@
-//! Which backend servers that bear only so much this VM may send to, and when, as [`crate::decide::bound`] says.
+//! Which backend servers that bear only so much this VM may send to, and when, as [`crate::decide::server_limit`] says.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::HashSet;
@@ -9,8 +9,8 @@
 use super::replica::Replica;
 use super::server::{Fleet, Server};
 use super::vm::Vm;
-use crate::decide::bound::{self, Bound, NoTurn, Part, Ticket};
-use crate::decide::cold;
+use crate::decide::cold_start;
+use crate::decide::server_limit::{self, RateLimit, Reservation, Share, Throttled};
 use crate::unit::{Moment, Service, Span, hash};
 
 /// A VM that has just started does not know all others yet, and sends nothing to servers that bear only so much: each VM that counts
@@ -40,7 +40,7 @@
 
 /// What one decision needs to know of servers that bear only so much.
 pub struct Access<'a> {
-    cold: Option<cold::Bound>,
+    cold: Option<cold_start::ColdStart>,
     now: Moment,
     find_vms: Box<dyn Fn() -> Option<Vms> + 'a>,
     vms: OnceCell<Option<Vms>>,
@@ -68,7 +68,7 @@
 impl<'a> Access<'a> {
     /// With what a service declares of cold servers, and how to find the VMs, which is asked only where a server bears only so much.
     pub fn new(
-        cold: Option<cold::Bound>,
+        cold: Option<cold_start::ColdStart>,
         now: Moment,
         find_vms: impl Fn() -> Option<Vms> + 'a,
     ) -> Access<'a> {
@@ -81,15 +81,15 @@
     }
 
     /// What a server bears, if that is bounded; the tightest of several.
-    pub fn bound(&self, server: &Server) -> Option<Bound> {
-        let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(Bound::from);
-        let limit = server.standing.limit.rate(self.now).map(Bound::of_limit);
-        cold.into_iter().chain(limit).reduce(Bound::and)
+    pub fn bound(&self, server: &Server) -> Option<RateLimit> {
+        let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(RateLimit::from);
+        let limit = server.standing.limit.rate(self.now).map(RateLimit::advertised);
+        cold.into_iter().chain(limit).reduce(RateLimit::strictest)
     }
 
     /// Whether a server may get a request now.
     pub fn lets(&self, server: &Server) -> bool {
-        let may = |bound: Bound| self.turn(&bound, server).is_some_and(|turn| turn <= self.now);
+        let may = |bound: RateLimit| self.turn(&bound, server).is_some_and(|turn| turn <= self.now);
         self.bound(server).is_none_or(may)
     }
 
@@ -98,23 +98,23 @@
         self.turn(&self.bound(server)?, server)
     }
 
-    fn turn(&self, bound: &Bound, server: &Server) -> Option<Moment> {
+    fn turn(&self, bound: &RateLimit, server: &Server) -> Option<Moment> {
         let part = self.part(bound, server)?;
-        Some(server.turns.next(&part, self.now))
+        Some(server.turns.next_send(&part, self.now))
     }
 
     /// This VM's part of what a server bears; none if it has none.
-    fn part(&self, bound: &Bound, server: &Server) -> Option<Part> {
+    fn part(&self, bound: &RateLimit, server: &Server) -> Option<Share> {
         let vms = self.vms.get_or_init(&self.find_vms).as_ref()?;
-        let part = Part::new(bound, vms.others.len() + 1);
+        let part = Share::new(bound, vms.others.len() + 1);
         let number = hash::stable(&[server.replica.id.as_str()]);
-        bound::is_sender(&part, number, vms.own, &vms.others).then_some(part)
+        server_limit::is_sender(&part, number, vms.own, &vms.others).then_some(part)
     }
 
     /// Takes this VM's next turn at a server, if the server bears only so much and this VM has a part of that.
-    pub fn take(&self, server: &mut Server) -> Option<Ticket> {
+    pub fn take(&self, server: &mut Server) -> Option<Reservation> {
         let part = self.part(&self.bound(server)?, server)?;
-        Some(server.turns.take(&part, self.now))
+        Some(server.turns.reserve(&part, self.now))
     }
 }
 
@@ -122,7 +122,7 @@
 pub struct Turn {
     vm: Rc<Vm>,
     replica: Replica,
-    ticket: Cell<Option<Ticket>>,
+    ticket: Cell<Option<Reservation>>,
 }
 
 impl Turn {
@@ -142,17 +142,17 @@
     ///
     /// # Errors
     /// `NoTurn` if it may not: what the server bears was heard after the request had been meant for it, and it is not this VM's turn.
-    pub fn spend(&self, now: Moment) -> Result<(), NoTurn> {
+    pub fn spend(&self, now: Moment) -> Result<(), Throttled> {
         let mut fleet = self.vm.fleet.borrow_mut();
         let Some(server) = fleet.life_mut(&self.replica) else { return Ok(()) };
         let access = access(&self.vm, &self.replica.service, now);
         if self.ticket.take().is_none() {
             if let (Some(bound), false) = (access.bound(server), access.lets(server)) {
-                return Err(NoTurn(bound));
+                return Err(Throttled(bound));
             }
             access.take(server);
         }
-        server.turns.spend(now);
+        server.turns.on_send(now);
         Ok(())
     }
 }
@@ -167,7 +167,7 @@
     fn drop(&mut self) {
         let Some(ticket) = self.ticket.take() else { return };
         if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
-            server.turns.give_back(ticket);
+            server.turns.release(ticket);
         }
     }
 }
--- a/src/forward/call.rs
+++ b/src/forward/call.rs
@@ -2,8 +2,8 @@
 
 use actix_http::StatusCode;
 
-use crate::decide::bound;
-use crate::decide::standing::Said;
+use crate::decide::availability::Signal;
+use crate::decide::server_limit;
 use crate::unit::{Model, Span};
 
 /// What the head of a caller's request says.
@@ -54,9 +54,9 @@
     /// Whether the body is encoded; servers never do that.
     pub encoded: bool,
     /// Whether the server leaves, or wants rest.
-    pub said: Said,
+    pub said: Signal,
     /// What it says of a limit.
-    pub limit: bound::Word,
+    pub limit: server_limit::LimitHeader,
     /// The server's load.
     pub load: Option<Load>,
     /// The model's own rough opinion of its answer, 0 to 100.
--- a/src/forward/choice/mod.rs
+++ b/src/forward/choice/mod.rs
@@ -12,9 +12,9 @@
 use super::server::{Fleet, Server};
 use super::vm::Vm;
 use crate::config::Regions;
+use crate::decide::availability::{self, Unavailable};
 use crate::decide::limit;
-use crate::decide::place::{self, Candidate};
-use crate::decide::standing::{self, Bar};
+use crate::decide::placement::{self, Candidate};
 use crate::unit::{Model, Moment, Rate, Service, Span};
 
 use prompt::Prompt;
@@ -158,8 +158,9 @@
     let (versions, why) = versions(vm, wish.service, wish.call, now);
     let fleet = vm.fleet.borrow();
     let server = fleet.of(wish.service, now).find(|one| one.replica.id == turn.server().id);
-    let server = server
-        .filter(|one| versions.allow(&one.replica.version) && one.standing.bar(now).is_none());
+    let server = server.filter(|one| {
+        versions.allow(&one.replica.version) && one.standing.unavailable_reason(now).is_none()
+    });
     let place = server.map(|server| {
         let prompt = Prompt::new(wish, &[server]);
         Place::of(server, &candidate(vm, wish, &prompt, server, now), why)
@@ -171,7 +172,7 @@
 
 impl Place {
     fn of(server: &Server, candidate: &Candidate, why: Why) -> Place {
-        let Candidate { until_read, reads, .. } = *candidate;
+        let Candidate { until_prefilled: until_read, prefill: reads, .. } = *candidate;
         let replica = server.replica.clone();
         Place { replica, until_read, reads, why, turn: None, passed: Passed::default() }
     }
@@ -223,7 +224,7 @@
     }
     let resting = fleet.resting(wish.service, now).filter(|(one, _)| is_meant(one));
     let turns = taking().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
-    standing::come_back(resting.map(|(_, left)| left).chain(turns), rand::random())
+    availability::retry_after(resting.map(|(_, left)| left).chain(turns), rand::random())
 }
 
 fn among(vm: &Vm, wish: &Wish, versions: &Versions, why: Why, now: Moment) -> Option<Place> {
@@ -234,7 +235,7 @@
         let within = |one: &&Server| wish.allows(vm, one);
         fleet.of(wish.service, now).filter(allowed).filter(within).filter(|one| access.lets(one))
     };
-    let sound = |one: &&Server| one.standing.bar(now).is_none();
+    let sound = |one: &&Server| one.standing.unavailable_reason(now).is_none();
     let busy = busy(vm, wish.service, versions, of_version().filter(sound));
     let most = connections_each(vm, wish.service, now);
     let untried = |one: &&Server| !wish.has_tried(&one.replica) && one.load.open() < most;
@@ -253,8 +254,8 @@
     let candidates: Vec<Candidate> =
         servers.iter().map(|server| candidate(vm, wish, &prompt, server, now)).collect();
     let at = match wish.call.prompt.is_empty() {
-        true => place::least_loaded(&candidates, rand::random()),
-        false => place::soonest(&candidates, wish.bytes),
+        true => placement::least_loaded(&candidates, rand::random()),
+        false => placement::soonest(&candidates, wish.bytes),
     };
     at.map(|at| {
         let passed = Passed::count(&fleet, &access, wish.service, now);
@@ -267,7 +268,7 @@
 fn connections_each(vm: &Vm, service: &Service, now: Moment) -> u32 {
     let declared = vm.routes().and_then(|table| table.pool(service).map(|pool| pool.connections));
     let vms = vm.peers.borrow().present(now) as u32;
-    declared.map_or(u32::MAX, |all| limit::even_part(all, vms))
+    declared.map_or(u32::MAX, |all| limit::even_share(all, vms))
 }
 
 /// What is expected of a request that was sent.
@@ -287,7 +288,7 @@
     /// VM sent it; none if the request has no prompt.
     pub expected: Option<Span>,
     /// What the server had said against it.
-    pub bar: Option<Bar>,
+    pub bar: Option<Unavailable>,
     /// The limit that it had named, and how long ago it did so first.
     pub limit: Option<(Rate, Span)>,
 }
@@ -297,9 +298,9 @@
     let replica = &place.replica;
     let mut fleet = vm.fleet.borrow_mut();
     let Some(server) = fleet.life_mut(replica) else { return Sent::default() };
-    let (load, bar) = (server.load.level(now), server.standing.bar(now));
+    let (load, bar) = (server.load.estimate(now), server.standing.unavailable_reason(now));
     let limit = server.standing.limit.rate(now).zip(server.standing.limit.age(now));
-    server.standing.send(now);
+    server.standing.on_send(now);
     if call.prompt.is_empty() {
         return Sent { load, bar, limit, ..Sent::default() };
     }
@@ -307,8 +308,8 @@
     let unread = prompt.unread(server, now);
     let tokens = prompt.tokens();
     let reads = vm.reading(model, unread);
-    let waits = server.backlog.left(now);
-    let expected = Some(Span(server.backlog.usual(now).0 + reads.0));
+    let waits = server.backlog.remaining(now);
+    let expected = Some(Span(server.backlog.expected(now).0 + reads.0));
     server.backlog.add(reads, now);
     prompt.hashes().for_each(|part| server.hold(part, now));
     drop(fleet);
@@ -319,10 +320,10 @@
 fn candidate(vm: &Vm, wish: &Wish, prompt: &Prompt, server: &Server, now: Moment) -> Candidate {
     let reading = vm.reading(wish.model, prompt.unread(server, now));
     Candidate {
-        load: server.load.level(now),
+        load: server.load.estimate(now),
         slots: f64::from(server.replica.slots),
-        near: server.replica.data_centre == vm.settings.data_centre,
-        until_read: Span(server.backlog.left(now).0 + reading.0),
-        reads: reading,
+        local: server.replica.data_centre == vm.settings.data_centre,
+        until_prefilled: Span(server.backlog.remaining(now).0 + reading.0),
+        prefill: reading,
     }
 }
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -49,7 +49,7 @@
             broken.push(request);
             Next::Nothing
         }
-        Life::GoesOn if !server.standing.leaves() => {
+        Life::GoesOn if !server.standing.is_draining() => {
             server.life = Life::Doubtful(vec![request]);
             Next::Check
         }
--- a/src/forward/drive.rs
+++ b/src/forward/drive.rs
@@ -11,8 +11,8 @@
 use super::replica::Replica;
 use super::watched::Watched;
 use crate::config::Repeat;
-use crate::decide::ends::{self, End, Last, Next};
 use crate::decide::escalate;
+use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
 use crate::entry::refusal::{Kind, Refusal};
 use crate::unit::{Model, Moment, Span};
 
@@ -74,14 +74,14 @@
         }
         let now = vm.now();
         if job.left(now) < LEAST {
-            return give_up(job, progress, End::Late);
+            return give_up(job, progress, AttemptOutcome::Late);
         }
         let wish = job.wish(model.as_ref(), &progress.tried);
         let Some(place) = job.place(&wish).await else {
             if fall_back(job, &mut progress, &mut model, vm.now()) {
                 continue;
             }
-            return give_up(job, progress, End::NotSent);
+            return give_up(job, progress, AttemptOutcome::NotSent);
         };
         if poison::holds_back(job) {
             return hold_back(job, progress);
@@ -94,7 +94,7 @@
         let outcome = try_at(job, &place, model.as_ref(), until).await;
         progress.tried.push(replica.clone());
         let ended = vm.now();
-        if outcome.end == End::Good
+        if outcome.end == AttemptOutcome::Good
             && let Some(larger) = gives_way(job, &progress, model.as_ref(), &outcome, ended)
         {
             // Dropping the answer closes its connection, so the server stops. It did run.
@@ -106,20 +106,21 @@
             progress.unsent_of_model = 0;
             continue;
         }
-        match ends::next(outcome.end, job.route.repeat) {
+        match outcome::next(outcome.end, job.route.repeat) {
             Next::Deliver => return deliver(job, place.replica, model, outcome, progress),
             Next::Unknown if !goes_on(job, &outcome) => {
                 progress.may_have_run = true;
                 return give_up(job, progress, outcome.end);
             }
-            Next::Unknown | Next::Elsewhere => {}
+            Next::Unknown | Next::Retry => {}
         }
         let end = outcome.end;
         let unsent = u32::from(end.is_unsent());
         progress.unsent += unsent;
         progress.unsent_of_model += unsent;
-        progress.may_have_run |= matches!(end, End::Broken | End::Failed | End::Late);
-        if let (End::Failed, Some((head, _))) = (end, outcome.head) {
+        progress.may_have_run |=
+            matches!(end, AttemptOutcome::Broken | AttemptOutcome::Failed | AttemptOutcome::Late);
+        if let (AttemptOutcome::Failed, Some((head, _))) = (end, outcome.head) {
             progress.failure = Some((head, outcome.body));
         }
         let falls_back = !end.is_unsent() && progress.smaller.is_some();
@@ -155,7 +156,7 @@
     let attempt = attempt::run(job, replica, model, job.call.after_event, waiting, until);
     let outcome = trial.wait(attempt).await;
     trial.ended(outcome.end);
-    if outcome.end == End::Good {
+    if outcome.end == AttemptOutcome::Good {
         let took = vm.now().since(begun);
         vm.learn_pace(named, sent.unread, took);
         if sent.expected.is_some() {
@@ -227,10 +228,10 @@
 /// Whether a request that may be repeated can still go elsewhere after its attempt's time was up.
 fn goes_on(job: &Job, outcome: &Outcome) -> bool {
     let more = job.left(job.vm.now()) >= LEAST;
-    outcome.end == End::Late && job.route.repeat != Repeat::Never && more
+    outcome.end == AttemptOutcome::Late && job.route.repeat != Repeat::Never && more
 }
 
-fn may_try_again(job: &Job, progress: &Progress, end: End) -> bool {
+fn may_try_again(job: &Job, progress: &Progress, end: AttemptOutcome) -> bool {
     let now = job.vm.now();
     if job.left(now) < LEAST || progress.unsent_of_model >= UNSENT {
         return false;
@@ -287,13 +288,13 @@
 /// The last word of a request whose content crashes servers.
 fn hold_back(job: &Job, progress: Progress) -> Reply {
     if progress.may_have_run {
-        return give_up(job, progress, End::Broken);
+        return give_up(job, progress, AttemptOutcome::Broken);
     }
     refuse(job, Refusal::new(Kind::HeldBack))
 }
 
 /// The last word when nothing more may be tried.
-fn give_up(job: &Job, progress: Progress, end: End) -> Reply {
+fn give_up(job: &Job, progress: Progress, end: AttemptOutcome) -> Reply {
     let late = job.left(job.vm.now()) < LEAST;
     if let Some((head, body)) = progress.failure {
         let answer = crate::platform::header::answer(&head);
@@ -302,16 +303,20 @@
             return Reply::Whole(Box::new((head, body)));
         }
     }
-    match ends::last(end, progress.may_have_run) {
-        Last::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
-        Last::Refused => {
+    match outcome::final_response(end, progress.may_have_run) {
+        FinalResponse::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
+        FinalResponse::Refused => {
             let again = choice::come_back(&job.vm, &job.wish(None, &[]), job.vm.now());
             refuse(job, Refusal { again, ..Refusal::new(Kind::NoServer) })
         }
-        Last::Unknown | Last::Delivered if !progress.may_have_run => {
+        FinalResponse::Unknown | FinalResponse::Delivered if !progress.may_have_run => {
             refuse(job, Refusal::new(Kind::Busy))
         }
-        Last::Unknown | Last::Delivered if late => refuse(job, Refusal::new(Kind::TimedOut)),
-        Last::Unknown | Last::Delivered => unknown(job, "no server gave a whole answer"),
+        FinalResponse::Unknown | FinalResponse::Delivered if late => {
+            refuse(job, Refusal::new(Kind::TimedOut))
+        }
+        FinalResponse::Unknown | FinalResponse::Delivered => {
+            unknown(job, "no server gave a whole answer")
+        }
     }
 }
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -14,9 +14,9 @@
 use super::replica::Replica;
 use super::vm::Vm;
 use crate::config::{Holder, Repeat, Route};
-use crate::decide::ends::End;
 use crate::decide::escalate;
-use crate::decide::rank;
+use crate::decide::outcome::AttemptOutcome;
+use crate::decide::priority;
 use crate::unit::{Digest, Model, Moment, Service, Span, Version, hash};
 
 /// A request that may be repeated is tried elsewhere after this many times the route's goal without
@@ -124,7 +124,7 @@
     pub fn rank(&self, reads: Span, now: Moment) -> u32 {
         let workspace = self.holder.as_ref().map_or(0, |holder| holder.priority);
         let goal = self.arrived + self.route.goal;
-        rank::of(workspace, reads, goal.since(now))
+        priority::prompt_priority(workspace, reads, goal.since(now))
     }
 }
 
@@ -247,7 +247,7 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&self, end: End, why: &str, now: Moment) {
+    pub fn ended(&self, end: AttemptOutcome, why: &str, now: Moment) {
         let after = now.since(self.arrived).0 / 1000;
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " -> {after}ms {end:?}");
@@ -316,7 +316,7 @@
 impl Waiting {
     fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> Waiting {
         if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
-            server.backlog.wait_for(reads);
+            server.backlog.add_own(reads);
         }
         Waiting { vm: vm.clone(), replica: replica.clone(), reads, turn }
     }
@@ -325,7 +325,7 @@
 impl Drop for Waiting {
     fn drop(&mut self) {
         if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
-            server.backlog.came(self.reads);
+            server.backlog.remove_own(self.reads);
         }
     }
 }
@@ -343,7 +343,7 @@
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.life_mut(replica);
         let over = server.map(|server| {
-            server.load.add();
+            server.load.on_open();
             server.over.clone()
         });
         Open { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
@@ -358,7 +358,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
-            server.load.remove();
+            server.load.on_close();
         }
     }
 }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -20,8 +20,8 @@
 use super::vm::Vm;
 use super::word::Envelope;
 pub use super::word::{Place, Word};
-use crate::decide::bound;
 use crate::decide::reader::Rank;
+use crate::decide::server_limit;
 use crate::peer::wire::{decode, encode};
 use crate::peer::{Incoming, Links, neighbours};
 use crate::platform::objects::Objects;
@@ -332,7 +332,7 @@
 pub fn tell_senders(vm: &Rc<Vm>, server: &Server, rates: [Rate; 2], word: &Word) {
     let senders = {
         let peers = vm.peers.borrow();
-        let count = bound::senders(rates, peers.known.len() + 1);
+        let count = server_limit::max_senders(rates, peers.known.len() + 1);
         first_for(vm, &peers, hash::stable(&[server.as_str()]), count)
     };
     tell_these(vm, &senders, word);
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -12,7 +12,7 @@
 use super::job::Job;
 use super::poison;
 use crate::config::Repeat;
-use crate::decide::ends::End;
+use crate::decide::outcome::AttemptOutcome;
 use crate::decide::poison::{Broken, RAN_FOR};
 use crate::unit::{Moment, Span};
 
@@ -124,12 +124,12 @@
     async fn go_on(&mut self, why: String) -> Result<(), String> {
         let vm = self.job.vm.clone();
         let broken = &self.begun.replica;
-        self.job.record.ended(End::Broken, &why, vm.now());
+        self.job.record.ended(AttemptOutcome::Broken, &why, vm.now());
         {
             let mut fleet = vm.fleet.borrow_mut();
             let usual = fleet.failures(&self.job.service, vm.now());
             if let Some(server) = fleet.life_mut(broken) {
-                server.standing.note(End::Broken, usual, vm.now());
+                server.standing.record(AttemptOutcome::Broken, usual, vm.now());
             }
         }
         let ran = vm.now().since(self.begun.stream.begun) >= RAN_FOR;
--- a/src/forward/said.rs
+++ b/src/forward/said.rs
@@ -10,8 +10,8 @@
 use super::peer::{self, Word};
 use super::replica::{Incarnation, Replica};
 use super::vm::Vm;
-use crate::decide::bound::{Audience, News};
-use crate::decide::standing::Said;
+use crate::decide::availability::Signal;
+use crate::decide::server_limit::{Recipients, Update};
 use crate::unit::{Moment, Rate, Server, Span};
 
 /// Tells the other VMs that a life of a server leaves.
@@ -26,8 +26,8 @@
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get_mut(id).filter(|one| one.replica.is_life(id, *born, *address));
         let Some(server) = server else { return };
-        let leaves = Said { leaves: true, ..Said::default() };
-        if !server.standing.hear(leaves, vm.now()) {
+        let leaves = Signal { draining: true, ..Signal::default() };
+        if !server.standing.observe(leaves, vm.now()) {
             return;
         }
         server.replica.clone()
@@ -46,11 +46,11 @@
     let now = vm.now();
     let told = {
         let mut fleet = vm.fleet.borrow_mut();
-        fleet.life_mut(replica).and_then(|server| server.standing.limit.tell(now))
+        fleet.life_mut(replica).and_then(|server| server.standing.limit.next_announcement(now))
     };
     match told {
-        Some((news, Audience::All)) => peer::tell(vm, &limit_word(replica, news, now)),
-        Some((news, Audience::Senders(rates))) => {
+        Some((news, Recipients::All)) => peer::tell(vm, &limit_word(replica, news, now)),
+        Some((news, Recipients::Senders(rates))) => {
             let word = limit_word(replica, news, now);
             peer::tell_senders(vm, &replica.id, rates, &word);
         }
@@ -58,7 +58,7 @@
     }
 }
 
-fn limit_word(replica: &Replica, news: News, now: Moment) -> Word {
+fn limit_word(replica: &Replica, news: Update, now: Moment) -> Word {
     let (server, born, address) = (replica.id.clone(), replica.born, replica.address);
     Word::Limit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
 }
@@ -82,7 +82,7 @@
 /// Takes another VM's word of a limit, and passes it on if it is news.
 pub fn hear_limit(vm: &Rc<Vm>, told: &Told) {
     let now = vm.now();
-    let news = News { rate: told.rate, as_of: Moment(now.0.saturating_sub(told.age.0)) };
+    let news = Update { rate: told.rate, as_of: Moment(now.0.saturating_sub(told.age.0)) };
     let (replica, changed, passes_on) = {
         let mut fleet = vm.fleet.borrow_mut();
         let is_meant = |replica: &Replica| replica.is_life(told.server, told.born, told.address);
@@ -90,7 +90,7 @@
         let Some(server) = server else { return };
         let limit = &mut server.standing.limit;
         let before = limit.rate(now);
-        let passes_on = limit.hear_told(news, now);
+        let passes_on = limit.merge(news, now);
         (server.replica.clone(), before != limit.rate(now), passes_on)
     };
     if changed {
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -8,11 +8,11 @@
 use super::life::Life;
 use super::pool::Pool;
 use super::replica::{Incarnation, Replica};
+use crate::decide::availability::{Availability, Unavailable};
 use crate::decide::backlog::Backlog;
-use crate::decide::bound::Turns;
-use crate::decide::cold::Bound;
+use crate::decide::cold_start::ColdStart;
 use crate::decide::load::Load;
-use crate::decide::standing::{Bar, Standing};
+use crate::decide::server_limit::Pacer;
 use crate::unit::{DataCentre, Moment, Server as Id, Service, Span, Version};
 
 /// A server whose entry went while the store was away is used on until this long after its return was
@@ -37,9 +37,9 @@
     /// Requests that it is thought to hold.
     pub load: Load,
     /// Whether it takes requests, as far as this VM knows.
-    pub standing: Standing,
+    pub standing: Availability,
     /// When this VM may send to it while it bears only so much.
-    pub turns: Turns,
+    pub turns: Pacer,
     /// Wakes requests at this life of it when a later one begins: they are lost.
     pub over: Rc<Notify>,
     /// How this life of it goes on, as far as this VM knows.
@@ -64,8 +64,8 @@
         Server {
             replica,
             load: Load::default(),
-            standing: Standing::default(),
-            turns: Turns::default(),
+            standing: Availability::default(),
+            turns: Pacer::default(),
             over: Rc::default(),
             life: Life::default(),
             cold_until: None,
@@ -99,16 +99,16 @@
     }
 
     /// Whether it is cold, or may be.
-    pub fn is_cold(&self, bound: &Bound, now: Moment) -> bool {
+    pub fn is_cold(&self, bound: &ColdStart, now: Moment) -> bool {
         let told = self.cold_until.is_some_and(|until| now < until);
-        told || self.doubted_since.is_some_and(|since| now.since(since) < bound.lasts)
+        told || self.doubted_since.is_some_and(|since| now.since(since) < bound.duration)
     }
 }
 
 /// What was known of a life of a server whose entry went.
 struct Past {
     replica: Replica,
-    standing: Standing,
+    standing: Availability,
     at: Moment,
 }
 
@@ -136,7 +136,7 @@
         match self.servers.get_mut(&replica.id) {
             Some(server) if server.replica.is_life_of(&replica) => {
                 let is_news = server.replica != replica;
-                server.standing.enter(replica.ready, now);
+                server.standing.apply_entry(replica.ready, now);
                 server.replica = replica;
                 server.lapsed = false;
                 if is_news {
@@ -149,7 +149,7 @@
                 let mut server = Server::new(replica);
                 let same = past.filter(|past| past.replica.is_life_of(&server.replica));
                 server.standing = same.map(|past| past.standing).unwrap_or_default();
-                server.standing.enter(server.replica.ready, now);
+                server.standing.apply_entry(server.replica.ready, now);
                 server.note_cold(now);
                 let earlier = self.servers.insert(server.replica.id.clone(), server);
                 if let Some(earlier) = &earlier {
@@ -169,7 +169,7 @@
                 (Some(server), _) if is_same(&server.replica) => {
                     server.lapsed = false;
                     let counts = server.replica == *replica || !replica.ready;
-                    (counts, !counts && server.standing.leaves())
+                    (counts, !counts && server.standing.is_draining())
                 }
                 // A life that began later was written after the restore.
                 (Some(server), _) => (replica.born > server.replica.born, false),
@@ -199,7 +199,7 @@
         if let Some(server) =
             server.filter(|one| one.replica.is_life(&life.server, *born, *address))
         {
-            server.standing.enter(false, now);
+            server.standing.apply_entry(false, now);
             self.disputed.insert(life.server.clone(), life.clone());
         }
     }
@@ -278,13 +278,13 @@
         if self.emptied.is_empty() {
             return 0;
         }
-        let staying = self.listed(service).filter(|server| !server.standing.leaves());
+        let staying = self.listed(service).filter(|server| !server.standing.is_draining());
         staying.filter(|server| self.is_emptied(server)).count()
     }
 
     /// The servers of a service that take requests, those that are left out among them.
     pub fn of<'a>(&'a self, service: &'a Service, now: Moment) -> impl Iterator<Item = &'a Server> {
-        let is_open = move |one: &&Server| !self.bar(one, now).is_some_and(Bar::binds);
+        let is_open = move |one: &&Server| !self.bar(one, now).is_some_and(Unavailable::is_hard);
         self.listed(service).filter(is_open)
     }
 
@@ -295,7 +295,9 @@
         now: Moment,
     ) -> impl Iterator<Item = (&'a Server, Span)> {
         self.listed(service).filter_map(move |server| match self.bar(server, now) {
-            Some(Bar::Rests(left) | Bar::IsTried(left)) => Some((server, left)),
+            Some(Unavailable::BackingOff(left) | Unavailable::Probing(left)) => {
+                Some((server, left))
+            }
             _ => None,
         })
     }
@@ -309,17 +311,17 @@
     }
 
     /// Why a server is to get nothing now.
-    fn bar(&self, server: &Server, now: Moment) -> Option<Bar> {
-        let by_order = self.is_emptied(server).then_some(Bar::IsEmptied);
-        by_order.or_else(|| server.standing.bar(now))
+    fn bar(&self, server: &Server, now: Moment) -> Option<Unavailable> {
+        let by_order = self.is_emptied(server).then_some(Unavailable::Evacuated);
+        by_order.or_else(|| server.standing.unavailable_reason(now))
     }
 
     /// Why a request that was meant for this life of a server may not leave for it, whatever it was chosen for.
-    pub fn forbids(&self, replica: &Replica, now: Moment) -> Option<Bar> {
+    pub fn forbids(&self, replica: &Replica, now: Moment) -> Option<Unavailable> {
         let server = self.servers.get(&replica.id).filter(|one| one.replica.is_life_of(replica));
-        let bar = server.map_or(Some(Bar::IsGone), |server| self.bar(server, now));
+        let bar = server.map_or(Some(Unavailable::Removed), |server| self.bar(server, now));
         // What tries a server after a rest may be this very request.
-        bar.filter(|bar| bar.binds() && !matches!(bar, Bar::IsTried(_)))
+        bar.filter(|bar| bar.is_hard() && !matches!(bar, Unavailable::Probing(_)))
     }
 
     /// The version of a service that is in use when no roll-out says otherwise.
@@ -346,7 +348,7 @@
     pub fn failures(&self, service: &Service, now: Moment) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for server in self.of(service, now) {
-            sum += server.standing.failures();
+            sum += server.standing.failure_rate();
             count += 1.0;
         }
         if count > 0.0 { sum / count } else { 0.0 }
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -21,10 +21,10 @@
 use super::settings::Settings;
 use super::trial::Trials;
 use crate::config::Table;
-use crate::decide::budget::Budget;
+use crate::decide::budget::RetryBudget;
 use crate::decide::limit;
-use crate::decide::pace::Pace;
 use crate::decide::poison::Exchange;
+use crate::decide::prefill::PrefillEstimator;
 use crate::decide::pressure::Pressure;
 use crate::decide::reader::Rank;
 use crate::platform::object::Object;
@@ -133,8 +133,8 @@
     pub metrics: Metrics,
     /// Headers of servers' answers that nothing decodes.
     pub unknown: RefCell<Names>,
-    budgets: RefCell<HashMap<Service, Budget>>,
-    paces: RefCell<HashMap<Option<Model>, Pace>>,
+    budgets: RefCell<HashMap<Service, RetryBudget>>,
+    paces: RefCell<HashMap<Option<Model>, PrefillEstimator>>,
     pressures: RefCell<HashMap<Service, Pressure>>,
 }
 
@@ -375,18 +375,21 @@
     pub fn reading(&self, model: Option<&Model>, tokens: u64) -> Span {
         let paces = self.paces.borrow();
         let pace = paces.get(&model.cloned());
-        pace.map_or_else(|| Pace::default().time(tokens), |pace| pace.time(tokens))
+        pace.map_or_else(
+            || PrefillEstimator::default().prefill_time(tokens),
+            |pace| pace.prefill_time(tokens),
+        )
     }
 
     /// Learns how fast a model reads prompts.
     pub fn learn_pace(&self, model: Option<&Model>, tokens: u64, time: Span) {
-        self.paces.borrow_mut().entry(model.cloned()).or_default().note(tokens, time);
+        self.paces.borrow_mut().entry(model.cloned()).or_default().record(tokens, time);
     }
 
     /// Notes that a request waited so long at a server of a service, beside its own reading.
     pub fn note_wait(&self, service: &Service, waited: Span, goal: Span) {
         let mut pressures = self.pressures.borrow_mut();
-        pressures.entry(service.clone()).or_default().note(waited, goal, self.now());
+        pressures.entry(service.clone()).or_default().record(waited, goal, self.now());
     }
 
     /// Mean wait at the servers of a service of late, as a part of the goal.
@@ -396,27 +399,27 @@
 
     /// Counts a request's first send to a service.
     pub fn count_first(&self, service: &Service, now: Moment) {
-        self.budget(service, |budget| budget.first(now));
+        self.budget(service, |budget| budget.record_first(now));
     }
 
     /// Takes a repeated send to a service from the budget.
     pub fn spend_repeat(&self, service: &Service, now: Moment) -> bool {
-        self.budget(service, |budget| budget.spend(now))
+        self.budget(service, |budget| budget.try_spend(now))
     }
 
     /// Takes a repeated send that serves no failure from the budget, if enough is left for failures.
     pub fn spend_spare(&self, service: &Service, now: Moment) -> bool {
-        self.budget(service, |budget| budget.spend_spare(now))
+        self.budget(service, |budget| budget.try_spend_optional(now))
     }
 
-    fn budget<T>(&self, service: &Service, act: impl FnOnce(&mut Budget) -> T) -> T {
+    fn budget<T>(&self, service: &Service, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let bounds = &self.settings.bounds;
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(bounds.retry_window, bounds.retry_share));
+            .or_insert_with(|| RetryBudget::new(bounds.retry_window, bounds.retry_share));
         let vms = self.peers.borrow().present(self.now()) as u32;
-        budget.set_extra(limit::even_part(bounds.retry_extra as u32, vms));
+        budget.set_extra(limit::even_share(bounds.retry_extra as u32, vms));
         act(budget)
     }
 }
--- a/src/forward/watched.rs
+++ b/src/forward/watched.rs
@@ -3,7 +3,7 @@
 use super::job::Job;
 use super::replica::Replica;
 use super::trial::{self, Sample};
-use crate::decide::ends::End;
+use crate::decide::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span, Version};
 
 /// An attempt as a roll-out's trial sees it.
@@ -44,13 +44,16 @@
     }
 
     /// It ended; what was told of it as slow is not told again.
-    pub fn ended(mut self, end: End) {
+    pub fn ended(mut self, end: AttemptOutcome) {
         match end {
             _ if self.known_slow > 0 => {}
-            End::Good | End::Late => self.tell(false),
-            End::Failed => self.tell(true),
+            AttemptOutcome::Good | AttemptOutcome::Late => self.tell(false),
+            AttemptOutcome::Failed => self.tell(true),
             // A connection that breaks and a server that is full say nothing about the version.
-            End::NotSent | End::Withheld | End::NotRun | End::Broken => {}
+            AttemptOutcome::NotSent
+            | AttemptOutcome::Withheld
+            | AttemptOutcome::NotRun
+            | AttemptOutcome::Broken => {}
         }
     }
 
--- a/src/platform/header.rs
+++ b/src/platform/header.rs
@@ -3,8 +3,8 @@
 use actix_http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, ResponseHead};
 
-use crate::decide::bound::Word;
-use crate::decide::standing::Said;
+use crate::decide::availability::Signal;
+use crate::decide::server_limit::LimitHeader;
 use crate::forward::call::{Answer, Call, Load, PromptPart};
 use crate::forward::replica::Replica;
 use crate::unit::{Model, Rate, Span, Workspace};
@@ -204,7 +204,7 @@
             || head.status == actix_http::StatusCode::MISDIRECTED_REQUEST,
         encoded: headers.contains_key(header::CONTENT_ENCODING),
         said: said(head),
-        limit: headers.get(LIMIT).map_or(Word::Unnamed, limit),
+        limit: headers.get(LIMIT).map_or(LimitHeader::Absent, limit),
         load: text(headers, LOAD).and_then(load),
         confidence: text(headers, CONFIDENCE).and_then(|text| text.trim().parse().ok()),
         rest: text(headers, "keep-alive").and_then(rest),
@@ -218,18 +218,18 @@
 }
 
 /// What a server says of whether it takes requests. Only one that turns a request away asks for rest.
-fn said(head: &ResponseHead) -> Said {
+fn said(head: &ResponseHead) -> Signal {
     let turns_away = head.status == actix_http::StatusCode::SERVICE_UNAVAILABLE;
     let rest = text(&head.headers, header::RETRY_AFTER.as_str()).filter(|_| turns_away);
     let leaves = text(&head.headers, LEAVING).is_some_and(|value| value.trim() == "1");
-    Said { leaves, rest: rest.and_then(seconds) }
+    Signal { draining: leaves, backoff: rest.and_then(seconds) }
 }
 
 /// A server's limit in requests a second, a decimal number.
-fn limit(value: &HeaderValue) -> Word {
+fn limit(value: &HeaderValue) -> LimitHeader {
     let rate = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
     let rate = rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
-    rate.map_or(Word::Unreadable, |rate| Word::Named(Rate(rate)))
+    rate.map_or(LimitHeader::Invalid, |rate| LimitHeader::Present(Rate(rate)))
 }
 
 /// A time in seconds, with or without a fraction; nothing for what is no such time, a date among them.
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::config::{Holder, Limits, Part, Pool, Regions, Repeat, Route, Table};
-use crate::decide::cold::Bound;
+use crate::decide::cold_start::ColdStart;
 use crate::forward::replica::{Phase, Replica, Rollout};
 use crate::unit::{
     DataCentre, Era, Model, Position, Rate, Region, Revision, Service, Span, Version,
@@ -210,10 +210,10 @@
 }
 
 /// What a service says of servers that start; a rate of nought says that it has no limit.
-fn cold(entry: &ServiceEntry) -> Option<Bound> {
+fn cold(entry: &ServiceEntry) -> Option<ColdStart> {
     let rate = entry.cold_per_s.filter(|rate| *rate > 0.0)?;
     let lasts = millis(entry.cold_start_s.unwrap_or_default() * 1000.0);
-    Some(Bound { rate: Rate(rate), lasts })
+    Some(ColdStart { rate: Rate(rate), duration: lasts })
 }
 
 fn route(entry: RouteEntry) -> Result<Route, String> {
--- a/src/vm/duty/learn.rs
+++ b/src/vm/duty/learn.rs
@@ -135,7 +135,7 @@
         held.3 = held.3 * 0.9 + all.saturating_sub(held.1) as f64;
         held.0 = own;
         held.1 = all;
-        let part: Rate = limit::part(workspace.limit, held.2, held.3, vms);
+        let part: Rate = limit::local_share(workspace.limit, held.2, held.3, vms);
         let mut parts = control.vm.parts.write().expect("no panic while held");
         parts.insert(workspace.name.clone(), part);
     }
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -185,7 +185,7 @@
         };
         let word = |(replica, name): (&Replica, &Server)| {
             let state = self.servers.get(name).map_or("unknown", |known| known.life.state());
-            let ruled = if !replica.open {
+            let ruled = if !replica.accepting {
                 format!("ruled out: {state} or not loaded")
             } else if !replica.usable(now) {
                 "ruled out: failed a moment ago".to_owned()
@@ -210,7 +210,7 @@
                 && known.reported_at > Moment(0)
                 && !known.load.loaded.is_empty()
             {
-                fresh.open &= known.load.loaded.contains(target);
+                fresh.accepting &= known.load.loaded.contains(target);
             }
             replicas[*at] = fresh;
         }
@@ -245,9 +245,9 @@
         reported: f64::from(known.load.running + known.load.waiting),
         reported_at: known.reported_at,
         own: known.own,
-        own_then: known.own_then,
-        open: !matches!(known.life.state(), "leaving" | "gone"),
+        own_at_report: known.own_then,
+        accepting: !matches!(known.life.state(), "leaving" | "gone"),
         failed_at: known.failed_at,
-        distance: known.distance,
+        latency: known.distance,
     }
 }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -9,9 +9,9 @@
 use super::ratings::Waiting;
 use super::{Clock, Errand, Fleet, Settings};
 use crate::config::Snapshot;
-use crate::decide::admit::Gate;
+use crate::decide::admission::AdmissionController;
 use crate::decide::cascade::{Credit, Rule};
-use crate::decide::limit::Bucket;
+use crate::decide::limit::TokenBucket;
 use crate::decide::poison::Exchange;
 use crate::decide::retry::Budget;
 use crate::evidence::{Key, Origin, Tally};
@@ -61,9 +61,9 @@
     pub poison: Mutex<Exchange>,
     /// Keys set aside on this VM.
     pub reserved: Mutex<Reserved>,
-    gates: Mutex<HashMap<Model, Gate>>,
+    gates: Mutex<HashMap<Model, AdmissionController>>,
     dispatches: Mutex<BTreeMap<Revision, usize>>,
-    buckets: Mutex<HashMap<Workspace, Bucket>>,
+    buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retries: Mutex<Budget>,
     ratings: Mutex<Credit>,
     permit_until: AtomicU64,
@@ -184,16 +184,19 @@
         let part = self.parts.read().expect("no panic while held").get(workspace).copied();
         let rate = part.unwrap_or(limit);
         let mut buckets = self.buckets.lock().expect("no panic while held");
-        let bucket = buckets.entry(workspace.clone()).or_insert_with(|| Bucket::new(rate, now));
+        let bucket =
+            buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
         bucket.take(rate, now)
     }
 
     /// Calls `act` on the gate towards the pool of a model.
-    pub fn gate<T>(&self, model: &Model, act: impl FnOnce(&mut Gate) -> T) -> T {
+    pub fn gate<T>(&self, model: &Model, act: impl FnOnce(&mut AdmissionController) -> T) -> T {
         let mut gates = self.gates.lock().expect("no panic while held");
         match gates.get_mut(model) {
             Some(gate) => act(gate),
-            None => act(gates.entry(model.clone()).or_insert(Gate::new(self.slots(model)))),
+            None => act(gates
+                .entry(model.clone())
+                .or_insert(AdmissionController::new(self.slots(model)))),
         }
     }
 
@@ -207,7 +210,7 @@
 
     /// Counts a first attempt for the budgets of retries and ratings.
     pub fn earn(&self) {
-        self.retries.lock().expect("no panic while held").earn();
+        self.retries.lock().expect("no panic while held").deposit();
         self.ratings.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
@@ -218,7 +221,7 @@
 
     /// Takes a retry of the budget.
     pub fn spend_retry(&self) -> bool {
-        self.retries.lock().expect("no panic while held").spend()
+        self.retries.lock().expect("no panic while held").try_spend()
     }
 
     /// The trial that a request of a model belongs to: its roll-out's, or a window of time.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use kitepulley::decide::bound::{Bound, Part, Turns, is_sender};
+use kitepulley::decide::server_limit::{Pacer, RateLimit, Share, is_sender};
 use kitepulley::unit::{Moment, Rate, Span, hash};
 use quickcheck::quickcheck;
 use serde_json::json;
@@ -16,8 +16,8 @@
     hash::stable(&[name])
 }
 
-fn bound(rate: f64) -> Bound {
-    Bound { rate: Rate(rate), window: SECOND }
+fn bound(rate: f64) -> RateLimit {
+    RateLimit { rate: Rate(rate), window: SECOND }
 }
 
 /// The most of these moments that lie within one second.
@@ -38,12 +38,12 @@
     for own in 0..vms {
         let others: Vec<u64> =
             (0..vms).filter(|vm| *vm != own && knows(own, *vm)).map(name).collect();
-        let part = Part::new(&bound(rate), others.len() + 1);
-        let mut turns = Turns::default();
+        let part = Share::new(&bound(rate), others.len() + 1);
+        let mut turns = Pacer::default();
         // They do not begin at the same moment.
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
         while is_sender(&part, server, name(own), &others) && now < Moment(5_000_000) {
-            now = turns.take(&part, now).at;
+            now = turns.reserve(&part, now).at;
             all.push(now);
         }
     }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,19 +1,19 @@
 //! Properties of the decisions that `forward` takes: budgets, ends, roll-outs, placing, events.
 
 use kitepulley::config::Repeat;
+use kitepulley::decide::availability::{Availability, Unavailable};
 use kitepulley::decide::backlog::Backlog;
-use kitepulley::decide::budget::Budget;
+use kitepulley::decide::budget::RetryBudget;
 use kitepulley::decide::canary::{self, Known, Step, Trial};
-use kitepulley::decide::ends::{self, End, Last, Next};
 use kitepulley::decide::escalate;
-use kitepulley::decide::limit::even_part;
-use kitepulley::decide::outlier::Record;
-use kitepulley::decide::pace::Pace;
-use kitepulley::decide::place::{Candidate, least_loaded, soonest};
+use kitepulley::decide::limit::even_share;
+use kitepulley::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
+use kitepulley::decide::outlier::OutlierDetector;
+use kitepulley::decide::placement::{Candidate, least_loaded, soonest};
+use kitepulley::decide::prefill::PrefillEstimator;
 use kitepulley::decide::pressure::Pressure;
-use kitepulley::decide::rank;
+use kitepulley::decide::priority;
 use kitepulley::decide::sequential::Count;
-use kitepulley::decide::standing::{Bar, Standing};
 use kitepulley::forward::event::Events;
 use kitepulley::forward::replica::Phase;
 use kitepulley::forward::trial::Source;
@@ -21,14 +21,27 @@
 use kitepulley::unit::{Moment, Span, Version};
 use quickcheck::{TestResult, quickcheck};
 
-const ENDS: [End; 7] =
-    [End::NotSent, End::Withheld, End::NotRun, End::Broken, End::Failed, End::Good, End::Late];
+const ENDS: [AttemptOutcome; 7] = [
+    AttemptOutcome::NotSent,
+    AttemptOutcome::Withheld,
+    AttemptOutcome::NotRun,
+    AttemptOutcome::Broken,
+    AttemptOutcome::Failed,
+    AttemptOutcome::Good,
+    AttemptOutcome::Late,
+];
 
 #[test]
 fn what_may_have_run_goes_elsewhere_only_if_it_may_run_twice() {
     for end in ENDS {
-        let may_have_run = matches!(end, End::Broken | End::Failed | End::Late | End::Good);
-        let goes_on = ends::next(end, Repeat::Never) == Next::Elsewhere;
+        let may_have_run = matches!(
+            end,
+            AttemptOutcome::Broken
+                | AttemptOutcome::Failed
+                | AttemptOutcome::Late
+                | AttemptOutcome::Good
+        );
+        let goes_on = outcome::next(end, Repeat::Never) == Next::Retry;
         assert!(!(may_have_run && goes_on), "{end:?}");
     }
 }
@@ -37,9 +50,12 @@
 fn a_refusal_is_the_last_word_only_if_nothing_can_have_run() {
     for end in ENDS {
         for ran_before in [false, true] {
-            if ends::last(end, ran_before) == Last::Refused {
+            if outcome::final_response(end, ran_before) == FinalResponse::Refused {
                 assert!(
-                    matches!(end, End::NotSent | End::Withheld | End::NotRun) && !ran_before,
+                    matches!(
+                        end,
+                        AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun
+                    ) && !ran_before,
                     "{end:?}"
                 );
             }
@@ -51,17 +67,17 @@
     /// Over any window the repeats stay within the share of that window's requests, and the extra.
     fn repeats_stay_within_the_budget(steps: Vec<(u8, bool)>) -> bool {
         const WINDOW: u64 = 10_000_000;
-        let mut budget = Budget::new(Span(WINDOW), 0.9);
+        let mut budget = RetryBudget::new(Span(WINDOW), 0.9);
         budget.set_extra(3);
         let (mut now, mut events) = (1_000_000, Vec::new());
         for (pause, repeat) in steps {
             now += u64::from(pause) * 20_000;
             if repeat {
-                if budget.spend(Moment(now)) {
+                if budget.try_spend(Moment(now)) {
                     events.push((now, true));
                 }
             } else {
-                budget.first(Moment(now));
+                budget.record_first(Moment(now));
                 events.push((now, false));
             }
         }
@@ -77,24 +93,24 @@
 
     /// Second runs for a better answer never take what is kept for failures.
     fn failures_find_a_repeat_left_whatever_second_runs_took(firsts: u8) -> bool {
-        let mut budget = Budget::new(Span::secs(10), 0.9);
+        let mut budget = RetryBudget::new(Span::secs(10), 0.9);
         budget.set_extra(8);
-        (0..firsts).for_each(|_| budget.first(Moment(1)));
-        while budget.spend_spare(Moment(1)) {}
-        budget.spend(Moment(1))
+        (0..firsts).for_each(|_| budget.record_first(Moment(1)));
+        while budget.try_spend_optional(Moment(1)) {}
+        budget.try_spend(Moment(1))
     }
 
     /// Even parts of all VMs stay within the limit, but for the one that each may always have.
     fn parts_of_all_vms_fit(limit: u16, vms: u8) -> bool {
         let (limit, vms) = (u32::from(limit), u32::from(vms.max(1)));
-        even_part(limit, vms) * vms <= limit.max(vms)
+        even_share(limit, vms) * vms <= limit.max(vms)
     }
 
     /// Work shrinks with time and never below nothing.
     fn a_backlog_shrinks(work: u32, passed: u32) -> bool {
         let mut backlog = Backlog::default();
         backlog.add(Span(u64::from(work)), Moment(5));
-        let left = backlog.left(Moment(5 + u64::from(passed)));
+        let left = backlog.remaining(Moment(5 + u64::from(passed)));
         left.0 == u64::from(work).saturating_sub(u64::from(passed))
     }
 
@@ -103,8 +119,8 @@
         let candidate = |(load, micros, near): &(u8, u16, bool)| Candidate {
             load: f64::from(*load),
             slots: 64.0,
-            near: *near,
-            until_read: Span(u64::from(*micros)), reads: Span(0),
+            local: *near,
+            until_prefilled: Span(u64::from(*micros)), prefill: Span(0),
         };
         let candidates: Vec<Candidate> = loads.iter().map(candidate).collect();
         let Some(at) = soonest(&candidates, 0) else {
@@ -112,14 +128,14 @@
         };
         let best = candidates[at];
         let beats = |one: &Candidate| {
-            one.load < best.load && one.until_read < best.until_read && (one.near || !best.near)
+            one.load < best.load && one.until_prefilled < best.until_prefilled && (one.local || !best.local)
         };
         TestResult::from_bool(!candidates.iter().any(beats))
     }
 
     fn least_loaded_finds_one_if_there_is_one(loads: Vec<u8>, point: u8) -> bool {
         let candidate = |load: &u8| Candidate {
-            load: f64::from(*load), slots: 6.0, near: true, until_read: Span(0), reads: Span(0),
+            load: f64::from(*load), slots: 6.0, local: true, until_prefilled: Span(0), prefill: Span(0),
         };
         let candidates: Vec<Candidate> = loads.iter().map(candidate).collect();
         match least_loaded(&candidates, f64::from(point) / 256.0) {
@@ -184,9 +200,9 @@
     let at = |near, millis| Candidate {
         load: 0.0,
         slots: 64.0,
-        near,
-        until_read: Span::millis(millis),
-        reads: Span(0),
+        local: near,
+        until_prefilled: Span::millis(millis),
+        prefill: Span(0),
     };
     let candidates = [at(true, 150), at(false, 100)];
     assert_eq!(soonest(&candidates, 1000), Some(1));
@@ -241,13 +257,13 @@
     let mut pressure = Pressure::default();
     let goal = Span::secs(2);
     for number in 0..20u64 {
-        pressure.note(Span::secs(1), goal, Moment(number * 50_000));
+        pressure.record(Span::secs(1), goal, Moment(number * 50_000));
     }
     let at = Moment(1_000_000);
     assert!((0.4..0.5).contains(&pressure.level(at)), "{}", pressure.level(at));
     assert!(pressure.level(at + Span::secs(5)) < 0.1);
     for number in 0..20u64 {
-        pressure.note(Span(0), goal, at + Span::millis(number * 50));
+        pressure.record(Span(0), goal, at + Span::millis(number * 50));
     }
     assert!(pressure.level(at + Span::secs(1)) < 0.2);
 }
@@ -266,120 +282,127 @@
 
 #[test]
 fn a_server_that_cannot_be_reached_is_left_out_and_comes_back() {
-    let mut record = Record::default();
+    let mut record = OutlierDetector::default();
     let now = Moment(1_000_000);
-    assert!(record.note(End::NotSent, 0.0, now));
-    assert!(record.is_out(now + Span::millis(500)));
-    assert!(!record.is_out(now + Span::millis(700)));
+    assert!(record.record(AttemptOutcome::NotSent, 0.0, now));
+    assert!(record.is_ejected(now + Span::millis(500)));
+    assert!(!record.is_ejected(now + Span::millis(700)));
     // Again and again: longer each time, but never for long.
     let mut at = now;
     for _ in 0..20 {
         at = at + Span::secs(10);
-        record.note(End::NotSent, 0.0, at);
+        record.record(AttemptOutcome::NotSent, 0.0, at);
     }
-    assert!(record.is_out(at + Span::millis(5900)));
-    assert!(!record.is_out(at + Span::secs(7)));
+    assert!(record.is_ejected(at + Span::millis(5900)));
+    assert!(!record.is_ejected(at + Span::secs(7)));
 }
 
 #[test]
 fn a_server_that_turns_everything_away_is_left_out_for_a_moment() {
-    let mut record = Record::default();
+    let mut record = OutlierDetector::default();
     let at = |ms: u64| Moment(1_000_000) + Span::millis(ms);
     for ms in [0, 1, 2, 3, 4] {
-        record.note(End::NotRun, 0.0, at(2 * ms));
+        record.record(AttemptOutcome::NotRun, 0.0, at(2 * ms));
         // One that takes some is full at times, which its load says.
-        record.note(End::Good, 0.0, at(2 * ms + 1));
+        record.record(AttemptOutcome::Good, 0.0, at(2 * ms + 1));
     }
-    assert!(!record.is_out(at(11)));
-    assert!(!record.note(End::NotRun, 0.0, at(20)));
-    assert!(!record.note(End::NotRun, 0.0, at(21)));
-    assert!(record.note(End::NotRun, 0.0, at(22)));
-    assert!(record.is_out(at(300)) && !record.is_out(at(330)));
+    assert!(!record.is_ejected(at(11)));
+    assert!(!record.record(AttemptOutcome::NotRun, 0.0, at(20)));
+    assert!(!record.record(AttemptOutcome::NotRun, 0.0, at(21)));
+    assert!(record.record(AttemptOutcome::NotRun, 0.0, at(22)));
+    assert!(record.is_ejected(at(300)) && !record.is_ejected(at(330)));
 }
 
 #[test]
 fn a_server_whose_address_another_has_is_never_used_again() {
-    let mut standing = Standing::default();
-    standing.note(End::NotRun, 0.0, Moment(1));
-    assert_eq!(standing.bar(Moment(2)), None);
-    standing.note_another();
-    assert_eq!(standing.bar(Moment(3_600_000_000)), Some(Bar::IsAnother));
+    let mut standing = Availability::default();
+    standing.record(AttemptOutcome::NotRun, 0.0, Moment(1));
+    assert_eq!(standing.unavailable_reason(Moment(2)), None);
+    standing.mark_address_reused();
+    assert_eq!(
+        standing.unavailable_reason(Moment(3_600_000_000)),
+        Some(Unavailable::AddressReused)
+    );
 }
 
 #[test]
 fn a_server_that_fails_as_often_as_all_is_not_left_out() {
-    let mut record = Record::default();
+    let mut record = OutlierDetector::default();
     for number in 0..200u64 {
-        let end = if number % 7 == 0 { End::Failed } else { End::Good };
-        assert!(!record.note(end, 1.0 / 7.0, Moment(number * 10_000)), "{number}");
+        let end = if number % 7 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Good };
+        assert!(!record.record(end, 1.0 / 7.0, Moment(number * 10_000)), "{number}");
     }
-    let mut grey = Record::default();
+    let mut grey = OutlierDetector::default();
     let left_out = (0..60u64).any(|number| {
-        let end = if number % 2 == 0 { End::Failed } else { End::Good };
-        grey.note(end, 0.02, Moment(number * 10_000))
+        let end = if number % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Good };
+        grey.record(end, 0.02, Moment(number * 10_000))
     });
     assert!(left_out);
 }
 
 #[test]
 fn a_pace_follows_short_times_and_hardly_long_ones() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillEstimator::default();
     for _ in 0..50 {
-        pace.note(1000, Span::millis(5));
-        pace.note(1000, Span::millis(200));
+        pace.record(1000, Span::millis(5));
+        pace.record(1000, Span::millis(200));
     }
-    let time = pace.first_event(1000);
+    let time = pace.time_to_first_event(1000);
     assert!(time >= Span::millis(5) && time <= Span::millis(40), "{time}");
 }
 
 /// A busy server: 40 ms for the first step, 9 us a token, and two of five prompts wait long.
 #[test]
 fn a_pace_is_that_of_reading_however_long_prompts_wait() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillEstimator::default();
     for number in 0..500u64 {
         let tokens = 200 + (number * 7919) % 20_000;
         let waits = if number % 5 < 2 { 400_000 + (number % 7) * 300_000 } else { 0 };
-        pace.note(tokens, Span(40_000 + 9 * tokens + waits));
+        pace.record(tokens, Span(40_000 + 9 * tokens + waits));
     }
-    let reads = pace.time(16_000);
+    let reads = pace.prefill_time(16_000);
     assert!(reads >= Span::millis(100) && reads <= Span::millis(220), "{reads}");
-    let first = pace.first_event(500);
+    let first = pace.time_to_first_event(500);
     assert!(first >= Span::millis(40) && first <= Span::millis(60), "{first}");
 }
 
 #[test]
 fn a_vm_that_starts_under_load_does_not_believe_its_first_answers_alone() {
-    let mut pace = Pace::default();
-    let before = pace.time(1000);
-    pace.note(1000, Span::secs(6));
-    assert!(pace.time(1000) <= before, "{}", pace.time(1000));
-    pace.note(2000, Span(40_000 + 2000 * 9));
-    assert!(pace.time(1000) <= before, "{}", pace.time(1000));
+    let mut pace = PrefillEstimator::default();
+    let before = pace.prefill_time(1000);
+    pace.record(1000, Span::secs(6));
+    assert!(pace.prefill_time(1000) <= before, "{}", pace.prefill_time(1000));
+    pace.record(2000, Span(40_000 + 2000 * 9));
+    assert!(pace.prefill_time(1000) <= before, "{}", pace.prefill_time(1000));
 }
 
 quickcheck! {
     /// Of two prompts that a server holds nothing of, the shorter never ranks behind.
     fn a_shorter_prompt_ranks_no_lower(workspace: u8, a: u32, b: u32, left: u32) -> bool {
-        let rank = |reads| rank::of(u32::from(workspace), Span(u64::from(reads)), Span(u64::from(left)));
+        let rank = |reads| priority::prompt_priority(u32::from(workspace), Span(u64::from(reads)), Span(u64::from(left)));
         rank(a.min(b)) <= rank(a.max(b)) && rank(a) <= 9
     }
 }
 
 #[test]
 fn a_workspaces_rank_comes_before_that_of_reading() {
-    let long = rank::of(0, Span::secs(10), Span::secs(1));
-    assert!(long < rank::of(1, Span::millis(1), Span::secs(1)));
-    assert_eq!(rank::of(0, Span::millis(1), Span(0)), 2, "late already, it gives way");
+    let long = priority::prompt_priority(0, Span::secs(10), Span::secs(1));
+    assert!(long < priority::prompt_priority(1, Span::millis(1), Span::secs(1)));
+    assert_eq!(
+        priority::prompt_priority(0, Span::millis(1), Span(0)),
+        2,
+        "late already, it gives way"
+    );
 }
 
 #[test]
 fn prompts_that_wait_at_a_silent_server_stay_in_its_backlog() {
     let mut backlog = Backlog::default();
     backlog.add(Span::millis(400), Moment(0));
-    backlog.wait_for(Span::millis(400));
-    assert!(backlog.left(Moment(5_000_000)) >= Span::millis(200));
-    backlog.came(Span::millis(400));
-    assert_eq!(backlog.left(Moment(5_000_000)), Span(0));
+    backlog.add_own(Span::millis(400));
+    assert!(backlog.remaining(Moment(5_000_000)) >= Span::millis(200));
+    backlog.remove_own(Span::millis(400));
+    assert_eq!(backlog.remaining(Moment(5_000_000)), Span(0));
 }
 
 /// An answer of a prompt whose reading should take 40 ms at most.
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -54,16 +54,16 @@
     {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get_mut(&id).unwrap();
-        (0..5).for_each(|_| server.load.add());
+        (0..5).for_each(|_| server.load.on_open());
         server.hold(7, now);
-        server.standing.note_another();
+        server.standing.mark_address_reused();
     }
     // Its clock has stepped back: the store's revisions tell which life is the later one.
     take(&vm, &server("r1", 9, entry(json!({"born": 1_763_999_990_000u64}))));
     {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get(&id).unwrap();
-        assert!(!server.holds(7, now) && server.standing.bar(now).is_none());
+        assert!(!server.holds(7, now) && server.standing.unavailable_reason(now).is_none());
         assert_eq!(server.load.open(), 0);
         assert!(
             fleet.life_mut(&earlier).is_none(),
@@ -247,8 +247,10 @@
 #[test]
 fn a_cold_time_counts_from_each_word_of_it() {
     let vm = bare_vm();
-    let bound =
-        kitepulley::decide::cold::Bound { rate: kitepulley::unit::Rate(4.0), lasts: Span::secs(3) };
+    let bound = kitepulley::decide::cold_start::ColdStart {
+        rate: kitepulley::unit::Rate(4.0),
+        duration: Span::secs(3),
+    };
     let is_cold =
         |at: Moment| vm.fleet.borrow().get(&"r1".parse().unwrap()).unwrap().is_cold(&bound, at);
     take(&vm, &server("r1", 1, entry(json!({"cold_remaining_ms": 1500}))));
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -20,11 +20,11 @@
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
 use kitepulley::command::block;
-use kitepulley::decide::bound::{
-    Audience, Bound, Limit, News, Part, Turns, Word, is_sender, senders,
+use kitepulley::decide::availability::Signal;
+use kitepulley::decide::outcome::AttemptOutcome;
+use kitepulley::decide::server_limit::{
+    Limit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender, max_senders,
 };
-use kitepulley::decide::ends::End;
-use kitepulley::decide::standing::Said;
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::{self, attempt, choice};
 use kitepulley::platform::header;
@@ -262,13 +262,13 @@
     (vm, life)
 }
 
-fn hears(vm: &forward::Vm, life: &Life, word: Word) {
+fn hears(vm: &forward::Vm, life: &Life, word: LimitHeader) {
     let now = vm.now();
-    vm.fleet.borrow_mut().life_mut(life).unwrap().standing.limit.hear(word, now, now);
+    vm.fleet.borrow_mut().life_mut(life).unwrap().standing.limit.observe(word, now, now);
 }
 
 /// One request at the server that is chosen for it, after `meanwhile` happened.
-async fn one_attempt(vm: &Rc<forward::Vm>, meanwhile: impl FnOnce()) -> End {
+async fn one_attempt(vm: &Rc<forward::Vm>, meanwhile: impl FnOnce()) -> AttemptOutcome {
     let job = site::job(vm, "api");
     let place = choice::server(vm, &job.wish(None, &[]), vm.now()).expect("it takes work");
     let (_, waiting) = job.send(&place, None);
@@ -281,11 +281,11 @@
 fn a_request_that_was_placed_before_the_limit_was_heard_needs_a_turn() {
     let server = Replica::launch().unwrap();
     let (vm, life) = alone(&server);
-    let limit = Word::Named(Rate(1.0));
+    let limit = LimitHeader::Present(Rate(1.0));
     block(async {
-        assert_eq!(one_attempt(&vm, || ()).await, End::Good);
+        assert_eq!(one_attempt(&vm, || ()).await, AttemptOutcome::Good);
         // Its turn comes some time after the request before.
-        assert_eq!(one_attempt(&vm, || hears(&vm, &life, limit)).await, End::Withheld);
+        assert_eq!(one_attempt(&vm, || hears(&vm, &life, limit)).await, AttemptOutcome::Withheld);
     });
     assert_eq!(server.seen().len(), 1);
 }
@@ -295,16 +295,16 @@
     let server = Replica::launch().unwrap();
     let (vm, life) = alone(&server);
     server.names_limit(Some("0.5"));
-    hears(&vm, &life, Word::Named(Rate(0.5)));
-    let rests = Said { rest: Some(Span::millis(200)), ..Said::default() };
+    hears(&vm, &life, LimitHeader::Present(Rate(0.5)));
+    let rests = Signal { backoff: Some(Span::millis(200)), ..Signal::default() };
     let hear_rest = || {
         let now = vm.now();
-        vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.hear(rests, now);
+        vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.observe(rests, now);
     };
     block(async {
-        assert_eq!(one_attempt(&vm, hear_rest).await, End::Withheld);
+        assert_eq!(one_attempt(&vm, hear_rest).await, AttemptOutcome::Withheld);
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert_eq!(one_attempt(&vm, || ()).await, End::Good);
+        assert_eq!(one_attempt(&vm, || ()).await, AttemptOutcome::Good);
     });
     let wish = site::job(&vm, "api");
     assert!(
@@ -322,13 +322,18 @@
     vm.fleet.borrow_mut().put(Life { id, version, ..life.clone() }, vm.now());
     let job = site::job(&vm, "api");
     let chosen = || choice::server(&vm, &job.wish(None, &[]), vm.now());
-    hears(&vm, &life, Word::Named(Rate(0.5)));
+    hears(&vm, &life, LimitHeader::Present(Rate(0.5)));
     assert_eq!(chosen().map(|place| place.replica.id), Some(life.id.clone()));
-    vm.fleet.borrow_mut().life_mut(&life).unwrap().turns.spend(vm.now());
+    vm.fleet.borrow_mut().life_mut(&life).unwrap().turns.on_send(vm.now());
     assert!(chosen().is_none(), "its turn comes later");
     let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now());
     assert_eq!(again, None, "a server that bears anything is there");
-    vm.fleet.borrow_mut().get_mut(&"r1".parse().unwrap()).unwrap().standing.enter(false, vm.now());
+    vm.fleet
+        .borrow_mut()
+        .get_mut(&"r1".parse().unwrap())
+        .unwrap()
+        .standing
+        .apply_entry(false, vm.now());
     let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now()).expect("a time");
     // Two in four seconds, and callers come back within half a second one after the other.
     assert!((Span::millis(2000)..Span::millis(2600)).contains(&again), "{again}");
@@ -356,16 +361,16 @@
 fn sends(vms: usize, rate: f64, knows: impl Fn(usize, usize) -> bool) -> Vec<Moment> {
     let name = |vm: usize| hash::stable(&[&format!("vm{vm}")]);
     let server = hash::stable(&["r1"]);
-    let bound = Bound::of_limit(Rate(rate));
+    let bound = RateLimit::advertised(Rate(rate));
     let mut all = Vec::new();
     for own in 0..vms {
         let others: Vec<u64> =
             (0..vms).filter(|vm| *vm != own && knows(own, *vm)).map(name).collect();
-        let part = Part::new(&bound, others.len() + 1);
-        let mut turns = Turns::default();
+        let part = Share::new(&bound, others.len() + 1);
+        let mut turns = Pacer::default();
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
         while is_sender(&part, server, name(own), &others) && now < Moment(20_000_000) {
-            now = turns.take(&part, now).at;
+            now = turns.reserve(&part, now).at;
             all.push(now);
         }
     }
@@ -396,20 +401,20 @@
 
     /// Turns that are taken, spent late or given back, under limits that change, never come closer than the gap of the limit of then.
     fn turns_keep_their_distance(steps: Vec<(u8, u16)>) -> bool {
-        let mut turns = Turns::default();
+        let mut turns = Pacer::default();
         let (mut now, mut last) = (Moment(1), None::<Moment>);
         for (kind, amount) in steps {
             now = now + Span::millis(u64::from(amount % 700));
-            let part = Part::new(&Bound::of_limit(Rate(f64::from(kind) / 10.0)), 1);
-            let ticket = turns.take(&part, now);
-            if last.is_some_and(|last| ticket.at.since(last) < part.gap) {
+            let part = Share::new(&RateLimit::advertised(Rate(f64::from(kind) / 10.0)), 1);
+            let ticket = turns.reserve(&part, now);
+            if last.is_some_and(|last| ticket.at.since(last) < part.interval) {
                 return false;
             }
             match kind % 3 {
-                0 => turns.give_back(ticket),
+                0 => turns.release(ticket),
                 _ => {
                     now = now.max(ticket.at) + Span::millis(u64::from(kind % 50));
-                    turns.spend(now);
+                    turns.on_send(now);
                     last = Some(now);
                 }
             }
@@ -431,35 +436,43 @@
 #[test]
 fn news_of_a_limit_are_told_once_a_change_and_again_before_they_are_forgotten() {
     let second = |number: u64| Moment(number * 1_000_000);
-    let news = |rate: f64, as_of| News { rate: Some(Rate(rate)), as_of };
-    let senders = |before, now| Audience::Senders([Rate(before), Rate(now)]);
+    let news = |rate: f64, as_of| Update { rate: Some(Rate(rate)), as_of };
+    let senders = |before, now| Recipients::Senders([Rate(before), Rate(now)]);
     let mut limit = Limit::default();
-    assert_eq!(limit.tell(Moment(1)), None);
-    limit.hear(Word::Named(Rate(2.0)), Moment(1), second(1));
-    assert_eq!(limit.tell(second(1)), Some((news(2.0, second(1)), Audience::All)));
-    limit.hear(Word::Named(Rate(2.1)), second(1), second(2));
-    assert_eq!(limit.tell(second(2)), None, "about the same");
-    limit.hear(Word::Named(Rate(4.0)), second(2), second(3));
-    assert_eq!(limit.tell(second(3)), Some((news(4.0, second(3)), senders(2.0, 4.0))));
+    assert_eq!(limit.next_announcement(Moment(1)), None);
+    limit.observe(LimitHeader::Present(Rate(2.0)), Moment(1), second(1));
+    assert_eq!(limit.next_announcement(second(1)), Some((news(2.0, second(1)), Recipients::All)));
+    limit.observe(LimitHeader::Present(Rate(2.1)), second(1), second(2));
+    assert_eq!(limit.next_announcement(second(2)), None, "about the same");
+    limit.observe(LimitHeader::Present(Rate(4.0)), second(2), second(3));
+    assert_eq!(limit.next_announcement(second(3)), Some((news(4.0, second(3)), senders(2.0, 4.0))));
     let soon = second(3) + Span::millis(100);
-    limit.hear(Word::Named(Rate(8.0)), second(3), soon);
-    assert_eq!(limit.tell(soon), None, "a rise can wait");
-    limit.hear(Word::Named(Rate(1.0)), second(3), soon);
-    assert_eq!(limit.tell(soon), Some((news(1.0, soon), senders(4.0, 1.0))), "a fall can't");
-    assert_eq!(limit.tell(second(17)), Some((news(1.0, soon), Audience::All)), "lest all forget");
-    limit.hear(Word::Unnamed, second(18), second(18));
-    let over = News { rate: None, as_of: second(18) };
-    assert_eq!(limit.tell(second(18)), Some((over, Audience::All)));
-    assert_eq!(limit.tell(second(60)), None);
+    limit.observe(LimitHeader::Present(Rate(8.0)), second(3), soon);
+    assert_eq!(limit.next_announcement(soon), None, "a rise can wait");
+    limit.observe(LimitHeader::Present(Rate(1.0)), second(3), soon);
+    assert_eq!(
+        limit.next_announcement(soon),
+        Some((news(1.0, soon), senders(4.0, 1.0))),
+        "a fall can't"
+    );
+    assert_eq!(
+        limit.next_announcement(second(17)),
+        Some((news(1.0, soon), Recipients::All)),
+        "lest all forget"
+    );
+    limit.observe(LimitHeader::Absent, second(18), second(18));
+    let over = Update { rate: None, as_of: second(18) };
+    assert_eq!(limit.next_announcement(second(18)), Some((over, Recipients::All)));
+    assert_eq!(limit.next_announcement(second(60)), None);
 }
 
 /// A limit that falls may have more senders than before, each of which must hear of it.
 #[test]
 fn those_that_have_a_part_of_either_limit_are_told() {
-    let count = |rate| Part::new(&Bound::of_limit(Rate(rate)), 7).senders;
+    let count = |rate| Share::new(&RateLimit::advertised(Rate(rate)), 7).senders;
     assert!(count(1.75) > count(4.0), "{} and {}", count(1.75), count(4.0));
     for rates in [[1.75, 4.0], [4.0, 1.75]] {
-        assert_eq!(senders(rates.map(Rate), 7), count(1.75));
+        assert_eq!(max_senders(rates.map(Rate), 7), count(1.75));
     }
 }
 
@@ -467,11 +480,11 @@
 #[test]
 fn what_is_told_again_is_passed_on_by_those_who_heard_it_later() {
     let second = |number: u64| Moment(number * 1_000_000);
-    let news = |as_of| News { rate: Some(Rate(2.0)), as_of };
+    let news = |as_of| Update { rate: Some(Rate(2.0)), as_of };
     let mut limit = Limit::default();
-    assert!(limit.hear_told(news(second(1)), second(1) + Span::millis(40)));
-    assert!(!limit.hear_told(news(second(5)), second(5)), "another VM's word of the same");
-    assert!(limit.hear_told(news(second(16)), second(16) + Span::millis(10)));
+    assert!(limit.merge(news(second(1)), second(1) + Span::millis(40)));
+    assert!(!limit.merge(news(second(5)), second(5)), "another VM's word of the same");
+    assert!(limit.merge(news(second(16)), second(16) + Span::millis(10)));
     assert_eq!(limit.rate(second(50)), Some(Rate(2.0)));
 }
 
@@ -482,8 +495,8 @@
     for tenth in 1..=200 {
         let now = Moment(tenth * 100_000);
         let rate = [1.0, 4.0, 2.0, 8.0, 0.5][tenth as usize % 5];
-        limit.hear(Word::Named(Rate(rate)), now, now);
-        told += usize::from(limit.tell(now).is_some());
+        limit.observe(LimitHeader::Present(Rate(rate)), now, now);
+        told += usize::from(limit.next_announcement(now).is_some());
     }
     assert!((20..=80).contains(&told), "{told} times in 20 s");
 }
@@ -491,15 +504,15 @@
 #[test]
 fn of_two_words_of_a_limit_the_newer_holds_and_an_old_one_is_forgotten() {
     let second = |number: u64| Moment(number * 1_000_000);
-    let news = |rate: Option<f64>, as_of| News { rate: rate.map(Rate), as_of: second(as_of) };
+    let news = |rate: Option<f64>, as_of| Update { rate: rate.map(Rate), as_of: second(as_of) };
     let mut limit = Limit::default();
-    assert!(limit.hear_told(news(Some(2.0), 5), second(6)), "the others are told");
-    assert!(!limit.hear_told(news(None, 4), second(6)), "that is older");
+    assert!(limit.merge(news(Some(2.0), 5), second(6)), "the others are told");
+    assert!(!limit.merge(news(None, 4), second(6)), "that is older");
     assert_eq!(limit.rate(second(6)), Some(Rate(2.0)));
-    assert!(!limit.hear_told(news(Some(2.0), 7), second(8)), "they know that already");
-    assert!(limit.hear_told(news(None, 9), second(10)));
+    assert!(!limit.merge(news(Some(2.0), 7), second(8)), "they know that already");
+    assert!(limit.merge(news(None, 9), second(10)));
     assert_eq!(limit.rate(second(10)), None);
-    assert!(limit.hear_told(news(Some(3.0), 11), second(11)));
+    assert!(limit.merge(news(Some(3.0), 11), second(11)));
     assert_eq!(limit.rate(second(50)), Some(Rate(3.0)));
     assert_eq!(limit.rate(second(51)), None, "nobody has heard it for long");
 }
@@ -507,11 +520,11 @@
 #[test]
 fn a_limit_of_nought_is_asked_now_and_then_whether_it_is_over() {
     for rate in [0.0, -0.0, 1e-12] {
-        let bound = Bound::of_limit(Rate(rate));
-        let part = Part::new(&bound, 300);
-        assert_eq!((part.senders, part.gap), (1, Span::secs(10)));
+        let bound = RateLimit::advertised(Rate(rate));
+        let part = Share::new(&bound, 300);
+        assert_eq!((part.senders, part.interval), (1, Span::secs(10)));
     }
-    let huge = Part::new(&Bound::of_limit(Rate(1e300)), 300);
+    let huge = Share::new(&RateLimit::advertised(Rate(1e300)), 300);
     assert_eq!(huge.senders, 300);
 }
 
@@ -524,22 +537,22 @@
         header::answer(&head).limit
     };
     for (text, rate) in [("2", 2.0), (" 1.4 ", 1.4), ("0.25", 0.25), ("0", 0.0), ("1e3", 1000.0)] {
-        assert_eq!(word(text.as_bytes()), Word::Named(Rate(rate)), "{text}");
+        assert_eq!(word(text.as_bytes()), LimitHeader::Present(Rate(rate)), "{text}");
     }
     for text in [&b""[..], b"-1", b"NaN", b"inf", b"some", b"2/s", b"1,4", b"\xff"] {
-        assert_eq!(word(text), Word::Unreadable, "{text:?}");
+        assert_eq!(word(text), LimitHeader::Invalid, "{text:?}");
     }
-    assert_eq!(header::answer(&ResponseHead::new(StatusCode::OK)).limit, Word::Unnamed);
+    assert_eq!(header::answer(&ResponseHead::new(StatusCode::OK)).limit, LimitHeader::Absent);
 }
 
 #[test]
 fn an_answer_without_a_limit_ends_it_only_if_it_was_asked_for_later() {
     let mut limit = Limit::default();
-    assert!(limit.hear(Word::Named(Rate(2.0)), Moment(10), Moment(20)));
-    assert!(!limit.hear(Word::Named(Rate(2.0)), Moment(12), Moment(24)));
-    assert!(!limit.hear(Word::Unnamed, Moment(13), Moment(25)));
-    assert!(!limit.hear(Word::Unreadable, Moment(26), Moment(27)));
+    assert!(limit.observe(LimitHeader::Present(Rate(2.0)), Moment(10), Moment(20)));
+    assert!(!limit.observe(LimitHeader::Present(Rate(2.0)), Moment(12), Moment(24)));
+    assert!(!limit.observe(LimitHeader::Absent, Moment(13), Moment(25)));
+    assert!(!limit.observe(LimitHeader::Invalid, Moment(26), Moment(27)));
     assert_eq!((limit.rate(Moment(27)), limit.age(Moment(27))), (Some(Rate(2.0)), Some(Span(7))));
-    assert!(limit.hear(Word::Unnamed, Moment(25), Moment(28)));
+    assert!(limit.observe(LimitHeader::Absent, Moment(25), Moment(28)));
     assert_eq!(limit.rate(Moment(28)), None);
 }
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use kitepulley::decide::bound::{Bound, Part, Turns};
 use kitepulley::decide::poison::{Broken, Exchange, Life, Ways};
 use kitepulley::decide::reader::is_stale;
+use kitepulley::decide::server_limit::{Pacer, RateLimit, Share};
 use kitepulley::forward::{Vm, learn, wake};
 use kitepulley::unit::{Moment, Rate, Revision, Span, digest};
 use kitepulley::vm::{Clock, Reading};
@@ -82,10 +82,10 @@
 fn ages_count_the_time_asleep() {
     let clock = Clock::new(ages);
     let before = clock.now();
-    let bound = Bound { rate: Rate(2.0), window: Span::secs(1) };
-    let part = Part::new(&bound, 1);
-    let mut turns = Turns::default();
-    turns.take(&part, before);
+    let bound = RateLimit { rate: Rate(2.0), window: Span::secs(1) };
+    let part = Share::new(&bound, 1);
+    let mut turns = Pacer::default();
+    turns.reserve(&part, before);
     let mut contents = Exchange::default();
     let content = digest(&[b"a question"]);
     for life in 0..3 {
@@ -97,7 +97,11 @@
         sleep(&AGES_ASLEEP, Span::secs(sleeps));
         let now = clock.now();
         assert_eq!(is_stale(now.since(before), Span::secs(2)), stale, "servers after {sleeps} s");
-        assert_eq!(turns.next(&part, now), now.max(before + part.gap), "a turn after {sleeps} s");
+        assert_eq!(
+            turns.next_send(&part, now),
+            now.max(before + part.interval),
+            "a turn after {sleeps} s"
+        );
         assert_eq!(contents.held(&content, now).is_some(), held, "a belief after {sleeps} s");
     }
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -24,8 +24,8 @@
 use actix_http::header::{HeaderValue, RETRY_AFTER};
 use actix_http::{ResponseHead, StatusCode};
 use kitepulley::command::block;
-use kitepulley::decide::ends::End;
-use kitepulley::decide::standing::{Bar, Said, Standing};
+use kitepulley::decide::availability::{Availability, Signal, Unavailable};
+use kitepulley::decide::outcome::AttemptOutcome;
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::server::Fleet;
 use kitepulley::forward::{attempt, choice};
@@ -347,32 +347,32 @@
     let mut fleet = Fleet::default();
     let first = replica("r0", 1);
     fleet.put(first.clone(), at(0));
-    let said = Said { leaves: true, rest: Some(Span::secs(2)) };
-    fleet.life_mut(&first).unwrap().standing.hear(said, at(10));
+    let said = Signal { draining: true, backoff: Some(Span::secs(2)) };
+    fleet.life_mut(&first).unwrap().standing.observe(said, at(10));
     fleet.put(first.clone(), at(20));
-    assert!(matches!(fleet.forbids(&first, at(30)), Some(Bar::Leaves(_))));
+    assert!(matches!(fleet.forbids(&first, at(30)), Some(Unavailable::Draining(_))));
     for in_outage in [true, false] {
         fleet.remove(&first.id, in_outage, at(40));
         fleet.expire(at(50));
-        assert_eq!(fleet.forbids(&first, at(50)), Some(Bar::IsGone));
+        assert_eq!(fleet.forbids(&first, at(50)), Some(Unavailable::Removed));
         fleet.put(first.clone(), at(60));
-        assert!(matches!(fleet.forbids(&first, at(60)), Some(Bar::Leaves(_))));
+        assert!(matches!(fleet.forbids(&first, at(60)), Some(Unavailable::Draining(_))));
     }
     let second = replica("r0", 2);
     fleet.put(second.clone(), at(70));
     assert_eq!(fleet.forbids(&second, at(80)), None);
-    assert_eq!(fleet.forbids(&first, at(80)), Some(Bar::IsGone));
+    assert_eq!(fleet.forbids(&first, at(80)), Some(Unavailable::Removed));
 }
 
 /// A request whose server was chosen before the server said that it leaves, or wants rest: it waited, or its connection took a while.
-fn placed_before(said: Said) -> (End, usize) {
+fn placed_before(said: Signal) -> (AttemptOutcome, usize) {
     let server = Replica::launch().unwrap();
     let vm = site::bare_vm();
     let life = Life { address: server.address, ..replica("r0", 1) };
     vm.fleet.borrow_mut().put(life.clone(), vm.now());
     let job = site::job(&vm, "api");
     let place = choice::server(&vm, &job.wish(None, &[]), vm.now()).expect("it takes work");
-    vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.hear(said, vm.now());
+    vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.observe(said, vm.now());
     let (_, waiting) = job.send(&place, None);
     let until = job.deadline;
     let attempt = attempt::run(&job, &place.replica, None, None, waiting, until);
@@ -381,36 +381,36 @@
 
 #[test]
 fn a_request_that_was_placed_before_is_kept_back() {
-    assert_eq!(placed_before(Said::default()), (End::Good, 1));
-    let leaves = Said { leaves: true, rest: None };
-    assert_eq!(placed_before(leaves), (End::Withheld, 0));
-    let rests = Said { leaves: false, rest: Some(Span::secs(1)) };
-    assert_eq!(placed_before(rests), (End::Withheld, 0));
+    assert_eq!(placed_before(Signal::default()), (AttemptOutcome::Good, 1));
+    let leaves = Signal { draining: true, backoff: None };
+    assert_eq!(placed_before(leaves), (AttemptOutcome::Withheld, 0));
+    let rests = Signal { draining: false, backoff: Some(Span::secs(1)) };
+    assert_eq!(placed_before(rests), (AttemptOutcome::Withheld, 0));
 }
 
 quickcheck! {
     /// Facts in any order: what it said of leaving is never taken back, what its entry said by a later entry alone; a rest never ends sooner than the latest end that was asked for.
     fn leaving_is_never_taken_back_and_no_rest_is_cut(facts: Vec<(u8, u16)>) -> bool {
-        let mut standing = Standing::default();
+        let mut standing = Availability::default();
         let (mut now, mut rests_until) = (Moment(1), Moment(0));
         let (mut said, mut listed) = (false, false);
         for (kind, amount) in facts {
             now = now + Span::millis(u64::from(amount % 97));
             let span = Span::millis(u64::from(amount));
             match kind % 5 {
-                0 => { standing.enter(true, now); listed = false; }
-                1 => { standing.enter(false, now); listed = true; }
-                2 => { standing.hear(Said { leaves: true, rest: None }, now); said = true; }
+                0 => { standing.apply_entry(true, now); listed = false; }
+                1 => { standing.apply_entry(false, now); listed = true; }
+                2 => { standing.observe(Signal { draining: true, backoff: None }, now); said = true; }
                 3 => {
-                    standing.hear(Said { leaves: false, rest: Some(span) }, now);
+                    standing.observe(Signal { draining: false, backoff: Some(span) }, now);
                     rests_until = rests_until.max(now + span);
                 }
-                _ => { standing.note(End::Good, 0.0, now); }
+                _ => { standing.record(AttemptOutcome::Good, 0.0, now); }
             }
             // One that is tried after a rest counts as resting no longer.
-            let expected = if said || listed { matches!(standing.bar(now), Some(Bar::Leaves(_))) }
-                else if now < rests_until { standing.bar(now) == Some(Bar::Rests(rests_until.since(now))) }
-                else { !standing.bar(now).is_some_and(Bar::binds) };
+            let expected = if said || listed { matches!(standing.unavailable_reason(now), Some(Unavailable::Draining(_))) }
+                else if now < rests_until { standing.unavailable_reason(now) == Some(Unavailable::BackingOff(rests_until.since(now))) }
+                else { !standing.unavailable_reason(now).is_some_and(Unavailable::is_hard) };
             if !expected { return false; }
         }
         true
@@ -422,7 +422,7 @@
     let rest = |status: u16, text: &str| {
         let mut head = ResponseHead::new(StatusCode::from_u16(status).unwrap());
         head.headers.insert(RETRY_AFTER, HeaderValue::from_str(text).unwrap());
-        header::answer(&head).said.rest
+        header::answer(&head).said.backoff
     };
     assert_eq!(rest(503, "3"), Some(Span::secs(3)));
     assert_eq!(rest(503, " 0.25 "), Some(Span::millis(250)));
@@ -430,9 +430,9 @@
         assert_eq!(rest(503, text), None, "{text}");
     }
     assert_eq!(rest(200, "3"), None);
-    let mut standing = Standing::default();
-    standing.hear(Said { leaves: false, rest: rest(503, "1e300") }, Moment(1));
-    assert_eq!(standing.bar(Moment(1) + Span::secs(600)), None);
+    let mut standing = Availability::default();
+    standing.observe(Signal { draining: false, backoff: rest(503, "1e300") }, Moment(1));
+    assert_eq!(standing.unavailable_reason(Moment(1) + Span::secs(600)), None);
 }
 
 /// What one VM heard all know, also those that send the server nothing: the store is away, so nobody else tells them.
