--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -109,7 +109,7 @@
 fn life(at: u64) -> Life {
     Life {
         id: format!("r{at}").parse().expect("a name"),
-        born: Some(at),
+        started_at_ms: Some(at),
         service: "api".parse().expect("a name"),
         address: ([127, 0, 0, 1], 9).into(),
         data_centre: "here".parse().expect("a name"),
--- a/src/forward/learn.rs
+++ b/src/forward/apply.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use super::kind::Kind;
+use super::membership;
 use super::replica::{Phase, Replica, Rollout};
-use super::roster;
 use super::vm::Vm;
 use crate::platform::object::{self, CONFIG, EVACUATIONS, MAIN, Object, ROLLOUTS, SERVERS};
 use crate::unit::{Moment, Position, Revision, Vm as Name};
@@ -28,25 +28,25 @@
 }
 
 /// Applies all objects of a kind. Returns the revision of the configuration, if it is among them and reads.
-pub fn take_all(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
+pub fn apply_list(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
     vm.enter_at(source.as_of);
-    let configuration = take_kind(vm, kind, objects, source);
+    let configuration = apply_kind(vm, kind, objects, source);
     // Requests may wait for a VM that has just started to know all.
     vm.proof.notify_waiters();
     configuration
 }
 
-fn take_kind(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
+fn apply_kind(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
     match kind {
         // These bear numbers of their own, which only rise.
-        Kind::Config => return take_config(vm, objects),
-        Kind::Rollouts => take_rollouts(vm, objects),
+        Kind::Config => return apply_config_list(vm, objects),
+        Kind::Rollouts => apply_rollouts(vm, objects),
         Kind::Servers => {
             let may_lapse = vm.has_listed(kind) && vm.was_store_away(vm.now());
-            tell_list(vm, objects.len(), may_lapse, source);
-            replace(vm, kind, objects, may_lapse, source);
+            log_list(vm, objects.len(), may_lapse, source);
+            reconcile(vm, kind, objects, may_lapse, source);
         }
-        Kind::Evacuations | Kind::Vms => replace(vm, kind, objects, false, source),
+        Kind::Evacuations | Kind::Vms => reconcile(vm, kind, objects, false, source),
     }
     vm.listed.borrow_mut().insert(kind);
     None
@@ -54,61 +54,61 @@
 
 /// Takes a list, whose objects bear no order: what is known to be newer stays. A list of a reader that had been cut
 /// off brought back, for 0.7 s, servers that were known to leave.
-fn replace(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
+fn reconcile(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
     let listed: HashSet<&str> = objects.iter().map(|one| one.metadata.name.as_str()).collect();
-    let missing = vm.known.borrow_mut().missing(kind, &listed, source.as_of);
+    let missing = vm.known.borrow_mut().missing_from_list(kind, &listed, source.as_of);
     // A server that a copy lacks counts as lapsed, and what else it lacks stays until its owner has had
     // time to write it again.
     if kind == Kind::Servers || vm.restored.borrow().is_none() {
         for name in missing {
-            drop_object(vm, kind, &name, may_lapse, source);
+            remove_object(vm, kind, &name, may_lapse, source);
         }
     }
     let (newest, older): (Vec<&Object>, Vec<&Object>) =
-        objects.iter().partition(|object| is_newest(vm, kind, object, source));
-    newest.into_iter().for_each(|object| put(vm, kind, object, None));
+        objects.iter().partition(|object| record_if_newest(vm, kind, object, source));
+    newest.into_iter().for_each(|object| apply_current(vm, kind, object, None));
     if !older.is_empty() {
-        tell_older(vm, kind, older.len(), source);
+        log_stale(vm, kind, older.len(), source);
     }
 }
 
 /// Notes an object, if it is as new as what is known. Whether it is.
-fn is_newest(vm: &Vm, kind: Kind, object: &Object, source: &Source) -> bool {
+fn record_if_newest(vm: &Vm, kind: Kind, object: &Object, source: &Source) -> bool {
     let metadata = &object.metadata;
-    vm.known.borrow_mut().put(kind, &metadata.name, metadata.position, source.as_of)
+    vm.known.borrow_mut().record(kind, &metadata.name, metadata.position, source.as_of)
 }
 
-fn tell_older(vm: &Vm, kind: Kind, count: usize, source: &Source) {
+fn log_stale(vm: &Vm, kind: Kind, count: usize, source: &Source) {
     let [from, era, as_of] = source.fields();
     let fields = [("kind", kind.name().into()), ("count", count.into()), from, era, as_of];
     vm.log("older word passed over", &fields);
 }
 
 /// Takes an object that is the newest; one of a server is told with its source, if there is one.
-fn put(vm: &Vm, kind: Kind, object: &Object, told: Option<&Source>) {
+fn apply_current(vm: &Vm, kind: Kind, object: &Object, source: Option<&Source>) {
     match kind {
         Kind::Config if object.metadata.name == MAIN => {
-            put_table(vm, object);
+            apply_config(vm, object);
         }
         Kind::Config => {}
         Kind::Servers => {
-            vm.feed.borrow_mut().put(kind, object);
-            put_server(vm, object, told);
+            vm.feed.borrow_mut().upsert(kind, object);
+            apply_server(vm, object, source);
         }
-        Kind::Rollouts => put_rollout(vm, object),
+        Kind::Rollouts => apply_rollout(vm, object),
         Kind::Evacuations => {
-            vm.feed.borrow_mut().put(kind, object);
-            empty(vm, object);
+            vm.feed.borrow_mut().upsert(kind, object);
+            apply_evacuation(vm, object);
         }
         Kind::Vms => {
-            vm.feed.borrow_mut().put(kind, object);
-            roster::take_entry(vm, object);
+            vm.feed.borrow_mut().upsert(kind, object);
+            membership::apply_entry(vm, object);
         }
     }
 }
 
 /// Takes an order to empty a data centre.
-fn empty(vm: &Vm, object: &Object) {
+fn apply_evacuation(vm: &Vm, object: &Object) {
     match object::emptied(object) {
         Ok(data_centre) => {
             let is_outdated = vm.may_be_outdated(object.metadata.position);
@@ -125,12 +125,12 @@
                 vm.metrics.emptied.with_label_values(&[data_centre.as_str()]).set(1);
             }
         }
-        Err(why) => unreadable(vm, EVACUATIONS, object, &why),
+        Err(why) => log_unreadable(vm, EVACUATIONS, object, &why),
     }
 }
 
 /// An order to empty a data centre was withdrawn.
-fn take_back(vm: &Vm, name: &str, source: &Source) {
+fn withdraw_evacuation(vm: &Vm, name: &str, source: &Source) {
     let Ok(data_centre) = name.parse() else { return };
     if vm.fleet.borrow_mut().take_back(&data_centre, vm.now()) {
         let [from, era, as_of] = source.fields();
@@ -140,32 +140,32 @@
 }
 
 /// Takes an object as it changed.
-pub fn take(vm: &Vm, kind: Kind, object: &Object, source: &Source) {
+pub fn apply_object(vm: &Vm, kind: Kind, object: &Object, source: &Source) {
     vm.enter_at(source.as_of);
     if matches!(kind, Kind::Config | Kind::Rollouts) {
-        put(vm, kind, object, None);
-    } else if is_newest(vm, kind, object, source) {
-        put(vm, kind, object, Some(source));
+        apply_current(vm, kind, object, None);
+    } else if record_if_newest(vm, kind, object, source) {
+        apply_current(vm, kind, object, Some(source));
     } else {
-        tell_older(vm, kind, 1, source);
+        log_stale(vm, kind, 1, source);
     }
 }
 
 /// An object is gone; a backend server may only have lapsed while the store was away.
-pub fn drop_object(vm: &Vm, kind: Kind, name: &str, lapsed: bool, source: &Source) {
+pub fn remove_object(vm: &Vm, kind: Kind, name: &str, lapsed: bool, source: &Source) {
     vm.enter_at(source.as_of);
     // The operator takes neither away; what stands last stays in force.
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         return;
     }
-    if !vm.known.borrow_mut().remove(kind, name, source.as_of) {
-        tell_older(vm, kind, 1, source);
+    if !vm.known.borrow_mut().record_removal(kind, name, source.as_of) {
+        log_stale(vm, kind, 1, source);
         return;
     }
     vm.feed.borrow_mut().remove(kind, name, lapsed);
     match kind {
-        Kind::Vms => roster::drop_entry(vm, name),
-        Kind::Evacuations => take_back(vm, name, source),
+        Kind::Vms => membership::remove_entry(vm, name),
+        Kind::Evacuations => withdraw_evacuation(vm, name, source),
         Kind::Servers | Kind::Config | Kind::Rollouts => {
             let [from, era, as_of] = source.fields();
             let fields =
@@ -179,27 +179,27 @@
 }
 
 /// Applies what was ignored because the store had been restored, and nobody has written again.
-pub fn accept_copy(vm: &Vm) {
+pub fn accept_restored(vm: &Vm) {
     let Some(restore) = vm.restored.send_replace(None) else { return };
     let as_of = restore.base.unwrap_or(Position::new(vm.era.newest(), 0));
     for kind in [Kind::Evacuations, Kind::Vms] {
-        let read = vm.feed.borrow().reading(kind);
+        let read = vm.feed.borrow().freshness(kind);
         if read.is_some_and(|reading| reading.position.era == as_of.era) {
-            let missing = vm.known.borrow().of_earlier_eras(kind, as_of.era);
+            let missing = vm.known.borrow().last_seen_before(kind, as_of.era);
             let source = Source { reader: None, as_of };
-            missing.iter().for_each(|name| drop_object(vm, kind, name, false, &source));
+            missing.iter().for_each(|name| remove_object(vm, kind, name, false, &source));
         }
     }
     vm.fleet.borrow_mut().settle_disputes();
     let put_off = vm.put_off.take();
-    put_off.values().for_each(|object| put_rollout(vm, object));
+    put_off.values().for_each(|object| apply_rollout(vm, object));
     let objects = |kind| -> Vec<Object> { vm.feed.borrow().objects(kind).collect() };
-    objects(Kind::Evacuations).iter().for_each(|object| empty(vm, object));
-    objects(Kind::Servers).iter().for_each(|object| put_server(vm, object, None));
+    objects(Kind::Evacuations).iter().for_each(|object| apply_evacuation(vm, object));
+    objects(Kind::Servers).iter().for_each(|object| apply_server(vm, object, None));
 }
 
 /// Takes a proof that `configuration` was the newest at `moment`, unless this VM has an older one.
-pub fn prove(vm: &Vm, moment: Moment, configuration: Revision) {
+pub fn record_proof(vm: &Vm, moment: Moment, configuration: Revision) {
     let in_force = vm.routes().map(|table| table.revision).unwrap_or_default();
     if in_force < configuration {
         let fields = [("of", configuration.0.into()), ("in_force", in_force.0.into())];
@@ -211,18 +211,18 @@
 }
 
 /// Applies the configuration of a list. Returns its revision, if there is one that reads.
-fn take_config(vm: &Vm, objects: &[Object]) -> Option<Revision> {
+fn apply_config_list(vm: &Vm, objects: &[Object]) -> Option<Revision> {
     let main = objects.iter().find(|object| object.metadata.name == MAIN);
-    main.and_then(|object| put_table(vm, object))
+    main.and_then(|object| apply_config(vm, object))
 }
 
 /// Applies a configuration unless a newer one is in force. Returns its revision if it reads.
-fn put_table(vm: &Vm, object: &Object) -> Option<Revision> {
+fn apply_config(vm: &Vm, object: &Object) -> Option<Revision> {
     let known = vm.routes().map(|table| table.revision);
     let table = match object::table(object) {
         Ok(table) => table,
         Err(why) => {
-            unreadable(vm, CONFIG, object, &why);
+            log_unreadable(vm, CONFIG, object, &why);
             return None;
         }
     };
@@ -233,28 +233,28 @@
         let fields = [("revision", revision.0.into()), ("routes", routes.into())];
         vm.log("configuration in force", &fields);
         *vm.table.borrow_mut() = Some(Rc::new(table));
-        vm.feed.borrow_mut().put(Kind::Config, object);
+        vm.feed.borrow_mut().upsert(Kind::Config, object);
     }
     Some(revision)
 }
 
-fn unreadable(vm: &Vm, kind: &str, object: &Object, why: &str) {
+fn log_unreadable(vm: &Vm, kind: &str, object: &Object, why: &str) {
     vm.metrics.unreadable.with_label_values(&[kind]).inc();
     let name = object.metadata.name.as_str();
     vm.log("object not read", &[("kind", kind.into()), ("name", name.into()), ("why", why.into())]);
 }
 
-fn tell_list(vm: &Vm, count: usize, may_lapse: bool, source: &Source) {
+fn log_list(vm: &Vm, count: usize, may_lapse: bool, source: &Source) {
     let [from, era, as_of] = source.fields();
     let (count, may_lapse) = (("count", count.into()), ("missing_may_be_back", may_lapse.into()));
     vm.log("servers listed", &[count, may_lapse, from, era, as_of]);
 }
 
-fn put_server(vm: &Vm, object: &Object, told: Option<&Source>) {
+fn apply_server(vm: &Vm, object: &Object, source: Option<&Source>) {
     match object::replica(object) {
         Ok(replica) => {
-            if let Some(source) = told {
-                tell_entry(vm, object, &replica, source);
+            if let Some(source) = source {
+                log_server_entry(vm, object, &replica, source);
             }
             let id = replica.id.clone();
             let mut fleet = vm.fleet.borrow_mut();
@@ -274,7 +274,7 @@
             }
         }
         Err(why) => {
-            unreadable(vm, SERVERS, object, &why);
+            log_unreadable(vm, SERVERS, object, &why);
             // What its entry said before holds no more.
             if let Ok(id) = object.metadata.name.parse() {
                 vm.fleet.borrow_mut().remove(&id, false, vm.now());
@@ -283,13 +283,13 @@
     }
 }
 
-fn tell_entry(vm: &Vm, object: &Object, replica: &Replica, source: &Source) {
+fn log_server_entry(vm: &Vm, object: &Object, replica: &Replica, source: &Source) {
     let [from, era, as_of] = source.fields();
     let fields = [
         ("server", object.metadata.name.as_str().into()),
         ("service", replica.service.as_str().into()),
         ("version", replica.version.as_str().into()),
-        ("born_ms", replica.born.unwrap_or_default().into()),
+        ("born_ms", replica.started_at_ms.unwrap_or_default().into()),
         ("ready", replica.ready.into()),
         ("cold_ms", replica.cold.as_millis().into()),
         ("revision", object.metadata.position.revision.into()),
@@ -300,15 +300,15 @@
     vm.log("server entry", &fields);
 }
 
-fn take_rollouts(vm: &Vm, objects: &[Object]) {
-    objects.iter().for_each(|object| put(vm, Kind::Rollouts, object, None));
+fn apply_rollouts(vm: &Vm, objects: &[Object]) {
+    objects.iter().for_each(|object| apply_current(vm, Kind::Rollouts, object, None));
 }
 
 /// Applies the state of a roll-out unless a newer one is known.
-pub fn put_rollout(vm: &Vm, object: &Object) {
+pub fn apply_rollout(vm: &Vm, object: &Object) {
     let mut rollout = match object::rollout(object) {
         Ok(rollout) => rollout,
-        Err(why) => return unreadable(vm, ROLLOUTS, object, &why),
+        Err(why) => return log_unreadable(vm, ROLLOUTS, object, &why),
     };
     let known = vm.rollouts.borrow().get(&rollout.service).cloned();
     if let Some(known) = known {
@@ -330,11 +330,11 @@
         }
     }
     vm.put_off.borrow_mut().remove(&rollout.service);
-    vm.feed.borrow_mut().put(Kind::Rollouts, object);
-    apply_rollout(vm, rollout);
+    vm.feed.borrow_mut().upsert(Kind::Rollouts, object);
+    set_rollout(vm, rollout);
 }
 
-fn apply_rollout(vm: &Vm, rollout: Rollout) {
+fn set_rollout(vm: &Vm, rollout: Rollout) {
     let mut rollouts = vm.rollouts.borrow_mut();
     let share = match rollout.phase {
         Some(Phase::Running { share }) => share,
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -308,7 +308,7 @@
     let is_read = answer.limit != bound::Word::Unreadable;
     let fields = [
         ("server", replica.id.as_str().into()),
-        ("born_ms", replica.born.unwrap_or_default().into()),
+        ("born_ms", replica.started_at_ms.unwrap_or_default().into()),
         ("request", job.call.id.as_str().into()),
         ("status", u32::from(answer.status.as_u16()).into()),
         ("leaves", answer.said.leaves.into()),
--- a/src/forward/choice/mod.rs
+++ b/src/forward/choice/mod.rs
@@ -43,7 +43,7 @@
 impl Wish<'_> {
     /// Whether this life of a server was tried before.
     fn has_tried(&self, replica: &Replica) -> bool {
-        self.tried.iter().any(|tried| tried.is_life_of(replica))
+        self.tried.iter().any(|tried| tried.is_same_incarnation(replica))
     }
 
     /// Whether it may go to a server, as far as its regions say.
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -40,7 +40,7 @@
 
 fn next(fleet: &mut Fleet, replica: &Replica, request: Broken) -> Next {
     let Some(server) = fleet.get_mut(&replica.id) else { return Next::Nothing };
-    if !server.replica.is_life_of(replica) {
+    if !server.replica.is_same_incarnation(replica) {
         return Next::IsOver;
     }
     match &mut server.life {
@@ -78,7 +78,7 @@
     let texts = texts.join(" ");
     let fields = [
         ("server", replica.id.as_str().into()),
-        ("born_ms", replica.born.unwrap_or_default().into()),
+        ("born_ms", replica.started_at_ms.unwrap_or_default().into()),
         ("found", outcome.as_str().into()),
         ("broken", broken.len().into()),
         ("contents", texts.as_str().into()),
--- a/src/forward/era.rs
+++ b/src/forward/era.rs
@@ -8,7 +8,7 @@
 
 /// A rise by more than this counts only once a second answer names the same era: one garbled header
 /// must not make all later answers look old.
-const PLAUSIBLE_RISE: u64 = 1;
+const MAX_UNCONFIRMED_RISE: u64 = 1;
 
 /// Why an answer's era was not taken as it stood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 pub struct Tracker {
     newest: Cell<Option<Era>>,
     /// Whether any answer had the header.
-    is_named: Cell<bool>,
+    header_seen: Cell<bool>,
     /// An implausible era that one answer named.
     candidate: Cell<Option<Era>>,
     anomalies: [Cell<u64>; Anomaly::ALL.len()],
@@ -62,11 +62,13 @@
     /// its era is older than the newest or not yet believed. Without a readable header it counts as one
     /// of the newest.
     pub fn observe(&self, header: Option<&str>) -> Option<Era> {
-        self.is_named.set(self.is_named.get() || header.is_some());
+        self.header_seen.set(self.header_seen.get() || header.is_some());
         match (header.map(str::parse::<Era>), self.newest.get()) {
-            (None, newest) if !self.is_named.get() => Some(newest.unwrap_or_default()),
-            (None, newest) => self.assume(newest.unwrap_or_default(), Anomaly::Missing),
-            (Some(Err(_)), newest) => self.assume(newest.unwrap_or_default(), Anomaly::Unreadable),
+            (None, newest) if !self.header_seen.get() => Some(newest.unwrap_or_default()),
+            (None, newest) => self.assume_newest(newest.unwrap_or_default(), Anomaly::Missing),
+            (Some(Err(_)), newest) => {
+                self.assume_newest(newest.unwrap_or_default(), Anomaly::Unreadable)
+            }
             (Some(Ok(era)), Some(newest)) if era < newest => self.reject(Anomaly::Older),
             (Some(Ok(era)), Some(newest)) if !self.is_plausible(era, newest) => {
                 self.reject(Anomaly::Implausible)
@@ -93,21 +95,21 @@
     }
 
     fn is_plausible(&self, era: Era, newest: Era) -> bool {
-        let is_near = era.0 - newest.0 <= PLAUSIBLE_RISE;
+        let is_near = era.0 - newest.0 <= MAX_UNCONFIRMED_RISE;
         is_near || self.candidate.replace(Some(era)) == Some(era)
     }
 
-    fn assume(&self, newest: Era, anomaly: Anomaly) -> Option<Era> {
-        self.note(anomaly);
+    fn assume_newest(&self, newest: Era, anomaly: Anomaly) -> Option<Era> {
+        self.record_anomaly(anomaly);
         Some(newest)
     }
 
     fn reject(&self, anomaly: Anomaly) -> Option<Era> {
-        self.note(anomaly);
+        self.record_anomaly(anomaly);
         None
     }
 
-    fn note(&self, anomaly: Anomaly) {
+    fn record_anomaly(&self, anomaly: Anomaly) {
         let count = &self.anomalies[anomaly as usize];
         count.set(count.get() + 1);
         self.changed.notify_one();
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -1,17 +1,17 @@
-//! A VM's search for one that has news, as [`crate::decide::reader`] says, and what it does without.
+//! A VM's search for one that has update, as [`crate::decide::reader`] says, and what it does without.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use futures_util::future::join;
 
-use super::feed::{News, Origin, Place, Store};
+use super::apply::{self, Source};
+use super::feed::{Cursor, Origin, Reachability, Update};
 use super::kind::Kind;
-use super::learn::{self, Source};
 use super::pack::Change;
 use super::peer;
 use super::poison;
-use super::reader::{self, HELD_UP, Reply};
+use super::poll::{self, Response, STALL_THRESHOLD};
 use super::role::{Decline, Role};
 use super::tally::{self, Seen, Tally};
 use super::trial::Trials;
@@ -23,32 +23,32 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
 
-/// Follows another VM whenever one has news, until the process ends.
+/// Follows another VM whenever one has update, until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     if vm.settings.links.is_none() {
         vm.role.send_replace(Role::Reads);
         return;
     }
     vm.peers_named.notified().await;
-    let begun = vm.now();
+    let started = vm.now();
     let mut follower = Follower {
         vm,
-        begun,
+        started,
         asked: Asked::default(),
-        places: HashMap::new(),
-        known: None,
+        cursors: HashMap::new(),
+        servers_as_of: None,
         lost_since: None,
         tally: Tally::default(),
     };
     loop {
-        let pause = if follower.look().await { ASK_EVERY } else { ASK_SOON };
+        let pause = if follower.poll().await { ASK_EVERY } else { ASK_SOON };
         let expected = follower.vm.now() + pause;
         let asked_again = follower.vm.ask_again.notified();
         if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
             follower.asked.forget_declined();
         }
         let now = follower.vm.now();
-        if now.since(expected) >= HELD_UP {
+        if now.since(expected) >= STALL_THRESHOLD {
             follower.vm.held_up.set(Some(now));
         }
     }
@@ -58,20 +58,20 @@
 struct Follower {
     vm: Rc<Vm>,
     /// When it began.
-    begun: Moment,
+    started: Moment,
     asked: Asked,
-    /// How far it has come with the news of each VM.
-    places: HashMap<Name, Place>,
+    /// How far it has come with the update of each VM.
+    cursors: HashMap<Name, Cursor>,
     /// Of when its knowledge of servers is; none while it reads for itself.
-    known: Option<Moment>,
+    servers_as_of: Option<Moment>,
     /// Since when those that answer say that the store is lost.
     lost_since: Option<Moment>,
-    /// What others were told of versions that are rolled out.
+    /// What others were known of versions that are rolled out.
     tally: Tally,
 }
 
 /// The VMs that one may ask.
-struct Circle {
+struct Candidates {
     own: Rank,
     /// The others of its group.
     group: Vec<Rank>,
@@ -80,69 +80,70 @@
 }
 
 /// What came of a question that was asked at a moment.
-struct Answer {
+struct Outcome {
     name: Name,
     asked: Moment,
-    /// What was told with it.
+    /// What was known with it.
     seen: Vec<Seen>,
-    reply: Reply,
+    reply: Response,
 }
 
 /// What an answer was worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Worth {
+enum Gain {
     /// Nothing.
     None,
     /// What was known when the store was lost.
-    Old,
-    /// News.
-    News,
+    Stale,
+    /// Current changes.
+    Fresh,
 }
 
 impl Follower {
-    /// Asks the next VM that may have news, and the one that is followed if that is another. Whether this VM has what
+    /// Asks the next VM that may have update, and the one that is followed if that is another. Whether this VM has what
     /// it needs for now.
-    async fn look(&mut self) -> bool {
-        let circle = self.circle();
+    async fn poll(&mut self) -> bool {
+        let candidates = self.candidates();
         let followed = match &*self.vm.role.borrow() {
             Role::Follows(name) => Some(name.clone()),
             Role::Joins | Role::Reads => None,
         };
-        self.note_place(&circle);
-        let next = self.next(&circle).filter(|next| Some(next) != followed.as_ref());
+        self.update_rank(&candidates);
+        let next = self.next_target(&candidates).filter(|next| Some(next) != followed.as_ref());
         // Both at once: two that do not answer take the time of one.
         let (of_next, of_followed) =
-            join(self.ask(next, &circle), self.ask(followed, &circle)).await;
-        let worth = self.take(of_next);
-        let worth = if worth < Worth::News { worth.max(self.take(of_followed)) } else { worth };
-        if worth == Worth::Old {
-            self.vm.hear_store(Store::IsLost, self.vm.now());
+            join(self.poll_vm(next, &candidates), self.poll_vm(followed, &candidates)).await;
+        let gain = self.apply_outcome(of_next);
+        let gain =
+            if gain < Gain::Fresh { gain.max(self.apply_outcome(of_followed)) } else { gain };
+        if gain == Gain::Stale {
+            self.vm.hear_store(Reachability::Down, self.vm.now());
         }
-        worth == Worth::News || self.go_without(worth == Worth::Old, &circle)
+        gain == Gain::Fresh || self.decide_without_update(gain == Gain::Stale, &candidates)
     }
 
     /// Time for a question, if any. While the store is said to be lost others may yet be asked, however old is what is
     /// known.
-    fn time_to_ask(&self, circle: &Circle) -> Option<Span> {
+    fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
-        let lost = self.vm.told_lost.get() || self.is_told_lost(circle);
-        time_to_ask(self.known.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
+        let lost = self.vm.told_lost.get() || self.is_store_reported_down(candidates);
+        time_to_ask(self.servers_as_of.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
     }
 
-    fn is_told_lost(&self, circle: &Circle) -> bool {
-        self.asked.is_told_lost(&circle.own, circle.group.iter(), self.vm.now())
+    fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
+        self.asked.is_told_lost(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
-    /// Whether this VM has just started and had no news yet.
-    fn is_new(&self) -> bool {
-        self.known.is_none() && self.is_young()
+    /// Whether this VM has just started and had no update yet.
+    fn is_starting(&self) -> bool {
+        self.servers_as_of.is_none() && self.is_young()
     }
 
     fn is_young(&self) -> bool {
-        self.vm.now().since(self.begun) < YOUNG_FOR
+        self.vm.now().since(self.started) < YOUNG_FOR
     }
 
-    fn circle(&self) -> Circle {
+    fn candidates(&self) -> Candidates {
         let vm = &self.vm;
         let own = vm.rank();
         let now = vm.now();
@@ -151,200 +152,200 @@
         let firsts = others.into_values();
         let firsts = firsts.filter_map(|group| self.asked.first(group.iter(), now).cloned());
         let firsts = firsts.collect();
-        Circle { own, group, firsts }
+        Candidates { own, group, firsts }
     }
 
-    fn place(&self, circle: &Circle) -> decide::Place {
-        self.asked.place(&circle.own, circle.group.iter(), self.vm.now())
+    fn place(&self, candidates: &Candidates) -> decide::Place {
+        self.asked.place(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
     /// Notes since when this VM is the first of its group, and whether enough other firsts come before it.
-    fn note_place(&self, circle: &Circle) {
+    fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
-        let is_first = self.place(circle) == decide::Place::First;
+        let is_first = self.place(candidates) == decide::Place::First;
         let since = self.vm.first_since.get();
         self.vm.first_since.set(is_first.then(|| since.unwrap_or(now)));
-        let among = self.asked.place(&circle.own, circle.firsts.iter(), now);
+        let among = self.asked.place(&candidates.own, candidates.firsts.iter(), now);
         self.vm.tries_rarely.set(among == decide::Place::Behind);
     }
 
     /// The next VM to ask: one before this one in its group; for the first of a group, the first of another.
-    fn next(&self, circle: &Circle) -> Option<Name> {
+    fn next_target(&self, candidates: &Candidates) -> Option<Name> {
         let now = self.vm.now();
-        let next = if self.place(circle) != decide::Place::First {
-            self.asked.next(&circle.own, circle.group.iter(), now)
+        let next = if self.place(candidates) != decide::Place::First {
+            self.asked.next(&candidates.own, candidates.group.iter(), now)
         } else if self.vm.store_lost.get() || self.vm.doubts_store.get() {
-            self.asked.any(circle.firsts.iter(), now)
+            self.asked.any(candidates.firsts.iter(), now)
         } else {
-            self.asked.next(&circle.own, circle.firsts.iter(), now)
+            self.asked.next(&candidates.own, candidates.firsts.iter(), now)
         };
         next.cloned()
     }
 
     /// Asks a VM, if there is one and time for it.
-    async fn ask(&self, name: Option<Name>, circle: &Circle) -> Option<Answer> {
+    async fn poll_vm(&self, name: Option<Name>, candidates: &Candidates) -> Option<Outcome> {
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
-        let within = match self.is_new() {
+        let within = match self.is_starting() {
             true => FIRST_ANSWER_WITHIN,
-            false => self.time_to_ask(circle)?,
+            false => self.time_to_ask(candidates)?,
         };
-        let place = self.places.get(&name).copied().unwrap_or_default();
+        let cursor = self.cursors.get(&name).copied().unwrap_or_default();
         let is_first = vm.first_since.get().is_some();
         let seen = self.tally.news(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
-            Some(address) => reader::ask(vm, address, place, &seen, within).await,
-            None => Reply::Silence,
+            Some(address) => poll::request(vm, address, cursor, &seen, within).await,
+            None => Response::NoAnswer,
         };
-        Some(Answer { name, asked, seen, reply })
+        Some(Outcome { name, asked, seen, reply })
     }
 
     /// Takes what came of a question.
-    fn take(&mut self, answer: Option<Answer>) -> Worth {
-        let Some(Answer { name, asked, seen, reply }) = answer else { return Worth::None };
+    fn apply_outcome(&mut self, answer: Option<Outcome>) -> Gain {
+        let Some(Outcome { name, asked, seen, reply }) = answer else { return Gain::None };
         let now = self.vm.now();
-        if !matches!(reply, Reply::Silence) {
+        if !matches!(reply, Response::NoAnswer) {
             peer::heard(&self.vm, &name);
             self.tally.note(&name, seen);
         }
         match reply {
-            Reply::News(news) => return self.take_news(&name, asked, &news),
-            Reply::Declined(Decline::KnowsTooLittle) => self.asked.unready(&name, now),
-            Reply::Declined(_) => self.asked.declined(&name, now),
-            Reply::Silence if self.is_new() => self.asked.unheard(&name, now),
-            Reply::Silence => self.asked.silent(&name, now),
+            Response::Update(update) => return self.apply_update(&name, asked, &update),
+            Response::Declined(Decline::KnowsTooLittle) => self.asked.unready(&name, now),
+            Response::Declined(_) => self.asked.declined(&name, now),
+            Response::NoAnswer if self.is_starting() => self.asked.unheard(&name, now),
+            Response::NoAnswer => self.asked.silent(&name, now),
         }
-        Worth::None
+        Gain::None
     }
 
-    fn take_news(&mut self, from: &Name, asked: Moment, news: &News) -> Worth {
+    fn apply_update(&mut self, from: &Name, asked: Moment, update: &Update) -> Gain {
         let vm = self.vm.clone();
-        let Origin { reader, hops } = &news.origin;
-        let is_lost = news.store == Store::IsLost;
+        let Origin { reader, hops } = &update.origin;
+        let is_lost = update.store == Reachability::Down;
         if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.reads()) {
             self.asked.declined(from, vm.now());
-            return Worth::None;
+            return Gain::None;
         }
         if is_lost {
             // Another may reach the store; this one is asked on, to hear of its return.
             self.asked.lost(from, vm.now());
             let lost_since = *self.lost_since.get_or_insert(vm.now());
             if *vm.role.borrow() == Role::Joins && vm.now().since(lost_since) < SETTLED {
-                return Worth::Old;
+                return Gain::Stale;
             }
         }
-        let position = news.position();
+        let position = update.position();
         if position.era < vm.era.newest() {
             vm.log("news of an older era", &[("from", from.as_str().into())]);
             self.asked.declined(from, vm.now());
-            return Worth::None;
+            return Gain::None;
         }
-        vm.enter_with(position.era, news.restore.as_ref().map(|restore| restore.at(asked)));
-        let Some(changes) = news.changes.changes() else {
-            let bytes = ("bytes", news.changes.size().into());
+        vm.enter_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
+        let Some(changes) = update.changes.changes() else {
+            let bytes = ("bytes", update.changes.size().into());
             vm.log("news not read", &[("from", from.as_str().into()), bytes]);
             self.asked.declined(from, vm.now());
-            return Worth::None;
+            return Gain::None;
         };
-        self.places.insert(from.clone(), news.place);
+        self.cursors.insert(from.clone(), update.cursor);
         if !is_lost {
-            vm.hear_store(news.store, asked);
+            vm.hear_store(update.store, asked);
         }
-        tally::hear_verdicts(&vm, &news.verdicts);
-        poison::hear_held(&vm, from.as_str(), &news.held, asked);
-        apply(&vm, asked, from, news, &changes);
-        let disputed = news.restore.iter().flat_map(|restore| &restore.disputed);
-        disputed.for_each(|life| vm.fleet.borrow_mut().dispute(life, vm.now()));
-        let age = news.reading(Kind::Servers).map(|told| told.age);
-        self.known = self.known.max(dated(asked, age));
+        tally::hear_verdicts(&vm, &update.verdicts);
+        poison::hear_held(&vm, from.as_str(), &update.held, asked);
+        apply_contents(&vm, asked, from, update, &changes);
+        let disputed = update.restore.iter().flat_map(|restore| &restore.disputed);
+        disputed.for_each(|incarnation| vm.fleet.borrow_mut().dispute(incarnation, vm.now()));
+        let age = update.staleness_of(Kind::Servers).map(|staleness| staleness.age);
+        self.servers_as_of = self.servers_as_of.max(dated_at(asked, age));
         vm.origin.replace(Some(Origin { reader: reader.clone(), hops: hops + 1 }));
         if is_lost {
             if *vm.role.borrow() == Role::Joins {
-                follow(&vm, from, news);
+                become_follower(&vm, from, update);
             }
-            return Worth::Old;
+            return Gain::Stale;
         }
         self.asked.answered(from);
         self.lost_since = None;
-        follow(&vm, from, news);
-        Worth::News
+        become_follower(&vm, from, update);
+        Gain::Fresh
     }
 
-    /// What this VM does without news. Whether it has what it needs for now.
-    fn go_without(&mut self, is_told: bool, circle: &Circle) -> bool {
+    /// What this VM does without update. Whether it has what it needs for now.
+    fn decide_without_update(&mut self, is_reported_down: bool, candidates: &Candidates) -> bool {
         let vm = &self.vm;
         if vm.reads() {
             return !vm.doubts_store.get();
         }
-        self.note_place(circle);
+        self.update_rank(candidates);
         let now = vm.now();
         let bound = vm.settings.bounds.leave_within;
         let without = Without {
-            place: self.place(circle),
-            others: !circle.firsts.is_empty(),
-            may_ask: self.next(circle).is_some(),
-            lost: self.is_told_lost(circle),
-            knows: self.known.is_some(),
+            place: self.place(candidates),
+            others: !candidates.firsts.is_empty(),
+            may_ask: self.next_target(candidates).is_some(),
+            lost: self.is_store_reported_down(candidates),
+            knows: self.servers_as_of.is_some(),
             is_young: self.is_young(),
-            overdue: time_to_ask(self.known, bound, now).is_none(),
+            overdue: time_to_ask(self.servers_as_of, bound, now).is_none(),
         };
         if decide::reads(&without) {
-            read(vm, &without);
-            self.known = None;
+            become_reader(vm, &without);
+            self.servers_as_of = None;
             return true;
         }
-        is_told && self.lost_since.is_some_and(|since| now.since(since) >= SETTLED)
+        is_reported_down && self.lost_since.is_some_and(|since| now.since(since) >= SETTLED)
     }
 }
 
-/// The moment of which knowledge dates that had an age when it was told, if it was asked for at `asked`.
-fn dated(asked: Moment, age: Option<Span>) -> Option<Moment> {
+/// The moment of which knowledge dates that had an age when it was known, if it was asked for at `asked`.
+fn dated_at(asked: Moment, age: Option<Span>) -> Option<Moment> {
     Some(Moment(asked.0.saturating_sub(age?.0)))
 }
 
 /// Takes what a VM answered to a question of the moment `asked`.
-fn apply(vm: &Vm, asked: Moment, from: &Name, news: &News, changes: &[Change]) {
-    if news.whole {
+fn apply_contents(vm: &Vm, asked: Moment, from: &Name, update: &Update, changes: &[Change]) {
+    if update.is_full {
         for kind in Kind::ALL {
             let of_kind = changes.iter().filter(|change| change.kind == kind);
             let objects: Vec<Object> =
-                of_kind.filter_map(|change| read_object(vm, change)).collect();
-            learn::take_all(vm, kind, &objects, &source(from, news, kind));
+                of_kind.filter_map(|change| parse_object(vm, change)).collect();
+            apply::apply_list(vm, kind, &objects, &update_source(from, update, kind));
         }
     } else {
-        let source = |kind| source(from, news, kind);
+        let source = |kind| update_source(from, update, kind);
         changes.iter().for_each(|change| apply_change(vm, &source(change.kind), change));
     }
-    for told in &news.readings {
-        if let Some(sent) = dated(asked, Some(told.age)) {
-            vm.feed.borrow_mut().note_read(told.kind, told.position, sent);
+    for staleness in &update.freshness {
+        if let Some(sent) = dated_at(asked, Some(staleness.age)) {
+            vm.feed.borrow_mut().record_read(staleness.kind, staleness.position, sent);
         }
     }
     // A proof from before this process began proves nothing that it can count.
-    if let Some(proof) = news.proof
+    if let Some(proof) = update.proof
         && let Some(at) = asked.0.checked_sub(proof.age.0)
     {
-        learn::prove(vm, Moment(at), proof.configuration);
+        apply::record_proof(vm, Moment(at), proof.configuration);
     }
 }
 
-/// News of a kind are what the teller knew when that kind had been read last.
-fn source<'a>(from: &'a Name, news: &News, kind: Kind) -> Source<'a> {
-    let as_of = news.reading(kind).map(|told| told.position).unwrap_or_default();
+/// Update of a kind are what the teller knew when that kind had been read last.
+fn update_source<'a>(from: &'a Name, update: &Update, kind: Kind) -> Source<'a> {
+    let as_of = update.staleness_of(kind).map(|staleness| staleness.position).unwrap_or_default();
     Source { reader: Some(from), as_of }
 }
 
 fn apply_change(vm: &Vm, source: &Source, change: &Change) {
     if change.object.is_none() {
-        learn::drop_object(vm, change.kind, &change.name, change.lapsed, source);
-    } else if let Some(object) = read_object(vm, change) {
-        learn::take(vm, change.kind, &object, source);
+        apply::remove_object(vm, change.kind, &change.name, change.lapsed, source);
+    } else if let Some(object) = parse_object(vm, change) {
+        apply::apply_object(vm, change.kind, &object, source);
     }
 }
 
 /// The object of a change, if it is not gone; of one that does not read, what was known stays.
-fn read_object(vm: &Vm, change: &Change) -> Option<Object> {
+fn parse_object(vm: &Vm, change: &Change) -> Option<Object> {
     match Object::from_json(change.object.as_deref()?) {
         Ok(object) => Some(object),
         Err(why) => {
@@ -355,19 +356,19 @@
     }
 }
 
-fn follow(vm: &Vm, reader: &Name, news: &News) {
+fn become_follower(vm: &Vm, reader: &Name, update: &Update) {
     let role = Role::Follows(reader.clone());
     if *vm.role.borrow() == role {
         return;
     }
-    let servers = news.reading(Kind::Servers);
+    let servers = update.staleness_of(Kind::Servers);
     let fields = [
         ("reader", reader.as_str().into()),
-        ("origin", news.origin.reader.as_str().into()),
-        ("hops", u64::from(news.origin.hops).into()),
-        ("servers_age_ms", servers.map_or(-1.0, |told| told.age.as_millis()).into()),
-        ("servers_revision", servers.map_or(0, |told| told.position.revision).into()),
-        ("proof_age_ms", news.proof.map_or(-1.0, |proof| proof.age.as_millis()).into()),
+        ("origin", update.origin.reader.as_str().into()),
+        ("hops", u64::from(update.origin.hops).into()),
+        ("servers_age_ms", servers.map_or(-1.0, |staleness| staleness.age.as_millis()).into()),
+        ("servers_revision", servers.map_or(0, |staleness| staleness.position.revision).into()),
+        ("proof_age_ms", update.proof.map_or(-1.0, |proof| proof.age.as_millis()).into()),
     ];
     vm.log("follows a reader", &fields);
     if vm.store_lost.replace(false) {
@@ -377,7 +378,7 @@
     vm.role.send_replace(role);
 }
 
-fn read(vm: &Vm, without: &Without) {
+fn become_reader(vm: &Vm, without: &Without) {
     let place = format!("{:?}", without.place);
     let fields = [
         ("place", place.as_str().into()),
--- a/src/forward/roster.rs
+++ b/src/forward/membership.rs
@@ -5,9 +5,9 @@
 
 use serde_json::{Value, json};
 
+use super::apply::{self, Source};
+use super::backoff::Backoff;
 use super::kind::{Kind, VMS};
-use super::learn::{self, Source};
-use super::pause::Pause;
 use super::peer::Place;
 use super::vm::Vm;
 use crate::platform::object::Object;
@@ -16,26 +16,26 @@
 
 /// The kind and name of the object that holds the key of the links between VMs. The deploy file
 /// is public, so the first VM makes a key and all take it from there.
-const KEYS: &str = "kitepulley-keys";
-const LINKS: &str = "links";
+const KEY_KIND: &str = "kitepulley-keys";
+const LINK_KEY: &str = "links";
 
 /// Bytes of the key.
 const KEY_BYTES: usize = 32;
 
 /// Longest pause after the store did not answer.
-const LONGEST_PAUSE: Span = Span::millis(1000);
+const MAX_BACKOFF: Span = Span::millis(1000);
 
 /// A VM that the store did not name yet asks again after this, so that those that start with it are named too.
-const SETTLED: Duration = Duration::from_millis(500);
+const RELIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Times that it asks so what may be some seconds old, which costs a tenth.
-const STALE_ASKED: u32 = 4;
+const STALE_RELISTS: u32 = 4;
 
 /// The key of the links: made by whichever VM is first. It never changes, so that an old word of it is as good.
 pub async fn shared_key(vm: &Vm, store: &mut Objects) -> String {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
-        match known_key(vm, store).await {
+        match get_or_create_key(vm, store).await {
             Ok(Some(object)) => {
                 if let Some(key) = object.spec["key"].as_str() {
                     return key.to_owned();
@@ -48,20 +48,20 @@
                 vm.log("key of the links not read", &[("why", why.as_str().into())]);
             }
         }
-        tokio::time::sleep(pause.next(LONGEST_PAUSE).duration()).await;
+        tokio::time::sleep(backoff.next_delay(MAX_BACKOFF).duration()).await;
     }
 }
 
 /// The key as the store has it, or as it is made now.
-async fn known_key(vm: &Vm, store: &mut Objects) -> Result<Option<Object>, Trouble> {
-    let known = store.get(KEYS, LINKS, Read::Stale).await;
+async fn get_or_create_key(vm: &Vm, store: &mut Objects) -> Result<Option<Object>, Trouble> {
+    let known = store.get(KEY_KIND, LINK_KEY, Read::Stale).await;
     vm.count_call("key-stale", &known);
     if let Some(object) = known? {
         return Ok(Some(object));
     }
     let made: [u8; KEY_BYTES] = rand::random();
     let text: String = made.iter().map(|byte| format!("{byte:02x}")).collect();
-    let created = store.create(KEYS, LINKS, json!({"key": text})).await;
+    let created = store.create(KEY_KIND, LINK_KEY, json!({"key": text})).await;
     vm.count_call("key-create", &created);
     match created {
         Err(Trouble::Conflict(object)) => Ok(object.map(|object| *object)),
@@ -74,7 +74,7 @@
 /// # Errors
 /// If the store refuses or does not answer.
 pub async fn probe(store: &mut Objects) -> Result<(), Trouble> {
-    match store.get(KEYS, LINKS, Read::Stale).await {
+    match store.get(KEY_KIND, LINK_KEY, Read::Stale).await {
         // What may be old may be of an older era too; the store answers all the same.
         Ok(_) | Err(Trouble::Outdated) => Ok(()),
         Err(trouble) => Err(trouble),
@@ -84,35 +84,40 @@
 /// Learns the VMs that the store names, and writes this one's entry if it is not among them.
 pub async fn join(vm: &Vm, store: &mut Objects, address: SocketAddr) {
     let entry = Place::of(&vm.settings, address);
-    if names(vm, store, &entry, Read::Stale).await {
+    if list_members(vm, store, &entry, Read::Stale).await {
         return;
     }
     register(vm, store, &json!(entry)).await;
-    if has_any_before(vm) {
+    if has_predecessor(vm) {
         return;
     }
-    for _ in 0..STALE_ASKED {
-        tokio::time::sleep(SETTLED).await;
-        if names(vm, store, &entry, Read::Stale).await {
+    for _ in 0..STALE_RELISTS {
+        tokio::time::sleep(RELIST_INTERVAL).await;
+        if list_members(vm, store, &entry, Read::Stale).await {
             return;
         }
     }
-    names(vm, store, &entry, Read::Newest).await;
+    list_members(vm, store, &entry, Read::Newest).await;
 }
 
 /// Writes again what this VM wrote and a copy that the store was restored from lacks. Returns the era in which the store
 /// has it, or none if it is to be tried again.
-pub async fn rejoin(vm: &Vm, store: &mut Objects, address: SocketAddr, key: &str) -> Option<Era> {
+pub async fn reregister(
+    vm: &Vm,
+    store: &mut Objects,
+    address: SocketAddr,
+    key: &str,
+) -> Option<Era> {
     let era = vm.era.newest();
-    let read = vm.feed.borrow().reading(Kind::Vms)?;
+    let read = vm.feed.borrow().freshness(Kind::Vms)?;
     if read.position.era < era {
         return None;
     }
     if vm.reads() && !restore_key(vm, store, key).await {
         return None;
     }
-    let is_named = vm.known.borrow().is_of_era(Kind::Vms, vm.settings.vm.as_str(), era);
-    if !is_named {
+    let is_registered = vm.known.borrow().was_seen_in(Kind::Vms, vm.settings.vm.as_str(), era);
+    if !is_registered {
         vm.log("entry written again", &[("era", era.0.into())]);
         register(vm, store, &json!(Place::of(&vm.settings, address))).await;
     }
@@ -121,7 +126,7 @@
 
 /// Writes the key of the links unless the store has one. Returns false if the store did not answer.
 async fn restore_key(vm: &Vm, store: &mut Objects, key: &str) -> bool {
-    let created = store.create(KEYS, LINKS, json!({"key": key})).await;
+    let created = store.create(KEY_KIND, LINK_KEY, json!({"key": key})).await;
     vm.count_call("key-create", &created);
     match created {
         Ok(_) => vm.log("key of the links written again", &[]),
@@ -137,14 +142,14 @@
 }
 
 /// Takes the VMs that the store names. Whether this one's entry is among them.
-async fn names(vm: &Vm, store: &mut Objects, entry: &Place, read: Read) -> bool {
+async fn list_members(vm: &Vm, store: &mut Objects, entry: &Place, read: Read) -> bool {
     let call = if read == Read::Newest { "list-vms" } else { "list-vms-stale" };
     let listed = store.list(VMS, read).await;
     vm.count_call(call, &listed);
     match listed {
         Ok(listing) => {
             let source = Source { reader: None, as_of: listing.position() };
-            learn::take_all(vm, Kind::Vms, &listing.items, &source);
+            apply::apply_list(vm, Kind::Vms, &listing.items, &source);
             let own = |one: &&Object| one.metadata.name == vm.settings.vm.as_str();
             let own = listing.items.iter().find(own);
             own.is_some_and(|own| {
@@ -159,7 +164,7 @@
     }
 }
 
-fn has_any_before(vm: &Vm) -> bool {
+fn has_predecessor(vm: &Vm) -> bool {
     let (group, _) = vm.peers.borrow().groups(&vm.settings.data_centre);
     let own = vm.rank();
     group.iter().any(|rank| *rank < own)
@@ -168,7 +173,7 @@
 /// Writes this VM's entry.
 async fn register(vm: &Vm, store: &mut Objects, entry: &Value) {
     let name = vm.settings.vm.as_str();
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
         let mut written = store.create(VMS, name, entry.clone()).await;
         vm.count_call("entry-create", &written);
@@ -184,14 +189,14 @@
             Err(trouble) => {
                 let why = trouble.to_string();
                 vm.log("entry not written", &[("why", why.as_str().into())]);
-                tokio::time::sleep(pause.next(LONGEST_PAUSE).duration()).await;
+                tokio::time::sleep(backoff.next_delay(MAX_BACKOFF).duration()).await;
             }
         }
     }
 }
 
 /// Takes a VM that the store names.
-pub fn take_entry(vm: &Vm, object: &Object) {
+pub fn apply_entry(vm: &Vm, object: &Object) {
     let entry: Result<Place, _> = serde_json::from_value(object.spec.clone());
     let (Ok(entry), Ok(name)) = (entry, object.metadata.name.parse::<Name>()) else {
         vm.log("entry of a VM not read", &[("name", object.metadata.name.as_str().into())]);
@@ -204,6 +209,6 @@
 }
 
 /// The store no longer names a VM.
-pub fn drop_entry(vm: &Vm, name: &str) {
+pub fn remove_entry(vm: &Vm, name: &str) {
     vm.peers.borrow_mut().keep(|known| known.as_str() != name, vm.now());
 }
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,7 +1,9 @@
 //! An entry VM on the users' platform: requests are forwarded to backend servers unchanged, and
 //! what must be agreed lies in the platform's store. `docs/PLATFORM.md` has the design.
 
+pub mod apply;
 pub mod attempt;
+mod backoff;
 pub mod bounded;
 pub mod call;
 pub mod choice;
@@ -13,33 +15,31 @@
 pub mod era;
 pub mod event;
 pub mod feed;
-pub mod follow;
 mod follower;
 pub mod job;
 pub mod kept;
 pub mod kind;
-pub mod known;
-pub mod learn;
 mod life;
+mod membership;
 mod metrics;
 pub mod pack;
-mod pause;
 pub mod peer;
 pub mod poison;
+pub mod poll;
 pub mod pool;
+pub mod positions;
 mod proof;
-pub mod reader;
 mod relay;
 pub mod replica;
 pub mod restore;
 pub mod role;
-mod roster;
 mod run;
 mod said;
 pub mod server;
 pub mod session;
 mod settings;
 mod steps;
+pub mod store_watch;
 pub mod tally;
 pub mod trial;
 mod vm;
--- a/src/forward/pack.rs
+++ b/src/forward/pack.rs
@@ -13,10 +13,10 @@
 use crate::peer::wire::{decode, encode};
 
 /// Changes of fewer bytes are sent as they are.
-const WORTH_DEFLATING: usize = 1024;
+const MIN_DEFLATE_BYTES: usize = 1024;
 
 /// Largest text of changes that is unpacked; a peer that sends more is not believed.
-const LARGEST: u64 = 64 * 1024 * 1024;
+const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
 
 /// One object as it changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
     /// Packs changes.
     pub fn new(changes: &[Change]) -> Packed {
         let plain = encode(&changes);
-        if plain.len() < WORTH_DEFLATING {
+        if plain.len() < MIN_DEFLATE_BYTES {
             return Packed { deflated: false, bytes: plain };
         }
         let mut bytes = Vec::new();
@@ -58,7 +58,9 @@
             return decode(&self.bytes);
         }
         let mut plain = Vec::new();
-        let read = DeflateDecoder::new(self.bytes.as_slice()).take(LARGEST).read_to_end(&mut plain);
+        let read = DeflateDecoder::new(self.bytes.as_slice())
+            .take(MAX_UNPACKED_BYTES)
+            .read_to_end(&mut plain);
         read.ok().and_then(|_| decode(&plain))
     }
 
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -11,10 +11,10 @@
 
 use super::kept;
 use super::kind::VMS;
+use super::membership;
 use super::poison;
-use super::reader;
+use super::poll;
 use super::role::Role;
-use super::roster;
 use super::said::{self, Told};
 use super::trial::Source;
 use super::vm::Vm;
@@ -143,7 +143,7 @@
 pub async fn run(vm: Rc<Vm>) {
     let Some(address) = vm.settings.links else { return };
     let mut store = vm.store_client();
-    let key = roster::shared_key(&vm, &mut store).await;
+    let key = membership::shared_key(&vm, &mut store).await;
     let (sender, incoming) = mpsc::unbounded_channel();
     let links = match Links::bind(address, key.as_bytes(), sender) {
         Ok(links) => links,
@@ -157,12 +157,12 @@
     vm.peers.borrow_mut().links = Some(links);
     spawn(hear(vm.clone(), incoming));
     let mut joined = vm.era.newest();
-    roster::join(&vm, &mut store, address).await;
+    membership::join(&vm, &mut store, address).await;
     vm.peers_named.notify_one();
     loop {
         look(&vm, &mut store).await;
         if joined < vm.era.newest() {
-            joined = roster::rejoin(&vm, &mut store, address, &key).await.unwrap_or(joined);
+            joined = membership::reregister(&vm, &mut store, address, &key).await.unwrap_or(joined);
         }
         tokio::time::sleep(LOOK).await;
     }
@@ -174,7 +174,7 @@
             Incoming::Frame(bytes) => bytes,
             Incoming::Call(bytes, answer) => {
                 // A follower that has given up does not wait for it.
-                let _ = answer.send(reader::answer(&vm, &bytes));
+                let _ = answer.send(poll::respond(&vm, &bytes));
                 continue;
             }
         };
--- a/src/forward/poison.rs
+++ b/src/forward/poison.rs
@@ -19,7 +19,7 @@
 
 /// This life of a server has crashed with these requests of this VM open.
 pub fn ended(vm: &Rc<Vm>, replica: &Replica, broken: &[Broken]) {
-    let life = Life::new(replica.id.as_str(), replica.born);
+    let life = Life::new(replica.id.as_str(), replica.started_at_ms);
     let out = vm.poison.borrow_mut().ended(life, broken, ways(vm), vm.now());
     act(vm, out, None);
 }
--- a/src/forward/reader.rs
+++ b/src/forward/poll.rs
@@ -1,4 +1,4 @@
-//! What a VM answers those that ask it for news: what it knows of the platform's objects, whoever read them.
+//! What a VM answers those that ask it for update: what it knows of the platform's objects, whoever read them.
 //!
 //! A proof of freshness is dated to the moment of its question, less the proof's age when it was told, so that no
 //! delay on the way makes it look younger than it is; so are all readings. What is passed on by several VMs is as old as
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::feed::{News, Origin, Place, Proof, Stand, Store};
+use super::feed::{Cursor, Origin, Proof, Reachability, Status, Update};
 use super::kind::Kind;
 use super::peer;
 use super::poison;
@@ -22,72 +22,78 @@
 use crate::unit::{Span, Vm as Name};
 
 /// A reader whose own proof is older than this part of the longest age has lost touch.
-const STALE: f64 = 0.75;
+const MAX_PROOF_AGE_FRACTION: f64 = 0.75;
 
 /// A VM whose pause between two questions lasted so much longer than asked for was frozen, or is slow: what
-/// it believes may be of before, and it gives no news for a while.
-pub const HELD_UP: Span = Span::millis(400);
-const HELD_UP_FOR: Span = Span::millis(1500);
+/// it believes may be of before, and it gives no update for a while.
+pub const STALL_THRESHOLD: Span = Span::millis(400);
+const STALL_QUARANTINE: Span = Span::millis(1500);
 
-/// A question for news.
+/// A question for update.
 #[derive(Serialize, Deserialize)]
-struct Question {
+struct Request {
     /// Who asks.
     from: Name,
     /// How far it has come.
-    place: Place,
-    /// What it has seen of versions that are rolled out, as far as this is news.
+    cursor: Cursor,
+    /// What it has seen of versions that are rolled out, as far as this is update.
     seen: Vec<Seen>,
     /// Contents that it holds back.
     held: Vec<poison::Told>,
 }
 
 /// What came of a question.
-pub enum Reply {
+pub enum Response {
     /// What changed.
-    News(Box<News>),
+    Update(Box<Update>),
     /// The VM gives none.
     Declined(Decline),
     /// No answer that reads.
-    Silence,
+    NoAnswer,
 }
 
-/// Asks the VM at `to` for what changed since `place`, and tells it what was `seen` of versions.
-pub async fn ask(vm: &Vm, to: SocketAddr, place: Place, seen: &[Seen], within: Span) -> Reply {
-    let Some(links) = vm.peers.borrow().links() else { return Reply::Silence };
+/// Asks the VM at `to` for what changed since `cursor`, and tells it what was `seen` of versions.
+pub async fn request(
+    vm: &Vm,
+    to: SocketAddr,
+    cursor: Cursor,
+    seen: &[Seen],
+    within: Span,
+) -> Response {
+    let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
     let from = vm.settings.vm.clone();
     let (seen, held) = (seen.to_vec(), poison::held(vm));
-    let question = encode(&Question { from, place, seen, held });
+    let question = encode(&Request { from, cursor, seen, held });
     let answer = tokio::time::timeout(within.duration(), links.call(to, question)).await;
-    match answer.ok().flatten().and_then(|bytes| decode::<Result<News, Decline>>(&bytes)) {
-        Some(Ok(news)) => Reply::News(Box::new(news)),
-        Some(Err(why)) => Reply::Declined(why),
-        None => Reply::Silence,
+    match answer.ok().flatten().and_then(|bytes| decode::<Result<Update, Decline>>(&bytes)) {
+        Some(Ok(update)) => Response::Update(Box::new(update)),
+        Some(Err(why)) => Response::Declined(why),
+        None => Response::NoAnswer,
     }
 }
 
 /// What a VM that asks is told; the reason if this one knows nothing, or what it knows is too old.
-pub fn answer(vm: &Rc<Vm>, question: &[u8]) -> Vec<u8> {
-    let Some(Question { from, place, seen, held }) = decode::<Question>(question) else {
+pub fn respond(vm: &Rc<Vm>, question: &[u8]) -> Vec<u8> {
+    let Some(Request { from, cursor, seen, held }) = decode::<Request>(question) else {
         vm.log("question of a peer not read", &[("bytes", question.len().into())]);
-        return encode(&Err::<News, Decline>(Decline::Unreadable));
+        return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
     peer::heard(vm, &from);
     tally::hear(vm, seen);
     poison::hear_held(vm, from.as_str(), &held, vm.now());
-    let news = news(vm, place);
-    tell_decline(vm, news.as_ref().err().copied());
-    encode(&news)
+    let update = update(vm, cursor);
+    log_decline(vm, update.as_ref().err().copied());
+    encode(&update)
 }
 
-/// Notes why this VM gives no news, when that changes.
-fn tell_decline(vm: &Vm, why: Option<Decline>) {
+/// Notes why this VM gives no update, when that changes.
+fn log_decline(vm: &Vm, why: Option<Decline>) {
     if vm.declined.replace(why) == why {
         return;
     }
     let now = vm.now();
     let why = why.map_or_else(|| "none".to_owned(), |why| format!("{why:?}"));
-    let servers = vm.feed.borrow().reading(Kind::Servers);
+    let servers = vm.feed.borrow().freshness(Kind::Servers);
     let servers_age = servers.map(|reading| now.since(reading.sent));
     let fields = [
         ("declined", why.as_str().into()),
@@ -97,12 +103,12 @@
     vm.log("news for followers", &fields);
 }
 
-fn news(vm: &Vm, place: Place) -> Result<News, Decline> {
+fn update(vm: &Vm, cursor: Cursor) -> Result<Update, Decline> {
     let now = vm.now();
-    if !vm.feed.borrow().is_whole() {
+    if !vm.feed.borrow().is_complete() {
         return Err(Decline::KnowsTooLittle);
     }
-    if vm.held_up.get().is_some_and(|at| now.since(at) < HELD_UP_FOR) {
+    if vm.held_up.get().is_some_and(|at| now.since(at) < STALL_QUARANTINE) {
         return Err(Decline::HeldUp);
     }
     if vm.is_stopping() {
@@ -115,22 +121,22 @@
     vm.asked.set(Some(now));
     let proof_age = vm.proof_age(now);
     let verdicts = tally::verdicts(vm);
-    let store = store(vm, check_ages(vm, proof_age))?;
+    let store = availability(vm, check_ages(vm, proof_age))?;
     let held = poison::held(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
     let restore = Notice::of(vm, now);
-    let stand = Stand { origin: origin(vm), store, proof, restore, verdicts, held };
-    Ok(vm.feed.borrow().since(place, stand, now))
+    let status = Status { origin: origin(vm), store, proof, restore, verdicts, held };
+    Ok(vm.feed.borrow().since(cursor, status, now))
 }
 
 /// How the store does, given how current this VM is. Of a store that is lost no newer word is to be had; how old this
 /// one is, is told with it. It counts as lost until all is current again: 9 of 16 VMs read for themselves when the first
 /// had an answer about servers some milliseconds before its proof.
-fn store(vm: &Vm, current: Result<(), Decline>) -> Result<Store, Decline> {
+fn availability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
     match (vm.store(vm.now()), current) {
-        (Store::IsLost, _) | (Store::IsBack(_), Err(_)) => Ok(Store::IsLost),
+        (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
         (store, current) => current.map(|()| store),
     }
 }
@@ -143,10 +149,12 @@
 
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
     if let Some(longest) = vm.longest_proof_age() {
-        proof_age.filter(|age| *age < longest.part(STALE)).ok_or(Decline::OldProof)?;
+        proof_age
+            .filter(|age| *age < longest.part(MAX_PROOF_AGE_FRACTION))
+            .ok_or(Decline::OldProof)?;
     }
     // A proof of the configuration says nothing of servers: they have an age of their own.
-    let servers = vm.feed.borrow().reading(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
+    let servers = vm.feed.borrow().freshness(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
     let age = vm.now().since(servers.sent);
     if is_stale(age, vm.settings.bounds.leave_within) {
         return Err(Decline::OldServers);
--- a/src/forward/known.rs
+++ b/src/forward/positions.rs
@@ -8,7 +8,7 @@
 
 /// What is known of an object that is there.
 #[derive(Clone, Copy, Debug)]
-struct State {
+struct Entry {
     /// Position of the store at which it was so.
     as_of: Position,
     /// Position of the object's last change.
@@ -17,44 +17,49 @@
 
 /// The objects that a VM knows.
 #[derive(Default)]
-pub struct Known {
-    objects: HashMap<(Kind, String), State>,
+pub struct Positions {
+    objects: HashMap<(Kind, String), Entry>,
     /// The newest position of the store at which objects of a kind were missing or gone: one that is not known
     /// was not there then.
     gone_as_of: HashMap<Kind, Position>,
 }
 
-impl Known {
+impl Positions {
     /// Takes an object whose last change was at `changed`, as it stood at the store's position `as_of`. Returns true if
     /// that is as new as what is known.
-    pub fn put(&mut self, kind: Kind, name: &str, changed: Position, as_of: Position) -> bool {
+    pub fn record(&mut self, kind: Kind, name: &str, changed: Position, as_of: Position) -> bool {
         let key = (kind, name.to_owned());
         let is_newest = match self.objects.get(&key) {
             Some(known) => as_of >= known.as_of && changed >= known.changed,
             None => as_of >= self.gone_as_of(kind),
         };
         if is_newest {
-            self.objects.insert(key, State { as_of, changed });
+            self.objects.insert(key, Entry { as_of, changed });
         }
         is_newest
     }
 
     /// Takes that an object was gone at the store's position `as_of`. Returns true if that is as new as what is known.
-    pub fn remove(&mut self, kind: Kind, name: &str, as_of: Position) -> bool {
+    pub fn record_removal(&mut self, kind: Kind, name: &str, as_of: Position) -> bool {
         let key = (kind, name.to_owned());
-        let newer = |known: &State| as_of < known.as_of.max(known.changed);
+        let newer = |known: &Entry| as_of < known.as_of.max(known.changed);
         if self.objects.get(&key).is_some_and(newer) {
             return false;
         }
         self.objects.remove(&key);
-        self.note_gone(kind, as_of);
+        self.record_gone(kind, as_of);
         true
     }
 
     /// Takes that a list of the store's position `as_of` names just `listed`. The objects that are known and were gone
     /// by then; each is still to be removed.
-    pub fn missing(&mut self, kind: Kind, listed: &HashSet<&str>, as_of: Position) -> Vec<String> {
-        self.note_gone(kind, as_of);
+    pub fn missing_from_list(
+        &mut self,
+        kind: Kind,
+        listed: &HashSet<&str>,
+        as_of: Position,
+    ) -> Vec<String> {
+        self.record_gone(kind, as_of);
         let of_kind = self.objects.iter().filter(|((of, _), _)| *of == kind);
         let older = of_kind.filter(|(_, known)| known.as_of.max(known.changed) <= as_of);
         let names = older.map(|((_, name), _)| name);
@@ -62,13 +67,13 @@
     }
 
     /// Returns true if an answer of this era named an object.
-    pub fn is_of_era(&self, kind: Kind, name: &str, era: Era) -> bool {
+    pub fn was_seen_in(&self, kind: Kind, name: &str, era: Era) -> bool {
         let known = self.objects.get(&(kind, name.to_owned()));
         known.is_some_and(|known| known.as_of.era == era)
     }
 
     /// Returns the objects of a kind that no answer of this era named.
-    pub fn of_earlier_eras(&self, kind: Kind, era: Era) -> Vec<String> {
+    pub fn last_seen_before(&self, kind: Kind, era: Era) -> Vec<String> {
         let of_kind = self.objects.iter().filter(|((of, _), _)| *of == kind);
         let earlier = of_kind.filter(|(_, known)| known.as_of.era < era);
         earlier.map(|((_, name), _)| name.clone()).collect()
@@ -78,7 +83,7 @@
         self.gone_as_of.get(&kind).copied().unwrap_or_default()
     }
 
-    fn note_gone(&mut self, kind: Kind, as_of: Position) {
+    fn record_gone(&mut self, kind: Kind, as_of: Position) {
         let known = self.gone_as_of.entry(kind).or_insert(as_of);
         *known = as_of.max(*known);
     }
--- a/src/forward/replica.rs
+++ b/src/forward/replica.rs
@@ -12,7 +12,7 @@
     /// Its id. One that starts again may keep it, and then holds and knows nothing of before.
     pub id: Server,
     /// When this life of it began, in milliseconds of its own clock since 1970; tells lives under one id apart.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// The service that it answers for.
     pub service: Service,
     /// Where it listens.
@@ -32,18 +32,27 @@
 impl Replica {
     /// Whether this is the same life of the same server, as far as entries tell. Which of two is the later one is not for
     /// its clock to say, which may step back: the store's revisions order them.
-    pub fn is_life_of(&self, other: &Replica) -> bool {
-        self.is_life(&other.id, other.born, other.address)
+    pub fn is_same_incarnation(&self, other: &Replica) -> bool {
+        self.matches_incarnation(&other.id, other.started_at_ms, other.address)
     }
 
     /// Returns what names this life.
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation { server: self.id.clone(), born: self.born, address: self.address }
+        Incarnation {
+            server: self.id.clone(),
+            started_at_ms: self.started_at_ms,
+            address: self.address,
+        }
     }
 
     /// The same, of a life that is told of by what names it.
-    pub fn is_life(&self, id: &Server, born: Option<u64>, address: SocketAddr) -> bool {
-        (&self.id, self.born, self.address) == (id, born, address)
+    pub fn matches_incarnation(
+        &self,
+        id: &Server,
+        started_at_ms: Option<u64>,
+        address: SocketAddr,
+    ) -> bool {
+        (&self.id, self.started_at_ms, self.address) == (id, started_at_ms, address)
     }
 }
 
@@ -53,7 +62,7 @@
     /// Its id.
     pub server: Server,
     /// When that life began, by its own clock.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Where it listens.
     pub address: SocketAddr,
 }
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::apply;
 use super::era::Anomaly;
-use super::learn;
 use super::peer::{self, Word};
 use super::replica::Incarnation;
 use super::vm::Vm;
@@ -17,10 +17,10 @@
 
 /// Time after a restore within which owners write again what the copy lacks. Servers write every second
 /// or so; an operator's tool may take longer to notice.
-pub const REWRITTEN_WITHIN: Span = Span::secs(5);
+pub const REWRITE_GRACE: Span = Span::secs(5);
 
 /// Time between two messages about the same servers; one that is sent to a VM just after its start may be lost.
-const REPEATED_EVERY: Duration = Duration::from_secs(1);
+const DISPUTE_BROADCAST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A restore that this VM noticed.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
 
     /// Returns true if owners may not have had time to write again.
     pub fn is_recent(&self, now: Moment) -> bool {
-        now.since(self.at) < REWRITTEN_WITHIN
+        now.since(self.at) < REWRITE_GRACE
     }
 }
 
@@ -75,11 +75,11 @@
     loop {
         vm.era.changed.notified().await;
         vm.enter(vm.era.newest());
-        Anomaly::ALL.into_iter().for_each(|anomaly| count(&vm, anomaly));
+        Anomaly::ALL.into_iter().for_each(|anomaly| update_metric(&vm, anomaly));
     }
 }
 
-fn count(vm: &Vm, anomaly: Anomaly) {
+fn update_metric(vm: &Vm, anomaly: Anomaly) {
     let counter = vm.metrics.era_anomalies.with_label_values(&[anomaly.name()]);
     let (before, count) = (counter.get(), vm.era.count(anomaly));
     counter.inc_by(count - before);
@@ -93,27 +93,27 @@
 pub async fn broadcast_disputes(vm: Rc<Vm>) {
     loop {
         let disputed: Vec<Incarnation> = vm.fleet.borrow().disputed().cloned().collect();
-        let pause = if disputed.is_empty() { Duration::MAX } else { REPEATED_EVERY };
-        for life in disputed {
-            peer::tell(&vm, &Word::Leaves(life));
+        let pause = if disputed.is_empty() { Duration::MAX } else { DISPUTE_BROADCAST_INTERVAL };
+        for incarnation in disputed {
+            peer::tell(&vm, &Word::Leaves(incarnation));
         }
         let _ = tokio::time::timeout(pause, vm.disputes.notified()).await;
     }
 }
 
 /// Applies what the copy says once its time is over, after each restore, until the process ends.
-pub async fn settle(vm: Rc<Vm>) {
+pub async fn accept_after_grace(vm: Rc<Vm>) {
     let mut restored = vm.restored.subscribe();
     loop {
         let Ok(Some(restore)) = restored.wait_for(Option::is_some).await.map(|one| *one) else {
             return;
         };
-        let left = (restore.at + REWRITTEN_WITHIN).since(vm.now());
+        let left = (restore.at + REWRITE_GRACE).since(vm.now());
         if left > Span(0) {
             // A second restore begins a time of its own.
             tokio::time::sleep(left.duration()).await;
             continue;
         }
-        learn::accept_copy(&vm);
+        apply::accept_restored(&vm);
     }
 }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -6,9 +6,9 @@
 use actix_web::rt::signal::unix::{SignalKind, signal};
 use actix_web::rt::spawn;
 
-use super::follow;
 use super::kind::Kind;
 use super::settings::Settings;
+use super::store_watch;
 use super::vm::Vm;
 use super::{door, follower, kept, peer, poison, proof, restore, steps, wake};
 use crate::error::Error;
@@ -44,13 +44,13 @@
     let vm = Rc::new(Vm::new(settings, Clock::default(), lines));
     log_start(&vm);
     for kind in Kind::ALL {
-        spawn(follow::follow(vm.clone(), kind));
+        spawn(store_watch::watch_kind(vm.clone(), kind));
     }
     spawn(proof::run(vm.clone()));
     spawn(restore::run(vm.clone()));
-    spawn(restore::settle(vm.clone()));
+    spawn(restore::accept_after_grace(vm.clone()));
     spawn(restore::broadcast_disputes(vm.clone()));
-    spawn(follow::expire(vm.clone()));
+    spawn(store_watch::expire_servers(vm.clone()));
     spawn(steps::run(vm.clone()));
     spawn(kept::run(vm.clone()));
     spawn(wake::run(vm.clone()));
--- a/src/forward/said.rs
+++ b/src/forward/said.rs
@@ -21,10 +21,11 @@
 
 /// Takes another VM's word that a life of a server leaves, and passes it on if it is news.
 pub fn hear_leave(vm: &Rc<Vm>, from: &str, life: &Incarnation) {
-    let Incarnation { server: id, born, address } = life;
+    let Incarnation { server: id, started_at_ms: born, address } = life;
     let replica = {
         let mut fleet = vm.fleet.borrow_mut();
-        let server = fleet.get_mut(id).filter(|one| one.replica.is_life(id, *born, *address));
+        let server =
+            fleet.get_mut(id).filter(|one| one.replica.matches_incarnation(id, *born, *address));
         let Some(server) = server else { return };
         let leaves = Said { leaves: true, ..Said::default() };
         if !server.standing.hear(leaves, vm.now()) {
@@ -59,7 +60,7 @@
 }
 
 fn limit_word(replica: &Replica, news: News, now: Moment) -> Word {
-    let (server, born, address) = (replica.id.clone(), replica.born, replica.address);
+    let (server, born, address) = (replica.id.clone(), replica.started_at_ms, replica.address);
     Word::Limit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
 }
 
@@ -85,7 +86,8 @@
     let news = News { rate: told.rate, as_of: Moment(now.0.saturating_sub(told.age.0)) };
     let (replica, changed, passes_on) = {
         let mut fleet = vm.fleet.borrow_mut();
-        let is_meant = |replica: &Replica| replica.is_life(told.server, told.born, told.address);
+        let is_meant =
+            |replica: &Replica| replica.matches_incarnation(told.server, told.born, told.address);
         let server = fleet.get_mut(told.server).filter(|one| is_meant(&one.replica));
         let Some(server) = server else { return };
         let limit = &mut server.standing.limit;
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -134,7 +134,7 @@
     pub fn put(&mut self, replica: Replica, now: Moment) -> bool {
         self.usual.entry(replica.service.clone()).or_insert_with(|| replica.version.clone());
         match self.servers.get_mut(&replica.id) {
-            Some(server) if server.replica.is_life_of(&replica) => {
+            Some(server) if server.replica.is_same_incarnation(&replica) => {
                 let is_news = server.replica != replica;
                 server.standing.enter(replica.ready, now);
                 server.replica = replica;
@@ -147,7 +147,7 @@
             _ => {
                 let past = self.past.remove(&replica.id);
                 let mut server = Server::new(replica);
-                let same = past.filter(|past| past.replica.is_life_of(&server.replica));
+                let same = past.filter(|past| past.replica.is_same_incarnation(&server.replica));
                 server.standing = same.map(|past| past.standing).unwrap_or_default();
                 server.standing.enter(server.replica.ready, now);
                 server.note_cold(now);
@@ -163,7 +163,7 @@
     /// Takes an entry that may be older than what is known of its server. Returns true if it counts: nothing is known
     /// that it could take back. A life that leaves does so for good, so a word of that is never too old.
     pub fn put_outdated(&mut self, replica: &Replica) -> bool {
-        let is_same = |known: &Replica| known.is_life_of(replica);
+        let is_same = |known: &Replica| known.is_same_incarnation(replica);
         let (counts, is_disputed) =
             match (self.servers.get_mut(&replica.id), self.past.get(&replica.id)) {
                 (Some(server), _) if is_same(&server.replica) => {
@@ -172,7 +172,7 @@
                     (counts, !counts && server.standing.leaves())
                 }
                 // A life that began later was written after the restore.
-                (Some(server), _) => (replica.born > server.replica.born, false),
+                (Some(server), _) => (replica.started_at_ms > server.replica.started_at_ms, false),
                 (None, Some(past)) if is_same(&past.replica) => (false, true),
                 (None, _) => (true, false),
             };
@@ -194,10 +194,10 @@
 
     /// Takes another VM's word that a life of a server leaves or has gone, until its entry says otherwise.
     pub fn dispute(&mut self, life: &Incarnation, now: Moment) {
-        let Incarnation { server, born, address } = life;
+        let Incarnation { server, started_at_ms: born, address } = life;
         let server = self.servers.get_mut(server);
         if let Some(server) =
-            server.filter(|one| one.replica.is_life(&life.server, *born, *address))
+            server.filter(|one| one.replica.matches_incarnation(&life.server, *born, *address))
         {
             server.standing.enter(false, now);
             self.disputed.insert(life.server.clone(), life.clone());
@@ -241,7 +241,9 @@
 
     /// A server, if the life that `replica` tells of goes on.
     pub fn life_mut(&mut self, replica: &Replica) -> Option<&mut Server> {
-        self.servers.get_mut(&replica.id).filter(|server| server.replica.is_life_of(replica))
+        self.servers
+            .get_mut(&replica.id)
+            .filter(|server| server.replica.is_same_incarnation(replica))
     }
 
     /// A server.
@@ -316,7 +318,8 @@
 
     /// Why a request that was meant for this life of a server may not leave for it, whatever it was chosen for.
     pub fn forbids(&self, replica: &Replica, now: Moment) -> Option<Bar> {
-        let server = self.servers.get(&replica.id).filter(|one| one.replica.is_life_of(replica));
+        let server =
+            self.servers.get(&replica.id).filter(|one| one.replica.is_same_incarnation(replica));
         let bar = server.map_or(Some(Bar::IsGone), |server| self.bar(server, now));
         // What tries a server after a rest may be this very request.
         bar.filter(|bar| bar.binds() && !matches!(bar, Bar::IsTried(_)))
--- a/src/forward/steps.rs
+++ b/src/forward/steps.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::apply::apply_rollout;
+use super::backoff::Backoff;
 use super::bounded;
-use super::learn::put_rollout;
-use super::pause::Pause;
 use super::peer;
 use super::replica::{Phase, Rollout};
 use super::trial::Verdict;
@@ -36,7 +36,7 @@
 /// When a step of a service may be written again after writes that failed.
 #[derive(Default)]
 struct Retry {
-    pause: Pause,
+    pause: Backoff,
     after: Moment,
 }
 
@@ -64,7 +64,7 @@
                 retries.remove(&service);
             } else {
                 let retry = retries.entry(service).or_default();
-                retry.after = vm.now() + retry.pause.next(LONGEST_PAUSE);
+                retry.after = vm.now() + retry.pause.next_delay(LONGEST_PAUSE);
             }
         }
     }
@@ -108,9 +108,9 @@
                 ("bad", known.bad.into()),
             ];
             vm.log("roll-out moved", &fields);
-            put_rollout(vm, &object);
+            apply_rollout(vm, &object);
         }
-        Err(Trouble::Conflict(Some(object))) => put_rollout(vm, &object),
+        Err(Trouble::Conflict(Some(object))) => apply_rollout(vm, &object),
         Err(trouble) => {
             let why = trouble.to_string();
             let fields = [
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -7,12 +7,12 @@
 use tokio::sync::Notify;
 
 use super::era::Tracker;
-use super::feed::{Feed, Origin, Store};
+use super::feed::{Feed, Origin, Reachability};
 use super::kept::Kept;
 use super::kind::Kind;
-use super::known::Known;
 use super::metrics::Metrics;
 use super::peer::Peers;
+use super::positions::Positions;
 use super::replica::Rollout;
 use super::restore::Restore;
 use super::role::{Decline, Role};
@@ -64,7 +64,7 @@
     /// The last restore of the store, until owners have had time to write again what the copy lacks.
     pub restored: tokio::sync::watch::Sender<Option<Restore>>,
     /// How new what it knows of the platform's objects is.
-    pub known: RefCell<Known>,
+    pub known: RefCell<Positions>,
     /// Backend servers.
     pub fleet: RefCell<Fleet>,
     /// Roll-outs by service.
@@ -285,12 +285,12 @@
 
     /// Takes how the store does from a VM that answered a question of the moment `asked`. What it says of a return
     /// is dated so that it cannot look later than it was.
-    pub fn hear_store(&self, store: Store, asked: Moment) {
-        if let Store::IsBack(age) = store {
+    pub fn hear_store(&self, store: Reachability, asked: Moment) {
+        if let Reachability::Recovered(age) = store {
             let back = Moment(asked.0.saturating_sub(age.0));
             self.store_back.set(self.store_back.get().max(Some(back)));
         }
-        let lost = store == Store::IsLost;
+        let lost = store == Reachability::Down;
         if self.told_lost.replace(lost) != lost {
             self.log("told of the store", &[("lost", lost.into())]);
             self.regained.send_modify(|times| *times += 1);
@@ -298,12 +298,12 @@
     }
 
     /// How the store does, for those that ask this VM.
-    pub fn store(&self, now: Moment) -> Store {
+    pub fn store(&self, now: Moment) -> Reachability {
         if self.is_store_lost() || self.doubts_store.get() || self.unsure.get() {
-            return Store::IsLost;
+            return Reachability::Down;
         }
         let back = self.store_back.get().map(|back| now.since(back));
-        back.filter(|age| *age < LAPSED_FOR).map_or(Store::Answers, Store::IsBack)
+        back.filter(|age| *age < LAPSED_FOR).map_or(Reachability::Up, Reachability::Recovered)
     }
 
     /// Whether the store is away, as this VM or the one that it follows found.
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -282,7 +282,7 @@
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
     Ok(Replica {
         id: object.metadata.name.parse().map_err(|fault| format!("{fault}"))?,
-        born: entry.born,
+        started_at_ms: entry.born,
         service: entry.service,
         address: entry.address,
         data_centre: entry.zone,
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kitepulley::forward::Vm;
+use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::kind::Kind;
-use kitepulley::forward::learn::{self, Source};
 use kitepulley::platform::object::{self, Object};
 use kitepulley::platform::objects::Listing;
 use kitepulley::standin::replica::Act;
@@ -41,7 +41,7 @@
 
 fn take(vm: &Vm, object: &Object) {
     let as_of = object.metadata.position;
-    learn::take(vm, Kind::Servers, object, &Source { reader: None, as_of });
+    apply::apply_object(vm, Kind::Servers, object, &Source { reader: None, as_of });
 }
 
 #[test]
@@ -72,7 +72,7 @@
     }
     take(&vm, &server("r1", 3, entry(json!({"born": 1_764_000_000_000u64}))));
     let fleet = vm.fleet.borrow();
-    assert_eq!(fleet.get(&id).unwrap().replica.born, Some(1_763_999_990_000));
+    assert_eq!(fleet.get(&id).unwrap().replica.started_at_ms, Some(1_763_999_990_000));
 }
 
 #[test]
@@ -144,7 +144,7 @@
             server("r2", 3, entry(json!({}))),
         ];
         let source = Source { reader: None, as_of: at(3) };
-        learn::take_all(&vm, Kind::Servers, &items, &source);
+        apply::apply_list(&vm, Kind::Servers, &items, &source);
         assert!(takes_work(&vm, "r1") && takes_work(&vm, "r2"), "{number}: {shown}");
         assert!(!takes_work(&vm, "x1"), "{number}: {shown}");
         // One that takes the place of a server's entry ends what that said.
@@ -204,7 +204,7 @@
             let revision = number as u64 + 2;
             let source = Source { reader: None, as_of: at(revision) };
             let object = server(&format!("x{number}"), revision, value(bytes));
-            learn::take(&vm, kind, &object, &source);
+            apply::apply_object(&vm, kind, &object, &source);
         }
         takes_work(&vm, "r1")
     }
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 use kitepulley::decide::reader::{Asked, Rank, is_stale, time_to_ask};
-use kitepulley::forward::feed::{Feed, News, Origin, Place, Stand, Store};
+use kitepulley::forward::apply::{self, Source};
+use kitepulley::forward::feed::{Cursor, Feed, Origin, Reachability, Status, Update};
 use kitepulley::forward::kind::Kind;
-use kitepulley::forward::known::Known;
-use kitepulley::forward::learn::{self, Source};
+use kitepulley::forward::positions::Positions;
 use kitepulley::platform::object::Object;
 use kitepulley::unit::{Era, Millicores, Moment, Position, Span, Vm};
 use quickcheck::quickcheck;
@@ -33,13 +33,13 @@
 
 #[derive(Default)]
 struct Follower {
-    place: Place,
+    cursor: Cursor,
     objects: BTreeMap<(Kind, String), String>,
 }
 
 impl Follower {
-    fn take(&mut self, news: News) {
-        if news.whole {
+    fn take(&mut self, news: Update) {
+        if news.is_full {
             self.objects.clear();
         }
         for change in news.changes.changes().expect("what is packed unpacks") {
@@ -49,20 +49,20 @@
                 None => drop(self.objects.remove(&key)),
             }
         }
-        self.place = news.place;
+        self.cursor = news.cursor;
     }
 }
 
 fn whole(feed: &Feed) -> BTreeMap<(Kind, String), String> {
     let mut fresh = Follower::default();
-    fresh.take(feed.since(Place::default(), stand(), Moment(0)));
+    fresh.take(feed.since(Cursor::default(), status(), Moment(0)));
     fresh.objects
 }
 
-fn stand() -> Stand {
+fn status() -> Status {
     let origin = Origin { reader: "vm".parse().unwrap(), hops: 0 };
     let (verdicts, held) = (Vec::new(), Vec::new());
-    Stand { origin, store: Store::Answers, proof: None, restore: None, verdicts, held }
+    Status { origin, store: Reachability::Up, proof: None, restore: None, verdicts, held }
 }
 
 /// Takes a list: what it lacks is removed, what it has is put.
@@ -72,7 +72,7 @@
             feed.remove(kind, &name, true);
         }
     }
-    listed.iter().for_each(|object| feed.put(kind, object));
+    listed.iter().for_each(|object| feed.upsert(kind, object));
 }
 
 fn rank(name: &str, share: u32) -> Rank {
@@ -87,14 +87,14 @@
         for (number, (what, kind_of, name)) in steps.into_iter().enumerate() {
             let (kind, revision) = (kind(kind_of), number as u64 + 1);
             match what % 16 {
-                0..=6 => feed.put(kind, &object(name, revision)),
+                0..=6 => feed.upsert(kind, &object(name, revision)),
                 7..=9 => feed.remove(kind, &format!("o{}", name % 8), false),
                 10 => replace(&mut feed, kind, &[object(name, revision), object(name + (name < 255) as u8, revision)]),
                 11 => feed = Feed::new(100 + revision),
-                _ => follower.take(feed.since(follower.place, stand(), Moment(0))),
+                _ => follower.take(feed.since(follower.cursor, status(), Moment(0))),
             }
         }
-        follower.take(feed.since(follower.place, stand(), Moment(0)));
+        follower.take(feed.since(follower.cursor, status(), Moment(0)));
         follower.objects == whole(&feed)
     }
 
@@ -128,19 +128,19 @@
     /// Lists of any revisions, in any order and again, leave the objects of the newest of them.
     fn the_newest_list_decides_whenever_it_comes(changes: Vec<(u8, bool)>, order: Vec<u8>) -> bool {
         let states = history(&changes);
-        let mut known = Known::default();
+        let mut known = Positions::default();
         let mut there = BTreeSet::new();
         let revisions: Vec<usize> = order.iter().map(|at| *at as usize % states.len()).collect();
         for revision in &revisions {
             let (list, as_of) = (&states[*revision], at(*revision as u64));
             let names: HashSet<&str> = list.keys().map(String::as_str).collect();
-            for name in known.missing(Kind::Servers, &names, as_of) {
-                if known.remove(Kind::Servers, &name, as_of) {
+            for name in known.missing_from_list(Kind::Servers, &names, as_of) {
+                if known.record_removal(Kind::Servers, &name, as_of) {
                     there.remove(&name);
                 }
             }
             for (name, changed) in list {
-                if known.put(Kind::Servers, name, at(*changed), as_of) {
+                if known.record(Kind::Servers, name, at(*changed), as_of) {
                     there.insert(name.clone());
                 }
             }
@@ -176,12 +176,12 @@
     for kind in Kind::ALL {
         let vm = bare_vm();
         let source = |revision| Source { reader: None, as_of: at(revision) };
-        learn::take(&vm, kind, &sound(kind, 9), &source(9));
+        apply::apply_object(&vm, kind, &sound(kind, 9), &source(9));
         let before = whole(&vm.feed.borrow());
         assert_eq!(before.len(), 1, "{kind:?} is passed on");
-        learn::take(&vm, kind, &sound(kind, 8), &source(8));
+        apply::apply_object(&vm, kind, &sound(kind, 8), &source(8));
         assert_eq!(whole(&vm.feed.borrow()), before, "{kind:?} by an event");
-        learn::take_all(&vm, kind, &[sound(kind, 8)], &source(8));
+        apply::apply_list(&vm, kind, &[sound(kind, 8)], &source(8));
         assert_eq!(whole(&vm.feed.borrow()), before, "{kind:?} by a list");
     }
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -26,9 +26,9 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::forward::Vm;
+use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::kept::Draw;
 use kitepulley::forward::kind::Kind;
-use kitepulley::forward::learn::{self, Source};
 use kitepulley::platform::object::Object;
 use kitepulley::standin::platform::Switches;
 use kitepulley::standin::replica::{Act, Replica};
@@ -195,23 +195,23 @@
 fn an_older_list_does_not_replace_what_is_known() {
     let vm = bare_vm();
     let list = |revision: u64, entries: &[Object]| {
-        learn::take_all(&vm, Kind::Servers, entries, &own(revision));
+        apply::apply_list(&vm, Kind::Servers, entries, &own(revision));
     };
     let both = [entry("r1", 3, "ready"), entry("r2", 4, "ready")];
     list(4, &both);
-    learn::take(&vm, Kind::Servers, &entry("r1", 9, "draining"), &own(9));
-    learn::take(&vm, Kind::Servers, &entry("r3", 10, "ready"), &own(10));
+    apply::apply_object(&vm, Kind::Servers, &entry("r1", 9, "draining"), &own(9));
+    apply::apply_object(&vm, Kind::Servers, &entry("r3", 10, "ready"), &own(10));
     // A reader that has been cut off since revision 8 answers with all that it knows.
     list(8, &both);
     assert!(!takes_work(&vm, "r1"), "it had said that it leaves");
     assert!(takes_work(&vm, "r2"));
     assert!(takes_work(&vm, "r3"), "it came after that list");
-    learn::drop_object(&vm, Kind::Servers, "r2", false, &own(2));
+    apply::remove_object(&vm, Kind::Servers, "r2", false, &own(2));
     assert!(takes_work(&vm, "r2"), "its end is older than its entry");
-    learn::drop_object(&vm, Kind::Servers, "r1", false, &own(9));
+    apply::remove_object(&vm, Kind::Servers, "r1", false, &own(9));
     list(8, &both);
     assert!(!takes_work(&vm, "r1"), "its entry had gone");
-    learn::take(&vm, Kind::Servers, &entry("r1", 14, "ready"), &own(14));
+    apply::apply_object(&vm, Kind::Servers, &entry("r1", 14, "ready"), &own(14));
     assert!(takes_work(&vm, "r1"), "it lapsed, lives and wrote itself anew");
     list(16, &[entry("r2", 4, "ready")]);
     assert!(!takes_work(&vm, "r1") && !takes_work(&vm, "r3"), "a newer list lacks them");
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -249,7 +249,7 @@
     let vm = site::bare_vm();
     let life = Life {
         id: "r0".parse().unwrap(),
-        born: Some(1),
+        started_at_ms: Some(1),
         service: "api".parse().unwrap(),
         address: server.address,
         data_centre: "here".parse().unwrap(),
--- a/tests/restore.rs
+++ b/tests/restore.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::forward::Vm as Inner;
+use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::era::{Anomaly, Tracker};
 use kitepulley::forward::kind::Kind;
-use kitepulley::forward::known::Known;
-use kitepulley::forward::learn::{self, Source};
+use kitepulley::forward::positions::Positions;
 use kitepulley::forward::replica::Phase;
 use kitepulley::platform::object::Object;
 use kitepulley::platform::objects::{Objects, Read, Trouble};
@@ -82,14 +82,14 @@
 
 /// Applies one entry of a backend server, as it changed at a position.
 fn enter(vm: &Inner, changed: &Source, fields: Value) {
-    learn::take(vm, Kind::Servers, &object("r1", changed, entry(fields)), changed);
+    apply::apply_object(vm, Kind::Servers, &object("r1", changed, entry(fields)), changed);
 }
 
 /// Applies a list of the store in its second era, in which the server's entry is as it was at an older
 /// revision.
 fn restore_entry(vm: &Inner, fields: Value) {
     let entry = object("r1", &at(1, 3), entry(fields));
-    learn::take_all(vm, Kind::Servers, &[entry], &at(1, 5));
+    apply::apply_list(vm, Kind::Servers, &[entry], &at(1, 5));
 }
 
 fn takes_work(vm: &Inner) -> bool {
@@ -138,11 +138,11 @@
 #[test]
 fn a_proof_of_a_newer_configuration_than_the_one_in_force_does_not_count() {
     let vm = bare_vm();
-    learn::take(&vm, Kind::Config, &configuration(4), &at(0, 4));
-    learn::prove(&vm, vm.now(), Revision(5));
+    apply::apply_object(&vm, Kind::Config, &configuration(4), &at(0, 4));
+    apply::record_proof(&vm, vm.now(), Revision(5));
     assert_eq!(vm.proof_age(vm.now()), None);
-    learn::take(&vm, Kind::Config, &configuration(5), &at(0, 5));
-    learn::prove(&vm, vm.now(), Revision(5));
+    apply::apply_object(&vm, Kind::Config, &configuration(5), &at(0, 5));
+    apply::record_proof(&vm, vm.now(), Revision(5));
     assert!(vm.proof_age(vm.now()).is_some());
 }
 
@@ -204,17 +204,17 @@
     /// Lists of any positions, in any order and again, leave the objects of the newest of them.
     fn the_newest_list_of_the_newest_era_decides(steps: Vec<(u8, bool, u8)>, order: Vec<u8>) -> bool {
         let states = history(&steps);
-        let (mut index, mut there) = (Known::default(), State::new());
+        let (mut index, mut there) = (Positions::default(), State::new());
         let read: Vec<usize> = order.iter().map(|at| usize::from(*at) % states.len()).collect();
         for (as_of, objects) in read.iter().map(|at| &states[*at]) {
             let names: HashSet<&str> = objects.keys().map(String::as_str).collect();
-            for name in index.missing(Kind::Servers, &names, *as_of) {
-                if index.remove(Kind::Servers, &name, *as_of) {
+            for name in index.missing_from_list(Kind::Servers, &names, *as_of) {
+                if index.record_removal(Kind::Servers, &name, *as_of) {
                     there.remove(&name);
                 }
             }
             for (name, changed) in objects {
-                if index.put(Kind::Servers, name, *changed, *as_of) {
+                if index.record(Kind::Servers, name, *changed, *as_of) {
                     there.insert(name.clone(), *changed);
                 }
             }
@@ -285,7 +285,7 @@
 fn a_server_that_has_gone_is_not_used_again_because_a_copy_names_it() {
     let vm = bare_vm();
     enter(&vm, &at(0, 3), json!({}));
-    learn::drop_object(&vm, Kind::Servers, "r1", false, &at(0, 9));
+    apply::remove_object(&vm, Kind::Servers, "r1", false, &at(0, 9));
     restore_entry(&vm, json!({}));
     assert!(!takes_work(&vm));
     enter(&vm, &at(1, 6), json!({"sequence": 9}));
@@ -298,7 +298,7 @@
     enter(&vm, &at(0, 3), json!({"born": 1000}));
     enter(&vm, &at(0, 9), json!({"born": 2000}));
     restore_entry(&vm, json!({"born": 1000}));
-    let born = || vm.fleet.borrow().get(&"r1".parse().unwrap()).unwrap().replica.born;
+    let born = || vm.fleet.borrow().get(&"r1".parse().unwrap()).unwrap().replica.started_at_ms;
     assert_eq!(born(), Some(2000));
     restore_entry(&vm, json!({"born": 3000}));
     assert_eq!(born(), Some(3000), "it was written before the first list of the new era");
@@ -307,16 +307,16 @@
 #[test]
 fn a_server_that_a_copy_lacks_is_used_until_it_had_time_to_write_again() {
     let vm = bare_vm();
-    learn::take_all(&vm, Kind::Servers, &[], &at(0, 2));
+    apply::apply_list(&vm, Kind::Servers, &[], &at(0, 2));
     enter(&vm, &at(0, 9), json!({}));
-    learn::take_all(&vm, Kind::Servers, &[], &at(1, 5));
+    apply::apply_list(&vm, Kind::Servers, &[], &at(1, 5));
     assert!(takes_work(&vm));
 }
 
 /// Applies a list of a kind that the store answered.
 fn list(vm: &Inner, kind: Kind, items: &[Object], read: &Source) {
-    learn::take_all(vm, kind, items, read);
-    vm.feed.borrow_mut().note_read(kind, read.as_of, vm.now());
+    apply::apply_list(vm, kind, items, read);
+    vm.feed.borrow_mut().record_read(kind, read.as_of, vm.now());
 }
 
 /// The order to empty the data centre of the server.
@@ -331,7 +331,7 @@
     list(&vm, Kind::Evacuations, &order(&at(0, 8)), &at(0, 9));
     list(&vm, Kind::Evacuations, &[], &at(1, 5));
     assert!(!takes_work(&vm));
-    learn::accept_copy(&vm);
+    apply::accept_restored(&vm);
     assert!(takes_work(&vm), "nobody has ordered it again");
     list(&vm, Kind::Evacuations, &order(&at(1, 9)), &at(1, 9));
     assert!(!takes_work(&vm), "it is ordered again");
@@ -343,7 +343,7 @@
     enter(&vm, &at(0, 3), json!({}));
     list(&vm, Kind::Evacuations, &order(&at(0, 8)), &at(0, 9));
     list(&vm, Kind::Vms, &[], &at(1, 5));
-    learn::accept_copy(&vm);
+    apply::accept_restored(&vm);
     assert!(!takes_work(&vm));
 }
 
@@ -355,7 +355,7 @@
     list(&vm, Kind::Evacuations, &[], &at(0, 9));
     list(&vm, Kind::Evacuations, &order(&at(1, 4)), &at(1, 5));
     assert!(takes_work(&vm));
-    learn::accept_copy(&vm);
+    apply::accept_restored(&vm);
     assert!(!takes_work(&vm), "nobody has withdrawn it again");
 }
 
@@ -367,7 +367,7 @@
     list(&vm, Kind::Vms, &[object("vm-b", &at(0, 9), place)], &at(0, 9));
     list(&vm, Kind::Vms, &[], &at(1, 5));
     assert!(is_named(&vm));
-    learn::accept_copy(&vm);
+    apply::accept_restored(&vm);
     assert!(!is_named(&vm));
 }
 
@@ -400,7 +400,7 @@
             list_rollout(&vm, rollout(&at(0, 8), "v2", json!(state)), &at(0, 9));
             list_rollout(&vm, rollout(&at(1, 4), "v2", copy.clone()), &at(1, 5));
             assert_eq!(known_rollout(&vm), ("v2".into(), Some(phase)), "{copy}");
-            learn::accept_copy(&vm);
+            apply::accept_restored(&vm);
             assert_eq!(known_rollout(&vm), ("v2".into(), Some(phase)), "{copy}");
         }
     }
@@ -420,7 +420,7 @@
     list_rollout(&vm, rollout(&at(0, 8), "v3", json!("in_progress")), &at(0, 9));
     list_rollout(&vm, rollout(&at(1, 4), "v2", json!("completed")), &at(1, 5));
     assert_eq!(known_rollout(&vm), ("v3".into(), Some(Phase::Running { share: 0.1 })));
-    learn::take(&vm, Kind::Rollouts, &rollout(&at(1, 6), "v3", Value::Null), &at(1, 6));
+    apply::apply_object(&vm, Kind::Rollouts, &rollout(&at(1, 6), "v3", Value::Null), &at(1, 6));
     assert_eq!(known_rollout(&vm), ("v3".into(), Some(Phase::Running { share: 0.1 })));
 }
 
@@ -429,7 +429,7 @@
     let vm = bare_vm();
     list_rollout(&vm, rollout(&at(0, 8), "v3", Value::Null), &at(0, 9));
     list_rollout(&vm, rollout(&at(1, 4), "v2", json!("completed")), &at(1, 5));
-    learn::accept_copy(&vm);
+    apply::accept_restored(&vm);
     assert_eq!(known_rollout(&vm), ("v2".into(), Some(Phase::Completed)));
 }
 
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -12,7 +12,7 @@
 use kitepulley::decide::bound::{Bound, Part, Turns};
 use kitepulley::decide::poison::{Broken, Exchange, Life, Ways};
 use kitepulley::decide::reader::is_stale;
-use kitepulley::forward::{Vm, learn, wake};
+use kitepulley::forward::{Vm, apply, wake};
 use kitepulley::unit::{Moment, Rate, Revision, Span, digest};
 use kitepulley::vm::{Clock, Reading};
 use site::vm_with_clock;
@@ -39,7 +39,7 @@
 
 fn vm_that_proved(read: fn() -> Reading) -> Rc<Vm> {
     let vm = vm_with_clock(Clock::new(read), Some(Span::secs(5)));
-    learn::prove(&vm, vm.now(), Revision(0));
+    apply::record_proof(&vm, vm.now(), Revision(0));
     vm
 }
 
@@ -52,7 +52,7 @@
     sleep(&KEYS_ASLEEP, Span::secs(4));
     assert!(!vm.may_use_keys(vm.now()));
     assert!(!vm.is_ready(vm.now()));
-    learn::prove(&vm, vm.now(), Revision(0));
+    apply::record_proof(&vm, vm.now(), Revision(0));
     assert!(vm.may_use_keys(vm.now()));
     KEYS_AWAKE.fetch_add(1, Ordering::SeqCst);
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -329,7 +329,7 @@
 fn replica(id: &str, born: u64) -> Life {
     Life {
         id: id.parse().unwrap(),
-        born: Some(born),
+        started_at_ms: Some(born),
         service: "api".parse().unwrap(),
         address: "127.0.0.1:9".parse().unwrap(),
         data_centre: "here".parse().unwrap(),
