--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -102,13 +102,14 @@
         };
         let resting = {
             let mut pools = self.services.borrow_mut();
-            pools.entry(to).or_default().take(repeatable, self.clock.now())
+            pools.entry(to).or_default().checkout(repeatable, self.clock.now())
         };
-        let mut connection = pool::connect(resting, to, SERVICE_OPEN).await.map_err(failure)?;
-        let head = connection.ask(head, body).await.map_err(failure)?;
-        let body = connection.whole_body(most).await.map_err(failure)?;
+        let mut connection =
+            pool::reuse_or_open(resting, to, SERVICE_OPEN).await.map_err(failure)?;
+        let head = connection.send(head, body).await.map_err(failure)?;
+        let body = connection.read_body(most).await.map_err(failure)?;
         let mut pools = self.services.borrow_mut();
-        pools.entry(to).or_default().keep(connection, None, self.clock.now());
+        pools.entry(to).or_default().release(connection, None, self.clock.now());
         Ok((head, body))
     }
 
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -5,14 +5,14 @@
 use actix_http::{ResponseHead, StatusCode};
 use bytes::Bytes;
 
-use super::call::Answer;
+use super::call::Response;
 use super::connection::{Connection, Fault};
 use super::crash;
-use super::event::{Batch, Events};
-use super::job::{Job, Open, Waiting};
+use super::job::{Job, OpenRequest, PendingPrompt};
 use super::pool;
 use super::replica::Replica;
 use super::said;
+use super::sse::{Batch, EventBuffer};
 use super::vm::Vm;
 use crate::config::Repeat;
 use crate::decide::bound;
@@ -39,9 +39,9 @@
     /// How it ended.
     pub end: End,
     /// Why, in words, if it is no good end.
-    pub why: String,
+    pub reason: String,
     /// The answer's head, as the server gave it and as it was understood.
-    pub head: Option<(ResponseHead, Answer)>,
+    pub head: Option<(ResponseHead, Response)>,
     /// The body, if it is whole.
     pub body: Bytes,
     /// The rest of a stream.
@@ -53,15 +53,15 @@
     /// Where the rest comes from.
     pub connection: Connection,
     /// Events that arrived and are not passed on.
-    pub events: Events,
+    pub events: EventBuffer,
     /// The first whole events.
-    pub first: Option<Batch>,
+    pub first_batch: Option<Batch>,
     /// Whether the server ended it.
     pub ended: bool,
     /// When its first event, or its end, arrived.
-    pub begun: Moment,
+    pub started_at: Moment,
     /// Counts the request at the server.
-    pub open: Open,
+    pub open: OpenRequest,
 }
 
 impl Stream {
@@ -71,10 +71,10 @@
     /// `Broken` if it broke off, or ended within an event.
     pub async fn read(&mut self) -> Result<(), Fault> {
         let broken = |why: &str| Err(Fault::Broken(why.to_owned()));
-        match self.connection.next_chunk().await? {
+        match self.connection.read_chunk().await? {
             Some(bytes) if self.events.push(&bytes) => Ok(()),
             Some(_) => broken("an event without an end"),
-            None if self.events.has_part() => broken("the stream ended within an event"),
+            None if self.events.has_partial_event() => broken("the stream ended within an event"),
             None => {
                 self.ended = true;
                 Ok(())
@@ -85,7 +85,7 @@
 
 impl Outcome {
     fn without_answer(end: End, why: impl Into<String>) -> Outcome {
-        Outcome { end, why: why.into(), head: None, body: Bytes::new(), stream: None }
+        Outcome { end, reason: why.into(), head: None, body: Bytes::new(), stream: None }
     }
 }
 
@@ -95,12 +95,12 @@
     replica: &Replica,
     model: Option<&Model>,
     after_event: Option<u64>,
-    waiting: Waiting,
+    waiting: PendingPrompt,
     until: Moment,
 ) -> Outcome {
     let vm = &job.vm;
-    let open = Open::new(vm, replica);
-    let over = open.over();
+    let open = OpenRequest::new(vm, replica);
+    let over = open.server_restarted();
     let mut sent = false;
     let left = until.since(vm.now()).duration();
     let exchange = exchange(job, replica, model, after_event, &waiting, open, &mut sent);
@@ -117,7 +117,7 @@
     drop(waiting);
     note(job, replica, &outcome);
     if outcome.end == End::Broken || is_lost {
-        crash::suspect(vm, replica, Broken { content: job.content, ran: false });
+        crash::on_broken_response(vm, replica, Broken { content: job.content, ran: false });
     }
     outcome
 }
@@ -128,7 +128,7 @@
     let now = vm.now();
     let end = format!("{:?}", outcome.end);
     vm.metrics.attempts.with_label_values(&[job.service.as_str(), end.as_str()]).inc();
-    job.record.ended(outcome.end, &outcome.why, now);
+    job.record.add_attempt_end(outcome.end, &outcome.reason, now);
     let mut fleet = vm.fleet.borrow_mut();
     let usual = fleet.failures(&job.service, now);
     let Some(server) = fleet.life_mut(replica) else { return };
@@ -136,7 +136,7 @@
         server.load.hear(load.running + load.waiting, now);
     }
     let is_another =
-        |(head, _): &(ResponseHead, Answer)| head.status == StatusCode::MISDIRECTED_REQUEST;
+        |(head, _): &(ResponseHead, Response)| head.status == StatusCode::MISDIRECTED_REQUEST;
     if outcome.head.as_ref().is_some_and(is_another) {
         server.standing.note_another();
     }
@@ -148,7 +148,7 @@
             "server left out",
             &[
                 ("server", replica.id.as_str().into()),
-                ("after", outcome.why.as_str().into()),
+                ("after", outcome.reason.as_str().into()),
                 ("failures", failures.into()),
                 ("usual_failures", usual.into()),
             ],
@@ -161,8 +161,8 @@
     replica: &Replica,
     model: Option<&Model>,
     after_event: Option<u64>,
-    waiting: &Waiting,
-    open: Open,
+    waiting: &PendingPrompt,
+    open: OpenRequest,
     sent: &mut bool,
 ) -> Outcome {
     let vm = &job.vm;
@@ -170,19 +170,19 @@
     let now = vm.now();
     let resting = {
         let mut fleet = vm.fleet.borrow_mut();
-        fleet.life_mut(replica).and_then(|server| server.pool.take(repeatable, now))
+        fleet.life_mut(replica).and_then(|server| server.pool.checkout(repeatable, now))
     };
-    let mut connection = match pool::connect(resting, replica.address, OPEN_WITHIN).await {
+    let mut connection = match pool::reuse_or_open(resting, replica.address, OPEN_WITHIN).await {
         Ok(connection) => connection,
         Err(fault) => return broken(fault),
     };
     let forbidden = vm.fleet.borrow().forbids(replica, vm.now());
     if let Some(bar) = forbidden {
-        keep(job, replica, connection, None);
+        release_connection(job, replica, connection, None);
         return Outcome::without_answer(End::Withheld, bar.to_string());
     }
     if let Err(why) = waiting.turn.spend(vm.now()) {
-        keep(job, replica, connection, None);
+        release_connection(job, replica, connection, None);
         return Outcome::without_answer(End::Withheld, why.to_string());
     }
     let extra = Extra {
@@ -190,7 +190,7 @@
         left: job.left(vm.now()),
         workspace: job.holder.as_ref().map(|holder| &holder.workspace),
         model,
-        priority: job.route.streams.then(|| job.rank(waiting.reads, vm.now())),
+        priority: job.route.streams.then(|| job.priority(waiting.prefill_time, vm.now())),
         after_event,
     };
     let head = header::request(&job.head, &extra);
@@ -206,7 +206,7 @@
     if head.status.is_success() && job.route.streams {
         return first_event(vm, connection, open, head, answer).await;
     }
-    let body = match connection.whole_body(LARGEST).await {
+    let body = match connection.read_body(LARGEST).await {
         Ok(body) => body,
         Err(fault) => return broken(fault),
     };
@@ -215,9 +215,9 @@
         (false, true) => End::Failed,
         (false, false) => End::Good,
     };
-    keep(job, replica, connection, answer.rest);
+    release_connection(job, replica, connection, answer.idle_timeout);
     let why = if end == End::Good { String::new() } else { head.status.as_str().to_owned() };
-    Outcome { end, why, head: Some((head, answer)), body, stream: None }
+    Outcome { end, reason: why, head: Some((head, answer)), body, stream: None }
 }
 
 /// Sends, and reads heads until one answers this request.
@@ -226,9 +226,9 @@
     replica: &Replica,
     connection: &mut Connection,
     head: actix_http::RequestHead,
-) -> Result<(ResponseHead, Answer), Fault> {
+) -> Result<(ResponseHead, Response), Fault> {
     let asked = job.vm.now();
-    let mut head = connection.ask(head, &job.body).await?;
+    let mut head = connection.send(head, &job.body).await?;
     for _ in 0..=STRANGERS {
         let answer = header::answer(&head);
         note_unknown(job, replica, &head);
@@ -244,8 +244,8 @@
             return Err(Fault::Broken("an answer without an id".to_owned()));
         }
         // The answer of an earlier request; ours is due behind it.
-        connection.whole_body(LARGEST).await?;
-        head = connection.next_head().await?;
+        connection.read_body(LARGEST).await?;
+        head = connection.read_head().await?;
     }
     Err(Fault::Broken("answers for other requests only".to_owned()))
 }
@@ -269,7 +269,7 @@
 
 /// Keeps what a server says of itself, as soon as a head has arrived; it holds whatever becomes of the answer. The request that it answers was
 /// sent at `asked`, if it is this one and ran: a refusal that names no limit ends none, since what refuses need not know of the server's need.
-fn heed(job: &Job, replica: &Replica, answer: &Answer, asked: Option<Moment>) {
+fn heed(job: &Job, replica: &Replica, answer: &Response, asked: Option<Moment>) {
     // The head of another server that has its address now.
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
         return;
@@ -281,12 +281,12 @@
         let Some(server) = fleet.life_mut(replica) else { return };
         let standing = &mut server.standing;
         let limited = standing.limit.hear(answer.limit, asked.unwrap_or_default(), now);
-        (standing.hear(answer.said, now), limited, standing.limit.rate(now))
+        (standing.hear(answer.signal, now), limited, standing.limit.rate(now))
     };
     said::tell_limit(vm, replica);
     let news = [
-        ("leaves", heard && answer.said.leaves),
-        ("rest", heard && !answer.said.leaves),
+        ("leaves", heard && answer.signal.leaves),
+        ("rest", heard && !answer.signal.leaves),
         ("limit", limited),
         ("unreadable limit", answer.limit == bound::Word::Unreadable),
     ];
@@ -298,21 +298,21 @@
     if is_news {
         log_said(job, replica, answer, rate);
     }
-    if heard && answer.said.leaves {
+    if heard && answer.signal.leaves {
         said::tell_leave(vm, replica);
     }
 }
 
 /// Tells what the head of an answer said of its server, which now has this limit.
-fn log_said(job: &Job, replica: &Replica, answer: &Answer, limit: Option<Rate>) {
+fn log_said(job: &Job, replica: &Replica, answer: &Response, limit: Option<Rate>) {
     let is_read = answer.limit != bound::Word::Unreadable;
     let fields = [
         ("server", replica.id.as_str().into()),
         ("born_ms", replica.born.unwrap_or_default().into()),
         ("request", job.call.id.as_str().into()),
         ("status", u32::from(answer.status.as_u16()).into()),
-        ("leaves", answer.said.leaves.into()),
-        ("rest_ms", answer.said.rest.map_or(-1.0, Span::as_millis).into()),
+        ("leaves", answer.signal.leaves.into()),
+        ("rest_ms", answer.signal.rest.map_or(-1.0, Span::as_millis).into()),
         ("limit_per_s", limit.map_or(-1.0, |rate| rate.0).into()),
         ("limit_read", is_read.into()),
     ];
@@ -322,26 +322,27 @@
 async fn first_event(
     vm: &Vm,
     connection: Connection,
-    open: Open,
+    open: OpenRequest,
     head: ResponseHead,
-    answer: Answer,
+    answer: Response,
 ) -> Outcome {
-    let events = Events::default();
+    let events = EventBuffer::default();
     let begun = vm.now();
-    let mut stream = Stream { connection, events, first: None, ended: false, begun, open };
+    let mut stream =
+        Stream { connection, events, first_batch: None, ended: false, started_at: begun, open };
     loop {
-        stream.first = stream.events.take();
-        if stream.first.is_some() || stream.ended {
+        stream.first_batch = stream.events.take_complete();
+        if stream.first_batch.is_some() || stream.ended {
             break;
         }
         if let Err(fault) = stream.read().await {
             return broken(fault);
         }
     }
-    stream.begun = vm.now();
+    stream.started_at = vm.now();
     Outcome {
         end: End::Good,
-        why: String::new(),
+        reason: String::new(),
         head: Some((head, answer)),
         body: Bytes::new(),
         stream: Some(stream),
@@ -356,10 +357,15 @@
 }
 
 /// Lets a connection rest for the next request.
-pub fn keep(job: &Job, replica: &Replica, connection: Connection, rest: Option<Span>) {
+pub fn release_connection(
+    job: &Job,
+    replica: &Replica,
+    connection: Connection,
+    rest: Option<Span>,
+) {
     let vm: &Rc<super::Vm> = &job.vm;
     let now = vm.now();
     if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
-        server.pool.keep(connection, rest, now);
+        server.pool.release(connection, rest, now);
     }
 }
--- a/src/forward/call.rs
+++ b/src/forward/call.rs
@@ -16,9 +16,9 @@
     /// The path, without a query.
     pub path: String,
     /// The workspace's key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Time that the caller waits.
-    pub patience: Span,
+    pub timeout: Span,
     /// Whether the system is to choose the model.
     pub any_model: bool,
     /// The model, if the caller named one.
@@ -28,7 +28,7 @@
     /// The session, if it belongs to one.
     pub session: Option<String>,
     /// The last event that the caller has, if it goes on with a stream.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// A part of a prompt that other requests may share.
@@ -42,7 +42,7 @@
 
 /// What the head of a server's answer says.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: StatusCode,
     /// The id of the request that it answers.
@@ -54,7 +54,7 @@
     /// Whether the body is encoded; servers never do that.
     pub encoded: bool,
     /// Whether the server leaves, or wants rest.
-    pub said: Said,
+    pub signal: Said,
     /// What it says of a limit.
     pub limit: bound::Word,
     /// The server's load.
@@ -62,7 +62,7 @@
     /// The model's own rough opinion of its answer, 0 to 100.
     pub confidence: Option<f64>,
     /// Time that the connection may rest.
-    pub rest: Option<Span>,
+    pub idle_timeout: Option<Span>,
 }
 
 /// A server's load as it told it.
--- a/src/forward/connection.rs
+++ b/src/forward/connection.rs
@@ -87,7 +87,7 @@
     }
 
     /// Whether nothing has arrived that nobody asked for, and the peer has not closed.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let nothing = self.io.try_read(&mut [0u8; 1]);
         self.read.is_empty() && matches!(nothing, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// `NotSent` if no byte left, else `Broken`.
-    pub async fn ask(&mut self, head: RequestHead, body: &Bytes) -> Result<ResponseHead, Fault> {
+    pub async fn send(&mut self, head: RequestHead, body: &Bytes) -> Result<ResponseHead, Fault> {
         let bytes = self.encode(head, body)?;
         let mut sent = 0;
         while sent < bytes.len() {
@@ -120,7 +120,7 @@
             }
         }
         self.whole_request = sent == bytes.len();
-        self.next_head().await
+        self.read_head().await
     }
 
     fn encode(&mut self, mut head: RequestHead, body: &Bytes) -> Result<BytesMut, Fault> {
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// `Broken`, whatever was sent before may have run.
-    pub async fn next_head(&mut self) -> Result<ResponseHead, Fault> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, Fault> {
         loop {
             let codec = self.codec.as_mut();
             let codec = codec.ok_or_else(|| Fault::Broken("a body is still read".to_owned()))?;
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     /// `Broken` if the connection ended before the last byte or the framing is wrong.
-    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Fault> {
+    pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, Fault> {
         loop {
             match &mut self.body {
                 Body::Ended => return Ok(None),
@@ -230,9 +230,9 @@
     ///
     /// # Errors
     /// `Broken` if it is not whole, or too long.
-    pub async fn whole_body(&mut self, most: usize) -> Result<Bytes, Fault> {
+    pub async fn read_body(&mut self, most: usize) -> Result<Bytes, Fault> {
         let mut whole = BytesMut::new();
-        while let Some(bytes) = self.next_chunk().await? {
+        while let Some(bytes) = self.read_chunk().await? {
             if whole.len() + bytes.len() > most {
                 return Err(Fault::Broken(format!("the answer is longer than {most} bytes")));
             }
@@ -243,7 +243,7 @@
 
     /// Whether another request may be sent, now that the answer was read.
     pub fn is_reusable(&self) -> bool {
-        self.keeps && matches!(self.body, Body::Ended) && self.codec.is_some() && self.is_quiet()
+        self.keeps && matches!(self.body, Body::Ended) && self.codec.is_some() && self.is_idle()
     }
 
     async fn fill(&mut self, at_end: &str) -> Result<(), Fault> {
--- a/src/forward/content.rs
+++ b/src/forward/content.rs
@@ -11,7 +11,12 @@
 use crate::unit::{Digest, digest};
 
 /// The content of a request.
-pub fn of(head: &RequestHead, call: &Call, holder: Option<&Holder>, body: &[u8]) -> Digest {
+pub fn request_digest(
+    head: &RequestHead,
+    call: &Call,
+    holder: Option<&Holder>,
+    body: &[u8],
+) -> Digest {
     let target = head.uri.path_and_query().map_or("", |target| target.as_str());
     let workspace = holder.map_or("", |holder| holder.workspace.as_str());
     let texts = [head.method.as_str(), &call.host, target, workspace];
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -26,7 +26,7 @@
 }
 
 /// The answer to a request broke off at a life of a server.
-pub fn suspect(vm: &Rc<Vm>, replica: &Replica, request: Broken) {
+pub fn on_broken_response(vm: &Rc<Vm>, replica: &Replica, request: Broken) {
     match next(&mut vm.fleet.borrow_mut(), replica, request) {
         Next::IsOver => {}
         Next::Check => {
--- a/src/forward/drive.rs
+++ b/src/forward/dispatch.rs
@@ -4,11 +4,11 @@
 use bytes::Bytes;
 
 use super::attempt::{self, Outcome, Stream};
-use super::call::Answer;
-use super::choice::{self, Place};
+use super::call::Response;
 use super::job::Job;
 use super::poison;
 use super::replica::Replica;
+use super::selection::{self, Placement};
 use super::watched::Watched;
 use crate::config::Repeat;
 use crate::decide::ends::{self, End, Last, Next};
@@ -25,15 +25,15 @@
 /// What the caller gets.
 pub enum Reply {
     /// A whole answer of a server.
-    Whole(Box<(ResponseHead, Bytes)>),
+    Complete(Box<(ResponseHead, Bytes)>),
     /// A stream.
-    Stream(Box<Begun>),
+    Stream(Box<StartedStream>),
     /// An answer of this VM's own.
     Refused(Refusal),
 }
 
 /// A stream that has begun, and who sends it.
-pub struct Begun {
+pub struct StartedStream {
     /// The head of the first server.
     pub head: ResponseHead,
     /// The rest.
@@ -76,8 +76,8 @@
         if job.left(now) < LEAST {
             return give_up(job, progress, End::Late);
         }
-        let wish = job.wish(model.as_ref(), &progress.tried);
-        let Some(place) = job.place(&wish).await else {
+        let wish = job.criteria(model.as_ref(), &progress.tried);
+        let Some(place) = job.wait_for_server(&wish).await else {
             if fall_back(job, &mut progress, &mut model, vm.now()) {
                 continue;
             }
@@ -90,7 +90,7 @@
         let replica = &place.replica;
         vm.metrics.added.observe(now.since(job.arrived).as_secs());
         let left = job.route.attempts.saturating_sub(sends(job, &progress));
-        let until = job.patience(left, place.until_read, now);
+        let until = job.attempt_deadline(left, place.until_prefilled, now);
         let outcome = try_at(job, &place, model.as_ref(), until).await;
         progress.tried.push(replica.clone());
         let ended = vm.now();
@@ -145,21 +145,21 @@
 }
 
 /// One attempt, and what this VM learns from it.
-async fn try_at(job: &Job, place: &Place, model: Option<&Model>, until: Moment) -> Outcome {
+async fn try_at(job: &Job, place: &Placement, model: Option<&Model>, until: Moment) -> Outcome {
     let replica = &place.replica;
     let vm = &job.vm;
     let begun = vm.now();
     let named = model.or(job.call.model.as_ref());
-    let (sent, waiting) = job.send(place, model);
-    let mut trial = Watched::new(job, replica, begun, sent.expected);
-    let attempt = attempt::run(job, replica, model, job.call.after_event, waiting, until);
+    let (sent, waiting) = job.begin_attempt(place, model);
+    let mut trial = Watched::new(job, replica, begun, sent.expected_time);
+    let attempt = attempt::run(job, replica, model, job.call.last_event_id, waiting, until);
     let outcome = trial.wait(attempt).await;
     trial.ended(outcome.end);
     if outcome.end == End::Good {
         let took = vm.now().since(begun);
-        vm.learn_pace(named, sent.unread, took);
-        if sent.expected.is_some() {
-            let waited = Span(took.0.saturating_sub(sent.reads.0));
+        vm.learn_pace(named, sent.uncached_tokens, took);
+        if sent.expected_time.is_some() {
+            let waited = Span(took.0.saturating_sub(sent.prefill_time.0));
             vm.note_wait(&job.service, waited, job.route.goal);
         }
     }
@@ -203,18 +203,18 @@
     let (_, answer) = outcome.head.as_ref()?;
     let confidence = answer.confidence? / 100.0;
     let larger = larger_model(job, model)?;
-    let place = choice::server(&job.vm, &job.wish(Some(&larger), &[]), now)?;
+    let place = selection::select_server(&job.vm, &job.criteria(Some(&larger), &[]), now)?;
     let left = (job.arrived + job.route.goal).since(now);
     let pressure = job.vm.pressure(&job.service, now);
     let known = escalate::Known {
         confidence,
         keep_from: job.vm.settings.keep_confidence / 100.0,
         pressure,
-        waits: Span(place.until_read.0 - place.reads.0),
-        reads: place.reads,
+        waits: Span(place.until_prefilled.0 - place.prefill_time.0),
+        reads: place.prefill_time,
         left,
     };
-    job.record.weighed(&known);
+    job.record.add_escalation_check(&known);
     let may = escalate::gives_way(&known) && job.vm.spend_spare(&job.service, now);
     may.then_some(larger)
 }
@@ -253,25 +253,25 @@
     outcome: Outcome,
     progress: Progress,
 ) -> Reply {
-    job.record.answered(job.vm.now());
+    job.record.mark_response_started(job.vm.now());
     let Some((head, answer)) = outcome.head else {
         return unknown(job, "an answer without a head");
     };
     if let Some(stream) = outcome.stream {
         let tried = progress.tried;
-        return Reply::Stream(Box::new(Begun { head, stream, replica, model, tried }));
+        return Reply::Stream(Box::new(StartedStream { head, stream, replica, model, tried }));
     }
     if promises_not_run(&answer) {
         return unknown(job, "a failure that promises too much");
     }
     poison::ran_well(&job.vm, job.content);
     job.record.set_outcome(head.status.as_str());
-    Reply::Whole(Box::new((head, outcome.body)))
+    Reply::Complete(Box::new((head, outcome.body)))
 }
 
 /// Whether callers would take an answer for the promise that the request did not run, which the
 /// server did not give.
-fn promises_not_run(answer: &Answer) -> bool {
+fn promises_not_run(answer: &Response) -> bool {
     matches!(answer.status.as_u16(), 408 | 421 | 429 | 503) && !answer.not_run
 }
 
@@ -299,13 +299,13 @@
         let answer = crate::platform::header::answer(&head);
         if !promises_not_run(&answer) {
             job.record.set_outcome(head.status.as_str());
-            return Reply::Whole(Box::new((head, body)));
+            return Reply::Complete(Box::new((head, body)));
         }
     }
     match ends::last(end, progress.may_have_run) {
         Last::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
         Last::Refused => {
-            let again = choice::come_back(&job.vm, &job.wish(None, &[]), job.vm.now());
+            let again = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
             refuse(job, Refusal { again, ..Refusal::new(Kind::NoServer) })
         }
         Last::Unknown | Last::Delivered if !progress.may_have_run => {
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -10,8 +10,8 @@
 
 use super::bounded::Turn;
 use super::call::Call;
-use super::choice::{self, Passed, Place, Sent, Wait, Why, Wish};
 use super::replica::Replica;
+use super::selection::{self, Criteria, Estimate, Placement, Reason, Skipped, Wait};
 use super::vm::Vm;
 use crate::config::{Holder, Repeat, Route};
 use crate::decide::ends::End;
@@ -61,7 +61,7 @@
 
     /// Until when an attempt at a server may bring nothing, with so many attempts left, it among them: what may run elsewhere does not spend all
     /// its time on a server that says nothing. Its prompt is expected to be read within `until_read`.
-    pub fn patience(&self, attempts_left: u32, until_read: Span, now: Moment) -> Moment {
+    pub fn attempt_deadline(&self, attempts_left: u32, until_read: Span, now: Moment) -> Moment {
         if attempts_left <= 1 {
             return self.deadline;
         }
@@ -78,29 +78,29 @@
     }
 
     /// What it wants of its server; `model` is the one that the system chose, if it did.
-    pub fn wish<'a>(&'a self, model: Option<&'a Model>, tried: &'a [Replica]) -> Wish<'a> {
+    pub fn criteria<'a>(&'a self, model: Option<&'a Model>, tried: &'a [Replica]) -> Criteria<'a> {
         let model = model.or(self.call.model.as_ref());
         let of_workspace = self.holder.as_ref().map(|holder| &holder.regions);
         let regions = [Some(&self.route.regions), of_workspace];
         let (service, call) = (&self.service, &self.call);
-        Wish { service, call, bytes: self.body.len(), regions, model, tried }
+        Criteria { service, call, body_bytes: self.body.len(), regions, model, tried }
     }
 
     /// The server for it, after a wait for a turn at one that bears only so much or the end of a rest if no other takes it: a wait is worth while as
     /// long as the answer can come within its goal, or if that has passed, within its time. None if nothing takes it by then.
-    pub async fn place(&self, wish: &Wish<'_>) -> Option<Place> {
+    pub async fn wait_for_server(&self, wish: &Criteria<'_>) -> Option<Placement> {
         let vm = &self.vm;
         let goal = self.arrived + self.route.goal;
         let until = if vm.now() < goal { goal.min(self.deadline) } else { self.deadline };
         loop {
             let now = vm.now();
-            if let Some(place) = choice::server(vm, wish, now) {
+            if let Some(place) = selection::select_server(vm, wish, now) {
                 return Some(place);
             }
-            let wait = choice::wait(vm, wish, until, now)?;
-            self.record.waits(&wait, now);
+            let wait = selection::next_wait(vm, wish, until, now)?;
+            self.record.add_wait(&wait, now);
             tokio::time::sleep(wait.until.since(now).duration()).await;
-            if let Some(place) = choice::at_turn(vm, wish, wait, vm.now()) {
+            if let Some(place) = selection::select_after_wait(vm, wish, wait, vm.now()) {
                 return Some(place);
             }
         }
@@ -108,20 +108,24 @@
 
     /// Notes that it is about to be sent to a server, and what is expected of that. Its prompt
     /// counts as unread there until the second part is dropped.
-    pub fn send(&self, place: &Place, model: Option<&Model>) -> (Sent, Waiting) {
+    pub fn begin_attempt(
+        &self,
+        place: &Placement,
+        model: Option<&Model>,
+    ) -> (Estimate, PendingPrompt) {
         let now = self.vm.now();
         let named = model.or(self.call.model.as_ref());
-        let sent = choice::sent(&self.vm, place, &self.call, named, now);
+        let sent = selection::record_send(&self.vm, place, &self.call, named, now);
         let turn = place.turn.clone().unwrap_or_else(|| {
             let mut fleet = self.vm.fleet.borrow_mut();
             Rc::new(Turn::take(&self.vm, &mut fleet, &place.replica, now))
         });
-        self.record.attempt(place, named, &sent, now);
-        (sent, Waiting::new(&self.vm, &place.replica, sent.reads, turn))
+        self.record.add_attempt(place, named, &sent, now);
+        (sent, PendingPrompt::new(&self.vm, &place.replica, sent.prefill_time, turn))
     }
 
     /// Rank at a server, 0 to 9: the workspace's comes before that of the reading.
-    pub fn rank(&self, reads: Span, now: Moment) -> u32 {
+    pub fn priority(&self, reads: Span, now: Moment) -> u32 {
         let workspace = self.holder.as_ref().map_or(0, |holder| holder.priority);
         let goal = self.arrived + self.route.goal;
         rank::of(workspace, reads, goal.since(now))
@@ -184,7 +188,13 @@
     }
 
     /// A send to a server is about to begin, and what is expected of it.
-    pub fn attempt(&self, place: &Place, model: Option<&Model>, sent: &Sent, now: Moment) {
+    pub fn add_attempt(
+        &self,
+        place: &Placement,
+        model: Option<&Model>,
+        sent: &Estimate,
+        now: Moment,
+    ) {
         self.attempts.set(self.attempts.get() + 1);
         *self.version.borrow_mut() = Some(place.replica.version.clone());
         self.note_session(now);
@@ -195,18 +205,18 @@
         let after = now.since(self.arrived).0 / 1000;
         // Writing to a string cannot fail.
         let _ = write!(trail, "{after}ms {}", place.replica.id);
-        if place.why != Why::Settled {
-            let _ = write!(trail, " {} ({})", place.replica.version, place.why);
+        if place.reason != Reason::Settled {
+            let _ = write!(trail, " {} ({})", place.replica.version, place.reason);
         }
-        if place.passed != Passed::default() {
-            let _ = write!(trail, " {}", place.passed);
+        if place.skipped != Skipped::default() {
+            let _ = write!(trail, " {}", place.skipped);
         }
         if let Some(model) = model {
             let _ = write!(trail, " {model}");
         }
-        if let Some(expected) = sent.expected {
-            let _ = write!(trail, " unread {} of {}", sent.unread, sent.prompt);
-            let _ = write!(trail, " waits {} reads {}", sent.waits, sent.reads);
+        if let Some(expected) = sent.expected_time {
+            let _ = write!(trail, " unread {} of {}", sent.uncached_tokens, sent.prompt_tokens);
+            let _ = write!(trail, " waits {} reads {}", sent.queue_time, sent.prefill_time);
             let _ = write!(trail, " within {expected}");
         }
         let _ = write!(trail, " load {:.0}", sent.load);
@@ -223,12 +233,12 @@
         let version = self.version.borrow();
         if let (Some(session), Some(version)) = (&self.session, version.as_ref()) {
             let gap = self.vm.settings.bounds.session_gap;
-            self.vm.sessions.borrow_mut().note(session, version, gap, now);
+            self.vm.sessions.borrow_mut().record(session, version, gap, now);
         }
     }
 
     /// Nothing takes it now, and it waits.
-    pub fn waits(&self, wait: &Wait, now: Moment) {
+    pub fn add_wait(&self, wait: &Wait, now: Moment) {
         let what = match wait.turn {
             Some(_) => "turn at a bounded server",
             None => "end of a rest",
@@ -238,7 +248,7 @@
     }
 
     /// It was weighed whether a small model's answer gives way.
-    pub fn weighed(&self, known: &escalate::Known) {
+    pub fn add_escalation_check(&self, known: &escalate::Known) {
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " confidence {:.2}", known.confidence);
         let _ = write!(trail, " pressure {:.2}", known.pressure);
@@ -247,7 +257,7 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&self, end: End, why: &str, now: Moment) {
+    pub fn add_attempt_end(&self, end: End, why: &str, now: Moment) {
         let after = now.since(self.arrived).0 / 1000;
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " -> {after}ms {end:?}");
@@ -257,7 +267,7 @@
     }
 
     /// The answer, or its first event, is on its way to the caller.
-    pub fn answered(&self, now: Moment) {
+    pub fn mark_response_started(&self, now: Moment) {
         self.first.set(Some(now.since(self.arrived)));
     }
 
@@ -304,58 +314,58 @@
 }
 
 /// A prompt of which no event has come yet; it counts as unread at that life of its server while this is held.
-pub struct Waiting {
+pub struct PendingPrompt {
     vm: Rc<Vm>,
     replica: Replica,
     /// Time that the server needs to read it.
-    pub reads: Span,
+    pub prefill_time: Span,
     /// Its turn, if the server bears only so much.
     pub turn: Rc<Turn>,
 }
 
-impl Waiting {
-    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> Waiting {
+impl PendingPrompt {
+    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> PendingPrompt {
         if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
             server.backlog.wait_for(reads);
         }
-        Waiting { vm: vm.clone(), replica: replica.clone(), reads, turn }
+        PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time: reads, turn }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingPrompt {
     fn drop(&mut self) {
         if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
-            server.backlog.came(self.reads);
+            server.backlog.came(self.prefill_time);
         }
     }
 }
 
 /// A request that is open at a server; it is counted at that life of it while this is held.
-pub struct Open {
+pub struct OpenRequest {
     vm: Rc<Vm>,
     replica: Replica,
     over: Rc<Notify>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Counts a request at a server.
-    pub fn new(vm: &Rc<Vm>, replica: &Replica) -> Open {
+    pub fn new(vm: &Rc<Vm>, replica: &Replica) -> OpenRequest {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.life_mut(replica);
         let over = server.map(|server| {
             server.load.add();
             server.over.clone()
         });
-        Open { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
+        OpenRequest { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
     }
 
     /// Wakes when a later life of the server begins, so that this request is lost there.
-    pub fn over(&self) -> Rc<Notify> {
+    pub fn server_restarted(&self) -> Rc<Notify> {
         self.over.clone()
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
             server.load.remove();
--- a/src/forward/door.rs
+++ b/src/forward/listener.rs
@@ -18,7 +18,7 @@
 use super::bounded;
 use super::call::Call;
 use super::content;
-use super::drive::{self, Reply};
+use super::dispatch::{self, Reply};
 use super::job::{Job, Record};
 use super::relay;
 use super::vm::Vm;
@@ -51,7 +51,7 @@
 /// Time that the balancer's questions and readers of counters may take.
 const QUESTION_WITHIN: Duration = Duration::from_secs(5);
 
-type Answer = Response<BoxBody>;
+type HttpResponse = Response<BoxBody>;
 
 /// Binds an address for callers.
 ///
@@ -131,7 +131,10 @@
     .await;
 }
 
-async fn serve_questions(listener: TcpListener, reply: impl Fn(&Request) -> Answer + 'static) {
+async fn serve_questions(
+    listener: TcpListener,
+    reply: impl Fn(&Request) -> HttpResponse + 'static,
+) {
     let reply = Rc::new(reply);
     let service = HttpService::build()
         .client_request_timeout(QUESTION_WITHIN)
@@ -164,7 +167,7 @@
 }
 
 /// Answers one request of a caller.
-async fn answer(vm: Rc<Vm>, mut request: Request) -> Answer {
+async fn answer(vm: Rc<Vm>, mut request: Request) -> HttpResponse {
     let arrived = vm.now();
     let call = header::call(request.head());
     let id = header::answer_id(&call);
@@ -173,10 +176,10 @@
     let admitted = admit(&vm, &call, payload, &mut record).await;
     let mut response = match admitted {
         Ok(Admitted { route, holder, body }) => {
-            let deadline = arrived + call.patience.min(route.timeout);
+            let deadline = arrived + call.timeout.min(route.timeout);
             let weight = hash::point(hash::stable(&[call.id.as_str()]));
             let head = request.head().clone();
-            let content = content::of(&head, &call, holder.as_deref(), &body);
+            let content = content::request_digest(&head, &call, holder.as_deref(), &body);
             record.set_content(content);
             match route.service(weight).cloned() {
                 Some(service) => {
@@ -198,13 +201,13 @@
                 }
                 None => {
                     record.set_outcome("no service");
-                    refusal(&vm, &Refusal::new(Kind::NoServer), call.patience)
+                    refusal(&vm, &Refusal::new(Kind::NoServer), call.timeout)
                 }
             }
         }
         Err(refused) => {
             record.set_outcome(refused.kind.row().name);
-            refusal(&vm, &refused, call.patience)
+            refusal(&vm, &refused, call.timeout)
         }
     };
     if let Some((name, value)) = id.filter(|(name, _)| !response.headers().contains_key(name)) {
@@ -233,7 +236,7 @@
     let table = vm.routes().ok_or_else(|| Refusal::new(Kind::Behind))?;
     let most = table.limits.body;
     let body = read(payload, most);
-    let body = tokio::time::timeout(call.patience.duration(), body).await;
+    let body = tokio::time::timeout(call.timeout.duration(), body).await;
     let body = body.map_err(|_| Refusal::new(Kind::Malformed))??;
     let (table, found) = match allowed(&table, call) {
         Ok(found) => (table, Ok(found)),
@@ -280,7 +283,7 @@
     if !table.keyed || route.public {
         return Ok((route, None));
     }
-    let holder = call.key.as_deref().and_then(|key| table.holder(key));
+    let holder = call.api_key.as_deref().and_then(|key| table.holder(key));
     let holder = holder.ok_or_else(|| Refusal::new(Kind::Unauthorised))?.clone();
     Ok((route, Some(holder)))
 }
@@ -326,10 +329,10 @@
     Ok(whole.freeze())
 }
 
-async fn forward(job: Job) -> Answer {
+async fn forward(job: Job) -> HttpResponse {
     let vm = job.vm.clone();
-    match drive::run(&job).await {
-        Reply::Whole(whole) => {
+    match dispatch::run(&job).await {
+        Reply::Complete(whole) => {
             let (head, body) = *whole;
             relayed(&head, BoxBody::new(body))
         }
@@ -343,7 +346,7 @@
 }
 
 /// A server's answer, with its status and headers as they are.
-fn relayed(head: &ResponseHead, body: BoxBody) -> Answer {
+fn relayed(head: &ResponseHead, body: BoxBody) -> HttpResponse {
     let mut response = Response::with_body(head.status, body);
     for (name, value) in header::answer_headers(head) {
         response.headers_mut().append(name, value);
@@ -352,7 +355,7 @@
 }
 
 /// An answer of this VM's own.
-fn refusal(vm: &Vm, refused: &Refusal, left: Span) -> Answer {
+fn refusal(vm: &Vm, refused: &Refusal, left: Span) -> HttpResponse {
     let row = refused.kind.row();
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let body = refused.body().to_string();
--- a/src/forward/pool.rs
+++ b/src/forward/pool.rs
@@ -30,14 +30,14 @@
 
 impl Pool {
     /// A resting connection, the one used last; those that are no longer good are closed.
-    pub fn take(&mut self, repeatable: bool, now: Moment) -> Option<Connection> {
+    pub fn checkout(&mut self, repeatable: bool, now: Moment) -> Option<Connection> {
         self.resting.retain(|resting| now < resting.until);
         while let Some(resting) = self.resting.pop() {
             if !repeatable && now.since(resting.since) > FRESH {
                 self.resting.push(resting);
                 return None;
             }
-            if resting.connection.is_quiet() {
+            if resting.connection.is_idle() {
                 return Some(resting.connection);
             }
         }
@@ -45,7 +45,7 @@
     }
 
     /// Keeps a connection whose answer was read whole; `rest` is the time that the server named.
-    pub fn keep(&mut self, connection: Connection, rest: Option<Span>, now: Moment) {
+    pub fn release(&mut self, connection: Connection, rest: Option<Span>, now: Moment) {
         let rest = rest.unwrap_or(REST).min(REST);
         if rest <= MARGIN || self.resting.len() >= MOST || !connection.is_reusable() {
             return;
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// `NotSent` if none opens.
-pub async fn connect(
+pub async fn reuse_or_open(
     resting: Option<Connection>,
     to: std::net::SocketAddr,
     within: Span,
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -7,10 +7,10 @@
 use super::attempt;
 use super::connection::Fault;
 use super::crash;
-use super::drive::Begun;
-use super::event::Batch;
+use super::dispatch::StartedStream;
 use super::job::Job;
 use super::poison;
+use super::sse::Batch;
 use crate::config::Repeat;
 use crate::decide::ends::End;
 use crate::decide::poison::{Broken, RAN_FOR};
@@ -22,7 +22,7 @@
 /// A stream that is passed on.
 struct Relay {
     job: Job,
-    begun: Begun,
+    begun: StartedStream,
     last: Option<u64>,
     unsent: u32,
 }
@@ -40,8 +40,8 @@
 impl std::error::Error for BrokenOff {}
 
 /// The body of the caller's answer. Dropping it closes the server's connection.
-pub fn body(job: Job, begun: Begun) -> impl Pieces<Item = Result<Bytes, BrokenOff>> {
-    let last = job.call.after_event;
+pub fn body(job: Job, begun: StartedStream) -> impl Pieces<Item = Result<Bytes, BrokenOff>> {
+    let last = job.call.last_event_id;
     // The caller left, unless the end is seen.
     job.record.set_outcome("caller left its stream");
     let relay = Relay { job, begun, last, unsent: 0 };
@@ -73,7 +73,7 @@
             let why = match self.ready() {
                 Some(batch) => match self.in_order(&batch) {
                     Ok(()) => {
-                        self.last = batch.last.or(self.last);
+                        self.last = batch.last_id.or(self.last);
                         return Some(Ok(batch.bytes));
                     }
                     Err(why) => why,
@@ -92,12 +92,12 @@
 
     fn ready(&mut self) -> Option<Batch> {
         let stream = &mut self.begun.stream;
-        stream.first.take().or_else(|| stream.events.take())
+        stream.first_batch.take().or_else(|| stream.events.take_complete())
     }
 
     /// Events must follow those that the caller has.
     fn in_order(&self, batch: &Batch) -> Result<(), String> {
-        match (self.last, batch.first) {
+        match (self.last, batch.first_id) {
             (Some(last), Some(first)) if first != last + 1 => {
                 Err(format!("event {first} came after event {last}"))
             }
@@ -107,7 +107,7 @@
 
     async fn read(&mut self) -> Result<(), String> {
         let left = self.job.left(self.job.vm.now()).duration();
-        let over = self.begun.stream.open.over();
+        let over = self.begun.stream.open.server_restarted();
         let read = tokio::time::timeout(left, self.begun.stream.read());
         let read = tokio::select! {
             read = read => read,
@@ -124,7 +124,7 @@
     async fn go_on(&mut self, why: String) -> Result<(), String> {
         let vm = self.job.vm.clone();
         let broken = &self.begun.replica;
-        self.job.record.ended(End::Broken, &why, vm.now());
+        self.job.record.add_attempt_end(End::Broken, &why, vm.now());
         {
             let mut fleet = vm.fleet.borrow_mut();
             let usual = fleet.failures(&self.job.service, vm.now());
@@ -132,8 +132,8 @@
                 server.standing.note(End::Broken, usual, vm.now());
             }
         }
-        let ran = vm.now().since(self.begun.stream.begun) >= RAN_FOR;
-        crash::suspect(&vm, broken, Broken { content: self.job.content, ran });
+        let ran = vm.now().since(self.begun.stream.started_at) >= RAN_FOR;
+        crash::on_broken_response(&vm, broken, Broken { content: self.job.content, ran });
         if self.job.route.repeat != Repeat::Resume {
             return Err(why);
         }
@@ -146,14 +146,14 @@
                 tokio::time::sleep(PAUSE.duration()).await;
                 continue;
             }
-            let wish = self.job.wish(self.begun.model.as_ref(), &self.begun.tried);
-            let Some(place) = self.job.place(&wish).await else {
+            let wish = self.job.criteria(self.begun.model.as_ref(), &self.begun.tried);
+            let Some(place) = self.job.wait_for_server(&wish).await else {
                 return Err(format!("{why}; no other server takes work"));
             };
             let model = self.begun.model.clone();
             let left = self.job.route.attempts.saturating_sub(self.sends());
-            let until = self.job.patience(left, place.until_read, vm.now());
-            let (_, waiting) = self.job.send(&place, model.as_ref());
+            let until = self.job.attempt_deadline(left, place.until_prefilled, vm.now());
+            let (_, waiting) = self.job.begin_attempt(&place, model.as_ref());
             let replica = place.replica;
             let outcome =
                 attempt::run(&self.job, &replica, model.as_ref(), self.last, waiting, until).await;
@@ -179,6 +179,6 @@
     /// Lets the connection of a stream that ended rest.
     fn rest(self) {
         let Relay { job, begun, .. } = self;
-        attempt::keep(&job, &begun.replica, begun.stream.connection, None);
+        attempt::release_connection(&job, &begun.replica, begun.stream.connection, None);
     }
 }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -10,7 +10,7 @@
 use super::kind::Kind;
 use super::settings::Settings;
 use super::vm::Vm;
-use super::{door, follower, kept, peer, poison, proof, restore, steps, wake};
+use super::{follower, kept, listener, peer, poison, proof, restore, steps, wake};
 use crate::error::Error;
 use crate::platform;
 use crate::unit::Span;
@@ -37,9 +37,9 @@
 /// # Errors
 /// If an address cannot be bound.
 pub async fn run(settings: Settings) -> Result<(), Error> {
-    let callers = door::bind(settings.callers)?;
-    let readiness = door::bind(settings.readiness)?;
-    let metrics = settings.metrics.map(door::bind).transpose()?;
+    let callers = listener::bind(settings.callers)?;
+    let readiness = listener::bind(settings.readiness)?;
+    let metrics = settings.metrics.map(listener::bind).transpose()?;
     let lines = Lines::to_standard_output();
     let vm = Rc::new(Vm::new(settings, Clock::default(), lines));
     log_start(&vm);
@@ -56,10 +56,10 @@
     spawn(wake::run(vm.clone()));
     spawn(peer::run(vm.clone()));
     spawn(follower::run(vm.clone()));
-    spawn(door::serve_callers(vm.clone(), callers));
-    spawn(door::serve_readiness(vm.clone(), readiness));
+    spawn(listener::serve_callers(vm.clone(), callers));
+    spawn(listener::serve_readiness(vm.clone(), readiness));
     if let Some(listener) = metrics {
-        spawn(door::serve_metrics(vm.clone(), listener));
+        spawn(listener::serve_metrics(vm.clone(), listener));
     }
     spawn(tell_calls(vm.clone()));
     spawn(write_lines(vm.clone()));
--- a/src/forward/choice/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -18,20 +18,20 @@
 use crate::unit::{Model, Moment, Rate, Service, Span};
 
 use prompt::Prompt;
-pub use version::{Versions, Why};
-use version::{busy, versions};
+pub use version::{Reason, Versions};
+use version::{eligible_versions, trial_servers};
 
 /// Requests that wait for the end of one rest look for a server within so long after it.
 const APART: Span = Span::millis(20);
 
 /// What a request wants of its server.
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// The service.
     pub service: &'a Service,
     /// The request.
     pub call: &'a Call,
     /// Size of its body.
-    pub bytes: usize,
+    pub body_bytes: usize,
     /// Where it may go, by its route and by its workspace, if a key names one.
     pub regions: [Option<&'a Regions>; 2],
     /// The model, if it is known.
@@ -40,7 +40,7 @@
     pub tried: &'a [Replica],
 }
 
-impl Wish<'_> {
+impl Criteria<'_> {
     /// Whether this life of a server was tried before.
     fn has_tried(&self, replica: &Replica) -> bool {
         self.tried.iter().any(|tried| tried.is_life_of(replica))
@@ -55,24 +55,24 @@
 
 /// The server for a request.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Placement {
     /// The server.
     pub replica: Replica,
     /// Time until the prompt is expected to be read there.
-    pub until_read: Span,
+    pub until_prefilled: Span,
     /// The part of it that is the reading of this prompt.
-    pub reads: Span,
+    pub prefill_time: Span,
     /// Why its version.
-    pub why: Why,
+    pub reason: Reason,
     /// Its turn, if it has waited for one.
     pub turn: Option<Rc<Turn>>,
     /// Servers of the service that were passed over though they do not leave.
-    pub passed: Passed,
+    pub skipped: Skipped,
 }
 
 /// How many servers a request could not go to, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct Skipped {
     /// In data centres that an order empties.
     pub emptied: usize,
     /// Cold ones whose turn was not this VM's, or not yet.
@@ -83,8 +83,8 @@
     pub resting: usize,
 }
 
-impl Passed {
-    fn count(fleet: &Fleet, access: &Access, service: &Service, now: Moment) -> Passed {
+impl Skipped {
+    fn count(fleet: &Fleet, access: &Access, service: &Service, now: Moment) -> Skipped {
         let (mut cold, mut limited) = (0, 0);
         for server in fleet.of(service, now).filter(|one| !access.lets(one)) {
             match access.is_cold(server) {
@@ -93,13 +93,13 @@
             }
         }
         let resting = fleet.resting(service, now).count();
-        Passed { emptied: fleet.emptied_of(service), cold, limited, resting }
+        Skipped { emptied: fleet.emptied_of(service), cold, limited, resting }
     }
 }
 
-impl std::fmt::Display for Passed {
+impl std::fmt::Display for Skipped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Passed { emptied, cold, limited, resting } = self;
+        let Skipped { emptied, cold, limited, resting } = self;
         write!(
             f,
             "passing over {emptied} emptied, {cold} cold, {resting} resting, {limited} limited"
@@ -117,17 +117,19 @@
 }
 
 /// What comes by `until`, if anything does.
-pub fn wait(vm: &Rc<Vm>, wish: &Wish, until: Moment, now: Moment) -> Option<Wait> {
-    turn_wait(vm, wish, until, now).or_else(|| rest_wait(vm, wish, until, now))
+pub fn next_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
+    turn_wait(vm, criteria, until, now).or_else(|| rest_wait(vm, criteria, until, now))
 }
 
 /// The end of the first rest. Requests that wait for the same do not all look at one moment.
-fn rest_wait(vm: &Vm, wish: &Wish, until: Moment, now: Moment) -> Option<Wait> {
-    let (versions, _) = versions(vm, wish.service, wish.call, now);
+fn rest_wait(vm: &Vm, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
+    let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let resting = fleet.resting(wish.service, now).filter(|(one, _)| {
+    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| {
         let replica = &one.replica;
-        versions.allow(&replica.version) && wish.allows(vm, one) && !wish.has_tried(replica)
+        versions.contains(&replica.version)
+            && criteria.allows(vm, one)
+            && !criteria.has_tried(replica)
     });
     let left = resting.map(|(_, left)| left).min()?;
     let at = now + left + APART.part(rand::random());
@@ -135,13 +137,15 @@
 }
 
 /// Takes the next turn at a server that bears only so much.
-fn turn_wait(vm: &Rc<Vm>, wish: &Wish, until: Moment, now: Moment) -> Option<Wait> {
-    let (versions, _) = versions(vm, wish.service, wish.call, now);
-    let access = bounded::access(vm, wish.service, now);
+fn turn_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
+    let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
+    let access = bounded::access(vm, criteria.service, now);
     let mut fleet = vm.fleet.borrow_mut();
-    let allowed = fleet.of(wish.service, now).filter(|one| {
+    let allowed = fleet.of(criteria.service, now).filter(|one| {
         let replica = &one.replica;
-        versions.allow(&replica.version) && wish.allows(vm, one) && !wish.has_tried(replica)
+        versions.contains(&replica.version)
+            && criteria.allows(vm, one)
+            && !criteria.has_tried(replica)
     });
     let turns = allowed.filter_map(|one| Some((access.next_turn(one)?, &one.replica)));
     let first =
@@ -153,48 +157,60 @@
 }
 
 /// The server whose turn a request has waited for, if it still takes work.
-pub fn at_turn(vm: &Vm, wish: &Wish, wait: Wait, now: Moment) -> Option<Place> {
+pub fn select_after_wait(
+    vm: &Vm,
+    criteria: &Criteria,
+    wait: Wait,
+    now: Moment,
+) -> Option<Placement> {
     let turn = wait.turn?;
-    let (versions, why) = versions(vm, wish.service, wish.call, now);
+    let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let server = fleet.of(wish.service, now).find(|one| one.replica.id == turn.server().id);
+    let server = fleet.of(criteria.service, now).find(|one| one.replica.id == turn.server().id);
     let server = server
-        .filter(|one| versions.allow(&one.replica.version) && one.standing.bar(now).is_none());
+        .filter(|one| versions.contains(&one.replica.version) && one.standing.bar(now).is_none());
     let place = server.map(|server| {
-        let prompt = Prompt::new(wish, &[server]);
-        Place::of(server, &candidate(vm, wish, &prompt, server, now), why)
+        let prompt = Prompt::new(criteria, &[server]);
+        Placement::of(server, &candidate(vm, criteria, &prompt, server, now), reason)
     });
     // A turn that is given back looks for its server.
     drop(fleet);
-    Some(Place { turn: Some(Rc::new(turn)), ..place? })
+    Some(Placement { turn: Some(Rc::new(turn)), ..place? })
 }
 
-impl Place {
-    fn of(server: &Server, candidate: &Candidate, why: Why) -> Place {
+impl Placement {
+    fn of(server: &Server, candidate: &Candidate, reason: Reason) -> Placement {
         let Candidate { until_read, reads, .. } = *candidate;
         let replica = server.replica.clone();
-        Place { replica, until_read, reads, why, turn: None, passed: Passed::default() }
+        Placement {
+            replica,
+            until_prefilled: until_read,
+            prefill_time: reads,
+            reason,
+            turn: None,
+            skipped: Skipped::default(),
+        }
     }
 }
 
 /// The server for a request; none if none takes work.
-pub fn server(vm: &Vm, wish: &Wish, now: Moment) -> Option<Place> {
-    let (versions, why) = versions(vm, wish.service, wish.call, now);
-    let found = among(vm, wish, &versions, why, now);
-    if found.is_none() && is_back_soon(vm, wish, &versions, why, now) {
+pub fn select_server(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Placement> {
+    let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
+    let found = among(vm, criteria, &versions, reason, now);
+    if found.is_none() && is_back_soon(vm, criteria, &versions, reason, now) {
         return None;
     }
     // While a version is tried, the other serves on if it alone has servers.
     let running = matches!(
-        vm.rollouts.borrow().get(wish.service).map(|one| one.phase),
+        vm.rollouts.borrow().get(criteria.service).map(|one| one.phase),
         Some(Some(Phase::Running { .. }))
     );
     match (found, versions) {
         (None, Versions::Only(version)) if running => {
-            among(vm, wish, &Versions::Except(version), Why::Elsewhere, now)
+            among(vm, criteria, &Versions::Except(version), Reason::Elsewhere, now)
         }
-        (None, Versions::Only(_)) if !vm.rollouts.borrow().contains_key(wish.service) => {
-            among(vm, wish, &Versions::Any, Why::Elsewhere, now)
+        (None, Versions::Only(_)) if !vm.rollouts.borrow().contains_key(criteria.service) => {
+            among(vm, criteria, &Versions::Any, Reason::Elsewhere, now)
         }
         (found, _) => found,
     }
@@ -202,42 +218,60 @@
 
 /// Whether a server of these versions takes requests again in a moment, so that a request stays with its version: it wants rest, or it
 /// named a limit and its turn comes later. What was only drawn for a version goes elsewhere rather than wait for a turn.
-fn is_back_soon(vm: &Vm, wish: &Wish, versions: &Versions, why: Why, now: Moment) -> bool {
+fn is_back_soon(
+    vm: &Vm,
+    criteria: &Criteria,
+    versions: &Versions,
+    reason: Reason,
+    now: Moment,
+) -> bool {
     let fleet = vm.fleet.borrow();
-    let is_meant = |one: &Server| versions.allow(&one.replica.version) && wish.allows(vm, one);
+    let is_meant =
+        |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
     let is_limited = |one: &Server| one.standing.limit.rate(now).is_some();
-    let mut resting = fleet.resting(wish.service, now);
-    let mut taking = fleet.of(wish.service, now);
+    let mut resting = fleet.resting(criteria.service, now);
+    let mut taking = fleet.of(criteria.service, now);
     resting.any(|(one, _)| is_meant(one))
-        || (!matches!(why, Why::Drawn { .. }) && taking.any(|one| is_meant(one) && is_limited(one)))
+        || (!matches!(reason, Reason::Drawn { .. })
+            && taking.any(|one| is_meant(one) && is_limited(one)))
 }
 
 /// When to come back, if all servers that a request may go to want rest or bear only so much: when the first rest ends or the first turn comes.
-pub fn come_back(vm: &Vm, wish: &Wish, now: Moment) -> Option<Span> {
+pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, wish.service, now);
-    let is_meant = |one: &&Server| wish.allows(vm, one);
-    let taking = || fleet.of(wish.service, now).filter(is_meant);
+    let access = bounded::access(vm, criteria.service, now);
+    let is_meant = |one: &&Server| criteria.allows(vm, one);
+    let taking = || fleet.of(criteria.service, now).filter(is_meant);
     if taking().any(|one| access.bound(one).is_none()) {
         return None;
     }
-    let resting = fleet.resting(wish.service, now).filter(|(one, _)| is_meant(one));
+    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| is_meant(one));
     let turns = taking().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
     standing::come_back(resting.map(|(_, left)| left).chain(turns), rand::random())
 }
 
-fn among(vm: &Vm, wish: &Wish, versions: &Versions, why: Why, now: Moment) -> Option<Place> {
+fn among(
+    vm: &Vm,
+    criteria: &Criteria,
+    versions: &Versions,
+    reason: Reason,
+    now: Moment,
+) -> Option<Placement> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, wish.service, now);
+    let access = bounded::access(vm, criteria.service, now);
     let of_version = || {
-        let allowed = |one: &&Server| versions.allow(&one.replica.version);
-        let within = |one: &&Server| wish.allows(vm, one);
-        fleet.of(wish.service, now).filter(allowed).filter(within).filter(|one| access.lets(one))
+        let allowed = |one: &&Server| versions.contains(&one.replica.version);
+        let within = |one: &&Server| criteria.allows(vm, one);
+        fleet
+            .of(criteria.service, now)
+            .filter(allowed)
+            .filter(within)
+            .filter(|one| access.lets(one))
     };
     let sound = |one: &&Server| one.standing.bar(now).is_none();
-    let busy = busy(vm, wish.service, versions, of_version().filter(sound));
-    let most = connections_each(vm, wish.service, now);
-    let untried = |one: &&Server| !wish.has_tried(&one.replica) && one.load.open() < most;
+    let busy = trial_servers(vm, criteria.service, versions, of_version().filter(sound));
+    let most = connections_each(vm, criteria.service, now);
+    let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < most;
     let in_trial = |one: &&Server| busy.as_ref().is_none_or(|busy| busy.contains(&one.replica.id));
     let mut servers: Vec<&Server> =
         of_version().filter(untried).filter(sound).filter(in_trial).collect();
@@ -249,16 +283,16 @@
     if servers.is_empty() {
         servers = of_version().filter(untried).collect();
     }
-    let prompt = Prompt::new(wish, &servers);
+    let prompt = Prompt::new(criteria, &servers);
     let candidates: Vec<Candidate> =
-        servers.iter().map(|server| candidate(vm, wish, &prompt, server, now)).collect();
-    let at = match wish.call.prompt.is_empty() {
+        servers.iter().map(|server| candidate(vm, criteria, &prompt, server, now)).collect();
+    let at = match criteria.call.prompt.is_empty() {
         true => place::least_loaded(&candidates, rand::random()),
-        false => place::soonest(&candidates, wish.bytes),
+        false => place::soonest(&candidates, criteria.body_bytes),
     };
     at.map(|at| {
-        let passed = Passed::count(&fleet, &access, wish.service, now);
-        Place { passed, ..Place::of(servers[at], &candidates[at], why) }
+        let passed = Skipped::count(&fleet, &access, criteria.service, now);
+        Placement { skipped: passed, ..Placement::of(servers[at], &candidates[at], reason) }
     })
 }
 
@@ -272,20 +306,20 @@
 
 /// What is expected of a request that was sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sent {
+pub struct Estimate {
     /// Tokens of the whole prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens that the server had to read.
-    pub unread: u64,
+    pub uncached_tokens: u64,
     /// Time until the server comes to it.
-    pub waits: Span,
+    pub queue_time: Span,
     /// Time that the server needs to read it.
-    pub reads: Span,
+    pub prefill_time: Span,
     /// Requests that the server was thought to hold.
     pub load: f64,
     /// Time until the prompt is read if the server works at the usual pace and holds only what this
     /// VM sent it; none if the request has no prompt.
-    pub expected: Option<Span>,
+    pub expected_time: Option<Span>,
     /// What the server had said against it.
     pub bar: Option<Bar>,
     /// The limit that it had named, and how long ago it did so first.
@@ -293,36 +327,57 @@
 }
 
 /// Notes that a request was sent: its prompt waits at the server, which then holds its parts.
-pub fn sent(vm: &Rc<Vm>, place: &Place, call: &Call, model: Option<&Model>, now: Moment) -> Sent {
+pub fn record_send(
+    vm: &Rc<Vm>,
+    place: &Placement,
+    call: &Call,
+    model: Option<&Model>,
+    now: Moment,
+) -> Estimate {
     let replica = &place.replica;
     let mut fleet = vm.fleet.borrow_mut();
-    let Some(server) = fleet.life_mut(replica) else { return Sent::default() };
+    let Some(server) = fleet.life_mut(replica) else { return Estimate::default() };
     let (load, bar) = (server.load.level(now), server.standing.bar(now));
     let limit = server.standing.limit.rate(now).zip(server.standing.limit.age(now));
     server.standing.send(now);
     if call.prompt.is_empty() {
-        return Sent { load, bar, limit, ..Sent::default() };
+        return Estimate { load, bar, limit, ..Estimate::default() };
     }
-    let prompt = Prompt::sent(call, model);
-    let unread = prompt.unread(server, now);
-    let tokens = prompt.tokens();
-    let reads = vm.reading(model, unread);
-    let waits = server.backlog.left(now);
-    let expected = Some(Span(server.backlog.usual(now).0 + reads.0));
-    server.backlog.add(reads, now);
+    let prompt = Prompt::without_affinity(call, model);
+    let uncached_tokens = prompt.uncached_tokens(server, now);
+    let prompt_tokens = prompt.tokens();
+    let prefill_time = vm.reading(model, uncached_tokens);
+    let queue_time = server.backlog.left(now);
+    let expected_time = Some(Span(server.backlog.usual(now).0 + prefill_time.0));
+    server.backlog.add(prefill_time, now);
     prompt.hashes().for_each(|part| server.hold(part, now));
     drop(fleet);
-    peer::tell_work(vm, &replica.id, reads);
-    Sent { prompt: tokens, unread, waits, reads, load, expected, bar, limit }
+    peer::tell_work(vm, &replica.id, prefill_time);
+    Estimate {
+        prompt_tokens,
+        uncached_tokens,
+        queue_time,
+        prefill_time,
+        load,
+        expected_time,
+        bar,
+        limit,
+    }
 }
 
-fn candidate(vm: &Vm, wish: &Wish, prompt: &Prompt, server: &Server, now: Moment) -> Candidate {
-    let reading = vm.reading(wish.model, prompt.unread(server, now));
+fn candidate(
+    vm: &Vm,
+    criteria: &Criteria,
+    prompt: &Prompt,
+    server: &Server,
+    now: Moment,
+) -> Candidate {
+    let prefill_time = vm.reading(criteria.model, prompt.uncached_tokens(server, now));
     Candidate {
         load: server.load.level(now),
         slots: f64::from(server.replica.slots),
         near: server.replica.data_centre == vm.settings.data_centre,
-        until_read: Span(server.backlog.left(now).0 + reading.0),
-        reads: reading,
+        until_read: Span(server.backlog.left(now).0 + prefill_time.0),
+        reads: prefill_time,
     }
 }
--- a/src/forward/choice/prompt.rs
+++ b/src/forward/selection/prompt.rs
@@ -1,6 +1,6 @@
 //! A prompt by its parts: how much of it each server would have to read.
 
-use super::Wish;
+use super::Criteria;
 use crate::forward::call::{Call, PromptPart};
 use crate::forward::server::Server;
 use crate::unit::{Model, Moment, Server as Id, hash};
@@ -21,13 +21,13 @@
 
 impl Prompt {
     /// The prompt of a request that was sent, whichever server was first for it.
-    pub fn sent(call: &Call, model: Option<&Model>) -> Prompt {
+    pub fn without_affinity(call: &Call, model: Option<&Model>) -> Prompt {
         Prompt { parts: parts(call, model), affine: None }
     }
 
     /// The prompt of a request that one of these servers may get.
-    pub fn new(wish: &Wish, servers: &[&Server]) -> Prompt {
-        let parts = parts(wish.call, wish.model);
+    pub fn new(criteria: &Criteria, servers: &[&Server]) -> Prompt {
+        let parts = parts(criteria.call, criteria.model);
         let Some(shared) = parts.len().checked_sub(2) else {
             return Prompt { parts, affine: None };
         };
@@ -48,7 +48,7 @@
     }
 
     /// Tokens that a server would have to read: parts from the first that it does not hold.
-    pub fn unread(&self, server: &Server, now: Moment) -> u64 {
+    pub fn uncached_tokens(&self, server: &Server, now: Moment) -> u64 {
         let is_affine = self.affine.as_ref() == Some(&server.replica.id);
         let last = self.parts.len().saturating_sub(1);
         let held =
--- a/src/forward/choice/version.rs
+++ b/src/forward/selection/version.rs
@@ -21,7 +21,7 @@
 
 impl Versions {
     /// Whether a version is among them.
-    pub fn allow(&self, version: &Version) -> bool {
+    pub fn contains(&self, version: &Version) -> bool {
         match self {
             Versions::Only(only) => version == only,
             Versions::Except(not) => version != not,
@@ -32,7 +32,7 @@
 
 /// Why a request goes to a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
+pub enum Reason {
     /// No trial runs.
     Settled,
     /// This VM found the new version bad.
@@ -54,38 +54,43 @@
     Elsewhere,
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for Reason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Settled => f.write_str("settled"),
-            Why::Bad => f.write_str("bad"),
-            Why::Kept => f.write_str("kept"),
-            Why::Heard => f.write_str("kept, as another VM said"),
-            Why::Drawn { point, share, known } => {
+            Reason::Settled => f.write_str("settled"),
+            Reason::Bad => f.write_str("bad"),
+            Reason::Kept => f.write_str("kept"),
+            Reason::Heard => f.write_str("kept, as another VM said"),
+            Reason::Drawn { point, share, known } => {
                 write!(f, "drawn {point:.3} of {share:.3}{}", if *known { " again" } else { "" })
             }
-            Why::Elsewhere => f.write_str("no server of its version"),
+            Reason::Elsewhere => f.write_str("no server of its version"),
         }
     }
 }
 
 /// The versions of a service that a request may be sent to now, and why these.
-pub fn versions(vm: &Vm, service: &Service, call: &Call, now: Moment) -> (Versions, Why) {
+pub fn eligible_versions(
+    vm: &Vm,
+    service: &Service,
+    call: &Call,
+    now: Moment,
+) -> (Versions, Reason) {
     let rollouts = vm.rollouts.borrow();
     let Some(rollout) = rollouts.get(service) else {
         let usual = vm.fleet.borrow().usual(service).cloned();
-        return (usual.map_or(Versions::Any, Versions::Only), Why::Settled);
+        return (usual.map_or(Versions::Any, Versions::Only), Reason::Settled);
     };
     let old = Versions::Except(rollout.version.clone());
     let new = Versions::Only(rollout.version.clone());
     match rollout.phase {
-        None | Some(Phase::RolledBack) => (old, Why::Settled),
-        Some(Phase::Completed) => (new, Why::Settled),
+        None | Some(Phase::RolledBack) => (old, Reason::Settled),
+        Some(Phase::Completed) => (new, Reason::Settled),
         Some(Phase::Running { share }) => {
             let trials = vm.trials.borrow();
             let trial = trials.get(service);
             if trial.is_some_and(|trial| trial.is_bad()) {
-                return (old, Why::Bad);
+                return (old, Reason::Bad);
             }
             let gap = vm.settings.bounds.session_gap;
             let name = call.session.as_deref().unwrap_or(&call.id);
@@ -94,11 +99,11 @@
             let is_young = kept::is_young(vm, rollout, now);
             let draw = Draw::new(service, &rollout.version, name);
             let point = draw.point();
-            let drawn = Why::Drawn { point, share, known: last.is_some() };
+            let drawn = Reason::Drawn { point, share, known: last.is_some() };
             match last {
-                Some(last) if *last == rollout.version => (new, Why::Kept),
-                Some(_) if is_young => (old, Why::Kept),
-                None if is_young && vm.kept.borrow().has(draw, gap, now) => (old, Why::Heard),
+                Some(last) if *last == rollout.version => (new, Reason::Kept),
+                Some(_) if is_young => (old, Reason::Kept),
+                None if is_young && vm.kept.borrow().has(draw, gap, now) => (old, Reason::Heard),
                 _ if point < share => (new, drawn),
                 _ => (old, drawn),
             }
@@ -108,7 +113,7 @@
 
 /// The servers of a version under trial that share its requests, the same on all VMs; none if all
 /// of them do.
-pub fn busy<'a>(
+pub fn trial_servers<'a>(
     vm: &Vm,
     service: &Service,
     versions: &Versions,
--- a/src/forward/session.rs
+++ b/src/forward/session.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes that a request of a session was sent to a version, or that its answer ended.
-    pub fn note(&mut self, session: &str, version: &Version, gap: Span, now: Moment) {
+    pub fn record(&mut self, session: &str, version: &Version, gap: Span, now: Moment) {
         if now.since(self.swept) > gap || self.seen.len() >= MOST {
             self.swept = now;
             self.seen.retain(|_, seen| is_live(seen, gap, now));
--- a/src/forward/event.rs
+++ b/src/forward/sse.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of a stream that are not passed on yet.
 #[derive(Default)]
-pub struct Events {
+pub struct EventBuffer {
     buffer: BytesMut,
 }
 
@@ -17,12 +17,12 @@
     /// Their bytes.
     pub bytes: Bytes,
     /// The id of the first that bears one.
-    pub first: Option<u64>,
+    pub first_id: Option<u64>,
     /// The id of the last that bears one.
-    pub last: Option<u64>,
+    pub last_id: Option<u64>,
 }
 
-impl Events {
+impl EventBuffer {
     /// Adds bytes as they arrived. Whether the stream can still be one of events.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
@@ -30,16 +30,16 @@
     }
 
     /// All whole events that arrived.
-    pub fn take(&mut self) -> Option<Batch> {
+    pub fn take_complete(&mut self) -> Option<Batch> {
         let end = last_end(&self.buffer)?;
         let bytes = self.buffer.split_to(end).freeze();
         let ids = || bytes.split(|byte| *byte == b'\n').filter_map(id);
         let (first, last) = (ids().next(), ids().next_back());
-        Some(Batch { bytes, first, last })
+        Some(Batch { bytes, first_id: first, last_id: last })
     }
 
     /// Whether an event has begun and not ended.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/src/platform/header.rs
+++ b/src/platform/header.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::bound::Word;
 use crate::decide::standing::Said;
-use crate::forward::call::{Answer, Call, Load, PromptPart};
+use crate::forward::call::{Call, Load, PromptPart, Response};
 use crate::forward::replica::Replica;
 use crate::unit::{Model, Rate, Span, Workspace};
 
@@ -117,13 +117,13 @@
         id: text(headers, ATTEMPT).unwrap_or_default().to_owned(),
         host: text(headers, header::HOST.as_str()).unwrap_or_default().to_owned(),
         path: head.uri.path().to_owned(),
-        key: key.map(|key| key[SCHEME.len()..].trim().to_owned()),
-        patience: patience.unwrap_or(PATIENCE).min(LONGEST_PATIENCE),
+        api_key: key.map(|key| key[SCHEME.len()..].trim().to_owned()),
+        timeout: patience.unwrap_or(PATIENCE).min(LONGEST_PATIENCE),
         any_model: text(headers, MODEL) == Some(ANY_MODEL),
         model: model.and_then(|model| model.parse().ok()),
         prompt: prompt(text(headers, PREFIX).unwrap_or_default()),
         session: text(headers, SESSION).map(str::to_owned),
-        after_event: text(headers, LAST_EVENT).and_then(|id| id.trim().parse().ok()),
+        last_event_id: text(headers, LAST_EVENT).and_then(|id| id.trim().parse().ok()),
     }
 }
 
@@ -194,20 +194,20 @@
 }
 
 /// Decodes the head of a server's answer.
-pub fn answer(head: &ResponseHead) -> Answer {
+pub fn answer(head: &ResponseHead) -> Response {
     let headers = &head.headers;
-    Answer {
+    Response {
         status: head.status,
         id: text(headers, ATTEMPT).map(str::to_owned),
         signed: headers.contains_key(SIGNATURE),
         not_run: headers.contains_key(NOT_EXECUTED)
             || head.status == actix_http::StatusCode::MISDIRECTED_REQUEST,
         encoded: headers.contains_key(header::CONTENT_ENCODING),
-        said: said(head),
+        signal: said(head),
         limit: headers.get(LIMIT).map_or(Word::Unnamed, limit),
         load: text(headers, LOAD).and_then(load),
         confidence: text(headers, CONFIDENCE).and_then(|text| text.trim().parse().ok()),
-        rest: text(headers, "keep-alive").and_then(rest),
+        idle_timeout: text(headers, "keep-alive").and_then(rest),
     }
 }
 
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -373,16 +373,16 @@
         let no_answer = |fault: Fault| match fault {
             Fault::NotSent(why) | Fault::Broken(why) => Trouble::NoAnswer(why),
         };
-        let held = self.connection.take().filter(Connection::is_quiet);
+        let held = self.connection.take().filter(Connection::is_idle);
         let mut connection = match held {
             Some(connection) => connection,
             None => Connection::open(self.address, OPEN_WITHIN).await.map_err(no_answer)?,
         };
         let head = self.head(method, path)?;
-        let head = connection.ask(head, &body).await.map_err(no_answer)?;
+        let head = connection.send(head, &body).await.map_err(no_answer)?;
         let era = head.headers.get(ERA).map(|value| value.to_str().unwrap_or_default());
         let era = self.eras.observe(era);
-        let body = connection.whole_body(LARGEST).await.map_err(no_answer)?;
+        let body = connection.read_body(LARGEST).await.map_err(no_answer)?;
         if connection.is_reusable() {
             self.connection = Some(connection);
         }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -14,8 +14,8 @@
 use kitepulley::decide::rank;
 use kitepulley::decide::sequential::Count;
 use kitepulley::decide::standing::{Bar, Standing};
-use kitepulley::forward::event::Events;
 use kitepulley::forward::replica::Phase;
+use kitepulley::forward::sse::EventBuffer;
 use kitepulley::forward::trial::Source;
 use kitepulley::forward::trial::{Sample, Totals, Trials};
 use kitepulley::unit::{Moment, Span, Version};
@@ -131,22 +131,22 @@
     /// However a stream is cut into pieces, the same whole events come out in order.
     fn events_do_not_depend_on_the_pieces(cuts: Vec<u8>, count: u8) -> bool {
         let text: String = (1..=u64::from(count)).map(|id| format!("id: {id}\ndata: x\n\n")).collect();
-        let (mut events, mut out, mut last) = (Events::default(), Vec::new(), 0);
+        let (mut events, mut out, mut last) = (EventBuffer::default(), Vec::new(), 0);
         let mut rest = text.as_bytes();
         let mut cuts = cuts.into_iter().chain(std::iter::repeat(7));
         while !rest.is_empty() {
             let length = usize::from(cuts.next().unwrap_or(1)).clamp(1, rest.len());
             events.push(&rest[..length]);
             rest = &rest[length..];
-            if let Some(batch) = events.take() {
-                if batch.first != Some(last + 1) || !batch.bytes.ends_with(b"\n\n") {
+            if let Some(batch) = events.take_complete() {
+                if batch.first_id != Some(last + 1) || !batch.bytes.ends_with(b"\n\n") {
                     return false;
                 }
-                last = batch.last.unwrap_or(0);
+                last = batch.last_id.unwrap_or(0);
                 out.extend_from_slice(&batch.bytes);
             }
         }
-        out == text.as_bytes() && !events.has_part()
+        out == text.as_bytes() && !events.has_partial_event()
     }
 
     /// Whatever is seen, a roll-out never goes on with a version that was found bad, and a version
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -26,7 +26,7 @@
 use kitepulley::decide::ends::End;
 use kitepulley::decide::standing::Said;
 use kitepulley::forward::replica::Replica as Life;
-use kitepulley::forward::{self, attempt, choice};
+use kitepulley::forward::{self, attempt, selection};
 use kitepulley::platform::header;
 use kitepulley::standin::platform::Switches;
 use kitepulley::standin::replica::{Act, Replica};
@@ -270,8 +270,9 @@
 /// One request at the server that is chosen for it, after `meanwhile` happened.
 async fn one_attempt(vm: &Rc<forward::Vm>, meanwhile: impl FnOnce()) -> End {
     let job = site::job(vm, "api");
-    let place = choice::server(vm, &job.wish(None, &[]), vm.now()).expect("it takes work");
-    let (_, waiting) = job.send(&place, None);
+    let place =
+        selection::select_server(vm, &job.criteria(None, &[]), vm.now()).expect("it takes work");
+    let (_, waiting) = job.begin_attempt(&place, None);
     meanwhile();
     let until = job.deadline;
     attempt::run(&job, &place.replica, None, None, waiting, until).await.end
@@ -306,9 +307,9 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(one_attempt(&vm, || ()).await, End::Good);
     });
-    let wish = site::job(&vm, "api");
+    let job = site::job(&vm, "api");
     assert!(
-        choice::server(&vm, &wish.wish(None, &[]), vm.now()).is_none(),
+        selection::select_server(&vm, &job.criteria(None, &[]), vm.now()).is_none(),
         "the next is due later"
     );
 }
@@ -321,15 +322,15 @@
     let (id, version) = ("r1".parse().unwrap(), "v2".parse().unwrap());
     vm.fleet.borrow_mut().put(Life { id, version, ..life.clone() }, vm.now());
     let job = site::job(&vm, "api");
-    let chosen = || choice::server(&vm, &job.wish(None, &[]), vm.now());
+    let chosen = || selection::select_server(&vm, &job.criteria(None, &[]), vm.now());
     hears(&vm, &life, Word::Named(Rate(0.5)));
     assert_eq!(chosen().map(|place| place.replica.id), Some(life.id.clone()));
     vm.fleet.borrow_mut().life_mut(&life).unwrap().turns.spend(vm.now());
     assert!(chosen().is_none(), "its turn comes later");
-    let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now());
+    let again = selection::retry_after(&vm, &job.criteria(None, &[]), vm.now());
     assert_eq!(again, None, "a server that bears anything is there");
     vm.fleet.borrow_mut().get_mut(&"r1".parse().unwrap()).unwrap().standing.enter(false, vm.now());
-    let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now()).expect("a time");
+    let again = selection::retry_after(&vm, &job.criteria(None, &[]), vm.now()).expect("a time");
     // Two in four seconds, and callers come back within half a second one after the other.
     assert!((Span::millis(2000)..Span::millis(2600)).contains(&again), "{again}");
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -28,7 +28,7 @@
 use kitepulley::decide::standing::{Bar, Said, Standing};
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::server::Fleet;
-use kitepulley::forward::{attempt, choice};
+use kitepulley::forward::{attempt, selection};
 use kitepulley::platform::header;
 use kitepulley::standin::platform::Switches;
 use kitepulley::standin::replica::{Act, Replica};
@@ -371,9 +371,10 @@
     let life = Life { address: server.address, ..replica("r0", 1) };
     vm.fleet.borrow_mut().put(life.clone(), vm.now());
     let job = site::job(&vm, "api");
-    let place = choice::server(&vm, &job.wish(None, &[]), vm.now()).expect("it takes work");
+    let place =
+        selection::select_server(&vm, &job.criteria(None, &[]), vm.now()).expect("it takes work");
     vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.hear(said, vm.now());
-    let (_, waiting) = job.send(&place, None);
+    let (_, waiting) = job.begin_attempt(&place, None);
     let until = job.deadline;
     let attempt = attempt::run(&job, &place.replica, None, None, waiting, until);
     (block(attempt).end, server.seen().len())
@@ -422,7 +423,7 @@
     let rest = |status: u16, text: &str| {
         let mut head = ResponseHead::new(StatusCode::from_u16(status).unwrap());
         head.headers.insert(RETRY_AFTER, HeaderValue::from_str(text).unwrap());
-        header::answer(&head).said.rest
+        header::answer(&head).signal.rest
     };
     assert_eq!(rest(503, "3"), Some(Span::secs(3)));
     assert_eq!(rest(503, " 0.25 "), Some(Span::millis(250)));
