--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -48,13 +48,13 @@
             }
         };
         match vm {
-            Some(vm) => next_wait(vm, revision).await,
+            Some(vm) => wait(vm, revision).await,
             None => Ok(()),
         }
     })
 }
 
-async fn next_wait(vm: std::net::SocketAddr, revision: Revision) -> Result<(), Error> {
+async fn wait(vm: std::net::SocketAddr, revision: Revision) -> Result<(), Error> {
     let began = Instant::now();
     let mut waits = String::new();
     while began.elapsed() < ASK_FOR {
--- a/src/command/serve.rs
+++ b/src/command/serve.rs
@@ -12,7 +12,7 @@
     let settings = options::serve(flags)?;
     block(async move {
         let handle = vm::start(settings, Sink::default())?;
-        next_wait().await;
+        wait().await;
         let mut stop = std::pin::pin!(handle.stop());
         tokio::select! {
             cut = &mut stop => {
@@ -22,14 +22,14 @@
                 }
                 Ok(())
             }
-            () = next_wait() => Err(Error::Unreachable(
+            () = wait() => Err(Error::Unreachable(
                 "A second signal ended it before its requests were finished.".to_owned(),
             )),
         }
     })
 }
 
-async fn next_wait() {
+async fn wait() {
     let mut terminate = signal(SignalKind::terminate()).expect("signals can be watched");
     let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
     tokio::select! {
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -106,7 +106,7 @@
 
 /// Why a VM is not asked for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
+enum Why {
     /// It did not answer so many times in a row.
     Silent(u32),
     /// It had no news.
@@ -117,7 +117,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Avoided {
-    why: Reason,
+    why: Why,
     until: Moment,
 }
 
@@ -135,17 +135,17 @@
 
     /// A VM answered that it has no news.
     pub fn declined(&mut self, vm: &Vm, now: Moment) {
-        self.avoid(vm, Reason::Declined, now + DECLINED_FOR);
+        self.avoid(vm, Why::Declined, now + DECLINED_FOR);
     }
 
     /// A VM answered that the store is lost.
     pub fn lost(&mut self, vm: &Vm, now: Moment) {
-        self.avoid(vm, Reason::Lost, now + DECLINED_FOR);
+        self.avoid(vm, Why::Lost, now + DECLINED_FOR);
     }
 
     /// VMs that had no news, or lost the store, may have some: the store answers again.
     pub fn forget_declined(&mut self) {
-        self.avoided.retain(|_, avoided| matches!(avoided.why, Reason::Silent(_)));
+        self.avoided.retain(|_, avoided| matches!(avoided.why, Why::Silent(_)));
     }
 
     /// Whether any before `own` said last that the store is lost. Those that only decline say nothing of it: while the
@@ -158,42 +158,42 @@
     ) -> bool {
         let told = |rank: &&Rank| {
             let avoided = self.avoided.get(&rank.vm);
-            avoided.is_some_and(|one| one.why == Reason::Lost && now < one.until + TOLD_FOR)
+            avoided.is_some_and(|one| one.why == Why::Lost && now < one.until + TOLD_FOR)
         };
         self.before(own, group, now).iter().any(told)
     }
 
     /// A VM answered that it will have news in a moment.
     pub fn unready(&mut self, vm: &Vm, now: Moment) {
-        self.avoid(vm, Reason::Declined, now + UNREADY_FOR);
+        self.avoid(vm, Why::Declined, now + UNREADY_FOR);
     }
 
     /// A VM did not answer.
     pub fn silent(&mut self, vm: &Vm, now: Moment) {
         let before = match self.avoided.get(vm) {
-            Some(Avoided { why: Reason::Silent(times), .. }) => *times,
+            Some(Avoided { why: Why::Silent(times), .. }) => *times,
             _ => 0,
         };
         let doubled = Span(AVOIDED_FOR.0 << before.min(8)).min(LONGEST);
-        self.avoid(vm, Reason::Silent(before + 1), now + doubled);
+        self.avoid(vm, Why::Silent(before + 1), now + doubled);
     }
 
     /// A VM did not answer this one, which has just started.
     pub fn unheard(&mut self, vm: &Vm, now: Moment) {
-        self.avoid(vm, Reason::Silent(0), now + UNHEARD_FOR);
+        self.avoid(vm, Why::Silent(0), now + UNHEARD_FOR);
     }
 
-    fn avoid(&mut self, vm: &Vm, why: Reason, until: Moment) {
+    fn avoid(&mut self, vm: &Vm, why: Why, until: Moment) {
         self.avoided.insert(vm.clone(), Avoided { why, until });
     }
 
-    fn avoided(&self, vm: &Vm, now: Moment) -> Option<Reason> {
+    fn avoided(&self, vm: &Vm, now: Moment) -> Option<Why> {
         let avoided = self.avoided.get(vm).filter(|avoided| now < avoided.until);
         avoided.map(|avoided| avoided.why)
     }
 
     fn is_silent(&self, vm: &Vm, now: Moment) -> bool {
-        matches!(self.avoided(vm, now), Some(Reason::Silent(_)))
+        matches!(self.avoided(vm, now), Some(Why::Silent(_)))
     }
 
     /// The VMs before `own` that it may ask, the first first; those that do not answer are passed over.
--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -36,7 +36,7 @@
     let seconds = END.as_secs();
     let largest = world.nodes.iter().map(|node| node.bytes).max().unwrap_or(0);
     let mean = world.nodes.iter().map(|node| node.bytes).sum::<u64>() as f64 / vms as f64;
-    Row::named("way", if way == Way::Skipped { "passed on" } else { "each itself" })
+    Row::named("way", if way == Way::Passed { "passed on" } else { "each itself" })
         .with("vms", vms)
         .number("start, calls a VM", each(world.price(Span(0), Span::secs(5))), 2)
         .number("calm, calls/s", calm / CALM.as_secs(), 2)
@@ -55,7 +55,7 @@
 /// Runs it.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let ways = [Way::Skipped, Way::Itself];
+    let ways = [Way::Passed, Way::Itself];
     let rows = vms.iter().flat_map(|vms| ways.map(|way| row(way, *vms, options.seed)));
     let rows: Vec<Row> = rows.collect();
     let notes = vec![
--- a/src/experiment/reading/world.rs
+++ b/src/experiment/reading/world.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum Way {
     /// That of the server.
-    Skipped,
+    Passed,
     /// A VM without news reads for itself.
     Itself,
 }
@@ -154,8 +154,8 @@
         let first = self.now < Moment(0) + DIES;
         let price = match (self.way, first) {
             (Way::Itself, _) => A_START_BEFORE,
-            (Way::Skipped, true) => A_FIRST_START,
-            (Way::Skipped, false) => A_START,
+            (Way::Passed, true) => A_FIRST_START,
+            (Way::Passed, false) => A_START,
         };
         self.call(price);
         let node = &mut self.nodes[at];
@@ -176,7 +176,7 @@
         let away = self.is_away();
         let price = match (away, self.way) {
             (false, _) => 1.0,
-            (true, Way::Skipped) => TRY,
+            (true, Way::Passed) => TRY,
             (true, Way::Itself) => TRY_BEFORE,
         };
         self.call(price);
@@ -218,10 +218,10 @@
         let node = &self.nodes[at];
         let next = match (self.place(at), self.way) {
             (Place::First, Way::Itself) => None,
-            (Place::First, Way::Skipped) if node.lost => {
+            (Place::First, Way::Passed) if node.lost => {
                 node.asked.any(self.firsts(at).into_iter(), self.now)
             }
-            (Place::First, Way::Skipped) => {
+            (Place::First, Way::Passed) => {
                 node.asked.next(&node.rank, self.firsts(at).into_iter(), self.now)
             }
             (Place::Next | Place::Behind, _) => {
@@ -269,7 +269,7 @@
         let teller = &self.nodes[other];
         let (known, lost, life) = (teller.known, teller.lost, teller.life);
         let (reader, hops) = if teller.role == Role::Reads { (other, 0) } else { teller.origin };
-        let reads_itself = teller.role == Role::Reads || self.way == Way::Skipped;
+        let reads_itself = teller.role == Role::Reads || self.way == Way::Passed;
         let reader_name = self.nodes[reader].rank.vm.clone();
         let node = &mut self.nodes[at];
         let Some(known) = known.filter(|_| reads_itself) else {
@@ -314,7 +314,7 @@
         }
         let without = Without {
             place: self.place(at),
-            others: self.way == Way::Skipped,
+            others: self.way == Way::Passed,
             may_ask: self.next(at).is_some(),
             lost: node.asked.is_told_lost(&node.rank, self.group(at), self.now),
             knows: node.known.is_some(),
@@ -322,7 +322,7 @@
             overdue: time_to_ask(node.known, LEAVE_WITHIN, self.now).is_none(),
         };
         let itself = match self.way {
-            Way::Skipped => reads(&without),
+            Way::Passed => reads(&without),
             Way::Itself => !without.may_ask,
         };
         if itself {
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -80,7 +80,7 @@
 }
 
 /// What came of a question that was asked at a moment.
-struct Response {
+struct Answer {
     name: Name,
     asked: Moment,
     /// What was told with it.
@@ -182,7 +182,7 @@
     }
 
     /// Asks a VM, if there is one and time for it.
-    async fn ask(&self, name: Option<Name>, circle: &Circle) -> Option<Response> {
+    async fn ask(&self, name: Option<Name>, circle: &Circle) -> Option<Answer> {
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
         let within = match self.is_new() {
@@ -197,12 +197,12 @@
             Some(address) => reader::ask(vm, address, place, &seen, within).await,
             None => Reply::Silence,
         };
-        Some(Response { name, asked, seen, reply })
+        Some(Answer { name, asked, seen, reply })
     }
 
     /// Takes what came of a question.
-    fn take(&mut self, answer: Option<Response>) -> Worth {
-        let Some(Response { name, asked, seen, reply }) = answer else { return Worth::None };
+    fn take(&mut self, answer: Option<Answer>) -> Worth {
+        let Some(Answer { name, asked, seen, reply }) = answer else { return Worth::None };
         let now = self.vm.now();
         if !matches!(reply, Reply::Silence) {
             peer::heard(&self.vm, &name);
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -128,7 +128,7 @@
 }
 
 /// Flushes at the fleet's pace, and renews copies when their holders change.
-pub async fn release_connection(control: Control) {
+pub async fn keep(control: Control) {
     let mut told: Vec<Vm> = Vec::new();
     loop {
         let vms = control.others().len() + 1;
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -87,7 +87,7 @@
     actix_web::rt::spawn(control.clone().run(incoming, asked));
     actix_web::rt::spawn(control.clone().greet());
     actix_web::rt::spawn(bills::stand(control.clone(), billed));
-    actix_web::rt::spawn(bills::release_connection(control.clone()));
+    actix_web::rt::spawn(bills::keep(control.clone()));
     actix_web::rt::spawn(bills::finish(control.clone()));
     actix_web::rt::spawn(spread::watch(control.clone()));
     actix_web::rt::spawn(duty::look_in_turn(control.clone()));
