--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -92,15 +92,15 @@
         let mut fleet = Fleet::default();
         for at in 0..count {
             let life = life(at);
-            fleet.put(life.clone(), now);
+            fleet.upsert(life.clone(), now);
             let said = Said { leaves: at % 20 == 1, rest: (at % 10 == 2).then(|| Span::secs(1)) };
-            if let Some(server) = fleet.life_mut(&life) {
-                server.standing.hear(said, now);
+            if let Some(server) = fleet.incarnation_mut(&life) {
+                server.availability.hear(said, now);
             }
         }
         let service = life(0).service;
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
-            b.iter(|| black_box(fleet.of(&service, now + Span::millis(1)).count()));
+            b.iter(|| black_box(fleet.eligible(&service, now + Span::millis(1)).count()));
         });
     }
     group.finish();
--- a/src/forward/said.rs
+++ b/src/forward/announce.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use super::peer::{self, Word};
+use super::peer::{self, Message};
 use super::replica::{Incarnation, Replica};
 use super::vm::Vm;
 use crate::decide::bound::{Audience, News};
@@ -15,19 +15,19 @@
 use crate::unit::{Moment, Rate, Server, Span};
 
 /// Tells the other VMs that a life of a server leaves.
-pub fn tell_leave(vm: &Rc<Vm>, replica: &Replica) {
-    peer::tell(vm, &Word::Leaves(replica.incarnation()));
+pub fn broadcast_drain(vm: &Rc<Vm>, replica: &Replica) {
+    peer::broadcast(vm, &Message::ServerDraining(replica.incarnation()));
 }
 
 /// Takes another VM's word that a life of a server leaves, and passes it on if it is news.
-pub fn hear_leave(vm: &Rc<Vm>, from: &str, life: &Incarnation) {
-    let Incarnation { server: id, born, address } = life;
+pub fn on_drain(vm: &Rc<Vm>, from: &str, incarnation: &Incarnation) {
+    let Incarnation { server: id, born, address } = incarnation;
     let replica = {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get_mut(id).filter(|one| one.replica.is_life(id, *born, *address));
         let Some(server) = server else { return };
         let leaves = Said { leaves: true, ..Said::default() };
-        if !server.standing.hear(leaves, vm.now()) {
+        if !server.availability.hear(leaves, vm.now()) {
             return;
         }
         server.replica.clone()
@@ -38,33 +38,33 @@
         ("from", from.into()),
     ];
     vm.log("server said to leave", &fields);
-    tell_leave(vm, &replica);
+    broadcast_drain(vm, &replica);
 }
 
 /// Tells other VMs what this one knows of the limit of a life of a server, if any are to be told.
-pub fn tell_limit(vm: &Rc<Vm>, replica: &Replica) {
+pub fn broadcast_limit(vm: &Rc<Vm>, replica: &Replica) {
     let now = vm.now();
-    let told = {
+    let report = {
         let mut fleet = vm.fleet.borrow_mut();
-        fleet.life_mut(replica).and_then(|server| server.standing.limit.tell(now))
+        fleet.incarnation_mut(replica).and_then(|server| server.availability.limit.tell(now))
     };
-    match told {
-        Some((news, Audience::All)) => peer::tell(vm, &limit_word(replica, news, now)),
+    match report {
+        Some((news, Audience::All)) => peer::broadcast(vm, &limit_message(replica, news, now)),
         Some((news, Audience::Senders(rates))) => {
-            let word = limit_word(replica, news, now);
-            peer::tell_senders(vm, &replica.id, rates, &word);
+            let message = limit_message(replica, news, now);
+            peer::send_to_senders(vm, &replica.id, rates, &message);
         }
         None => {}
     }
 }
 
-fn limit_word(replica: &Replica, news: News, now: Moment) -> Word {
+fn limit_message(replica: &Replica, news: News, now: Moment) -> Message {
     let (server, born, address) = (replica.id.clone(), replica.born, replica.address);
-    Word::Limit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
+    Message::ServerLimit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
 }
 
 /// Another VM's word of the limit of a life of a server.
-pub struct Told<'a> {
+pub struct LimitReport<'a> {
     /// Who says it.
     pub from: &'a str,
     /// The server.
@@ -80,30 +80,31 @@
 }
 
 /// Takes another VM's word of a limit, and passes it on if it is news.
-pub fn hear_limit(vm: &Rc<Vm>, told: &Told) {
+pub fn on_limit(vm: &Rc<Vm>, report: &LimitReport) {
     let now = vm.now();
-    let news = News { rate: told.rate, as_of: Moment(now.0.saturating_sub(told.age.0)) };
-    let (replica, changed, passes_on) = {
+    let news = News { rate: report.rate, as_of: Moment(now.0.saturating_sub(report.age.0)) };
+    let (replica, changed, relays) = {
         let mut fleet = vm.fleet.borrow_mut();
-        let is_meant = |replica: &Replica| replica.is_life(told.server, told.born, told.address);
-        let server = fleet.get_mut(told.server).filter(|one| is_meant(&one.replica));
+        let is_same =
+            |replica: &Replica| replica.is_life(report.server, report.born, report.address);
+        let server = fleet.get_mut(report.server).filter(|one| is_same(&one.replica));
         let Some(server) = server else { return };
-        let limit = &mut server.standing.limit;
+        let limit = &mut server.availability.limit;
         let before = limit.rate(now);
-        let passes_on = limit.hear_told(news, now);
-        (server.replica.clone(), before != limit.rate(now), passes_on)
+        let relays = limit.hear_told(news, now);
+        (server.replica.clone(), before != limit.rate(now), relays)
     };
     if changed {
         let fields = [
-            ("server", told.server.as_str().into()),
-            ("born_ms", told.born.unwrap_or_default().into()),
-            ("from", told.from.into()),
-            ("limit_per_s", told.rate.map_or(-1.0, |rate| rate.0).into()),
-            ("age_ms", told.age.as_millis().into()),
+            ("server", report.server.as_str().into()),
+            ("born_ms", report.born.unwrap_or_default().into()),
+            ("from", report.from.into()),
+            ("limit_per_s", report.rate.map_or(-1.0, |rate| rate.0).into()),
+            ("age_ms", report.age.as_millis().into()),
         ];
         vm.log("server said to have a limit", &fields);
     }
-    if passes_on {
-        peer::tell(vm, &limit_word(&replica, news, now));
+    if relays {
+        peer::broadcast(vm, &limit_message(&replica, news, now));
     }
 }
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -5,6 +5,7 @@
 use actix_http::{ResponseHead, StatusCode};
 use bytes::Bytes;
 
+use super::announce;
 use super::call::Answer;
 use super::connection::{Connection, Fault};
 use super::crash;
@@ -12,7 +13,6 @@
 use super::job::{Job, Open, Waiting};
 use super::pool;
 use super::replica::Replica;
-use super::said;
 use super::vm::Vm;
 use crate::config::Repeat;
 use crate::decide::bound;
@@ -130,18 +130,18 @@
     vm.metrics.attempts.with_label_values(&[job.service.as_str(), end.as_str()]).inc();
     job.record.ended(outcome.end, &outcome.why, now);
     let mut fleet = vm.fleet.borrow_mut();
-    let usual = fleet.failures(&job.service, now);
-    let Some(server) = fleet.life_mut(replica) else { return };
+    let usual = fleet.failure_rate(&job.service, now);
+    let Some(server) = fleet.incarnation_mut(replica) else { return };
     if let Some(load) = outcome.head.as_ref().and_then(|(_, answer)| answer.load) {
         server.load.hear(load.running + load.waiting, now);
     }
     let is_another =
         |(head, _): &(ResponseHead, Answer)| head.status == StatusCode::MISDIRECTED_REQUEST;
     if outcome.head.as_ref().is_some_and(is_another) {
-        server.standing.note_another();
+        server.availability.note_another();
     }
-    let left_out = server.standing.note(outcome.end, usual, now);
-    let failures = server.standing.failures();
+    let left_out = server.availability.note(outcome.end, usual, now);
+    let failures = server.availability.failures();
     drop(fleet);
     if left_out {
         vm.log(
@@ -170,18 +170,18 @@
     let now = vm.now();
     let resting = {
         let mut fleet = vm.fleet.borrow_mut();
-        fleet.life_mut(replica).and_then(|server| server.pool.take(repeatable, now))
+        fleet.incarnation_mut(replica).and_then(|server| server.pool.take(repeatable, now))
     };
     let mut connection = match pool::connect(resting, replica.address, OPEN_WITHIN).await {
         Ok(connection) => connection,
         Err(fault) => return broken(fault),
     };
-    let forbidden = vm.fleet.borrow().forbids(replica, vm.now());
+    let forbidden = vm.fleet.borrow().unavailable_reason(replica, vm.now());
     if let Some(bar) = forbidden {
         keep(job, replica, connection, None);
         return Outcome::without_answer(End::Withheld, bar.to_string());
     }
-    if let Err(why) = waiting.turn.spend(vm.now()) {
+    if let Err(why) = waiting.turn.consume(vm.now()) {
         keep(job, replica, connection, None);
         return Outcome::without_answer(End::Withheld, why.to_string());
     }
@@ -254,8 +254,8 @@
 fn note_unknown(job: &Job, replica: &Replica, head: &ResponseHead) {
     let vm = &job.vm;
     for name in header::unknown(head) {
-        let (name, is_new) = vm.unknown.borrow_mut().meet(name);
-        vm.metrics.unknown.with_label_values(&[name]).inc();
+        let (name, is_new) = vm.unknown_headers.borrow_mut().meet(name);
+        vm.metrics.unknown_headers.with_label_values(&[name]).inc();
         if is_new {
             let fields = [
                 ("name", name.into()),
@@ -278,12 +278,12 @@
     let now = vm.now();
     let (heard, limited, rate) = {
         let mut fleet = vm.fleet.borrow_mut();
-        let Some(server) = fleet.life_mut(replica) else { return };
-        let standing = &mut server.standing;
-        let limited = standing.limit.hear(answer.limit, asked.unwrap_or_default(), now);
-        (standing.hear(answer.said, now), limited, standing.limit.rate(now))
+        let Some(server) = fleet.incarnation_mut(replica) else { return };
+        let availability = &mut server.availability;
+        let limited = availability.limit.hear(answer.limit, asked.unwrap_or_default(), now);
+        (availability.hear(answer.said, now), limited, availability.limit.rate(now))
     };
-    said::tell_limit(vm, replica);
+    announce::broadcast_limit(vm, replica);
     let news = [
         ("leaves", heard && answer.said.leaves),
         ("rest", heard && !answer.said.leaves),
@@ -292,14 +292,14 @@
     ];
     let mut is_news = false;
     for (word, _) in news.iter().filter(|(_, is_new)| *is_new) {
-        vm.metrics.said.with_label_values(&[job.service.as_str(), word]).inc();
+        vm.metrics.server_signals.with_label_values(&[job.service.as_str(), word]).inc();
         is_news = true;
     }
     if is_news {
         log_said(job, replica, answer, rate);
     }
     if heard && answer.said.leaves {
-        said::tell_leave(vm, replica);
+        announce::broadcast_drain(vm, replica);
     }
 }
 
@@ -359,7 +359,7 @@
 pub fn keep(job: &Job, replica: &Replica, connection: Connection, rest: Option<Span>) {
     let vm: &Rc<super::Vm> = &job.vm;
     let now = vm.now();
-    if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
+    if let Some(server) = vm.fleet.borrow_mut().incarnation_mut(replica) {
         server.pool.keep(connection, rest, now);
     }
 }
--- a/src/forward/choice/mod.rs
+++ b/src/forward/choice/mod.rs
@@ -5,9 +5,9 @@
 
 use std::rc::Rc;
 
-use super::bounded::{self, Access, Turn};
 use super::call::Call;
 use super::peer;
+use super::rate_limit::{self, Limiter, Permit};
 use super::replica::{Phase, Replica};
 use super::server::{Fleet, Server};
 use super::vm::Vm;
@@ -65,7 +65,7 @@
     /// Why its version.
     pub why: Why,
     /// Its turn, if it has waited for one.
-    pub turn: Option<Rc<Turn>>,
+    pub turn: Option<Rc<Permit>>,
     /// Servers of the service that were passed over though they do not leave.
     pub passed: Passed,
 }
@@ -84,16 +84,16 @@
 }
 
 impl Passed {
-    fn count(fleet: &Fleet, access: &Access, service: &Service, now: Moment) -> Passed {
+    fn count(fleet: &Fleet, access: &Limiter, service: &Service, now: Moment) -> Passed {
         let (mut cold, mut limited) = (0, 0);
-        for server in fleet.of(service, now).filter(|one| !access.lets(one)) {
+        for server in fleet.eligible(service, now).filter(|one| !access.allows(one)) {
             match access.is_cold(server) {
                 true => cold += 1,
                 false => limited += 1,
             }
         }
-        let resting = fleet.resting(service, now).count();
-        Passed { emptied: fleet.emptied_of(service), cold, limited, resting }
+        let resting = fleet.backing_off(service, now).count();
+        Passed { emptied: fleet.count_evacuated(service), cold, limited, resting }
     }
 }
 
@@ -113,7 +113,7 @@
     /// When that comes.
     pub until: Moment,
     /// Its turn.
-    pub turn: Option<Turn>,
+    pub turn: Option<Permit>,
 }
 
 /// What comes by `until`, if anything does.
@@ -125,7 +125,7 @@
 fn rest_wait(vm: &Vm, wish: &Wish, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = versions(vm, wish.service, wish.call, now);
     let fleet = vm.fleet.borrow();
-    let resting = fleet.resting(wish.service, now).filter(|(one, _)| {
+    let resting = fleet.backing_off(wish.service, now).filter(|(one, _)| {
         let replica = &one.replica;
         versions.allow(&replica.version) && wish.allows(vm, one) && !wish.has_tried(replica)
     });
@@ -137,18 +137,18 @@
 /// Takes the next turn at a server that bears only so much.
 fn turn_wait(vm: &Rc<Vm>, wish: &Wish, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = versions(vm, wish.service, wish.call, now);
-    let access = bounded::access(vm, wish.service, now);
+    let access = rate_limit::limiter(vm, wish.service, now);
     let mut fleet = vm.fleet.borrow_mut();
-    let allowed = fleet.of(wish.service, now).filter(|one| {
+    let allowed = fleet.eligible(wish.service, now).filter(|one| {
         let replica = &one.replica;
         versions.allow(&replica.version) && wish.allows(vm, one) && !wish.has_tried(replica)
     });
-    let turns = allowed.filter_map(|one| Some((access.next_turn(one)?, &one.replica)));
+    let turns = allowed.filter_map(|one| Some((access.next_permit(one)?, &one.replica)));
     let first =
         turns.min_by(|(at, one), (other_at, other)| (at, &one.id).cmp(&(other_at, &other.id)));
     let (at, replica) = first.filter(|(at, _)| *at <= until)?;
     let replica = replica.clone();
-    let turn = Turn::take(vm, &mut fleet, &replica, now);
+    let turn = Permit::reserve(vm, &mut fleet, &replica, now);
     Some(Wait { until: at, turn: Some(turn) })
 }
 
@@ -157,9 +157,9 @@
     let turn = wait.turn?;
     let (versions, why) = versions(vm, wish.service, wish.call, now);
     let fleet = vm.fleet.borrow();
-    let server = fleet.of(wish.service, now).find(|one| one.replica.id == turn.server().id);
+    let server = fleet.eligible(wish.service, now).find(|one| one.replica.id == turn.server().id);
     let server = server
-        .filter(|one| versions.allow(&one.replica.version) && one.standing.bar(now).is_none());
+        .filter(|one| versions.allow(&one.replica.version) && one.availability.bar(now).is_none());
     let place = server.map(|server| {
         let prompt = Prompt::new(wish, &[server]);
         Place::of(server, &candidate(vm, wish, &prompt, server, now), why)
@@ -205,9 +205,9 @@
 fn is_back_soon(vm: &Vm, wish: &Wish, versions: &Versions, why: Why, now: Moment) -> bool {
     let fleet = vm.fleet.borrow();
     let is_meant = |one: &Server| versions.allow(&one.replica.version) && wish.allows(vm, one);
-    let is_limited = |one: &Server| one.standing.limit.rate(now).is_some();
-    let mut resting = fleet.resting(wish.service, now);
-    let mut taking = fleet.of(wish.service, now);
+    let is_limited = |one: &Server| one.availability.limit.rate(now).is_some();
+    let mut resting = fleet.backing_off(wish.service, now);
+    let mut taking = fleet.eligible(wish.service, now);
     resting.any(|(one, _)| is_meant(one))
         || (!matches!(why, Why::Drawn { .. }) && taking.any(|one| is_meant(one) && is_limited(one)))
 }
@@ -215,26 +215,30 @@
 /// When to come back, if all servers that a request may go to want rest or bear only so much: when the first rest ends or the first turn comes.
 pub fn come_back(vm: &Vm, wish: &Wish, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, wish.service, now);
+    let access = rate_limit::limiter(vm, wish.service, now);
     let is_meant = |one: &&Server| wish.allows(vm, one);
-    let taking = || fleet.of(wish.service, now).filter(is_meant);
-    if taking().any(|one| access.bound(one).is_none()) {
+    let taking = || fleet.eligible(wish.service, now).filter(is_meant);
+    if taking().any(|one| access.rate_limit(one).is_none()) {
         return None;
     }
-    let resting = fleet.resting(wish.service, now).filter(|(one, _)| is_meant(one));
-    let turns = taking().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
+    let resting = fleet.backing_off(wish.service, now).filter(|(one, _)| is_meant(one));
+    let turns = taking().filter_map(|one| access.next_permit(one)).map(|turn| turn.since(now));
     standing::come_back(resting.map(|(_, left)| left).chain(turns), rand::random())
 }
 
 fn among(vm: &Vm, wish: &Wish, versions: &Versions, why: Why, now: Moment) -> Option<Place> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, wish.service, now);
+    let access = rate_limit::limiter(vm, wish.service, now);
     let of_version = || {
         let allowed = |one: &&Server| versions.allow(&one.replica.version);
         let within = |one: &&Server| wish.allows(vm, one);
-        fleet.of(wish.service, now).filter(allowed).filter(within).filter(|one| access.lets(one))
+        fleet
+            .eligible(wish.service, now)
+            .filter(allowed)
+            .filter(within)
+            .filter(|one| access.allows(one))
     };
-    let sound = |one: &&Server| one.standing.bar(now).is_none();
+    let sound = |one: &&Server| one.availability.bar(now).is_none();
     let busy = busy(vm, wish.service, versions, of_version().filter(sound));
     let most = connections_each(vm, wish.service, now);
     let untried = |one: &&Server| !wish.has_tried(&one.replica) && one.load.open() < most;
@@ -266,7 +270,7 @@
 /// takes from all VMs together; beyond them it resets.
 fn connections_each(vm: &Vm, service: &Service, now: Moment) -> u32 {
     let declared = vm.routes().and_then(|table| table.pool(service).map(|pool| pool.connections));
-    let vms = vm.peers.borrow().present(now) as u32;
+    let vms = vm.peers.borrow().count_live(now) as u32;
     declared.map_or(u32::MAX, |all| limit::even_part(all, vms))
 }
 
@@ -296,28 +300,28 @@
 pub fn sent(vm: &Rc<Vm>, place: &Place, call: &Call, model: Option<&Model>, now: Moment) -> Sent {
     let replica = &place.replica;
     let mut fleet = vm.fleet.borrow_mut();
-    let Some(server) = fleet.life_mut(replica) else { return Sent::default() };
-    let (load, bar) = (server.load.level(now), server.standing.bar(now));
-    let limit = server.standing.limit.rate(now).zip(server.standing.limit.age(now));
-    server.standing.send(now);
+    let Some(server) = fleet.incarnation_mut(replica) else { return Sent::default() };
+    let (load, bar) = (server.load.level(now), server.availability.bar(now));
+    let limit = server.availability.limit.rate(now).zip(server.availability.limit.age(now));
+    server.availability.send(now);
     if call.prompt.is_empty() {
         return Sent { load, bar, limit, ..Sent::default() };
     }
     let prompt = Prompt::sent(call, model);
     let unread = prompt.unread(server, now);
     let tokens = prompt.tokens();
-    let reads = vm.reading(model, unread);
+    let reads = vm.prefill_time(model, unread);
     let waits = server.backlog.left(now);
     let expected = Some(Span(server.backlog.usual(now).0 + reads.0));
     server.backlog.add(reads, now);
-    prompt.hashes().for_each(|part| server.hold(part, now));
+    prompt.hashes().for_each(|part| server.record_prefix(part, now));
     drop(fleet);
-    peer::tell_work(vm, &replica.id, reads);
+    peer::broadcast_work(vm, &replica.id, reads);
     Sent { prompt: tokens, unread, waits, reads, load, expected, bar, limit }
 }
 
 fn candidate(vm: &Vm, wish: &Wish, prompt: &Prompt, server: &Server, now: Moment) -> Candidate {
-    let reading = vm.reading(wish.model, prompt.unread(server, now));
+    let reading = vm.prefill_time(wish.model, prompt.unread(server, now));
     Candidate {
         load: server.load.level(now),
         slots: f64::from(server.replica.slots),
--- a/src/forward/choice/prompt.rs
+++ b/src/forward/choice/prompt.rs
@@ -52,7 +52,7 @@
         let is_affine = self.affine.as_ref() == Some(&server.replica.id);
         let last = self.parts.len().saturating_sub(1);
         let held =
-            |at: usize, part: &Part| (is_affine && at < last) || server.holds(part.hash, now);
+            |at: usize, part: &Part| (is_affine && at < last) || server.has_prefix(part.hash, now);
         let first = self.parts.iter().enumerate().position(|(at, part)| !held(at, part));
         let from = first.unwrap_or(self.parts.len());
         self.parts[from..].iter().map(|part| part.tokens).sum()
--- a/src/forward/choice/version.rs
+++ b/src/forward/choice/version.rs
@@ -73,7 +73,7 @@
 pub fn versions(vm: &Vm, service: &Service, call: &Call, now: Moment) -> (Versions, Why) {
     let rollouts = vm.rollouts.borrow();
     let Some(rollout) = rollouts.get(service) else {
-        let usual = vm.fleet.borrow().usual(service).cloned();
+        let usual = vm.fleet.borrow().default_version(service).cloned();
         return (usual.map_or(Versions::Any, Versions::Only), Why::Settled);
     };
     let old = Versions::Except(rollout.version.clone());
@@ -98,7 +98,9 @@
             match last {
                 Some(last) if *last == rollout.version => (new, Why::Kept),
                 Some(_) if is_young => (old, Why::Kept),
-                None if is_young && vm.kept.borrow().has(draw, gap, now) => (old, Why::Heard),
+                None if is_young && vm.pinned_sessions.borrow().has(draw, gap, now) => {
+                    (old, Why::Heard)
+                }
                 _ if point < share => (new, drawn),
                 _ => (old, drawn),
             }
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -7,7 +7,7 @@
 
 use actix_web::rt::spawn;
 
-use super::life::Life;
+use super::liveness::Liveness;
 use super::poison;
 use super::replica::Replica;
 use super::server::Fleet;
@@ -43,17 +43,17 @@
     if !server.replica.is_life_of(replica) {
         return Next::IsOver;
     }
-    match &mut server.life {
-        Life::Over => Next::IsOver,
-        Life::Doubtful(broken) => {
+    match &mut server.liveness {
+        Liveness::Dead => Next::IsOver,
+        Liveness::Suspect(broken) => {
             broken.push(request);
             Next::Nothing
         }
-        Life::GoesOn if !server.standing.leaves() => {
-            server.life = Life::Doubtful(vec![request]);
+        Liveness::Alive if !server.availability.leaves() => {
+            server.liveness = Liveness::Suspect(vec![request]);
             Next::Check
         }
-        Life::GoesOn => Next::Nothing,
+        Liveness::Alive => Next::Nothing,
     }
 }
 
@@ -61,11 +61,11 @@
     let found = check::check(replica.address).await;
     let broken = {
         let mut fleet = vm.fleet.borrow_mut();
-        let Some(server) = fleet.life_mut(&replica) else { return };
-        let next = if found == Found::IsGone { Life::Over } else { Life::GoesOn };
-        match std::mem::replace(&mut server.life, next) {
-            Life::Doubtful(broken) => broken,
-            Life::GoesOn | Life::Over => Vec::new(),
+        let Some(server) = fleet.incarnation_mut(&replica) else { return };
+        let next = if found == Found::IsGone { Liveness::Dead } else { Liveness::Alive };
+        match std::mem::replace(&mut server.liveness, next) {
+            Liveness::Suspect(broken) => broken,
+            Liveness::Alive | Liveness::Dead => Vec::new(),
         }
     };
     note(&vm, &replica, broken, found);
@@ -85,6 +85,6 @@
     ];
     vm.log("server checked", &fields);
     if found == Found::IsGone && !broken.is_empty() {
-        poison::ended(vm, replica, &broken);
+        poison::on_server_crash(vm, replica, &broken);
     }
 }
--- a/src/forward/door.rs
+++ b/src/forward/door.rs
@@ -15,11 +15,11 @@
 use futures_util::future::LocalBoxFuture;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use super::bounded;
 use super::call::Call;
 use super::content;
 use super::drive::{self, Reply};
 use super::job::{Job, Record};
+use super::rate_limit;
 use super::relay;
 use super::vm::Vm;
 use crate::config::{Holder, Route, Table};
@@ -100,7 +100,7 @@
 fn closing(vm: &Rc<Vm>) -> impl Fn() -> LocalBoxFuture<'static, ()> + 'static {
     let vm = vm.clone();
     move || {
-        let mut stop = vm.stop.subscribe();
+        let mut stop = vm.stopping_since.subscribe();
         let stopping = vm.is_stopping();
         Box::pin(async move {
             if stopping || stop.changed().await.is_err() {
@@ -125,7 +125,7 @@
     serve_questions(listener, move |_: &Request| {
         let age = vm.proof_age(vm.now()).map_or(f64::INFINITY, Span::as_secs);
         vm.metrics.proof_age.set(age);
-        bounded::count(&vm);
+        rate_limit::update_gauges(&vm);
         Response::with_body(StatusCode::OK, BoxBody::new(vm.metrics.text()))
     })
     .await;
@@ -253,7 +253,7 @@
     if table.keyed && !route.public && !fresh(vm).await {
         return Err(Refusal::new(Kind::CutOff));
     }
-    if !vm.knows_all() {
+    if !vm.has_required_state() {
         return Err(Refusal::new(Kind::Behind));
     }
     // A key may have been taken away while the proof was awaited.
@@ -267,9 +267,9 @@
 /// 23 VMs started again, 108 tries of a few hundred were refused.
 async fn catch_up(vm: &Rc<Vm>) {
     let until = vm.started + KNOWS_WITHIN;
-    while !vm.knows_all() && vm.now() < until {
+    while !vm.has_required_state() && vm.now() < until {
         let left = until.since(vm.now()).duration();
-        let _ = tokio::time::timeout(left, vm.proof.notified()).await;
+        let _ = tokio::time::timeout(left, vm.proof_received.notified()).await;
     }
 }
 
@@ -288,8 +288,8 @@
 /// Waits until a proof is there that is young enough to deny a route or key. Whether it came.
 async fn confirm(vm: &Rc<Vm>) -> bool {
     let now = vm.now();
-    let longest = vm.settings.bounds.in_force.part(DENIAL_PROOF);
-    let young = |vm: &Vm| vm.proved.get().is_some_and(|at| now.since(at) < longest);
+    let longest = vm.settings.bounds.config_propagation.part(DENIAL_PROOF);
+    let young = |vm: &Vm| vm.proved_at.get().is_some_and(|at| now.since(at) < longest);
     young(vm) || await_proof(vm, young).await
 }
 
@@ -303,8 +303,8 @@
     let until = vm.now() + PROOF_WITHIN;
     // While the store is known to be away a proof is tried for all the time; nobody waits for it.
     while vm.now() < until && !vm.store_lost.get() {
-        let heard = vm.proof.notified();
-        vm.prove.notify_one();
+        let heard = vm.proof_received.notified();
+        vm.proof_requested.notify_one();
         let left = until.since(vm.now()).duration();
         let _ = tokio::time::timeout(left, heard).await;
         if enough(vm) {
--- a/src/forward/drive.rs
+++ b/src/forward/drive.rs
@@ -67,9 +67,9 @@
     let vm = &job.vm;
     let mut progress = Progress::default();
     let mut model = first_model(job);
-    vm.count_first(&job.service, vm.now());
+    vm.record_first_attempt(&job.service, vm.now());
     loop {
-        if poison::holds_back(job) {
+        if poison::is_quarantined(job) {
             return hold_back(job, progress);
         }
         let now = vm.now();
@@ -83,12 +83,12 @@
             }
             return give_up(job, progress, End::NotSent);
         };
-        if poison::holds_back(job) {
+        if poison::is_quarantined(job) {
             return hold_back(job, progress);
         }
         let now = vm.now();
         let replica = &place.replica;
-        vm.metrics.added.observe(now.since(job.arrived).as_secs());
+        vm.metrics.added_latency.observe(now.since(job.arrived).as_secs());
         let left = job.route.attempts.saturating_sub(sends(job, &progress));
         let until = job.patience(left, place.until_read, now);
         let outcome = try_at(job, &place, model.as_ref(), until).await;
@@ -157,10 +157,10 @@
     trial.ended(outcome.end);
     if outcome.end == End::Good {
         let took = vm.now().since(begun);
-        vm.learn_pace(named, sent.unread, took);
+        vm.record_prefill(named, sent.unread, took);
         if sent.expected.is_some() {
             let waited = Span(took.0.saturating_sub(sent.reads.0));
-            vm.note_wait(&job.service, waited, job.route.goal);
+            vm.record_wait(&job.service, waited, job.route.goal);
         }
     }
     outcome
@@ -197,7 +197,7 @@
     // The larger's, and one more if the route allows so many at all.
     let needed = if job.route.attempts > 2 { 2 } else { 1 };
     let may_send = sends(job, progress) + needed <= job.route.attempts;
-    if progress.escalated || !may_send || poison::holds_back(job) {
+    if progress.escalated || !may_send || poison::is_quarantined(job) {
         return None;
     }
     let (_, answer) = outcome.head.as_ref()?;
@@ -215,7 +215,7 @@
         left,
     };
     job.record.weighed(&known);
-    let may = escalate::gives_way(&known) && job.vm.spend_spare(&job.service, now);
+    let may = escalate::gives_way(&known) && job.vm.spend_optional_retry(&job.service, now);
     may.then_some(larger)
 }
 
@@ -243,7 +243,7 @@
 
 /// Takes one more attempt, if the route's number and the budget of repeats leave one.
 fn spend_attempt(job: &Job, progress: &Progress, now: Moment) -> bool {
-    sends(job, progress) < job.route.attempts && job.vm.spend_repeat(&job.service, now)
+    sends(job, progress) < job.route.attempts && job.vm.spend_retry(&job.service, now)
 }
 
 fn deliver(
@@ -264,7 +264,7 @@
     if promises_not_run(&answer) {
         return unknown(job, "a failure that promises too much");
     }
-    poison::ran_well(&job.vm, job.content);
+    poison::on_success(&job.vm, job.content);
     job.record.set_outcome(head.status.as_str());
     Reply::Whole(Box::new((head, outcome.body)))
 }
--- a/src/forward/follow.rs
+++ b/src/forward/follow.rs
@@ -56,10 +56,10 @@
     let mut store = vm.store_client();
     let mut pause = Pause::default();
     let mut from: Option<Position> = None;
-    let mut regained = vm.regained.subscribe();
+    let mut regained = vm.store_recoveries.subscribe();
     let mut role = vm.role.subscribe();
     loop {
-        if !vm.reads() {
+        if !vm.is_reader() {
             let _ = role.wait_for(|role| *role == Role::Reads).await;
             from = vm.feed.borrow().reading(kind).map(|reading| reading.position);
             pause = Pause::default();
@@ -67,7 +67,7 @@
             regained.borrow_and_update();
         }
         wait_for_store(&vm, &mut regained).await;
-        if !vm.reads() {
+        if !vm.is_reader() {
             continue;
         }
         let sent = vm.now();
@@ -96,10 +96,10 @@
             }
         };
         let call = if from.is_some() { "watch" } else { "list" };
-        vm.count_call(&format!("{call}-{}", kind.name()), &result);
+        vm.count_store_call(&format!("{call}-{}", kind.name()), &result);
         match result {
             Ok((position, some)) => {
-                vm.store_answered();
+                vm.on_store_response();
                 from = from.max(Some(position));
                 pause = Pause::default();
                 let rest = match kind {
@@ -122,9 +122,9 @@
                     &[("kind", kind.name().into()), ("why", trouble.to_string().as_str().into())],
                 );
                 // Those that follow this VM may ask others meanwhile.
-                vm.doubts_store.set(vm.doubts_store.get() || kind == Kind::Servers);
+                vm.store_suspect.set(vm.store_suspect.get() || kind == Kind::Servers);
                 // A proof tells whether the store is lost or this call alone.
-                vm.prove.notify_one();
+                vm.proof_requested.notify_one();
                 // News that the store is back ends the pause.
                 let wait = pause.next(LONGEST_PAUSE).duration();
                 let _ = tokio::time::timeout(wait, regained.changed()).await;
@@ -135,14 +135,14 @@
 
 /// Waits while a proof is tried that tells whether the store is lost, and for its return.
 async fn wait_for_store(vm: &Vm, regained: &mut tokio::sync::watch::Receiver<u64>) {
-    if vm.unsure.get() {
-        let _ = tokio::time::timeout(ANSWER_WITHIN.duration(), vm.proof.notified()).await;
+    if vm.store_untested.get() {
+        let _ = tokio::time::timeout(ANSWER_WITHIN.duration(), vm.proof_received.notified()).await;
     }
     if !vm.store_lost.get() {
         return;
     }
     let _ = tokio::time::timeout(RETURN_WITHIN, regained.changed()).await;
-    if vm.first_since.get().is_none() {
+    if vm.first_in_group_since.get().is_none() {
         let mut role = vm.role.subscribe();
         let _ = tokio::time::timeout(YIELDS_FOR, role.wait_for(|role| *role != Role::Reads)).await;
     }
@@ -164,7 +164,7 @@
             return doubting(vm, changes).await;
         }
         Kind::Rollouts => WAIT.min(vm.settings.bounds.rollback.part(ROLLOUTS_WAIT)),
-        Kind::Evacuations => WAIT.min(vm.settings.bounds.empty_within.part(EVACUATIONS_WAIT)),
+        Kind::Evacuations => WAIT.min(vm.settings.bounds.evacuate_within.part(EVACUATIONS_WAIT)),
         // The proof reads the configuration itself, and nothing is due of VMs.
         Kind::Config | Kind::Vms => WAIT,
     };
@@ -177,13 +177,13 @@
     if let Ok(answer) = tokio::time::timeout(DOUBTED_AFTER, &mut call).await {
         return answer;
     }
-    vm.doubts_store.set(true);
+    vm.store_suspect.set(true);
     call.await
 }
 
 /// Time until servers are to be asked for again, if the last question was sent at `sent`.
 fn servers_due(vm: &Vm, sent: Moment) -> Duration {
-    let due = sent + vm.settings.bounds.leave_within.part(SERVERS_EVERY);
+    let due = sent + vm.settings.bounds.drain_within.part(SERVERS_EVERY);
     due.since(vm.now()).duration()
 }
 
@@ -207,7 +207,7 @@
 }
 
 fn note_events(vm: &Vm, kind: Kind, events: &Events) {
-    let lapsed = vm.was_store_away(vm.now());
+    let lapsed = vm.was_store_lost_recently(vm.now());
     let source = Source { reader: None, as_of: events.position() };
     for event in &events.events {
         if event.deleted {
@@ -223,7 +223,7 @@
 pub async fn expire(vm: Rc<Vm>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        if vm.was_store_away(vm.now()) || vm.told_lost.get() {
+        if vm.was_store_lost_recently(vm.now()) || vm.upstream_store_lost.get() {
             continue;
         }
         for id in vm.fleet.borrow_mut().expire(vm.now()) {
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -29,7 +29,7 @@
         vm.role.send_replace(Role::Reads);
         return;
     }
-    vm.peers_named.notified().await;
+    vm.peers_listed.notified().await;
     let begun = vm.now();
     let mut follower = Follower {
         vm,
@@ -43,13 +43,13 @@
     loop {
         let pause = if follower.look().await { ASK_EVERY } else { ASK_SOON };
         let expected = follower.vm.now() + pause;
-        let asked_again = follower.vm.ask_again.notified();
+        let asked_again = follower.vm.reader_search.notified();
         if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
             follower.asked.forget_declined();
         }
         let now = follower.vm.now();
         if now.since(expected) >= HELD_UP {
-            follower.vm.held_up.set(Some(now));
+            follower.vm.stalled_at.set(Some(now));
         }
     }
 }
@@ -116,7 +116,7 @@
         let worth = self.take(of_next);
         let worth = if worth < Worth::News { worth.max(self.take(of_followed)) } else { worth };
         if worth == Worth::Old {
-            self.vm.hear_store(Store::IsLost, self.vm.now());
+            self.vm.on_store_report(Store::IsLost, self.vm.now());
         }
         worth == Worth::News || self.go_without(worth == Worth::Old, &circle)
     }
@@ -125,8 +125,8 @@
     /// known.
     fn time_to_ask(&self, circle: &Circle) -> Option<Span> {
         let now = self.vm.now();
-        let lost = self.vm.told_lost.get() || self.is_told_lost(circle);
-        time_to_ask(self.known.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
+        let lost = self.vm.upstream_store_lost.get() || self.is_told_lost(circle);
+        time_to_ask(self.known.filter(|_| !lost), self.vm.settings.bounds.drain_within, now)
     }
 
     fn is_told_lost(&self, circle: &Circle) -> bool {
@@ -162,10 +162,10 @@
     fn note_place(&self, circle: &Circle) {
         let now = self.vm.now();
         let is_first = self.place(circle) == decide::Place::First;
-        let since = self.vm.first_since.get();
-        self.vm.first_since.set(is_first.then(|| since.unwrap_or(now)));
+        let since = self.vm.first_in_group_since.get();
+        self.vm.first_in_group_since.set(is_first.then(|| since.unwrap_or(now)));
         let among = self.asked.place(&circle.own, circle.firsts.iter(), now);
-        self.vm.tries_rarely.set(among == decide::Place::Behind);
+        self.vm.probes_rarely.set(among == decide::Place::Behind);
     }
 
     /// The next VM to ask: one before this one in its group; for the first of a group, the first of another.
@@ -173,7 +173,7 @@
         let now = self.vm.now();
         let next = if self.place(circle) != decide::Place::First {
             self.asked.next(&circle.own, circle.group.iter(), now)
-        } else if self.vm.store_lost.get() || self.vm.doubts_store.get() {
+        } else if self.vm.store_lost.get() || self.vm.store_suspect.get() {
             self.asked.any(circle.firsts.iter(), now)
         } else {
             self.asked.next(&circle.own, circle.firsts.iter(), now)
@@ -190,7 +190,7 @@
             false => self.time_to_ask(circle)?,
         };
         let place = self.places.get(&name).copied().unwrap_or_default();
-        let is_first = vm.first_since.get().is_some();
+        let is_first = vm.first_in_group_since.get().is_some();
         let seen = self.tally.news(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
@@ -205,7 +205,7 @@
         let Some(Answer { name, asked, seen, reply }) = answer else { return Worth::None };
         let now = self.vm.now();
         if !matches!(reply, Reply::Silence) {
-            peer::heard(&self.vm, &name);
+            peer::on_contact(&self.vm, &name);
             self.tally.note(&name, seen);
         }
         match reply {
@@ -222,7 +222,7 @@
         let vm = self.vm.clone();
         let Origin { reader, hops } = &news.origin;
         let is_lost = news.store == Store::IsLost;
-        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.reads()) {
+        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
             self.asked.declined(from, vm.now());
             return Worth::None;
         }
@@ -240,7 +240,7 @@
             self.asked.declined(from, vm.now());
             return Worth::None;
         }
-        vm.enter_with(position.era, news.restore.as_ref().map(|restore| restore.at(asked)));
+        vm.enter_era_with(position.era, news.restore.as_ref().map(|restore| restore.at(asked)));
         let Some(changes) = news.changes.changes() else {
             let bytes = ("bytes", news.changes.size().into());
             vm.log("news not read", &[("from", from.as_str().into()), bytes]);
@@ -249,10 +249,10 @@
         };
         self.places.insert(from.clone(), news.place);
         if !is_lost {
-            vm.hear_store(news.store, asked);
+            vm.on_store_report(news.store, asked);
         }
         tally::hear_verdicts(&vm, &news.verdicts);
-        poison::hear_held(&vm, from.as_str(), &news.held, asked);
+        poison::on_quarantine_list(&vm, from.as_str(), &news.held, asked);
         apply(&vm, asked, from, news, &changes);
         let disputed = news.restore.iter().flat_map(|restore| &restore.disputed);
         disputed.for_each(|life| vm.fleet.borrow_mut().dispute(life, vm.now()));
@@ -274,12 +274,12 @@
     /// What this VM does without news. Whether it has what it needs for now.
     fn go_without(&mut self, is_told: bool, circle: &Circle) -> bool {
         let vm = &self.vm;
-        if vm.reads() {
-            return !vm.doubts_store.get();
+        if vm.is_reader() {
+            return !vm.store_suspect.get();
         }
         self.note_place(circle);
         let now = vm.now();
-        let bound = vm.settings.bounds.leave_within;
+        let bound = vm.settings.bounds.drain_within;
         let without = Without {
             place: self.place(circle),
             others: !circle.firsts.is_empty(),
@@ -371,9 +371,9 @@
     ];
     vm.log("follows a reader", &fields);
     if vm.store_lost.replace(false) {
-        vm.log("told of the store", &[("lost", vm.told_lost.get().into())]);
+        vm.log("told of the store", &[("lost", vm.upstream_store_lost.get().into())]);
     }
-    vm.doubts_store.set(false);
+    vm.store_suspect.set(false);
     vm.role.send_replace(role);
 }
 
@@ -385,9 +385,9 @@
         ("overdue", without.overdue.into()),
     ];
     vm.log("reads the store itself", &fields);
-    vm.told_lost.set(false);
-    vm.unsure.set(without.lost);
-    vm.prove.notify_one();
+    vm.upstream_store_lost.set(false);
+    vm.store_untested.set(without.lost);
+    vm.proof_requested.notify_one();
     vm.origin.replace(None);
     vm.trials.borrow_mut().values_mut().for_each(Trials::forget_verdict);
     vm.role.send_replace(Role::Reads);
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use super::bounded::Turn;
 use super::call::Call;
 use super::choice::{self, Passed, Place, Sent, Wait, Why, Wish};
+use super::rate_limit::Permit;
 use super::replica::Replica;
 use super::vm::Vm;
 use crate::config::{Holder, Repeat, Route};
@@ -114,7 +114,7 @@
         let sent = choice::sent(&self.vm, place, &self.call, named, now);
         let turn = place.turn.clone().unwrap_or_else(|| {
             let mut fleet = self.vm.fleet.borrow_mut();
-            Rc::new(Turn::take(&self.vm, &mut fleet, &place.replica, now))
+            Rc::new(Permit::reserve(&self.vm, &mut fleet, &place.replica, now))
         });
         self.record.attempt(place, named, &sent, now);
         (sent, Waiting::new(&self.vm, &place.replica, sent.reads, turn))
@@ -275,7 +275,7 @@
         let outcome = self.outcome.borrow();
         vm.metrics.requests.with_label_values(&[self.route.as_str(), outcome.as_str()]).inc();
         if let Some(first) = self.first.get() {
-            let histogram = vm.metrics.answer.with_label_values(&[self.route.as_str()]);
+            let histogram = vm.metrics.response_time.with_label_values(&[self.route.as_str()]);
             histogram.observe(first.as_secs());
         }
         // The session lives on from the end of the answer.
@@ -310,12 +310,12 @@
     /// Time that the server needs to read it.
     pub reads: Span,
     /// Its turn, if the server bears only so much.
-    pub turn: Rc<Turn>,
+    pub turn: Rc<Permit>,
 }
 
 impl Waiting {
-    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> Waiting {
-        if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
+    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Permit>) -> Waiting {
+        if let Some(server) = vm.fleet.borrow_mut().incarnation_mut(replica) {
             server.backlog.wait_for(reads);
         }
         Waiting { vm: vm.clone(), replica: replica.clone(), reads, turn }
@@ -324,7 +324,7 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
+        if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
             server.backlog.came(self.reads);
         }
     }
@@ -341,10 +341,10 @@
     /// Counts a request at a server.
     pub fn new(vm: &Rc<Vm>, replica: &Replica) -> Open {
         let mut fleet = vm.fleet.borrow_mut();
-        let server = fleet.life_mut(replica);
+        let server = fleet.incarnation_mut(replica);
         let over = server.map(|server| {
             server.load.add();
-            server.over.clone()
+            server.superseded.clone()
         });
         Open { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
     }
@@ -357,7 +357,7 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
+        if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
             server.load.remove();
         }
     }
--- a/src/forward/kept.rs
+++ b/src/forward/kept.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::peer::{self, Word};
+use super::peer::{self, Message};
 use super::replica::Rollout;
 use super::vm::Vm;
 use crate::decide::canary;
@@ -83,8 +83,12 @@
 
 /// Takes what another VM told. Among many VMs it goes on to the neighbours of this one.
 pub fn hear(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
-    if vm.peers.borrow().are_few() {
-        vm.kept.borrow_mut().note(draws.into_iter(), vm.settings.bounds.session_gap, vm.now());
+    if vm.peers.borrow().is_full_mesh() {
+        vm.pinned_sessions.borrow_mut().note(
+            draws.into_iter(),
+            vm.settings.bounds.session_gap,
+            vm.now(),
+        );
     } else {
         take(vm, service, version, draws, vm.now());
     }
@@ -100,7 +104,7 @@
 
 /// Draws of this VM's live sessions that went to the old version, though the first share has them.
 fn own(vm: &Vm, rollout: &Rollout, now: Moment) -> Vec<Draw> {
-    let share = canary::first(vm.settings.bounds.exposure);
+    let share = canary::first(vm.settings.bounds.max_exposure);
     let sessions = vm.sessions.borrow();
     let live = sessions.live(vm.settings.bounds.session_gap, now);
     let old = live.filter(|(_, version)| **version != rollout.version);
@@ -111,9 +115,9 @@
 /// Notes draws, and tells those that are news.
 fn take(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>, now: Moment) {
     let gap = vm.settings.bounds.session_gap;
-    let new = vm.kept.borrow_mut().note(draws.into_iter(), gap, now);
+    let new = vm.pinned_sessions.borrow_mut().note(draws.into_iter(), gap, now);
     for some in new.chunks(MOST) {
         let (service, version) = (service.clone(), version.clone());
-        peer::tell(vm, &Word::Kept { service, version, draws: some.to_vec() });
+        peer::broadcast(vm, &Message::PinnedSessions { service, version, draws: some.to_vec() });
     }
 }
--- a/src/forward/learn.rs
+++ b/src/forward/learn.rs
@@ -29,10 +29,10 @@
 
 /// Applies all objects of a kind. Returns the revision of the configuration, if it is among them and reads.
 pub fn take_all(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
-    vm.enter_at(source.as_of);
+    vm.enter_era_of(source.as_of);
     let configuration = take_kind(vm, kind, objects, source);
     // Requests may wait for a VM that has just started to know all.
-    vm.proof.notify_waiters();
+    vm.proof_received.notify_waiters();
     configuration
 }
 
@@ -42,7 +42,7 @@
         Kind::Config => return take_config(vm, objects),
         Kind::Rollouts => take_rollouts(vm, objects),
         Kind::Servers => {
-            let may_lapse = vm.has_listed(kind) && vm.was_store_away(vm.now());
+            let may_lapse = vm.has_listed(kind) && vm.was_store_lost_recently(vm.now());
             tell_list(vm, objects.len(), may_lapse, source);
             replace(vm, kind, objects, may_lapse, source);
         }
@@ -56,7 +56,7 @@
 /// off brought back, for 0.7 s, servers that were known to leave.
 fn replace(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
     let listed: HashSet<&str> = objects.iter().map(|one| one.metadata.name.as_str()).collect();
-    let missing = vm.known.borrow_mut().missing(kind, &listed, source.as_of);
+    let missing = vm.freshness.borrow_mut().missing(kind, &listed, source.as_of);
     // A server that a copy lacks counts as lapsed, and what else it lacks stays until its owner has had
     // time to write it again.
     if kind == Kind::Servers || vm.restored.borrow().is_none() {
@@ -75,7 +75,7 @@
 /// Notes an object, if it is as new as what is known. Whether it is.
 fn is_newest(vm: &Vm, kind: Kind, object: &Object, source: &Source) -> bool {
     let metadata = &object.metadata;
-    vm.known.borrow_mut().put(kind, &metadata.name, metadata.position, source.as_of)
+    vm.freshness.borrow_mut().put(kind, &metadata.name, metadata.position, source.as_of)
 }
 
 fn tell_older(vm: &Vm, kind: Kind, count: usize, source: &Source) {
@@ -112,17 +112,17 @@
     match object::emptied(object) {
         Ok(data_centre) => {
             let is_outdated = vm.may_be_outdated(object.metadata.position);
-            if is_outdated && vm.fleet.borrow().was_refilled(&data_centre) {
+            if is_outdated && vm.fleet.borrow().was_evacuation_withdrawn(&data_centre) {
                 let data_centre = ("data_centre", data_centre.as_str().into());
                 vm.log("order of a restored store ignored", &[data_centre]);
                 return;
             }
-            if vm.fleet.borrow_mut().empty(&data_centre) {
+            if vm.fleet.borrow_mut().evacuate(&data_centre) {
                 let revision = object.metadata.position.revision;
                 let fields =
                     [("data_centre", data_centre.as_str().into()), ("revision", revision.into())];
                 vm.log("data centre emptied", &fields);
-                vm.metrics.emptied.with_label_values(&[data_centre.as_str()]).set(1);
+                vm.metrics.evacuated.with_label_values(&[data_centre.as_str()]).set(1);
             }
         }
         Err(why) => unreadable(vm, EVACUATIONS, object, &why),
@@ -132,16 +132,16 @@
 /// An order to empty a data centre was withdrawn.
 fn take_back(vm: &Vm, name: &str, source: &Source) {
     let Ok(data_centre) = name.parse() else { return };
-    if vm.fleet.borrow_mut().take_back(&data_centre, vm.now()) {
+    if vm.fleet.borrow_mut().withdraw_evacuation(&data_centre, vm.now()) {
         let [from, era, as_of] = source.fields();
         vm.log("data centre taken back", &[("data_centre", name.into()), from, era, as_of]);
-        vm.metrics.emptied.with_label_values(&[name]).set(0);
+        vm.metrics.evacuated.with_label_values(&[name]).set(0);
     }
 }
 
 /// Takes an object as it changed.
 pub fn take(vm: &Vm, kind: Kind, object: &Object, source: &Source) {
-    vm.enter_at(source.as_of);
+    vm.enter_era_of(source.as_of);
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         put(vm, kind, object, None);
     } else if is_newest(vm, kind, object, source) {
@@ -153,12 +153,12 @@
 
 /// An object is gone; a backend server may only have lapsed while the store was away.
 pub fn drop_object(vm: &Vm, kind: Kind, name: &str, lapsed: bool, source: &Source) {
-    vm.enter_at(source.as_of);
+    vm.enter_era_of(source.as_of);
     // The operator takes neither away; what stands last stays in force.
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         return;
     }
-    if !vm.known.borrow_mut().remove(kind, name, source.as_of) {
+    if !vm.freshness.borrow_mut().remove(kind, name, source.as_of) {
         tell_older(vm, kind, 1, source);
         return;
     }
@@ -185,13 +185,13 @@
     for kind in [Kind::Evacuations, Kind::Vms] {
         let read = vm.feed.borrow().reading(kind);
         if read.is_some_and(|reading| reading.position.era == as_of.era) {
-            let missing = vm.known.borrow().of_earlier_eras(kind, as_of.era);
+            let missing = vm.freshness.borrow().of_earlier_eras(kind, as_of.era);
             let source = Source { reader: None, as_of };
             missing.iter().for_each(|name| drop_object(vm, kind, name, false, &source));
         }
     }
     vm.fleet.borrow_mut().settle_disputes();
-    let put_off = vm.put_off.take();
+    let put_off = vm.deferred_rollouts.take();
     put_off.values().for_each(|object| put_rollout(vm, object));
     let objects = |kind| -> Vec<Object> { vm.feed.borrow().objects(kind).collect() };
     objects(Kind::Evacuations).iter().for_each(|object| empty(vm, object));
@@ -206,8 +206,8 @@
         vm.log("proof of a newer configuration ignored", &fields);
         return;
     }
-    vm.proved.set(vm.proved.get().max(Some(moment)));
-    vm.proof.notify_waiters();
+    vm.proved_at.set(vm.proved_at.get().max(Some(moment)));
+    vm.proof_received.notify_waiters();
 }
 
 /// Applies the configuration of a list. Returns its revision, if there is one that reads.
@@ -258,14 +258,14 @@
             }
             let id = replica.id.clone();
             let mut fleet = vm.fleet.borrow_mut();
-            if vm.may_be_outdated(object.metadata.position) && !fleet.put_outdated(&replica) {
+            if vm.may_be_outdated(object.metadata.position) && !fleet.accept_outdated(&replica) {
                 if fleet.get(&id).is_none_or(|known| known.replica != replica) {
                     vm.log("entry of a restored store ignored", &[("server", id.as_str().into())]);
-                    vm.disputes.notify_one();
+                    vm.disputes_changed.notify_one();
                 }
                 return;
             }
-            if fleet.put(replica, vm.now()) {
+            if fleet.upsert(replica, vm.now()) {
                 let revision = object.metadata.position.revision.into();
                 vm.log(
                     "server started again",
@@ -325,11 +325,11 @@
                 "order of a restored store ignored",
                 &[("service", known.service.as_str().into())],
             );
-            vm.put_off.borrow_mut().insert(known.service, object.clone());
+            vm.deferred_rollouts.borrow_mut().insert(known.service, object.clone());
             return;
         }
     }
-    vm.put_off.borrow_mut().remove(&rollout.service);
+    vm.deferred_rollouts.borrow_mut().remove(&rollout.service);
     vm.feed.borrow_mut().put(Kind::Rollouts, object);
     apply_rollout(vm, rollout);
 }
@@ -356,7 +356,7 @@
     let trial = trials.entry(rollout.service.clone()).or_default();
     trial.follow(&rollout.version, vm.now());
     if rollout.phase == Some(Phase::Completed) {
-        vm.fleet.borrow_mut().settle(&rollout.service, &rollout.version);
+        vm.fleet.borrow_mut().set_default_version(&rollout.service, &rollout.version);
     }
     rollouts.insert(rollout.service.clone(), rollout);
 }
--- a/src/forward/life.rs
+++ b/src/forward/liveness.rs
@@ -4,12 +4,12 @@
 
 /// What is known of how a life of a server goes on.
 #[derive(Debug, Default)]
-pub enum Life {
+pub enum Liveness {
     /// No answer broke off there, or it took connections afterwards.
     #[default]
-    GoesOn,
+    Alive,
     /// Answers to these requests broke off, and it is being checked.
-    Doubtful(Vec<Broken>),
+    Suspect(Vec<Broken>),
     /// It has crashed.
-    Over,
+    Dead,
 }
--- a/src/forward/word.rs
+++ b/src/forward/message.rs
@@ -13,11 +13,11 @@
 
 /// What one VM tells another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// It is there.
     Hello,
     /// It stops.
-    Bye,
+    Goodbye,
     /// It sent a prompt to a server.
     Work {
         /// The server.
@@ -26,7 +26,7 @@
         work: Span,
     },
     /// What it has seen of a version since its roll-out began.
-    Seen {
+    TrialCounts {
         /// The service.
         service: Service,
         /// The new version.
@@ -35,7 +35,7 @@
         routes: Vec<(String, Totals)>,
     },
     /// Sessions that keep the old version while a new one's trial is young.
-    Kept {
+    PinnedSessions {
         /// The service.
         service: Service,
         /// The new version.
@@ -46,9 +46,9 @@
     /// Contents under which servers crashed, or did not.
     Poison(poison::News),
     /// A life of a server has said that it leaves.
-    Leaves(Incarnation),
+    ServerDraining(Incarnation),
     /// A life of a server names a limit, or no longer does.
-    Limit {
+    ServerLimit {
         /// Its id.
         server: Server,
         /// When that life began, by its own clock.
@@ -68,14 +68,14 @@
     /// Who says it.
     pub from: Name,
     /// Where it is.
-    pub place: Place,
+    pub info: PeerInfo,
     /// What it says.
-    pub word: Word,
+    pub message: Message,
 }
 
 /// Where a VM is, and how large; the store's entry of it says the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct PeerInfo {
     /// Where other VMs reach it.
     pub address: SocketAddr,
     /// Its data centre.
@@ -85,9 +85,9 @@
     pub share: Millicores,
 }
 
-impl Place {
+impl PeerInfo {
     /// The place of a VM with these settings, whose links are at `address`.
-    pub fn of(settings: &Settings, address: SocketAddr) -> Place {
-        Place { address, data_centre: settings.data_centre.clone(), share: settings.share }
+    pub fn of(settings: &Settings, address: SocketAddr) -> PeerInfo {
+        PeerInfo { address, data_centre: settings.data_centre.clone(), share: settings.share }
     }
 }
--- a/src/forward/metrics.rs
+++ b/src/forward/metrics.rs
@@ -7,7 +7,8 @@
 };
 
 /// Bounds of the latency histograms, in seconds.
-const BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 3.0, 6.0, 12.0];
+const LATENCY_BUCKETS: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 3.0, 6.0, 12.0];
 
 /// The counters.
 pub struct Metrics {
@@ -19,28 +20,28 @@
     /// Servers that were checked after an answer broke off, by service and what was found.
     pub checks: IntCounterVec,
     /// Words of servers that changed what is known of them, by service and word.
-    pub said: IntCounterVec,
+    pub server_signals: IntCounterVec,
     /// Headers of servers' answers that nothing decodes, by name.
-    pub unknown: IntCounterVec,
+    pub unknown_headers: IntCounterVec,
     /// Contents under which a server crashed, and those of them that are held back.
-    pub suspects: IntGauge,
-    pub held: IntGauge,
+    pub suspect_contents: IntGauge,
+    pub quarantined_contents: IntGauge,
     /// Time from a request to its answer or first event, by route.
-    pub answer: HistogramVec,
+    pub response_time: HistogramVec,
     /// Time that this VM added before it sent a request on.
-    pub added: Histogram,
+    pub added_latency: Histogram,
     /// Calls to the platform's store, by kind and outcome.
-    pub store: IntCounterVec,
+    pub store_calls: IntCounterVec,
     /// Objects of the platform that did not read.
     pub unreadable: IntCounterVec,
     /// Requests in flight.
     pub running: IntGauge,
     /// 1 for a data centre that gets nothing new by an order.
-    pub emptied: IntGaugeVec,
+    pub evacuated: IntGaugeVec,
     /// Backend servers that are cold, by service.
-    pub cold: IntGaugeVec,
+    pub cold_servers: IntGaugeVec,
     /// Backend servers that name a limit, by service.
-    pub limited: IntGaugeVec,
+    pub limited_servers: IntGaugeVec,
     /// Revision of the configuration in force.
     pub revision: IntGauge,
     /// Era of the store.
@@ -59,8 +60,9 @@
             let made = IntCounterVec::new(Opts::new(name, help), labels);
             register(&registry, made.expect("the name is well formed"))
         };
-        let histogram =
-            |name: &str, help: &str| HistogramOpts::new(name, help).buckets(BOUNDS.to_vec());
+        let histogram = |name: &str, help: &str| {
+            HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec())
+        };
         let answer = histogram("kitepulley_answer_seconds", "Time to the answer or first event.");
         let added = histogram("kitepulley_added_seconds", "Time before a request was sent on.");
         let running = IntGauge::new("kitepulley_running", "Requests in flight.");
@@ -80,34 +82,41 @@
         Metrics {
             requests: counter("kitepulley_requests", "Requests.", &["route", "outcome"]),
             attempts: counter("kitepulley_attempts", "Attempts.", &["service", "end"]),
-            store: counter("kitepulley_store_calls", "Calls to the store.", &["call", "outcome"]),
+            store_calls: counter(
+                "kitepulley_store_calls",
+                "Calls to the store.",
+                &["call", "outcome"],
+            ),
             unreadable: counter("kitepulley_unreadable", "Objects not read.", &["kind"]),
             checks: counter(
                 "kitepulley_checks",
                 "Servers checked after an answer broke off.",
                 &["service", "found"],
             ),
-            said: counter(
+            server_signals: counter(
                 "kitepulley_said",
                 "Words of servers that they leave, want rest or name a limit.",
                 &["service", "word"],
             ),
-            unknown: counter(
+            unknown_headers: counter(
                 "kitepulley_unknown_headers",
                 "Headers of servers' answers that nothing decodes.",
                 &["name"],
             ),
-            suspects: register(&registry, suspects.expect("the name is well formed")),
-            held: register(&registry, held.expect("the name is well formed")),
-            answer: register(
+            suspect_contents: register(&registry, suspects.expect("the name is well formed")),
+            quarantined_contents: register(&registry, held.expect("the name is well formed")),
+            response_time: register(
                 &registry,
                 HistogramVec::new(answer, &["route"]).expect("the name is well formed"),
             ),
-            added: register(&registry, Histogram::with_opts(added).expect("a well formed name")),
+            added_latency: register(
+                &registry,
+                Histogram::with_opts(added).expect("a well formed name"),
+            ),
             running: register(&registry, running.expect("the name is well formed")),
-            emptied: register(&registry, emptied.expect("the name is well formed")),
-            cold: register(&registry, cold.expect("the name is well formed")),
-            limited: register(&registry, limited.expect("the name is well formed")),
+            evacuated: register(&registry, emptied.expect("the name is well formed")),
+            cold_servers: register(&registry, cold.expect("the name is well formed")),
+            limited_servers: register(&registry, limited.expect("the name is well formed")),
             revision: register(&registry, revision.expect("the name is well formed")),
             era: register(&registry, era.expect("the name is well formed")),
             era_anomalies: counter(
@@ -122,14 +131,14 @@
 
     /// Calls to the store so far: those of each cause and outcome that there were.
     pub fn calls(&self) -> Vec<(String, u64)> {
-        let families = self.store.collect();
+        let families = self.store_calls.collect();
         let counters = families.iter().flat_map(|family| family.get_metric());
-        let told = |counter: &prometheus::proto::Metric| {
+        let count = |counter: &prometheus::proto::Metric| {
             let labels = counter.get_label().iter().map(|label| label.value());
             let name = labels.collect::<Vec<&str>>().join(" ");
             (name, counter.get_counter().get_value() as u64)
         };
-        counters.map(told).collect()
+        counters.map(count).collect()
     }
 
     /// All of them in the text format.
@@ -148,7 +157,7 @@
     }
 }
 
-fn register<T: Collector + Clone + 'static>(registry: &Registry, one: T) -> T {
-    registry.register(Box::new(one.clone())).expect("each name is used once");
-    one
+fn register<T: Collector + Clone + 'static>(registry: &Registry, metric: T) -> T {
+    registry.register(Box::new(metric.clone())).expect("each name is used once");
+    metric
 }
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,8 +1,8 @@
 //! An entry VM on the users' platform: requests are forwarded to backend servers unchanged, and
 //! what must be agreed lies in the platform's store. `docs/PLATFORM.md` has the design.
 
+mod announce;
 pub mod attempt;
-pub mod bounded;
 pub mod call;
 pub mod choice;
 pub mod connection;
@@ -20,7 +20,8 @@
 pub mod kind;
 pub mod known;
 pub mod learn;
-mod life;
+mod liveness;
+mod message;
 mod metrics;
 pub mod pack;
 mod pause;
@@ -28,6 +29,7 @@
 pub mod poison;
 pub mod pool;
 mod proof;
+pub mod rate_limit;
 pub mod reader;
 mod relay;
 pub mod replica;
@@ -35,7 +37,6 @@
 pub mod role;
 mod roster;
 mod run;
-mod said;
 pub mod server;
 pub mod session;
 mod settings;
@@ -45,7 +46,6 @@
 mod vm;
 pub mod wake;
 mod watched;
-mod word;
 
 pub use run::run;
 pub use settings::{Bounds, Settings};
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -9,17 +9,17 @@
 use actix_web::rt::spawn;
 use tokio::sync::mpsc;
 
+use super::announce::{self, LimitReport};
 use super::kept;
 use super::kind::VMS;
+use super::message::Envelope;
+pub use super::message::{Message, PeerInfo};
 use super::poison;
 use super::reader;
 use super::role::Role;
 use super::roster;
-use super::said::{self, Told};
 use super::trial::Source;
 use super::vm::Vm;
-use super::word::Envelope;
-pub use super::word::{Place, Word};
 use crate::decide::bound;
 use crate::decide::reader::Rank;
 use crate::peer::wire::{decode, encode};
@@ -30,47 +30,47 @@
 /// Up to this number every VM hears every other; beyond it each tells its ring neighbours, so that
 /// what a VM sends grows with the logarithm of their number, and those named in the store count as
 /// present.
-const ALL: usize = 12;
+const FULL_MESH_MAX: usize = 12;
 
 /// Time between two looks at the peers.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A peer that was told nothing for this long is greeted.
-const GREET_EVERY: Span = Span::secs(2);
+const HEARTBEAT_INTERVAL: Span = Span::secs(2);
 
 /// A peer that said nothing for this long is taken as gone, and greeted again from time to time.
-const SILENT: Span = Span::secs(5);
+const PEER_TIMEOUT: Span = Span::secs(5);
 
 /// After this it is forgotten, and its entry removed.
-const FORGET: Span = Span::secs(60);
+const REMOVAL_TIMEOUT: Span = Span::secs(60);
 
 /// Work below this is not told: it is done before the word arrives.
-const WORTH_TELLING: Span = Span::millis(25);
+const MIN_BROADCAST_WORK: Span = Span::millis(25);
 
 /// VMs of many that gather what is known of a content. With a tenth of the VMs cut off all three are for one content in
 /// a thousand.
-const GATHERERS: usize = 3;
+const AGGREGATOR_COUNT: usize = 3;
 
 struct Peer {
-    place: Place,
+    info: PeerInfo,
     /// When it was first named, heard last, and told something last.
-    met: Moment,
-    heard: Option<Moment>,
-    told: Option<Moment>,
+    first_seen: Moment,
+    last_received: Option<Moment>,
+    last_sent: Option<Moment>,
 }
 
 impl Peer {
-    fn new(place: Place, now: Moment) -> Peer {
-        Peer { place, met: now, heard: None, told: None }
+    fn new(info: PeerInfo, now: Moment) -> Peer {
+        Peer { info, first_seen: now, last_received: None, last_sent: None }
     }
 
-    fn is_present(&self, now: Moment) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) < SILENT)
+    fn is_live(&self, now: Moment) -> bool {
+        self.last_received.is_some_and(|last_received| now.since(last_received) < PEER_TIMEOUT)
     }
 
     /// Time since anything was heard of it by one that should hear it since `from`.
-    fn silent(&self, from: Moment, now: Moment) -> Span {
-        now.since(self.heard.unwrap_or(self.met).max(from))
+    fn silence(&self, from: Moment, now: Moment) -> Span {
+        now.since(self.last_received.unwrap_or(self.first_seen).max(from))
     }
 }
 
@@ -83,28 +83,28 @@
 
 impl Peers {
     /// Whether there are so few VMs that each hears each.
-    pub fn are_few(&self) -> bool {
-        self.known.len() <= ALL
+    pub fn is_full_mesh(&self) -> bool {
+        self.known.len() <= FULL_MESH_MAX
     }
 
     /// VMs that take part, this one too: those heard of late, or, of many, those that the store
     /// names. Shares of what all may use are the smaller for one that is gone and still named.
-    pub fn present(&self, now: Moment) -> usize {
-        let few = self.are_few();
-        1 + self.known.values().filter(|peer| !few || peer.is_present(now)).count()
+    pub fn count_live(&self, now: Moment) -> usize {
+        let full_mesh = self.is_full_mesh();
+        1 + self.known.values().filter(|peer| !full_mesh || peer.is_live(now)).count()
     }
 
     /// The other VMs by group: those that share a group with one of this data centre, and the other groups. A group is a
     /// data centre, or all VMs if they are few.
     pub fn groups(&self, data_centre: &DataCentre) -> (Vec<Rank>, HashMap<DataCentre, Vec<Rank>>) {
-        let few = self.are_few();
+        let full_mesh = self.is_full_mesh();
         let (mut own, mut others) = (Vec::new(), HashMap::<DataCentre, Vec<Rank>>::new());
-        for (name, Peer { place, .. }) in &self.known {
-            let rank = Rank::new(place.share, name.clone());
-            if few || place.data_centre == *data_centre {
+        for (name, Peer { info, .. }) in &self.known {
+            let rank = Rank::new(info.share, name.clone());
+            if full_mesh || info.data_centre == *data_centre {
                 own.push(rank);
             } else {
-                others.entry(place.data_centre.clone()).or_default().push(rank);
+                others.entry(info.data_centre.clone()).or_default().push(rank);
             }
         }
         (own, others)
@@ -117,20 +117,20 @@
 
     /// Where another VM is reached.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
-        self.known.get(name).map(|peer| peer.place.address)
+        self.known.get(name).map(|peer| peer.info.address)
     }
 
     /// The store names a VM. Until it is heard it does not count as present among few.
-    pub fn name(&mut self, name: Name, place: Place, now: Moment) {
-        let peer = self.known.entry(name).or_insert_with(|| Peer::new(place.clone(), now));
-        if !peer.is_present(now) {
-            peer.place = place;
+    pub fn insert_listed(&mut self, vm: Name, info: PeerInfo, now: Moment) {
+        let peer = self.known.entry(vm).or_insert_with(|| Peer::new(info.clone(), now));
+        if !peer.is_live(now) {
+            peer.info = info;
         }
     }
 
     /// Forgets VMs that the store does not name and that say nothing.
-    pub fn keep(&mut self, is_named: impl Fn(&Name) -> bool, now: Moment) {
-        self.known.retain(|name, peer| is_named(name) || peer.is_present(now));
+    pub fn retain_listed(&mut self, is_listed: impl Fn(&Name) -> bool, now: Moment) {
+        self.known.retain(|name, peer| is_listed(name) || peer.is_live(now));
     }
 
     /// The links, once they are open.
@@ -155,20 +155,20 @@
         }
     };
     vm.peers.borrow_mut().links = Some(links);
-    spawn(hear(vm.clone(), incoming));
+    spawn(receive(vm.clone(), incoming));
     let mut joined = vm.era.newest();
     roster::join(&vm, &mut store, address).await;
-    vm.peers_named.notify_one();
+    vm.peers_listed.notify_one();
     loop {
-        look(&vm, &mut store).await;
+        check_peers(&vm, &mut store).await;
         if joined < vm.era.newest() {
             joined = roster::rejoin(&vm, &mut store, address, &key).await.unwrap_or(joined);
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn hear(vm: Rc<Vm>, mut incoming: mpsc::UnboundedReceiver<Incoming>) {
+async fn receive(vm: Rc<Vm>, mut incoming: mpsc::UnboundedReceiver<Incoming>) {
     while let Some(message) = incoming.recv().await {
         let bytes = match message {
             Incoming::Frame(bytes) => bytes,
@@ -179,107 +179,114 @@
             }
         };
         match decode::<Envelope>(&bytes) {
-            Some(envelope) => take(&vm, envelope),
+            Some(envelope) => on_envelope(&vm, envelope),
             None => vm.log("word of a peer not read", &[("bytes", bytes.len().into())]),
         }
     }
 }
 
-fn take(vm: &Rc<Vm>, envelope: Envelope) {
-    let Envelope { from, place, word } = envelope;
+fn on_envelope(vm: &Rc<Vm>, envelope: Envelope) {
+    let Envelope { from, info, message } = envelope;
     let now = vm.now();
-    if matches!(word, Word::Bye) {
-        leave(vm, &from);
+    if matches!(message, Message::Goodbye) {
+        on_goodbye(vm, &from);
         return;
     }
     let known = {
         let mut peers = vm.peers.borrow_mut();
-        let peer = peers.known.entry(from.clone()).or_insert(Peer::new(place.clone(), now));
-        let known = peer.is_present(now) && peer.place.address == place.address;
-        peer.place = place.clone();
-        peer.heard = Some(now);
+        let peer = peers.known.entry(from.clone()).or_insert(Peer::new(info.clone(), now));
+        let known = peer.is_live(now) && peer.info.address == info.address;
+        peer.info = info.clone();
+        peer.last_received = Some(now);
         known
     };
     if !known {
         vm.log("peer heard", &[("peer", from.as_str().into())]);
-        say(vm, place.address, Word::Hello);
-        poison::greet(vm, place.address);
+        send(vm, info.address, Message::Hello);
+        poison::send_quarantined(vm, info.address);
     }
-    match word {
-        Word::Hello | Word::Bye => {}
-        Word::Work { server, work } => {
+    match message {
+        Message::Hello | Message::Goodbye => {}
+        Message::Work { server, work } => {
             if let Some(server) = vm.fleet.borrow_mut().get_mut(&server) {
                 server.backlog.add(work, now);
             }
         }
-        Word::Seen { service, version, routes } => {
+        Message::TrialCounts { service, version, routes } => {
             let mut trials = vm.trials.borrow_mut();
             trials.entry(service).or_default().hear(Source::Vm(from), &version, routes);
         }
-        Word::Kept { service, version, draws } => kept::hear(vm, &service, &version, draws),
-        Word::Poison(news) => poison::hear(vm, from.as_str(), &news),
-        Word::Leaves(life) => said::hear_leave(vm, from.as_str(), &life),
-        Word::Limit { server, born, address, rate, age } => {
+        Message::PinnedSessions { service, version, draws } => {
+            kept::hear(vm, &service, &version, draws)
+        }
+        Message::Poison(news) => poison::on_message(vm, from.as_str(), &news),
+        Message::ServerDraining(life) => announce::on_drain(vm, from.as_str(), &life),
+        Message::ServerLimit { server, born, address, rate, age } => {
             let from = from.as_str();
-            said::hear_limit(vm, &Told { from, server: &server, born, address, rate, age });
+            announce::on_limit(
+                vm,
+                &LimitReport { from, server: &server, born, address, rate, age },
+            );
         }
     }
 }
 
 /// A VM asked this one something, or answered.
-pub fn heard(vm: &Vm, name: &Name) {
+pub fn on_contact(vm: &Vm, name: &Name) {
     let now = vm.now();
     let mut peers = vm.peers.borrow_mut();
     let Some(peer) = peers.known.get_mut(name) else { return };
-    if !peer.is_present(now) {
+    if !peer.is_live(now) {
         vm.log("peer heard", &[("peer", name.as_str().into())]);
     }
-    peer.heard = Some(now);
+    peer.last_received = Some(now);
 }
 
 /// A VM says that it stops. Among many it stays named: it mostly starts again, and only some hear it say so.
-fn leave(vm: &Vm, name: &Name) {
+fn on_goodbye(vm: &Vm, name: &Name) {
     let mut peers = vm.peers.borrow_mut();
-    if peers.are_few() {
+    if peers.is_full_mesh() {
         peers.known.remove(name);
     }
     vm.log("peer left", &[("peer", name.as_str().into())]);
 }
 
 /// Greets peers that were told nothing, and drops those that are gone.
-async fn look(vm: &Rc<Vm>, store: &mut Objects) {
+async fn check_peers(vm: &Rc<Vm>, store: &mut Objects) {
     let now = vm.now();
-    let (mut greet, mut gone) = (Vec::new(), Vec::new());
+    let (mut heartbeats, mut gone) = (Vec::new(), Vec::new());
     {
         let mut peers = vm.peers.borrow_mut();
-        let near = near(vm, &peers);
-        let few = peers.are_few();
+        let broadcast_targets = broadcast_targets(vm, &peers);
+        let full_mesh = peers.is_full_mesh();
         // Of many, the first of a data centre hears the others, since they ask it; it counts their silence from when it
         // became the first.
-        let first_since = vm.first_since.get();
-        let heard_from = if few { Some(Moment(0)) } else { first_since };
+        let first_since = vm.first_in_group_since.get();
+        let heard_from = if full_mesh { Some(Moment(0)) } else { first_since };
         for (name, peer) in &mut peers.known {
-            let due = if peer.is_present(now) { GREET_EVERY } else { SILENT };
-            let own = few || peer.place.data_centre == vm.settings.data_centre;
-            let silent = heard_from.filter(|_| own).map(|from| peer.silent(from, now));
-            if silent.is_some_and(|silent| silent >= FORGET) {
+            let due = if peer.is_live(now) { HEARTBEAT_INTERVAL } else { PEER_TIMEOUT };
+            let own = full_mesh || peer.info.data_centre == vm.settings.data_centre;
+            let silence = heard_from.filter(|_| own).map(|from| peer.silence(from, now));
+            if silence.is_some_and(|silence| silence >= REMOVAL_TIMEOUT) {
                 gone.push(name.clone());
-            } else if peer.told.is_none_or(|told| now.since(told) >= due) && near.contains(name) {
-                peer.told = Some(now);
-                greet.push(peer.place.address);
+            } else if peer.last_sent.is_none_or(|last_sent| now.since(last_sent) >= due)
+                && broadcast_targets.contains(name)
+            {
+                peer.last_sent = Some(now);
+                heartbeats.push(peer.info.address);
             }
         }
         for name in &gone {
             peers.known.remove(name);
         }
     }
-    for address in greet {
-        say(vm, address, Word::Hello);
+    for address in heartbeats {
+        send(vm, address, Message::Hello);
     }
     for name in gone {
         vm.log("peer forgotten", &[("peer", name.as_str().into())]);
         let deleted = store.delete(VMS, name.as_str()).await;
-        vm.count_call("entry-delete", &deleted);
+        vm.count_store_call("entry-delete", &deleted);
         if let Err(trouble) = deleted {
             let why = trouble.to_string();
             vm.log("entry not removed", &[("why", why.as_str().into())]);
@@ -288,9 +295,9 @@
 }
 
 /// The peers that this VM tells things: all, or its neighbours on the ring.
-fn near(vm: &Vm, peers: &Peers) -> Vec<Name> {
+fn broadcast_targets(vm: &Vm, peers: &Peers) -> Vec<Name> {
     let mut names: Vec<Name> = peers.known.keys().cloned().collect();
-    if peers.are_few() {
+    if peers.is_full_mesh() {
         return names;
     }
     names.push(vm.settings.vm.clone());
@@ -298,48 +305,48 @@
 }
 
 /// Tells one VM.
-pub fn say(vm: &Rc<Vm>, to: SocketAddr, word: Word) {
+pub fn send(vm: &Rc<Vm>, to: SocketAddr, message: Message) {
     let (Some(links), Some(address)) = (vm.peers.borrow().links.clone(), vm.settings.links) else {
         return;
     };
     let from = vm.settings.vm.clone();
-    let place = Place::of(&vm.settings, address);
-    let envelope = Envelope { from, place, word };
+    let info = PeerInfo::of(&vm.settings, address);
+    let envelope = Envelope { from, info, message };
     // A word that does not arrive is told anew or does not matter.
     spawn(async move { links.send(to, encode(&envelope)).await });
 }
 
 /// Tells the peers.
-pub fn tell(vm: &Rc<Vm>, word: &Word) {
-    let near = near(vm, &vm.peers.borrow());
-    tell_these(vm, &near, word);
+pub fn broadcast(vm: &Rc<Vm>, message: &Message) {
+    let broadcast_targets = broadcast_targets(vm, &vm.peers.borrow());
+    send_to_all(vm, &broadcast_targets, message);
 }
 
 /// Tells the VMs that gather what is known of a content: all peers if they are few, else those with the highest weights for it,
 /// which all VMs work out alike.
-pub fn tell_gatherers(vm: &Rc<Vm>, content: Digest, word: &Word) {
-    let gatherers = {
+pub fn send_to_aggregators(vm: &Rc<Vm>, content: Digest, message: &Message) {
+    let aggregators = {
         let peers = vm.peers.borrow();
-        match peers.are_few() {
-            true => near(vm, &peers),
-            false => first_for(vm, &peers, content.0, GATHERERS),
+        match peers.is_full_mesh() {
+            true => broadcast_targets(vm, &peers),
+            false => highest_weighted(vm, &peers, content.0, AGGREGATOR_COUNT),
         }
     };
-    tell_these(vm, &gatherers, word);
+    send_to_all(vm, &aggregators, message);
 }
 
 /// Tells the VMs that have a part of a server's limit of either rate.
-pub fn tell_senders(vm: &Rc<Vm>, server: &Server, rates: [Rate; 2], word: &Word) {
+pub fn send_to_senders(vm: &Rc<Vm>, server: &Server, rates: [Rate; 2], message: &Message) {
     let senders = {
         let peers = vm.peers.borrow();
         let count = bound::senders(rates, peers.known.len() + 1);
-        first_for(vm, &peers, hash::stable(&[server.as_str()]), count)
+        highest_weighted(vm, &peers, hash::stable(&[server.as_str()]), count)
     };
-    tell_these(vm, &senders, word);
+    send_to_all(vm, &senders, message);
 }
 
 /// So many VMs with the highest weights for a number, this one maybe among them.
-fn first_for(vm: &Vm, peers: &Peers, number: u64, count: usize) -> Vec<Name> {
+fn highest_weighted(vm: &Vm, peers: &Peers, number: u64, count: usize) -> Vec<Name> {
     let all = peers.known.keys().chain([&vm.settings.vm]);
     let weight = |name: &Name| hash::mix(number, hash::stable(&[name.as_str()]));
     let mut weighed: Vec<(u64, &Name)> = all.map(|name| (weight(name), name)).collect();
@@ -347,25 +354,26 @@
     weighed.into_iter().take(count).map(|(_, name)| name.clone()).collect()
 }
 
-fn tell_these(vm: &Rc<Vm>, names: &[Name], word: &Word) {
+fn send_to_all(vm: &Rc<Vm>, names: &[Name], message: &Message) {
     let now = vm.now();
     let addresses: Vec<SocketAddr> = {
         let mut peers = vm.peers.borrow_mut();
-        let told = peers.known.iter_mut().filter(|(name, _)| names.contains(name));
-        told.map(|(_, peer)| {
-            peer.told = Some(now);
-            peer.place.address
-        })
-        .collect()
+        let last_sent = peers.known.iter_mut().filter(|(name, _)| names.contains(name));
+        last_sent
+            .map(|(_, peer)| {
+                peer.last_sent = Some(now);
+                peer.info.address
+            })
+            .collect()
     };
     for address in addresses {
-        say(vm, address, word.clone());
+        send(vm, address, message.clone());
     }
 }
 
 /// Tells the peers of work that was sent to a server, if it takes long enough to matter.
-pub fn tell_work(vm: &Rc<Vm>, server: &Server, work: Span) {
-    if work >= WORTH_TELLING {
-        tell(vm, &Word::Work { server: server.clone(), work });
+pub fn broadcast_work(vm: &Rc<Vm>, server: &Server, work: Span) {
+    if work >= MIN_BROADCAST_WORK {
+        broadcast(vm, &Message::Work { server: server.clone(), work });
     }
 }
--- a/src/forward/poison.rs
+++ b/src/forward/poison.rs
@@ -12,67 +12,67 @@
 use crate::unit::{Digest, Moment};
 
 /// Whether a request is not to be sent on, or not again.
-pub fn holds_back(job: &Job) -> bool {
+pub fn is_quarantined(job: &Job) -> bool {
     let vm = &job.vm;
     vm.poison.borrow().held(&job.content, vm.now()).is_some()
 }
 
 /// This life of a server has crashed with these requests of this VM open.
-pub fn ended(vm: &Rc<Vm>, replica: &Replica, broken: &[Broken]) {
-    let life = Life::new(replica.id.as_str(), replica.born);
-    let out = vm.poison.borrow_mut().ended(life, broken, ways(vm), vm.now());
-    act(vm, out, None);
+pub fn on_server_crash(vm: &Rc<Vm>, replica: &Replica, broken: &[Broken]) {
+    let incarnation = Life::new(replica.id.as_str(), replica.born);
+    let out = vm.poison.borrow_mut().ended(incarnation, broken, topology(vm), vm.now());
+    apply(vm, out, None);
 }
 
 /// A request ran to a good end, whole.
-pub fn ran_well(vm: &Rc<Vm>, content: Digest) {
+pub fn on_success(vm: &Rc<Vm>, content: Digest) {
     let out = vm.poison.borrow_mut().ran_well(content, vm.now());
-    act(vm, out, None);
+    apply(vm, out, None);
 }
 
 /// Takes what another VM tells.
-pub fn hear(vm: &Rc<Vm>, from: &str, news: &News) {
-    let out = vm.poison.borrow_mut().hear(news, ways(vm), vm.now());
-    act(vm, out, Some(from));
+pub fn on_message(vm: &Rc<Vm>, from: &str, news: &News) {
+    let out = vm.poison.borrow_mut().hear(news, topology(vm), vm.now());
+    apply(vm, out, Some(from));
 }
 
 /// Takes contents that another VM holds back, as old as they were at the moment `told_at`.
-pub fn hear_held(vm: &Rc<Vm>, from: &str, told: &[Told], told_at: Moment) {
-    let out = vm.poison.borrow_mut().hear_held(told, ways(vm), told_at, vm.now());
-    act(vm, out, Some(from));
+pub fn on_quarantine_list(vm: &Rc<Vm>, from: &str, told: &[Told], told_at: Moment) {
+    let out = vm.poison.borrow_mut().hear_held(told, topology(vm), told_at, vm.now());
+    apply(vm, out, Some(from));
 }
 
 /// What this VM holds back, for those that ask it, or that it asks.
-pub fn held(vm: &Vm) -> Vec<Told> {
+pub fn quarantined(vm: &Vm) -> Vec<Told> {
     vm.poison.borrow().all_held(vm.now())
 }
 
 /// A VM is heard for the first time, or again: it may have started a moment ago.
-pub fn greet(vm: &Rc<Vm>, address: SocketAddr) {
-    let held = held(vm);
+pub fn send_quarantined(vm: &Rc<Vm>, address: SocketAddr) {
+    let held = quarantined(vm);
     if !held.is_empty() {
-        peer::say(vm, address, peer::Word::Poison(News::Held(held)));
+        peer::send(vm, address, peer::Message::Poison(News::Held(held)));
     }
 }
 
 /// Drops what is too old, and counts what is left.
-pub fn sweep(vm: &Vm) {
+pub fn expire(vm: &Vm) {
     let now = vm.now();
     let mut poison = vm.poison.borrow_mut();
     poison.expire(now);
-    vm.metrics.suspects.set(poison.suspects() as i64);
-    vm.metrics.held.set(poison.all_held(now).len() as i64);
+    vm.metrics.suspect_contents.set(poison.suspects() as i64);
+    vm.metrics.quarantined_contents.set(poison.all_held(now).len() as i64);
 }
 
-fn ways(vm: &Vm) -> Ways {
-    if vm.peers.borrow().are_few() { Ways::Direct } else { Ways::ByNeighbours }
+fn topology(vm: &Vm) -> Ways {
+    if vm.peers.borrow().is_full_mesh() { Ways::Direct } else { Ways::ByNeighbours }
 }
 
 /// Tells and logs what follows.
-fn act(vm: &Rc<Vm>, out: Out, from: Option<&str>) {
+fn apply(vm: &Rc<Vm>, out: Out, from: Option<&str>) {
     let from = from.unwrap_or("own");
-    for turn in out.turns {
-        match turn {
+    for change in out.turns {
+        match change {
             Turn::Held(content, ends) => {
                 let content = content.to_string();
                 let content = ("content", content.as_str().into());
@@ -88,11 +88,11 @@
             }
         }
     }
-    for word in out.words {
-        let news = peer::Word::Poison(word.news);
-        match word.to {
-            To::All => peer::tell(vm, &news),
-            To::Gatherers(content) => peer::tell_gatherers(vm, content, &news),
+    for message in out.words {
+        let news = peer::Message::Poison(message.news);
+        match message.to {
+            To::All => peer::broadcast(vm, &news),
+            To::Gatherers(content) => peer::send_to_aggregators(vm, content, &news),
         }
     }
 }
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -65,11 +65,11 @@
         }
         let sent = vm.now();
         let result = store.list(CONFIG, Read::Newest).await;
-        vm.count_call("prove", &result);
-        vm.unsure.set(false);
+        vm.count_store_call("prove", &result);
+        vm.store_untested.set(false);
         match result {
             Ok(listing) => {
-                vm.store_answered();
+                vm.on_store_response();
                 pause = Pause::default();
                 note_list(&vm, Kind::Config, &listing, sent);
             }
@@ -81,19 +81,19 @@
 /// Tries whether a store that was lost answers: by a read that may be old, which costs a tenth of a proof.
 async fn probe(vm: &Vm, store: &mut Objects) -> Result<(), Trouble> {
     let found = roster::probe(store).await;
-    vm.count_call("probe-stale", &found);
+    vm.count_store_call("probe-stale", &found);
     found
 }
 
 /// Whether the first of this VM's group has proved meanwhile, so that this VM follows it.
 async fn is_left_to_the_first(vm: &Vm) -> bool {
-    if vm.first_since.get().is_some() {
+    if vm.first_in_group_since.get().is_some() {
         return false;
     }
     let mut role = vm.role.subscribe();
     let until = vm.now() + LEAVES_IT_FOR;
     while vm.now() < until {
-        vm.ask_again.notify_one();
+        vm.reader_search.notify_one();
         let follows = role.wait_for(|role| *role != Role::Reads);
         if tokio::time::timeout(ASK_SOON.duration(), follows).await.is_ok() {
             return true;
@@ -104,15 +104,15 @@
 
 /// Notes that the store did not answer, and pauses.
 async fn fail(vm: &Vm, trouble: &Trouble, pause: &mut Pause) {
-    vm.store_failed(&trouble.to_string());
-    vm.proof.notify_waiters();
+    vm.on_proof_failure(&trouble.to_string());
+    vm.proof_received.notify_waiters();
     tokio::time::sleep(pause.next(longest_pause(vm)).duration()).await;
 }
 
 fn longest_pause(vm: &Vm) -> Span {
-    match vm.peers.borrow().are_few() {
+    match vm.peers.borrow().is_full_mesh() {
         true => LONGEST_PAUSE,
-        false if vm.tries_rarely.get() => LONGEST_PAUSE_BEHIND,
+        false if vm.probes_rarely.get() => LONGEST_PAUSE_BEHIND,
         false => LONGEST_PAUSE_OF_MANY,
     }
 }
@@ -122,15 +122,15 @@
 fn others_try(vm: &Vm) -> bool {
     match *vm.role.borrow() {
         Role::Joins => true,
-        Role::Follows(_) => vm.told_lost.get(),
+        Role::Follows(_) => vm.upstream_store_lost.get(),
         Role::Reads => false,
     }
 }
 
 /// Waits until a proof is due, or asked for. Whether it still is.
 async fn wait_for_due(vm: &Vm) -> bool {
-    let asked = vm.prove.notified();
-    let proved = vm.proved.get();
+    let asked = vm.proof_requested.notified();
+    let proved = vm.proved_at.get();
     // Without a bound on keys nobody needs a proof that was not asked for.
     let Some(due) = due(vm) else {
         asked.await;
@@ -138,14 +138,14 @@
     };
     let was_asked = tokio::time::timeout(due.duration(), asked).await.is_ok();
     // Another proof may have come meanwhile, with a list or from a reader.
-    (was_asked || vm.proved.get() == proved) && !others_try(vm)
+    (was_asked || vm.proved_at.get() == proved) && !others_try(vm)
 }
 
 /// Time until the next proof is due.
 fn due(vm: &Vm) -> Option<Span> {
-    let longest = vm.longest_proof_age();
-    let due = if vm.reads() && vm.has_followers(vm.now()) {
-        let to_deny = vm.settings.bounds.in_force.part(PROOF_AHEAD_TO_DENY);
+    let longest = vm.max_proof_age();
+    let due = if vm.is_reader() && vm.has_followers(vm.now()) {
+        let to_deny = vm.settings.bounds.config_propagation.part(PROOF_AHEAD_TO_DENY);
         longest.map_or(to_deny, |longest| longest.part(PROOF_AHEAD_FOR_OTHERS).min(to_deny))
     } else {
         longest?.part(PROOF_AHEAD)
--- a/src/forward/bounded.rs
+++ b/src/forward/rate_limit.rs
@@ -15,20 +15,20 @@
 
 /// A VM that has just started does not know all others yet, and sends nothing to servers that bear only so much: each VM that counts
 /// itself among the senders by mistake adds its part to what they get.
-const KNOWS_VMS_AFTER: Span = Span::millis(1500);
+const VM_DISCOVERY_TIME: Span = Span::millis(1500);
 
 /// Counts the cold servers of each service and those that name a limit, for the metrics page.
-pub fn count(vm: &Vm) {
+pub fn update_gauges(vm: &Vm) {
     let fleet = vm.fleet.borrow();
     let now = vm.now();
     let services: HashSet<&Service> = fleet.all().map(|server| &server.replica.service).collect();
     for service in services {
-        let access = access(vm, service, now);
+        let limiter = limiter(vm, service, now);
         let of_service = || fleet.all().filter(|server| server.replica.service == *service);
-        let cold = of_service().filter(|server| access.is_cold(server)).count();
-        let limited = of_service().filter(|one| one.standing.limit.rate(now).is_some()).count();
-        vm.metrics.cold.with_label_values(&[service.as_str()]).set(cold as i64);
-        vm.metrics.limited.with_label_values(&[service.as_str()]).set(limited as i64);
+        let cold = of_service().filter(|server| limiter.is_cold(server)).count();
+        let limited = of_service().filter(|one| one.availability.limit.rate(now).is_some()).count();
+        vm.metrics.cold_servers.with_label_values(&[service.as_str()]).set(cold as i64);
+        vm.metrics.limited_servers.with_label_values(&[service.as_str()]).set(limited as i64);
     }
 }
 
@@ -39,7 +39,7 @@
 }
 
 /// What one decision needs to know of servers that bear only so much.
-pub struct Access<'a> {
+pub struct Limiter<'a> {
     cold: Option<cold::Bound>,
     now: Moment,
     find_vms: Box<dyn Fn() -> Option<Vms> + 'a>,
@@ -47,15 +47,15 @@
 }
 
 /// What is asked of the servers of a service at a moment.
-pub fn access<'a>(vm: &'a Vm, service: &Service, now: Moment) -> Access<'a> {
+pub fn limiter<'a>(vm: &'a Vm, service: &Service, now: Moment) -> Limiter<'a> {
     let cold = vm.routes().and_then(|table| table.pool(service)?.cold);
-    Access::new(cold, now, move || find_vms(vm, now))
+    Limiter::new(cold, now, move || find_vms(vm, now))
 }
 
 /// All VMs, if this one knows the others yet.
 fn find_vms(vm: &Vm, now: Moment) -> Option<Vms> {
     let is_alone = vm.settings.links.is_none();
-    let is_settled = now.since(vm.started) >= KNOWS_VMS_AFTER;
+    let is_settled = now.since(vm.started) >= VM_DISCOVERY_TIME;
     let knows_vms = is_alone || (is_settled && vm.has_listed(Kind::Vms));
     if !knows_vms {
         return None;
@@ -65,14 +65,14 @@
     Some(Vms { own: hash::stable(&[vm.settings.vm.as_str()]), others })
 }
 
-impl<'a> Access<'a> {
+impl<'a> Limiter<'a> {
     /// With what a service declares of cold servers, and how to find the VMs, which is asked only where a server bears only so much.
     pub fn new(
         cold: Option<cold::Bound>,
         now: Moment,
         find_vms: impl Fn() -> Option<Vms> + 'a,
-    ) -> Access<'a> {
-        Access { cold, now, find_vms: Box::new(find_vms), vms: OnceCell::new() }
+    ) -> Limiter<'a> {
+        Limiter { cold, now, find_vms: Box::new(find_vms), vms: OnceCell::new() }
     }
 
     /// Whether a server is cold.
@@ -81,56 +81,56 @@
     }
 
     /// What a server bears, if that is bounded; the tightest of several.
-    pub fn bound(&self, server: &Server) -> Option<Bound> {
+    pub fn rate_limit(&self, server: &Server) -> Option<Bound> {
         let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(Bound::from);
-        let limit = server.standing.limit.rate(self.now).map(Bound::of_limit);
+        let limit = server.availability.limit.rate(self.now).map(Bound::of_limit);
         cold.into_iter().chain(limit).reduce(Bound::and)
     }
 
     /// Whether a server may get a request now.
-    pub fn lets(&self, server: &Server) -> bool {
-        let may = |bound: Bound| self.turn(&bound, server).is_some_and(|turn| turn <= self.now);
-        self.bound(server).is_none_or(may)
+    pub fn allows(&self, server: &Server) -> bool {
+        let may = |bound: Bound| self.next(&bound, server).is_some_and(|next| next <= self.now);
+        self.rate_limit(server).is_none_or(may)
     }
 
     /// When this VM may send to a bounded server next; none if that is for others to do, or its bound is gone.
-    pub fn next_turn(&self, server: &Server) -> Option<Moment> {
-        self.turn(&self.bound(server)?, server)
+    pub fn next_permit(&self, server: &Server) -> Option<Moment> {
+        self.next(&self.rate_limit(server)?, server)
     }
 
-    fn turn(&self, bound: &Bound, server: &Server) -> Option<Moment> {
-        let part = self.part(bound, server)?;
-        Some(server.turns.next(&part, self.now))
+    fn next(&self, bound: &Bound, server: &Server) -> Option<Moment> {
+        let share = self.share(bound, server)?;
+        Some(server.pacer.next(&share, self.now))
     }
 
     /// This VM's part of what a server bears; none if it has none.
-    fn part(&self, bound: &Bound, server: &Server) -> Option<Part> {
+    fn share(&self, bound: &Bound, server: &Server) -> Option<Part> {
         let vms = self.vms.get_or_init(&self.find_vms).as_ref()?;
-        let part = Part::new(bound, vms.others.len() + 1);
+        let share = Part::new(bound, vms.others.len() + 1);
         let number = hash::stable(&[server.replica.id.as_str()]);
-        bound::is_sender(&part, number, vms.own, &vms.others).then_some(part)
+        bound::is_sender(&share, number, vms.own, &vms.others).then_some(share)
     }
 
     /// Takes this VM's next turn at a server, if the server bears only so much and this VM has a part of that.
-    pub fn take(&self, server: &mut Server) -> Option<Ticket> {
-        let part = self.part(&self.bound(server)?, server)?;
-        Some(server.turns.take(&part, self.now))
+    pub fn reserve(&self, server: &mut Server) -> Option<Ticket> {
+        let share = self.share(&self.rate_limit(server)?, server)?;
+        Some(server.pacer.take(&share, self.now))
     }
 }
 
 /// The turn of one request at one life of a server; it is given back if nothing was sent on it.
-pub struct Turn {
+pub struct Permit {
     vm: Rc<Vm>,
     replica: Replica,
-    ticket: Cell<Option<Ticket>>,
+    reservation: Cell<Option<Ticket>>,
 }
 
-impl Turn {
+impl Permit {
     /// Takes the next turn at a server; an empty one if the server bears anything, or this VM has no part of what it bears.
-    pub fn take(vm: &Rc<Vm>, fleet: &mut Fleet, replica: &Replica, now: Moment) -> Turn {
-        let access = access(vm, &replica.service, now);
-        let ticket = fleet.life_mut(replica).and_then(|server| access.take(server));
-        Turn { vm: vm.clone(), replica: replica.clone(), ticket: Cell::new(ticket) }
+    pub fn reserve(vm: &Rc<Vm>, fleet: &mut Fleet, replica: &Replica, now: Moment) -> Permit {
+        let limiter = limiter(vm, &replica.service, now);
+        let reservation = fleet.incarnation_mut(replica).and_then(|server| limiter.reserve(server));
+        Permit { vm: vm.clone(), replica: replica.clone(), reservation: Cell::new(reservation) }
     }
 
     /// The life of the server.
@@ -142,32 +142,32 @@
     ///
     /// # Errors
     /// `NoTurn` if it may not: what the server bears was heard after the request had been meant for it, and it is not this VM's turn.
-    pub fn spend(&self, now: Moment) -> Result<(), NoTurn> {
+    pub fn consume(&self, now: Moment) -> Result<(), NoTurn> {
         let mut fleet = self.vm.fleet.borrow_mut();
-        let Some(server) = fleet.life_mut(&self.replica) else { return Ok(()) };
-        let access = access(&self.vm, &self.replica.service, now);
-        if self.ticket.take().is_none() {
-            if let (Some(bound), false) = (access.bound(server), access.lets(server)) {
+        let Some(server) = fleet.incarnation_mut(&self.replica) else { return Ok(()) };
+        let limiter = limiter(&self.vm, &self.replica.service, now);
+        if self.reservation.take().is_none() {
+            if let (Some(bound), false) = (limiter.rate_limit(server), limiter.allows(server)) {
                 return Err(NoTurn(bound));
             }
-            access.take(server);
+            limiter.reserve(server);
         }
-        server.turns.spend(now);
+        server.pacer.spend(now);
         Ok(())
     }
 }
 
-impl fmt::Debug for Turn {
+impl fmt::Debug for Permit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "turn at {}", self.replica.id)
     }
 }
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
-        let Some(ticket) = self.ticket.take() else { return };
-        if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
-            server.turns.give_back(ticket);
+        let Some(reservation) = self.reservation.take() else { return };
+        if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
+            server.pacer.give_back(reservation);
         }
     }
 }
--- a/src/forward/reader.rs
+++ b/src/forward/reader.rs
@@ -56,7 +56,7 @@
 pub async fn ask(vm: &Vm, to: SocketAddr, place: Place, seen: &[Seen], within: Span) -> Reply {
     let Some(links) = vm.peers.borrow().links() else { return Reply::Silence };
     let from = vm.settings.vm.clone();
-    let (seen, held) = (seen.to_vec(), poison::held(vm));
+    let (seen, held) = (seen.to_vec(), poison::quarantined(vm));
     let question = encode(&Question { from, place, seen, held });
     let answer = tokio::time::timeout(within.duration(), links.call(to, question)).await;
     match answer.ok().flatten().and_then(|bytes| decode::<Result<News, Decline>>(&bytes)) {
@@ -72,9 +72,9 @@
         vm.log("question of a peer not read", &[("bytes", question.len().into())]);
         return encode(&Err::<News, Decline>(Decline::Unreadable));
     };
-    peer::heard(vm, &from);
+    peer::on_contact(vm, &from);
     tally::hear(vm, seen);
-    poison::hear_held(vm, from.as_str(), &held, vm.now());
+    poison::on_quarantine_list(vm, from.as_str(), &held, vm.now());
     let news = news(vm, place);
     tell_decline(vm, news.as_ref().err().copied());
     encode(&news)
@@ -82,7 +82,7 @@
 
 /// Notes why this VM gives no news, when that changes.
 fn tell_decline(vm: &Vm, why: Option<Decline>) {
-    if vm.declined.replace(why) == why {
+    if vm.last_decline.replace(why) == why {
         return;
     }
     let now = vm.now();
@@ -102,7 +102,7 @@
     if !vm.feed.borrow().is_whole() {
         return Err(Decline::KnowsTooLittle);
     }
-    if vm.held_up.get().is_some_and(|at| now.since(at) < HELD_UP_FOR) {
+    if vm.stalled_at.get().is_some_and(|at| now.since(at) < HELD_UP_FOR) {
         return Err(Decline::HeldUp);
     }
     if vm.is_stopping() {
@@ -110,13 +110,13 @@
     }
     if !vm.has_followers(now) {
         // From now on proofs are due earlier.
-        vm.prove.notify_one();
+        vm.proof_requested.notify_one();
     }
-    vm.asked.set(Some(now));
+    vm.follower_polled_at.set(Some(now));
     let proof_age = vm.proof_age(now);
     let verdicts = tally::verdicts(vm);
     let store = store(vm, check_ages(vm, proof_age))?;
-    let held = poison::held(vm);
+    let held = poison::quarantined(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
@@ -129,7 +129,7 @@
 /// one is, is told with it. It counts as lost until all is current again: 9 of 16 VMs read for themselves when the first
 /// had an answer about servers some milliseconds before its proof.
 fn store(vm: &Vm, current: Result<(), Decline>) -> Result<Store, Decline> {
-    match (vm.store(vm.now()), current) {
+    match (vm.store_state(vm.now()), current) {
         (Store::IsLost, _) | (Store::IsBack(_), Err(_)) => Ok(Store::IsLost),
         (store, current) => current.map(|()| store),
     }
@@ -142,13 +142,13 @@
 }
 
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
-    if let Some(longest) = vm.longest_proof_age() {
+    if let Some(longest) = vm.max_proof_age() {
         proof_age.filter(|age| *age < longest.part(STALE)).ok_or(Decline::OldProof)?;
     }
     // A proof of the configuration says nothing of servers: they have an age of their own.
     let servers = vm.feed.borrow().reading(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
     let age = vm.now().since(servers.sent);
-    if is_stale(age, vm.settings.bounds.leave_within) {
+    if is_stale(age, vm.settings.bounds.drain_within) {
         return Err(Decline::OldServers);
     }
     Ok(())
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -58,7 +58,7 @@
             }
             None => {
                 relay.job.record.set_outcome("streamed");
-                poison::ran_well(&relay.job.vm, relay.job.content);
+                poison::on_success(&relay.job.vm, relay.job.content);
                 relay.rest();
                 None
             }
@@ -127,9 +127,9 @@
         self.job.record.ended(End::Broken, &why, vm.now());
         {
             let mut fleet = vm.fleet.borrow_mut();
-            let usual = fleet.failures(&self.job.service, vm.now());
-            if let Some(server) = fleet.life_mut(broken) {
-                server.standing.note(End::Broken, usual, vm.now());
+            let usual = fleet.failure_rate(&self.job.service, vm.now());
+            if let Some(server) = fleet.incarnation_mut(broken) {
+                server.availability.note(End::Broken, usual, vm.now());
             }
         }
         let ran = vm.now().since(self.begun.stream.begun) >= RAN_FOR;
@@ -139,10 +139,10 @@
         }
         loop {
             let now = vm.now();
-            if !self.may_go_on(now) || poison::holds_back(&self.job) {
+            if !self.may_go_on(now) || poison::is_quarantined(&self.job) {
                 return Err(why);
             }
-            if !vm.spend_repeat(&self.job.service, now) {
+            if !vm.spend_retry(&self.job.service, now) {
                 tokio::time::sleep(PAUSE.duration()).await;
                 continue;
             }
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -10,7 +10,7 @@
 
 use super::era::Anomaly;
 use super::learn;
-use super::peer::{self, Word};
+use super::peer::{self, Message};
 use super::replica::Incarnation;
 use super::vm::Vm;
 use crate::unit::{Moment, Position, Span};
@@ -74,7 +74,7 @@
 pub async fn run(vm: Rc<Vm>) {
     loop {
         vm.era.changed.notified().await;
-        vm.enter(vm.era.newest());
+        vm.enter_era(vm.era.newest());
         Anomaly::ALL.into_iter().for_each(|anomaly| count(&vm, anomaly));
     }
 }
@@ -95,9 +95,9 @@
         let disputed: Vec<Incarnation> = vm.fleet.borrow().disputed().cloned().collect();
         let pause = if disputed.is_empty() { Duration::MAX } else { REPEATED_EVERY };
         for life in disputed {
-            peer::tell(&vm, &Word::Leaves(life));
+            peer::broadcast(&vm, &Message::ServerDraining(life));
         }
-        let _ = tokio::time::timeout(pause, vm.disputes.notified()).await;
+        let _ = tokio::time::timeout(pause, vm.disputes_changed.notified()).await;
     }
 }
 
--- a/src/forward/roster.rs
+++ b/src/forward/roster.rs
@@ -8,7 +8,7 @@
 use super::kind::{Kind, VMS};
 use super::learn::{self, Source};
 use super::pause::Pause;
-use super::peer::Place;
+use super::peer::PeerInfo;
 use super::vm::Vm;
 use crate::platform::object::Object;
 use crate::platform::objects::{Objects, Read, Trouble};
@@ -55,14 +55,14 @@
 /// The key as the store has it, or as it is made now.
 async fn known_key(vm: &Vm, store: &mut Objects) -> Result<Option<Object>, Trouble> {
     let known = store.get(KEYS, LINKS, Read::Stale).await;
-    vm.count_call("key-stale", &known);
+    vm.count_store_call("key-stale", &known);
     if let Some(object) = known? {
         return Ok(Some(object));
     }
     let made: [u8; KEY_BYTES] = rand::random();
     let text: String = made.iter().map(|byte| format!("{byte:02x}")).collect();
     let created = store.create(KEYS, LINKS, json!({"key": text})).await;
-    vm.count_call("key-create", &created);
+    vm.count_store_call("key-create", &created);
     match created {
         Err(Trouble::Conflict(object)) => Ok(object.map(|object| *object)),
         created => created.map(Some),
@@ -83,7 +83,7 @@
 
 /// Learns the VMs that the store names, and writes this one's entry if it is not among them.
 pub async fn join(vm: &Vm, store: &mut Objects, address: SocketAddr) {
-    let entry = Place::of(&vm.settings, address);
+    let entry = PeerInfo::of(&vm.settings, address);
     if names(vm, store, &entry, Read::Stale).await {
         return;
     }
@@ -108,13 +108,13 @@
     if read.position.era < era {
         return None;
     }
-    if vm.reads() && !restore_key(vm, store, key).await {
+    if vm.is_reader() && !restore_key(vm, store, key).await {
         return None;
     }
-    let is_named = vm.known.borrow().is_of_era(Kind::Vms, vm.settings.vm.as_str(), era);
+    let is_named = vm.freshness.borrow().is_of_era(Kind::Vms, vm.settings.vm.as_str(), era);
     if !is_named {
         vm.log("entry written again", &[("era", era.0.into())]);
-        register(vm, store, &json!(Place::of(&vm.settings, address))).await;
+        register(vm, store, &json!(PeerInfo::of(&vm.settings, address))).await;
     }
     Some(era)
 }
@@ -122,7 +122,7 @@
 /// Writes the key of the links unless the store has one. Returns false if the store did not answer.
 async fn restore_key(vm: &Vm, store: &mut Objects, key: &str) -> bool {
     let created = store.create(KEYS, LINKS, json!({"key": key})).await;
-    vm.count_call("key-create", &created);
+    vm.count_store_call("key-create", &created);
     match created {
         Ok(_) => vm.log("key of the links written again", &[]),
         Err(Trouble::Conflict(Some(object))) if object.spec["key"] == key => {}
@@ -137,10 +137,10 @@
 }
 
 /// Takes the VMs that the store names. Whether this one's entry is among them.
-async fn names(vm: &Vm, store: &mut Objects, entry: &Place, read: Read) -> bool {
+async fn names(vm: &Vm, store: &mut Objects, entry: &PeerInfo, read: Read) -> bool {
     let call = if read == Read::Newest { "list-vms" } else { "list-vms-stale" };
     let listed = store.list(VMS, read).await;
-    vm.count_call(call, &listed);
+    vm.count_store_call(call, &listed);
     match listed {
         Ok(listing) => {
             let source = Source { reader: None, as_of: listing.position() };
@@ -171,13 +171,13 @@
     let mut pause = Pause::default();
     loop {
         let mut written = store.create(VMS, name, entry.clone()).await;
-        vm.count_call("entry-create", &written);
+        vm.count_store_call("entry-create", &written);
         if let Err(Trouble::Conflict(Some(old))) = &written {
             if old.spec == *entry {
                 return;
             }
             written = store.replace(VMS, name, old.metadata.position, entry.clone()).await;
-            vm.count_call("entry-replace", &written);
+            vm.count_store_call("entry-replace", &written);
         }
         match written {
             Ok(_) => return,
@@ -192,7 +192,7 @@
 
 /// Takes a VM that the store names.
 pub fn take_entry(vm: &Vm, object: &Object) {
-    let entry: Result<Place, _> = serde_json::from_value(object.spec.clone());
+    let entry: Result<PeerInfo, _> = serde_json::from_value(object.spec.clone());
     let (Ok(entry), Ok(name)) = (entry, object.metadata.name.parse::<Name>()) else {
         vm.log("entry of a VM not read", &[("name", object.metadata.name.as_str().into())]);
         return;
@@ -200,10 +200,10 @@
     if name == vm.settings.vm {
         return;
     }
-    vm.peers.borrow_mut().name(name, entry, vm.now());
+    vm.peers.borrow_mut().insert_listed(name, entry, vm.now());
 }
 
 /// The store no longer names a VM.
 pub fn drop_entry(vm: &Vm, name: &str) {
-    vm.peers.borrow_mut().keep(|known| known.as_str() != name, vm.now());
+    vm.peers.borrow_mut().retain_listed(|known| known.as_str() != name, vm.now());
 }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -18,19 +18,19 @@
 use crate::watch::line::{Lines, Value};
 
 /// Time between two writes of log lines.
-const FLUSH: Duration = Duration::from_millis(100);
+const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The balancer has noticed a VM that is not ready after two questions, a second apart.
-const NOTICED: Span = Span::millis(2500);
+const READINESS_NOTICE_TIME: Span = Span::millis(2500);
 
 /// Time kept free before the process would be killed.
-const MARGIN: Span = Span::millis(700);
+const KILL_MARGIN: Span = Span::millis(700);
 
 /// Time between two lines that tell the calls to the store.
-const CALLS_TOLD: Duration = Duration::from_secs(5);
+const STORE_CALLS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time between two looks whether the last request has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an entry VM until a signal to stop.
 ///
@@ -61,8 +61,8 @@
     if let Some(listener) = metrics {
         spawn(door::serve_metrics(vm.clone(), listener));
     }
-    spawn(tell_calls(vm.clone()));
-    spawn(write_lines(vm.clone()));
+    spawn(log_store_calls(vm.clone()));
+    spawn(flush_log_lines(vm.clone()));
     spawn(reload(vm.clone()));
     stop_signal().await;
     stop(&vm).await;
@@ -83,29 +83,29 @@
 }
 
 /// Tells the calls to the store so far, by cause and outcome, whenever there were more.
-async fn tell_calls(vm: Rc<Vm>) {
-    let mut told = 0;
+async fn log_store_calls(vm: Rc<Vm>) {
+    let mut logged = 0;
     loop {
-        tokio::time::sleep(CALLS_TOLD).await;
-        poison::sweep(&vm);
+        tokio::time::sleep(STORE_CALLS_LOG_INTERVAL).await;
+        poison::expire(&vm);
         let calls = vm.metrics.calls();
         let all = calls.iter().map(|(_, count)| count).sum();
-        if all != told {
-            told = all;
-            log_calls(&vm, &calls);
+        if all != logged {
+            logged = all;
+            log_call_counts(&vm, &calls);
         }
     }
 }
 
-fn log_calls(vm: &Vm, calls: &[(String, u64)]) {
+fn log_call_counts(vm: &Vm, calls: &[(String, u64)]) {
     let fields: Vec<(&str, Value)> =
         calls.iter().map(|(name, count)| (name.as_str(), (*count).into())).collect();
     vm.log("calls to the store", &fields);
 }
 
-async fn write_lines(vm: Rc<Vm>) {
+async fn flush_log_lines(vm: Rc<Vm>) {
     loop {
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(LOG_FLUSH_INTERVAL).await;
         vm.lines.flush();
     }
 }
@@ -138,10 +138,10 @@
 /// A planned stop: no longer ready, open connections are served on, then the process ends.
 async fn stop(vm: &Rc<Vm>) {
     let begun = vm.now();
-    vm.stop.send_replace(Some(begun));
+    vm.stopping_since.send_replace(Some(begun));
     vm.log("stop begins", &[("running", vm.running.get().into())]);
-    let latest = begun + Span(vm.settings.bounds.stop_within.0.saturating_sub(MARGIN.0));
-    let earliest = begun + NOTICED;
+    let latest = begun + Span(vm.settings.bounds.stop_within.0.saturating_sub(KILL_MARGIN.0));
+    let earliest = begun + READINESS_NOTICE_TIME;
     let mut was_idle = false;
     loop {
         let now = vm.now();
@@ -152,17 +152,17 @@
             break;
         }
         if idle {
-            peer::tell(vm, &peer::Word::Bye);
+            peer::broadcast(vm, &peer::Message::Goodbye);
         }
         was_idle = idle;
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     if !was_idle {
-        peer::tell(vm, &peer::Word::Bye);
-        tokio::time::sleep(LOOK).await;
+        peer::broadcast(vm, &peer::Message::Goodbye);
+        tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     let took = vm.now().since(begun).as_millis();
-    log_calls(vm, &vm.metrics.calls());
+    log_call_counts(vm, &vm.metrics.calls());
     vm.log("stop", &[("cut_off", vm.running.get().into()), ("took_ms", took.into())]);
     vm.lines.flush();
 }
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::Notify;
 
-use super::life::Life;
+use super::liveness::Liveness;
 use super::pool::Pool;
 use super::replica::{Incarnation, Replica};
 use crate::decide::backlog::Backlog;
@@ -18,17 +18,17 @@
 /// A server whose entry went while the store was away is used on until this long after its return was
 /// noticed: entries of servers that live come back within two seconds. Noticing takes up to 0.7 s, among
 /// many VMs up to 1 s; the published sites of few grant three seconds after the return, those of many four.
-pub const LAPSED_FOR: Span = Span::millis(2000);
+pub const LAPSED_ENTRY_GRACE: Span = Span::millis(2000);
 
 /// Parts of prompts remembered for one server, and for how long; servers drop the oldest when their
 /// memory is full, which takes some ten seconds under load.
-const HELD: usize = 1000;
-const HELD_FOR: Span = Span::secs(20);
+const MAX_PREFIXES: usize = 1000;
+const PREFIX_TTL: Span = Span::secs(20);
 
 /// Servers whose entries went that are remembered at most, and for how long they are once there are so many. Sites of two years from now
 /// have 600; what is kept of one takes some 300 bytes.
-const PAST: usize = 2400;
-const PAST_FOR: Span = Span::secs(60);
+const MAX_REMOVED: usize = 2400;
+const REMOVED_TTL: Span = Span::secs(60);
 
 /// One backend server.
 pub struct Server {
@@ -37,24 +37,24 @@
     /// Requests that it is thought to hold.
     pub load: Load,
     /// Whether it takes requests, as far as this VM knows.
-    pub standing: Standing,
+    pub availability: Standing,
     /// When this VM may send to it while it bears only so much.
-    pub turns: Turns,
+    pub pacer: Turns,
     /// Wakes requests at this life of it when a later one begins: they are lost.
-    pub over: Rc<Notify>,
+    pub superseded: Rc<Notify>,
     /// How this life of it goes on, as far as this VM knows.
-    pub life: Life,
+    pub liveness: Liveness,
     /// Connections that rest.
     pub pool: Pool,
     /// Prompts that wait to be read there, as far as this VM knows.
     pub backlog: Backlog,
     /// Parts of prompts that it was sent of late, by model, and when.
-    held: HashMap<u64, Moment>,
+    prefixes: HashMap<u64, Moment>,
     /// Until when it is cold, as its entry said; that of a server whose cold time ends says so only at its next
     /// heartbeat, so this may be too late and is never too early.
     cold_until: Option<Moment>,
     /// Since when it may have turned cold without a word of its own yet.
-    doubted_since: Option<Moment>,
+    possibly_cold_since: Option<Moment>,
     /// Whether its entry went while the store was away.
     lapsed: bool,
 }
@@ -64,51 +64,52 @@
         Server {
             replica,
             load: Load::default(),
-            standing: Standing::default(),
-            turns: Turns::default(),
-            over: Rc::default(),
-            life: Life::default(),
+            availability: Standing::default(),
+            pacer: Turns::default(),
+            superseded: Rc::default(),
+            liveness: Liveness::default(),
             cold_until: None,
-            doubted_since: None,
+            possibly_cold_since: None,
             pool: Pool::default(),
             backlog: Backlog::default(),
-            held: HashMap::new(),
+            prefixes: HashMap::new(),
             lapsed: false,
         }
     }
 
     /// Notes that it was sent a part of a prompt, which it now holds for a while.
-    pub fn hold(&mut self, part: u64, now: Moment) {
-        if self.held.len() >= HELD {
-            self.held.retain(|_, at| now.since(*at) < HELD_FOR);
+    pub fn record_prefix(&mut self, prefix: u64, now: Moment) {
+        if self.prefixes.len() >= MAX_PREFIXES {
+            self.prefixes.retain(|_, at| now.since(*at) < PREFIX_TTL);
         }
-        if self.held.len() < HELD {
-            self.held.insert(part, now);
+        if self.prefixes.len() < MAX_PREFIXES {
+            self.prefixes.insert(prefix, now);
         }
     }
 
     /// Whether it was sent a part of a prompt of late.
-    pub fn holds(&self, part: u64, now: Moment) -> bool {
-        self.held.get(&part).is_some_and(|at| now.since(*at) < HELD_FOR)
+    pub fn has_prefix(&self, prefix: u64, now: Moment) -> bool {
+        self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
     /// Notes what its entry says of how long it is cold.
-    fn note_cold(&mut self, now: Moment) {
+    fn update_cold_until(&mut self, now: Moment) {
         let cold = self.replica.cold;
         self.cold_until = (cold > Span(0)).then(|| now + cold);
     }
 
     /// Whether it is cold, or may be.
     pub fn is_cold(&self, bound: &Bound, now: Moment) -> bool {
-        let told = self.cold_until.is_some_and(|until| now < until);
-        told || self.doubted_since.is_some_and(|since| now.since(since) < bound.lasts)
+        let is_listed_cold = self.cold_until.is_some_and(|until| now < until);
+        is_listed_cold
+            || self.possibly_cold_since.is_some_and(|since| now.since(since) < bound.lasts)
     }
 }
 
 /// What was known of a life of a server whose entry went.
-struct Past {
+struct RemovedServer {
     replica: Replica,
-    standing: Standing,
+    availability: Standing,
     at: Moment,
 }
 
@@ -117,43 +118,45 @@
 pub struct Fleet {
     servers: HashMap<Id, Server>,
     /// Servers whose entries went of late, and may come back in the same life.
-    past: HashMap<Id, Past>,
+    removed: HashMap<Id, RemovedServer>,
     /// Lives that leave or have gone, and that a copy of the store calls ready.
     disputed: HashMap<Id, Incarnation>,
     /// Data centres whose servers get nothing new.
-    emptied: HashSet<DataCentre>,
+    evacuated: HashSet<DataCentre>,
     /// Data centres of which an order to empty them was withdrawn last.
-    refilled: HashSet<DataCentre>,
+    evacuation_withdrawn: HashSet<DataCentre>,
     /// The version of a service that is in use when no roll-out says otherwise.
-    usual: HashMap<Service, Version>,
+    default_versions: HashMap<Service, Version>,
 }
 
 impl Fleet {
     /// Takes one entry. Whether a later life of a known server begins with it: nothing that was known of the earlier one
     /// holds on.
-    pub fn put(&mut self, replica: Replica, now: Moment) -> bool {
-        self.usual.entry(replica.service.clone()).or_insert_with(|| replica.version.clone());
+    pub fn upsert(&mut self, replica: Replica, now: Moment) -> bool {
+        self.default_versions
+            .entry(replica.service.clone())
+            .or_insert_with(|| replica.version.clone());
         match self.servers.get_mut(&replica.id) {
             Some(server) if server.replica.is_life_of(&replica) => {
-                let is_news = server.replica != replica;
-                server.standing.enter(replica.ready, now);
+                let is_changed = server.replica != replica;
+                server.availability.enter(replica.ready, now);
                 server.replica = replica;
                 server.lapsed = false;
-                if is_news {
-                    server.note_cold(now);
+                if is_changed {
+                    server.update_cold_until(now);
                 }
                 false
             }
             _ => {
-                let past = self.past.remove(&replica.id);
+                let removed = self.removed.remove(&replica.id);
                 let mut server = Server::new(replica);
-                let same = past.filter(|past| past.replica.is_life_of(&server.replica));
-                server.standing = same.map(|past| past.standing).unwrap_or_default();
-                server.standing.enter(server.replica.ready, now);
-                server.note_cold(now);
+                let same = removed.filter(|removed| removed.replica.is_life_of(&server.replica));
+                server.availability = same.map(|removed| removed.availability).unwrap_or_default();
+                server.availability.enter(server.replica.ready, now);
+                server.update_cold_until(now);
                 let earlier = self.servers.insert(server.replica.id.clone(), server);
                 if let Some(earlier) = &earlier {
-                    earlier.over.notify_waiters();
+                    earlier.superseded.notify_waiters();
                 }
                 earlier.is_some()
             }
@@ -162,18 +165,18 @@
 
     /// Takes an entry that may be older than what is known of its server. Returns true if it counts: nothing is known
     /// that it could take back. A life that leaves does so for good, so a word of that is never too old.
-    pub fn put_outdated(&mut self, replica: &Replica) -> bool {
+    pub fn accept_outdated(&mut self, replica: &Replica) -> bool {
         let is_same = |known: &Replica| known.is_life_of(replica);
         let (counts, is_disputed) =
-            match (self.servers.get_mut(&replica.id), self.past.get(&replica.id)) {
+            match (self.servers.get_mut(&replica.id), self.removed.get(&replica.id)) {
                 (Some(server), _) if is_same(&server.replica) => {
                     server.lapsed = false;
                     let counts = server.replica == *replica || !replica.ready;
-                    (counts, !counts && server.standing.leaves())
+                    (counts, !counts && server.availability.leaves())
                 }
                 // A life that began later was written after the restore.
                 (Some(server), _) => (replica.born > server.replica.born, false),
-                (None, Some(past)) if is_same(&past.replica) => (false, true),
+                (None, Some(removed)) if is_same(&removed.replica) => (false, true),
                 (None, _) => (true, false),
             };
         if is_disputed {
@@ -193,21 +196,21 @@
     }
 
     /// Takes another VM's word that a life of a server leaves or has gone, until its entry says otherwise.
-    pub fn dispute(&mut self, life: &Incarnation, now: Moment) {
-        let Incarnation { server, born, address } = life;
+    pub fn dispute(&mut self, incarnation: &Incarnation, now: Moment) {
+        let Incarnation { server, born, address } = incarnation;
         let server = self.servers.get_mut(server);
         if let Some(server) =
-            server.filter(|one| one.replica.is_life(&life.server, *born, *address))
+            server.filter(|one| one.replica.is_life(&incarnation.server, *born, *address))
         {
-            server.standing.enter(false, now);
-            self.disputed.insert(life.server.clone(), life.clone());
+            server.availability.enter(false, now);
+            self.disputed.insert(incarnation.server.clone(), incarnation.clone());
         }
     }
 
     /// An entry went. With `in_outage` it may have lapsed and is kept a while.
     pub fn remove(&mut self, id: &Id, in_outage: bool, now: Moment) {
         if !in_outage {
-            self.forget(id, now);
+            self.move_to_removed(id, now);
         } else if let Some(server) = self.servers.get_mut(id) {
             server.lapsed = true;
         }
@@ -218,19 +221,19 @@
         let lapsed = self.servers.iter().filter(|(_, server)| server.lapsed);
         let gone: Vec<Id> = lapsed.map(|(id, _)| id.clone()).collect();
         for id in &gone {
-            self.forget(id, now);
+            self.move_to_removed(id, now);
         }
         gone
     }
 
     /// Drops a server, but for what would bind VMs if its entry came back in the same life.
-    fn forget(&mut self, id: &Id, now: Moment) {
-        let Some(Server { replica, standing, .. }) = self.servers.remove(id) else { return };
-        if self.past.len() >= PAST {
-            self.past.retain(|_, past| now.since(past.at) < PAST_FOR);
+    fn move_to_removed(&mut self, id: &Id, now: Moment) {
+        let Some(Server { replica, availability, .. }) = self.servers.remove(id) else { return };
+        if self.removed.len() >= MAX_REMOVED {
+            self.removed.retain(|_, removed| now.since(removed.at) < REMOVED_TTL);
         }
-        if self.past.len() < PAST {
-            self.past.insert(id.clone(), Past { replica, standing, at: now });
+        if self.removed.len() < MAX_REMOVED {
+            self.removed.insert(id.clone(), RemovedServer { replica, availability, at: now });
         }
     }
 
@@ -240,7 +243,7 @@
     }
 
     /// A server, if the life that `replica` tells of goes on.
-    pub fn life_mut(&mut self, replica: &Replica) -> Option<&mut Server> {
+    pub fn incarnation_mut(&mut self, replica: &Replica) -> Option<&mut Server> {
         self.servers.get_mut(&replica.id).filter(|server| server.replica.is_life_of(replica))
     }
 
@@ -250,86 +253,90 @@
     }
 
     /// Takes an order to empty a data centre. Whether it is news.
-    pub fn empty(&mut self, data_centre: &DataCentre) -> bool {
-        self.refilled.remove(data_centre);
-        self.emptied.insert(data_centre.clone())
+    pub fn evacuate(&mut self, data_centre: &DataCentre) -> bool {
+        self.evacuation_withdrawn.remove(data_centre);
+        self.evacuated.insert(data_centre.clone())
     }
 
     /// Returns true if the last order to empty a data centre was withdrawn.
-    pub fn was_refilled(&self, data_centre: &DataCentre) -> bool {
-        self.refilled.contains(data_centre)
+    pub fn was_evacuation_withdrawn(&self, data_centre: &DataCentre) -> bool {
+        self.evacuation_withdrawn.contains(data_centre)
     }
 
     /// The order to empty a data centre is withdrawn. Whether there was one. Its servers may have gone cold meanwhile,
     /// and their entries that say so may still be on the way.
-    pub fn take_back(&mut self, data_centre: &DataCentre, now: Moment) -> bool {
-        let was_emptied = self.emptied.remove(data_centre);
-        if was_emptied {
-            self.refilled.insert(data_centre.clone());
+    pub fn withdraw_evacuation(&mut self, data_centre: &DataCentre, now: Moment) -> bool {
+        let was_evacuated = self.evacuated.remove(data_centre);
+        if was_evacuated {
+            self.evacuation_withdrawn.insert(data_centre.clone());
             let there = |one: &&mut Server| one.replica.data_centre == *data_centre;
             let servers = self.servers.values_mut().filter(there);
-            servers.for_each(|server| server.doubted_since = Some(now));
+            servers.for_each(|server| server.possibly_cold_since = Some(now));
         }
-        was_emptied
+        was_evacuated
     }
 
     /// How many servers of a service would take work if no order emptied their data centre.
-    pub fn emptied_of(&self, service: &Service) -> usize {
-        if self.emptied.is_empty() {
+    pub fn count_evacuated(&self, service: &Service) -> usize {
+        if self.evacuated.is_empty() {
             return 0;
         }
-        let staying = self.listed(service).filter(|server| !server.standing.leaves());
-        staying.filter(|server| self.is_emptied(server)).count()
+        let staying = self.of_service(service).filter(|server| !server.availability.leaves());
+        staying.filter(|server| self.is_evacuated(server)).count()
     }
 
     /// The servers of a service that take requests, those that are left out among them.
-    pub fn of<'a>(&'a self, service: &'a Service, now: Moment) -> impl Iterator<Item = &'a Server> {
-        let is_open = move |one: &&Server| !self.bar(one, now).is_some_and(Bar::binds);
-        self.listed(service).filter(is_open)
+    pub fn eligible<'a>(
+        &'a self,
+        service: &'a Service,
+        now: Moment,
+    ) -> impl Iterator<Item = &'a Server> {
+        let is_open = move |one: &&Server| !self.reason(one, now).is_some_and(Bar::binds);
+        self.of_service(service).filter(is_open)
     }
 
     /// The servers of a service that want rest or are tried after one, and when the next request may go there.
-    pub fn resting<'a>(
+    pub fn backing_off<'a>(
         &'a self,
         service: &'a Service,
         now: Moment,
     ) -> impl Iterator<Item = (&'a Server, Span)> {
-        self.listed(service).filter_map(move |server| match self.bar(server, now) {
+        self.of_service(service).filter_map(move |server| match self.reason(server, now) {
             Some(Bar::Rests(left) | Bar::IsTried(left)) => Some((server, left)),
             _ => None,
         })
     }
 
-    fn listed<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Server> {
+    fn of_service<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Server> {
         self.servers.values().filter(move |one| one.replica.service == *service)
     }
 
-    fn is_emptied(&self, server: &Server) -> bool {
-        self.emptied.contains(&server.replica.data_centre)
+    fn is_evacuated(&self, server: &Server) -> bool {
+        self.evacuated.contains(&server.replica.data_centre)
     }
 
     /// Why a server is to get nothing now.
-    fn bar(&self, server: &Server, now: Moment) -> Option<Bar> {
-        let by_order = self.is_emptied(server).then_some(Bar::IsEmptied);
-        by_order.or_else(|| server.standing.bar(now))
+    fn reason(&self, server: &Server, now: Moment) -> Option<Bar> {
+        let by_order = self.is_evacuated(server).then_some(Bar::IsEmptied);
+        by_order.or_else(|| server.availability.bar(now))
     }
 
     /// Why a request that was meant for this life of a server may not leave for it, whatever it was chosen for.
-    pub fn forbids(&self, replica: &Replica, now: Moment) -> Option<Bar> {
+    pub fn unavailable_reason(&self, replica: &Replica, now: Moment) -> Option<Bar> {
         let server = self.servers.get(&replica.id).filter(|one| one.replica.is_life_of(replica));
-        let bar = server.map_or(Some(Bar::IsGone), |server| self.bar(server, now));
+        let reason = server.map_or(Some(Bar::IsGone), |server| self.reason(server, now));
         // What tries a server after a rest may be this very request.
-        bar.filter(|bar| bar.binds() && !matches!(bar, Bar::IsTried(_)))
+        reason.filter(|reason| reason.binds() && !matches!(reason, Bar::IsTried(_)))
     }
 
     /// The version of a service that is in use when no roll-out says otherwise.
-    pub fn usual(&self, service: &Service) -> Option<&Version> {
-        self.usual.get(service)
+    pub fn default_version(&self, service: &Service) -> Option<&Version> {
+        self.default_versions.get(service)
     }
 
     /// Makes a version the usual one.
-    pub fn settle(&mut self, service: &Service, version: &Version) {
-        self.usual.insert(service.clone(), version.clone());
+    pub fn set_default_version(&mut self, service: &Service, version: &Version) {
+        self.default_versions.insert(service.clone(), version.clone());
     }
 
     /// Whether any server is known.
@@ -343,10 +350,10 @@
     }
 
     /// The mean share of failures among the servers of a service.
-    pub fn failures(&self, service: &Service, now: Moment) -> f64 {
+    pub fn failure_rate(&self, service: &Service, now: Moment) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
-        for server in self.of(service, now) {
-            sum += server.standing.failures();
+        for server in self.eligible(service, now) {
+            sum += server.availability.failures();
             count += 1.0;
         }
         if count > 0.0 { sum / count } else { 0.0 }
--- a/src/forward/settings.rs
+++ b/src/forward/settings.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// A VM without trouble for this long is held to the other bounds.
-    pub contact: Span,
+    pub settling_time: Span,
     /// A change of the configuration is in force everywhere after this.
-    pub in_force: Span,
+    pub config_propagation: Span,
     /// A backend server that says that it leaves gets nothing new after this.
-    pub leave_within: Span,
+    pub drain_within: Span,
     /// A data centre that is to be emptied gets nothing new after this.
-    pub empty_within: Span,
+    pub evacuate_within: Span,
     /// A key that was taken away is refused everywhere after this; none if it may lag.
     pub key_staleness: Option<Span>,
     /// A version is out of use this long after it was found bad.
@@ -61,5 +61,5 @@
     /// The window of both.
     pub retry_window: Span,
     /// Share of a service's requests that a bad version may get.
-    pub exposure: f64,
+    pub max_exposure: f64,
 }
--- a/src/forward/steps.rs
+++ b/src/forward/steps.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::bounded;
 use super::learn::put_rollout;
 use super::pause::Pause;
 use super::peer;
+use super::rate_limit;
 use super::replica::{Phase, Rollout};
 use super::trial::Verdict;
 use super::vm::Vm;
@@ -73,19 +73,22 @@
 /// Tells the others what this VM has seen, if there is more than they know and they are few; of many, each tells the
 /// VM that it follows.
 fn tell_news(vm: &Rc<Vm>, service: &Service) {
-    if !vm.peers.borrow().are_few() {
+    if !vm.peers.borrow().is_full_mesh() {
         return;
     }
     let news = vm.trials.borrow_mut().get_mut(service).and_then(|trial| trial.news());
     if let Some((version, routes)) = news {
-        peer::tell(vm, &peer::Word::Seen { service: service.clone(), version, routes });
+        peer::broadcast(
+            vm,
+            &peer::Message::TrialCounts { service: service.clone(), version, routes },
+        );
     }
 }
 
 /// Writes the step that is due, if there is one. Whether the store took or answered it.
 async fn step(vm: &Rc<Vm>, store: &mut Objects, service: &Service) -> bool {
     let Some(Due { phase, .. }) = due(vm, service) else { return true };
-    let (wait, spread) = match (!vm.reads(), phase) {
+    let (wait, spread) = match (!vm.is_reader(), phase) {
         (true, _) => (AFTER_READERS, AFTER_READERS / 2.0),
         (false, Phase::RolledBack) => (0.0, SPREAD_BACK),
         (false, _) => (0.0, SPREAD),
@@ -95,7 +98,7 @@
     let Some(Due { rollout, phase, known }) = due(vm, service) else { return true };
     let status = object::progress(&rollout, phase);
     let written = store.put_status(ROLLOUTS, service.as_str(), rollout.position, status).await;
-    vm.count_call("step", &written);
+    vm.count_store_call("step", &written);
     let name = format!("{phase:?}");
     match written {
         Ok(object) => {
@@ -144,8 +147,8 @@
     let trials = vm.trials.borrow();
     let trial = trials.get(service)?;
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, service, now);
-    let new = fleet.of(service, now).filter(|one| one.replica.version == rollout.version);
+    let access = rate_limit::limiter(vm, service, now);
+    let new = fleet.eligible(service, now).filter(|one| one.replica.version == rollout.version);
     // A cold server takes few requests, and sessions that it began would have nowhere to go on.
     let ready = new.filter(|one| !access.is_cold(one)).count();
     let Verdict { seen, evidence } = trial.verdict();
@@ -153,7 +156,7 @@
         phase: rollout.phase,
         age: trial.age(now),
         within: rollout.within,
-        exposure: vm.settings.bounds.exposure,
+        exposure: vm.settings.bounds.max_exposure,
         ready,
         bad: trial.is_bad(),
         seen,
--- a/src/forward/tally.rs
+++ b/src/forward/tally.rs
@@ -64,7 +64,7 @@
 
 /// Counts of the roll-outs that run. Among few VMs each tells each, so there are none to pass on.
 fn seen(vm: &Vm, first: bool) -> Vec<Seen> {
-    if vm.peers.borrow().are_few() {
+    if vm.peers.borrow().is_full_mesh() {
         return Vec::new();
     }
     let source = match first {
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -16,7 +16,7 @@
 use super::replica::Rollout;
 use super::restore::Restore;
 use super::role::{Decline, Role};
-use super::server::{Fleet, LAPSED_FOR};
+use super::server::{Fleet, LAPSED_ENTRY_GRACE};
 use super::session::Sessions;
 use super::settings::Settings;
 use super::trial::Trials;
@@ -35,17 +35,17 @@
 use crate::watch::name::Names;
 
 /// Margin of the age of the proof of freshness, for clocks that run unlike.
-const FRESH_MARGIN: Span = Span::millis(250);
+const PROOF_AGE_MARGIN: Span = Span::millis(250);
 
 /// During a planned stop streams are begun for this long: the balancer needs two to three seconds to
 /// notice the stop, and a stream takes some seconds too.
-const STREAMS_TAKEN: Span = Span::millis(2800);
+const STREAM_ACCEPT_TIME: Span = Span::millis(2800);
 
 /// A VM that was asked for news within this has followers; they ask a few times a second.
-const FOLLOWED_FOR: Span = Span::secs(2);
+const FOLLOWER_TIMEOUT: Span = Span::secs(2);
 
 /// What a VM must have listed beside the configuration before it sends anything on.
-const NEEDED: [Kind; 3] = [Kind::Servers, Kind::Rollouts, Kind::Evacuations];
+const REQUIRED_KINDS: [Kind; 3] = [Kind::Servers, Kind::Rollouts, Kind::Evacuations];
 
 /// One entry VM.
 pub struct Vm {
@@ -60,69 +60,69 @@
     /// Newest era of the store that any answer named.
     pub era: Rc<Tracker>,
     /// Era that this VM has entered.
-    pub entered: Cell<Option<Era>>,
+    pub active_era: Cell<Option<Era>>,
     /// The last restore of the store, until owners have had time to write again what the copy lacks.
     pub restored: tokio::sync::watch::Sender<Option<Restore>>,
     /// How new what it knows of the platform's objects is.
-    pub known: RefCell<Known>,
+    pub freshness: RefCell<Known>,
     /// Backend servers.
     pub fleet: RefCell<Fleet>,
     /// Roll-outs by service.
     pub rollouts: RefCell<HashMap<Service, Rollout>>,
     /// Wakes the task that tells other VMs which servers a copy wrongly calls ready.
-    pub disputes: Notify,
+    pub disputes_changed: Notify,
     /// Roll-outs of a copy that the store was restored from, while a later order is known.
-    pub put_off: RefCell<HashMap<Service, Object>>,
+    pub deferred_rollouts: RefCell<HashMap<Service, Object>>,
     /// What was seen of roll-outs.
     pub trials: RefCell<HashMap<Service, Trials>>,
     /// Sessions seen of late.
     pub sessions: RefCell<Sessions>,
     /// Sessions that keep the old version, as other VMs say.
-    pub kept: RefCell<Kept>,
+    pub pinned_sessions: RefCell<Kept>,
     /// Contents under which servers crashed.
     pub poison: RefCell<Exchange>,
     /// When the last read that proved the configuration the newest was sent.
-    pub proved: Cell<Option<Moment>>,
+    pub proved_at: Cell<Option<Moment>>,
     /// Whether the last proof failed.
     pub store_lost: Cell<bool>,
     /// When the way to the store came back.
-    pub store_back: Cell<Option<Moment>>,
+    pub store_recovered_at: Cell<Option<Moment>>,
     /// Who reads the store for this VM.
     pub role: tokio::sync::watch::Sender<Role>,
     /// Who read what this VM was told last, and by how many VMs that was passed on; none if it reads itself.
     pub origin: RefCell<Option<Origin>>,
     /// Whether the VM that this one follows says that the store is lost.
-    pub told_lost: Cell<bool>,
+    pub upstream_store_lost: Cell<bool>,
     /// Whether the last question for servers had no answer.
-    pub doubts_store: Cell<bool>,
+    pub store_suspect: Cell<bool>,
     /// Whether this VM reads on the word that the store is lost for others, and has not tried it yet.
-    pub unsure: Cell<bool>,
+    pub store_untested: Cell<bool>,
     /// Whether enough others try a store that is lost, so that this VM does so rarely.
-    pub tries_rarely: Cell<bool>,
+    pub probes_rarely: Cell<bool>,
     /// Wakes the search for a VM that has news: a store that was lost answers.
-    pub ask_again: Notify,
+    pub reader_search: Notify,
     /// Tells that the VMs that the store names are known.
-    pub peers_named: Notify,
+    pub peers_listed: Notify,
     /// Since when this VM is the first of its group.
-    pub first_since: Cell<Option<Moment>>,
+    pub first_in_group_since: Cell<Option<Moment>>,
     /// What this VM knows, for those that ask it.
     pub feed: RefCell<Feed>,
     /// Why the last that asked for news got none.
-    pub declined: Cell<Option<Decline>>,
+    pub last_decline: Cell<Option<Decline>>,
     /// When this process noticed that it had been held up.
-    pub held_up: Cell<Option<Moment>>,
+    pub stalled_at: Cell<Option<Moment>>,
     /// When a follower asked last.
-    pub asked: Cell<Option<Moment>>,
+    pub follower_polled_at: Cell<Option<Moment>>,
     /// Wakes the task that proves freshness.
-    pub prove: Notify,
+    pub proof_requested: Notify,
     /// Wakes those who wait for a proof.
-    pub proof: Notify,
+    pub proof_received: Notify,
     /// Tells followers that the way to the store is back.
-    pub regained: tokio::sync::watch::Sender<u64>,
+    pub store_recoveries: tokio::sync::watch::Sender<u64>,
     /// Kinds of which all objects have been listed.
     pub listed: RefCell<HashSet<Kind>>,
     /// When a planned stop began.
-    pub stop: tokio::sync::watch::Sender<Option<Moment>>,
+    pub stopping_since: tokio::sync::watch::Sender<Option<Moment>>,
     /// Requests in flight.
     pub running: Cell<usize>,
     /// The other VMs.
@@ -132,9 +132,9 @@
     /// Counters.
     pub metrics: Metrics,
     /// Headers of servers' answers that nothing decodes.
-    pub unknown: RefCell<Names>,
+    pub unknown_headers: RefCell<Names>,
     budgets: RefCell<HashMap<Service, Budget>>,
-    paces: RefCell<HashMap<Option<Model>, Pace>>,
+    prefill_estimators: RefCell<HashMap<Option<Model>, Pace>>,
     pressures: RefCell<HashMap<Service, Pressure>>,
 }
 
@@ -147,45 +147,45 @@
             clock,
             table: RefCell::default(),
             era: Rc::default(),
-            entered: Cell::new(None),
+            active_era: Cell::new(None),
             restored: tokio::sync::watch::Sender::new(None),
-            known: RefCell::default(),
+            freshness: RefCell::default(),
             fleet: RefCell::default(),
             rollouts: RefCell::default(),
-            disputes: Notify::new(),
-            put_off: RefCell::default(),
+            disputes_changed: Notify::new(),
+            deferred_rollouts: RefCell::default(),
             trials: RefCell::default(),
             sessions: RefCell::default(),
-            kept: RefCell::default(),
+            pinned_sessions: RefCell::default(),
             poison: RefCell::default(),
-            proved: Cell::new(None),
+            proved_at: Cell::new(None),
             store_lost: Cell::new(false),
-            store_back: Cell::new(None),
+            store_recovered_at: Cell::new(None),
             role: tokio::sync::watch::Sender::new(Role::Joins),
             origin: RefCell::default(),
-            told_lost: Cell::new(false),
-            doubts_store: Cell::new(false),
-            unsure: Cell::new(false),
-            tries_rarely: Cell::new(false),
-            ask_again: Notify::new(),
-            peers_named: Notify::new(),
-            first_since: Cell::new(None),
+            upstream_store_lost: Cell::new(false),
+            store_suspect: Cell::new(false),
+            store_untested: Cell::new(false),
+            probes_rarely: Cell::new(false),
+            reader_search: Notify::new(),
+            peers_listed: Notify::new(),
+            first_in_group_since: Cell::new(None),
             feed: RefCell::new(Feed::new(rand::random())),
-            declined: Cell::new(None),
-            held_up: Cell::new(None),
-            asked: Cell::new(None),
-            prove: Notify::new(),
-            proof: Notify::new(),
-            regained: tokio::sync::watch::Sender::new(0),
+            last_decline: Cell::new(None),
+            stalled_at: Cell::new(None),
+            follower_polled_at: Cell::new(None),
+            proof_requested: Notify::new(),
+            proof_received: Notify::new(),
+            store_recoveries: tokio::sync::watch::Sender::new(0),
             listed: RefCell::default(),
-            stop: tokio::sync::watch::Sender::new(None),
+            stopping_since: tokio::sync::watch::Sender::new(None),
             running: Cell::new(0),
             peers: RefCell::default(),
             lines,
             metrics: Metrics::new(),
-            unknown: RefCell::default(),
+            unknown_headers: RefCell::default(),
             budgets: RefCell::default(),
-            paces: RefCell::default(),
+            prefill_estimators: RefCell::default(),
             pressures: RefCell::default(),
         }
     }
@@ -212,7 +212,7 @@
 
     /// How old the proof is that the configuration is the newest.
     pub fn proof_age(&self, now: Moment) -> Option<Span> {
-        self.proved.get().map(|at| now.since(at))
+        self.proved_at.get().map(|at| now.since(at))
     }
 
     /// Its place in the order of VMs.
@@ -221,49 +221,49 @@
     }
 
     /// Whether this VM reads the store for itself, and maybe for others.
-    pub fn reads(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         *self.role.borrow() == Role::Reads
     }
 
     /// Notes that the store answered.
-    pub fn store_answered(&self) {
-        self.doubts_store.set(false);
+    pub fn on_store_response(&self) {
+        self.store_suspect.set(false);
         if self.store_lost.replace(false) {
             self.log("store regained", &[]);
-            self.store_back.set(Some(self.now()));
-            self.regained.send_modify(|times| *times += 1);
+            self.store_recovered_at.set(Some(self.now()));
+            self.store_recoveries.send_modify(|times| *times += 1);
         }
     }
 
     /// Enters an era of the store that an answer named.
-    pub fn enter(&self, era: Era) {
-        self.enter_with(era, Some(Restore { at: self.now(), base: None }));
+    pub fn enter_era(&self, era: Era) {
+        self.enter_era_with(era, Some(Restore { at: self.now(), base: None }));
     }
 
     /// Enters an era of the store. If it is a later one, the store was restored from a copy: entries of
     /// backend servers may be missing for a while, and all kinds are to be listed again. `restore` is
     /// none if owners have had time to write again what the copy lacks.
-    pub fn enter_with(&self, era: Era, restore: Option<Restore>) {
+    pub fn enter_era_with(&self, era: Era, restore: Option<Restore>) {
         self.era.advance(era);
-        let before = self.entered.get();
+        let before = self.active_era.get();
         if before >= Some(era) {
             return;
         }
-        self.entered.set(Some(era));
+        self.active_era.set(Some(era));
         self.metrics.era.set(era.0 as i64);
         if before.is_some() {
             self.log("store restored", &[("era", era.0.into())]);
-            self.store_back.set(Some(self.now()));
+            self.store_recovered_at.set(Some(self.now()));
             self.restored.send_replace(restore);
-            self.regained.send_modify(|times| *times += 1);
+            self.store_recoveries.send_modify(|times| *times += 1);
         }
     }
 
     /// Enters the era of a position that was read.
-    pub fn enter_at(&self, position: Position) {
-        self.enter(position.era);
+    pub fn enter_era_of(&self, position: Position) {
+        self.enter_era(position.era);
         let is_first = |restore: &mut Restore| {
-            let is_first = restore.base.is_none() && self.entered.get() == Some(position.era);
+            let is_first = restore.base.is_none() && self.active_era.get() == Some(position.era);
             restore.base = restore.base.or(is_first.then_some(position));
             is_first
         };
@@ -277,67 +277,67 @@
     }
 
     /// Notes that a proof failed. While another VM reads for this one that changes nothing.
-    pub fn store_failed(&self, why: &str) {
-        if self.reads() && !self.store_lost.replace(true) {
+    pub fn on_proof_failure(&self, why: &str) {
+        if self.is_reader() && !self.store_lost.replace(true) {
             self.log("store lost", &[("why", why.into())]);
         }
     }
 
     /// Takes how the store does from a VM that answered a question of the moment `asked`. What it says of a return
     /// is dated so that it cannot look later than it was.
-    pub fn hear_store(&self, store: Store, asked: Moment) {
+    pub fn on_store_report(&self, store: Store, asked: Moment) {
         if let Store::IsBack(age) = store {
             let back = Moment(asked.0.saturating_sub(age.0));
-            self.store_back.set(self.store_back.get().max(Some(back)));
+            self.store_recovered_at.set(self.store_recovered_at.get().max(Some(back)));
         }
         let lost = store == Store::IsLost;
-        if self.told_lost.replace(lost) != lost {
+        if self.upstream_store_lost.replace(lost) != lost {
             self.log("told of the store", &[("lost", lost.into())]);
-            self.regained.send_modify(|times| *times += 1);
+            self.store_recoveries.send_modify(|times| *times += 1);
         }
     }
 
     /// How the store does, for those that ask this VM.
-    pub fn store(&self, now: Moment) -> Store {
-        if self.is_store_lost() || self.doubts_store.get() || self.unsure.get() {
+    pub fn store_state(&self, now: Moment) -> Store {
+        if self.is_store_lost() || self.store_suspect.get() || self.store_untested.get() {
             return Store::IsLost;
         }
-        let back = self.store_back.get().map(|back| now.since(back));
-        back.filter(|age| *age < LAPSED_FOR).map_or(Store::Answers, Store::IsBack)
+        let back = self.store_recovered_at.get().map(|back| now.since(back));
+        back.filter(|age| *age < LAPSED_ENTRY_GRACE).map_or(Store::Answers, Store::IsBack)
     }
 
     /// Whether the store is away, as this VM or the one that it follows found.
     pub fn is_store_lost(&self) -> bool {
-        self.store_lost.get() || self.told_lost.get()
+        self.store_lost.get() || self.upstream_store_lost.get()
     }
 
     /// Whether the store is away, or was until a moment ago: entries of backend servers may have
     /// lapsed meanwhile, and those of servers that live come back.
-    pub fn was_store_away(&self, now: Moment) -> bool {
-        let lately = |back: Moment| now.since(back) < LAPSED_FOR;
-        self.store_lost.get() || self.store_back.get().is_some_and(lately)
+    pub fn was_store_lost_recently(&self, now: Moment) -> bool {
+        let lately = |back: Moment| now.since(back) < LAPSED_ENTRY_GRACE;
+        self.store_lost.get() || self.store_recovered_at.get().is_some_and(lately)
     }
 
     /// Counts a call to the store.
-    pub fn count_call<T>(&self, call: &str, result: &Result<T, Trouble>) {
+    pub fn count_store_call<T>(&self, call: &str, result: &Result<T, Trouble>) {
         let outcome = if result.is_ok() { "answered" } else { "failed" };
-        self.metrics.store.with_label_values(&[call, outcome]).inc();
+        self.metrics.store_calls.with_label_values(&[call, outcome]).inc();
     }
 
     /// Whether other VMs rely on what this one reads.
     pub fn has_followers(&self, now: Moment) -> bool {
-        self.asked.get().is_some_and(|at| now.since(at) < FOLLOWED_FOR)
+        self.follower_polled_at.get().is_some_and(|at| now.since(at) < FOLLOWER_TIMEOUT)
     }
 
     /// The longest age of the proof at which a request with a key may be sent on.
-    pub fn longest_proof_age(&self) -> Option<Span> {
+    pub fn max_proof_age(&self) -> Option<Span> {
         let bound = self.settings.bounds.key_staleness?;
-        Some(Span(bound.0.saturating_sub(FRESH_MARGIN.0)))
+        Some(Span(bound.0.saturating_sub(PROOF_AGE_MARGIN.0)))
     }
 
     /// Whether a request with a key may be sent on.
     pub fn may_use_keys(&self, now: Moment) -> bool {
-        match (self.longest_proof_age(), self.proof_age(now)) {
+        match (self.max_proof_age(), self.proof_age(now)) {
             (None, _) => true,
             (Some(longest), Some(age)) => age < longest,
             (Some(_), None) => false,
@@ -350,41 +350,42 @@
     }
 
     /// Whether it knows routes, backend servers and the orders that bind them.
-    pub fn knows_all(&self) -> bool {
-        self.table.borrow().is_some() && NEEDED.iter().all(|kind| self.has_listed(*kind))
+    pub fn has_required_state(&self) -> bool {
+        self.table.borrow().is_some() && REQUIRED_KINDS.iter().all(|kind| self.has_listed(*kind))
     }
 
     /// Whether the balancer may send new connections.
     pub fn is_ready(&self, now: Moment) -> bool {
-        self.knows_all() && !self.is_stopping() && self.may_use_keys(now)
+        self.has_required_state() && !self.is_stopping() && self.may_use_keys(now)
     }
 
     /// Whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
-        self.stop.borrow().is_some()
+        self.stopping_since.borrow().is_some()
     }
 
     /// Whether a request that arrives now could outlast a planned stop.
     pub fn would_outlast(&self, streams: bool, now: Moment) -> bool {
-        let Some(begun) = *self.stop.borrow() else { return false };
-        let taken = if streams { STREAMS_TAKEN } else { self.settings.bounds.stop_within.half() };
+        let Some(begun) = *self.stopping_since.borrow() else { return false };
+        let taken =
+            if streams { STREAM_ACCEPT_TIME } else { self.settings.bounds.stop_within.half() };
         now.since(begun) > taken
     }
 
     /// Time that a model takes to read so many tokens.
-    pub fn reading(&self, model: Option<&Model>, tokens: u64) -> Span {
-        let paces = self.paces.borrow();
-        let pace = paces.get(&model.cloned());
+    pub fn prefill_time(&self, model: Option<&Model>, tokens: u64) -> Span {
+        let prefill_estimators = self.prefill_estimators.borrow();
+        let pace = prefill_estimators.get(&model.cloned());
         pace.map_or_else(|| Pace::default().time(tokens), |pace| pace.time(tokens))
     }
 
     /// Learns how fast a model reads prompts.
-    pub fn learn_pace(&self, model: Option<&Model>, tokens: u64, time: Span) {
-        self.paces.borrow_mut().entry(model.cloned()).or_default().note(tokens, time);
+    pub fn record_prefill(&self, model: Option<&Model>, tokens: u64, time: Span) {
+        self.prefill_estimators.borrow_mut().entry(model.cloned()).or_default().note(tokens, time);
     }
 
     /// Notes that a request waited so long at a server of a service, beside its own reading.
-    pub fn note_wait(&self, service: &Service, waited: Span, goal: Span) {
+    pub fn record_wait(&self, service: &Service, waited: Span, goal: Span) {
         let mut pressures = self.pressures.borrow_mut();
         pressures.entry(service.clone()).or_default().note(waited, goal, self.now());
     }
@@ -395,17 +396,17 @@
     }
 
     /// Counts a request's first send to a service.
-    pub fn count_first(&self, service: &Service, now: Moment) {
+    pub fn record_first_attempt(&self, service: &Service, now: Moment) {
         self.budget(service, |budget| budget.first(now));
     }
 
     /// Takes a repeated send to a service from the budget.
-    pub fn spend_repeat(&self, service: &Service, now: Moment) -> bool {
+    pub fn spend_retry(&self, service: &Service, now: Moment) -> bool {
         self.budget(service, |budget| budget.spend(now))
     }
 
     /// Takes a repeated send that serves no failure from the budget, if enough is left for failures.
-    pub fn spend_spare(&self, service: &Service, now: Moment) -> bool {
+    pub fn spend_optional_retry(&self, service: &Service, now: Moment) -> bool {
         self.budget(service, |budget| budget.spend_spare(now))
     }
 
@@ -415,7 +416,7 @@
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| Budget::new(bounds.retry_window, bounds.retry_share));
-        let vms = self.peers.borrow().present(self.now()) as u32;
+        let vms = self.peers.borrow().count_live(self.now()) as u32;
         budget.set_extra(limit::even_part(bounds.retry_extra as u32, vms));
         act(budget)
     }
--- a/src/forward/wake.rs
+++ b/src/forward/wake.rs
@@ -11,34 +11,34 @@
 use crate::unit::Span;
 
 /// Time between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The two clocks are read one after the other, and a machine steers both; less is no sleep.
-const LEAST: Span = Span::millis(50);
+const MIN_SUSPENSION: Span = Span::millis(50);
 
 /// Looks whether the machine slept until the process ends.
 pub async fn run(vm: Rc<Vm>) {
-    let Some(mut known) = vm.clock.slept() else {
+    let Some(mut total) = vm.clock.slept() else {
         vm.log("no clock counts the time asleep", &[]);
         return;
     };
     loop {
-        tokio::time::sleep(LOOK).await;
-        known = look(&vm, known);
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        total = check(&vm, total);
     }
 }
 
 /// Notes a sleep since the last look, when the machine had slept `known` in all. How long it has by now.
-pub fn look(vm: &Vm, known: Span) -> Span {
-    let slept = vm.clock.slept().unwrap_or(known);
-    let more = Span(slept.0.saturating_sub(known.0));
-    if more < LEAST {
-        return known;
+pub fn check(vm: &Vm, total: Span) -> Span {
+    let slept = vm.clock.slept().unwrap_or(total);
+    let suspended = Span(slept.0.saturating_sub(total.0));
+    if suspended < MIN_SUSPENSION {
+        return total;
     }
     let now = vm.now();
     let age = vm.proof_age(now).map_or(-1.0, Span::as_millis);
-    vm.log("woke", &[("slept_ms", more.as_millis().into()), ("proof_age_ms", age.into())]);
-    vm.held_up.set(Some(now));
-    vm.prove.notify_one();
+    vm.log("woke", &[("slept_ms", suspended.as_millis().into()), ("proof_age_ms", age.into())]);
+    vm.stalled_at.set(Some(now));
+    vm.proof_requested.notify_one();
     slept
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -169,10 +169,10 @@
     let millis = |value: f64| Span((value.min(LARGEST_MS) * 1000.0) as u64);
     let strict = fields.get("strict_revocation").and_then(Value::as_bool).unwrap_or(true);
     Bounds {
-        contact: millis(number("contact_ms", CONTACT_MS)),
-        in_force: millis(number("config_apply_ms", CONFIG_APPLY_MS)),
-        leave_within: millis(number("drain_ms", DRAIN_MS)),
-        empty_within: millis(number("evacuate_ms", EVACUATE_MS)),
+        settling_time: millis(number("contact_ms", CONTACT_MS)),
+        config_propagation: millis(number("config_apply_ms", CONFIG_APPLY_MS)),
+        drain_within: millis(number("drain_ms", DRAIN_MS)),
+        evacuate_within: millis(number("evacuate_ms", EVACUATE_MS)),
         key_staleness: strict.then(|| millis(number("revoke_ms", REVOKE_MS))),
         rollback: millis(number("rollback_ms", ROLLBACK_MS)),
         stop_within: millis(number("grace_s", GRACE_S) * 1000.0),
@@ -180,6 +180,6 @@
         retry_share: number("retry_budget_ratio", RETRY_RATIO),
         retry_extra: number("retry_budget_extra", RETRY_EXTRA),
         retry_window: millis(number("budget_window_s", RETRY_WINDOW_S) * 1000.0),
-        exposure: number("exposure_share", EXPOSURE_SHARE).min(1.0),
+        max_exposure: number("exposure_share", EXPOSURE_SHARE).min(1.0),
     }
 }
--- a/tests/emptied.rs
+++ b/tests/emptied.rs
@@ -9,7 +9,7 @@
 use site::{Site, are_ready, ask, eventually, head};
 
 /// The kind of the orders in the store.
-const ORDERS: &str = "evacuations";
+const EVACUATIONS: &str = "evacuations";
 
 fn site() -> Site {
     Site::new().route("safe", "idempotent", json!({})).route(
@@ -19,7 +19,7 @@
     )
 }
 
-fn heard(vm: &site::Vm, event: &str) -> bool {
+fn has_logged(vm: &site::Vm, event: &str) -> bool {
     vm.lines().iter().any(|line| line["event"] == event)
 }
 
@@ -31,28 +31,28 @@
 fn an_emptied_data_centre_gets_nothing_new_until_it_is_taken_back() {
     let mut site = site();
     site.publish();
-    let emptied = site.replica_with("r1", json!({"zone": "there"}));
+    let evacuated = site.replica_with("r1", json!({"zone": "there"}));
     site.replica("r2", "v1");
     // The second hears of the order from the first.
     let vms = [site.start_in("there"), site.start_in("there")];
     are_ready(&vms);
-    site.store.put(ORDERS, "there", json!({}));
-    eventually("all know the order", || vms.iter().all(|vm| heard(vm, "data centre emptied")));
-    let before = emptied.seen().len();
+    site.store.put(EVACUATIONS, "there", json!({}));
+    eventually("all know the order", || vms.iter().all(|vm| has_logged(vm, "data centre emptied")));
+    let before = evacuated.seen().len();
     for number in 0..20 {
         assert_eq!(send(&vms[number % 2], &format!("e{number}")), 200);
     }
-    assert_eq!(emptied.seen().len(), before);
+    assert_eq!(evacuated.seen().len(), before);
     // A VM that starts in the middle of it knows the order before it serves.
     let vm = site.start_in("there");
     are_ready(std::slice::from_ref(&vm));
     (0..20).for_each(|number| assert_eq!(send(&vm, &format!("n{number}")), 200));
-    assert_eq!(emptied.seen().len(), before);
+    assert_eq!(evacuated.seen().len(), before);
     assert_eq!(vm.counter(&["kitepulley_emptied{", "there"]), 1.0);
-    site.store.remove(ORDERS, "there");
+    site.store.remove(EVACUATIONS, "there");
     eventually("it gets work again", || {
         send(&vms[0], "back");
-        emptied.seen().len() > before
+        evacuated.seen().len() > before
     });
 }
 
@@ -60,33 +60,33 @@
 fn what_runs_in_a_data_centre_that_is_emptied_goes_on_to_its_end() {
     let mut site = site();
     let pause = Duration::from_millis(100);
-    let emptied = site.replica_with("r1", json!({"zone": "there"}));
-    emptied.usually(Act::Events { last: 12, cut_after: None, confidence: None, pause });
+    let evacuated = site.replica_with("r1", json!({"zone": "there"}));
+    evacuated.usually(Act::Events { last: 12, cut_after: None, confidence: None, pause });
     let vm = site.start_ready();
     let answer = std::thread::scope(|scope| {
         let stream = || ask(vm.callers, &head("POST /stream/x", "s1", "X-Model: m\r\n"), b"x");
         let stream = scope.spawn(stream);
-        eventually("it has begun", || !emptied.seen().is_empty());
+        eventually("it has begun", || !evacuated.seen().is_empty());
         site.replica("r2", "v1");
-        site.store.put(ORDERS, "there", json!({}));
-        eventually("the order is known", || heard(&vm, "data centre emptied"));
+        site.store.put(EVACUATIONS, "there", json!({}));
+        eventually("the order is known", || has_logged(&vm, "data centre emptied"));
         stream.join().unwrap()
     });
     assert!(answer.whole);
-    assert_eq!(emptied.seen().len(), 1);
+    assert_eq!(evacuated.seen().len(), 1);
 }
 
 #[test]
 fn what_no_server_may_get_is_refused_at_once_and_has_not_run() {
     let mut site = site();
-    let emptied = site.replica_with("r1", json!({"zone": "there"}));
+    let evacuated = site.replica_with("r1", json!({"zone": "there"}));
     let vm = site.start_ready();
-    site.store.put(ORDERS, "there", json!({}));
-    eventually("the order is known", || heard(&vm, "data centre emptied"));
+    site.store.put(EVACUATIONS, "there", json!({}));
+    eventually("the order is known", || has_logged(&vm, "data centre emptied"));
     let begun = Instant::now();
     let answer = ask(vm.callers, &head("GET /safe/x", "r1", ""), b"");
     assert_eq!(answer.status, 503);
     assert!(answer.header("Retry-After").is_some());
     assert!(begun.elapsed() < Duration::from_millis(250), "{:?}", begun.elapsed());
-    assert!(emptied.seen().is_empty());
+    assert!(evacuated.seen().is_empty());
 }
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -36,7 +36,9 @@
 
 fn takes_work(vm: &Vm, name: &str) -> bool {
     let fleet = vm.fleet.borrow();
-    fleet.of(&"api".parse().unwrap(), vm.now()).any(|server| server.replica.id.as_str() == name)
+    fleet
+        .eligible(&"api".parse().unwrap(), vm.now())
+        .any(|server| server.replica.id.as_str() == name)
 }
 
 fn take(vm: &Vm, object: &Object) {
@@ -55,18 +57,18 @@
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get_mut(&id).unwrap();
         (0..5).for_each(|_| server.load.add());
-        server.hold(7, now);
-        server.standing.note_another();
+        server.record_prefix(7, now);
+        server.availability.note_another();
     }
     // Its clock has stepped back: the store's revisions tell which life is the later one.
     take(&vm, &server("r1", 9, entry(json!({"born": 1_763_999_990_000u64}))));
     {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.get(&id).unwrap();
-        assert!(!server.holds(7, now) && server.standing.bar(now).is_none());
+        assert!(!server.has_prefix(7, now) && server.availability.bar(now).is_none());
         assert_eq!(server.load.open(), 0);
         assert!(
-            fleet.life_mut(&earlier).is_none(),
+            fleet.incarnation_mut(&earlier).is_none(),
             "what ends at the earlier life counts for none"
         );
     }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -34,14 +34,14 @@
 use kitepulley::standin::replica::{Act, Replica};
 use kitepulley::unit::{Era, Position};
 use serde_json::json;
-use site::way::Way;
+use site::proxy::Proxy;
 use site::{Site, are_ready, ask, bare_vm, eventually, follows, head};
 
 /// A leaving server gets nothing new after this.
-const LEAVES_WITHIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long it is watched after that; a watch of the store waits six seconds.
-const WATCHED: Duration = Duration::from_secs(4);
+const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 
 fn site() -> Site {
     let mut site = Site::new().route("safe", "idempotent", json!({}));
@@ -51,11 +51,11 @@
 }
 
 /// Asks VMs from two seconds to six after `left`, and checks that the server gets none of it.
-fn gets_nothing_new(vms: &[site::Vm], server: &Replica, left: Instant) {
+fn assert_no_new_requests(vms: &[site::Vm], server: &Replica, left: Instant) {
     let send = |vm: &site::Vm| ask(vm.callers, &head("GET /safe/x", "id", ""), b"").status;
-    std::thread::sleep(LEAVES_WITHIN.saturating_sub(left.elapsed()));
+    std::thread::sleep(DRAIN_TIMEOUT.saturating_sub(left.elapsed()));
     let before = server.seen().len();
-    while left.elapsed() < LEAVES_WITHIN + WATCHED {
+    while left.elapsed() < DRAIN_TIMEOUT + OBSERVATION_TIME {
         for (at, vm) in vms.iter().enumerate() {
             assert_eq!(send(vm), 200);
             let met = server.seen().len() - before;
@@ -75,82 +75,84 @@
 
 /// What befalls the VM that reads the store, for itself or for others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     /// Its connection to the servers' entries hangs; proofs go over another one, which stays sound.
-    Hangs,
+    ConnectionHangs,
     /// Nothing passes between it and the store.
-    IsCut,
+    Partitioned,
     /// It stands still.
-    IsStopped,
+    ProcessStopped,
 }
 
 /// A server leaves while trouble befalls the VM that reads the store, of so many VMs. Those that nothing
 /// has befallen, and the one whose connection hangs, send it nothing two seconds later.
-fn a_server_leaves(trouble: Trouble, vms: usize) {
+fn drain_during_fault(fault: Fault, vms: usize) {
     let mut site = site();
     site.publish();
     let leaving = site.replica("r1", "v1");
     site.replica("r2", "v1");
-    let ways: Vec<Way> = (0..vms).map(|_| Way::to(site.store_server.address)).collect();
-    let mut vms: Vec<site::Vm> = ways.iter().map(|way| site.start_through(way.address)).collect();
+    let proxies: Vec<Proxy> = (0..vms).map(|_| Proxy::new(site.store_server.address)).collect();
+    let mut vms: Vec<site::Vm> =
+        proxies.iter().map(|proxy| site.start_through(proxy.address)).collect();
     are_ready(&vms);
     eventually("all but one follow", || vms.iter().filter(|vm| !follows(vm)).count() == 1);
     let reader = vms.iter().position(|vm| !follows(vm)).expect("one reads");
-    match trouble {
-        Trouble::Hangs => {
-            eventually("its way hangs", || ways[reader].silence("objects/servers") > 0);
+    match fault {
+        Fault::ConnectionHangs => {
+            eventually("its proxy hangs", || proxies[reader].silence("objects/servers") > 0);
         }
-        Trouble::IsCut => ways[reader].cut(),
-        Trouble::IsStopped => vms[reader].signal(libc::SIGSTOP),
+        Fault::Partitioned => proxies[reader].cut(),
+        Fault::ProcessStopped => vms[reader].signal(libc::SIGSTOP),
     }
     site.list("r1", "v1", "draining", leaving.address);
     let left = Instant::now();
-    let befallen = (trouble != Trouble::Hangs).then(|| vms.remove(reader));
-    gets_nothing_new(&vms, &leaving, left);
-    drop(befallen);
+    let affected = (fault != Fault::ConnectionHangs).then(|| vms.remove(reader));
+    assert_no_new_requests(&vms, &leaving, left);
+    drop(affected);
 }
 
 #[test]
 fn a_way_to_the_servers_that_hangs_is_noticed() {
     // Alone a VM asks for servers itself; of two, one does for both.
-    [1, 2].into_iter().for_each(|vms| a_server_leaves(Trouble::Hangs, vms));
+    [1, 2].into_iter().for_each(|vms| drain_during_fault(Fault::ConnectionHangs, vms));
 }
 
 #[test]
 fn a_reader_that_is_cut_off_is_not_believed() {
-    [2, 4].into_iter().for_each(|vms| a_server_leaves(Trouble::IsCut, vms));
+    [2, 4].into_iter().for_each(|vms| drain_during_fault(Fault::Partitioned, vms));
 }
 
 #[test]
 fn a_reader_that_stands_still_keeps_nobody_waiting() {
-    [2, 4].into_iter().for_each(|vms| a_server_leaves(Trouble::IsStopped, vms));
+    [2, 4].into_iter().for_each(|vms| drain_during_fault(Fault::ProcessStopped, vms));
 }
 
 /// The first VMs of six are cut off one after the other, as where a store turns a third of the VMs away: the one that reads, and
 /// `next` that would read in its place. On a short day of the users' site a VM of nine that nothing had befallen sent
 /// to a server 2.1 s after its leave: it had followed the second, which answered with what it knew before it had tried
 /// the store, and asked nobody any more when that was too old.
-fn readers_are_cut_off(next: usize) {
+fn partition_readers(next: usize) {
     let mut site = site();
     site.publish();
     let leaving = site.replica("r1", "v1");
     site.replica("r2", "v1");
-    let ways: Vec<Way> = (0..6).map(|_| Way::to(site.store_server.address)).collect();
-    let mut vms: Vec<site::Vm> = ways.iter().map(|way| site.start_through(way.address)).collect();
+    let proxies: Vec<Proxy> = (0..6).map(|_| Proxy::new(site.store_server.address)).collect();
+    let mut vms: Vec<site::Vm> =
+        proxies.iter().map(|proxy| site.start_through(proxy.address)).collect();
     are_ready(&vms);
     eventually("all but the first follow", || !follows(&vms[0]) && vms[1..].iter().all(follows));
-    ways[..=next].iter().for_each(Way::cut);
+    proxies[..=next].iter().for_each(Proxy::cut);
     std::thread::sleep(Duration::from_millis(900));
     site.list("r1", "v1", "draining", leaving.address);
     let left = Instant::now();
-    let befallen: Vec<site::Vm> = vms.drain(..=next).collect();
-    gets_nothing_new(&vms, &leaving, left);
-    drop(befallen);
+    let affected: Vec<site::Vm> = vms.drain(..=next).collect();
+    assert_no_new_requests(&vms, &leaving, left);
+    drop(affected);
 }
 
 #[test]
 fn readers_that_are_cut_off_one_after_the_other_are_not_believed() {
-    [1, 2].into_iter().for_each(readers_are_cut_off);
+    [1, 2].into_iter().for_each(partition_readers);
 }
 
 #[test]
@@ -158,12 +160,12 @@
     let mut site = site();
     site.publish();
     site.replica("r1", "v1");
-    let way = Way::to(site.store_server.address);
-    let reader = site.start_through(way.address);
+    let proxy = Proxy::new(site.store_server.address);
+    let reader = site.start_through(proxy.address);
     eventually("the first is ready", || reader.is_ready());
     let second = site.start();
     eventually("the second follows it", || follows(&second));
-    way.cut();
+    proxy.cut();
     // Its last proof is young yet, and it has not noticed that the store is away.
     std::thread::sleep(Duration::from_millis(1350));
     let third = site.start();
@@ -182,9 +184,11 @@
     serde_json::from_value(value).unwrap()
 }
 
-fn takes_work(vm: &Vm, name: &str) -> bool {
+fn is_eligible(vm: &Vm, name: &str) -> bool {
     let fleet = vm.fleet.borrow();
-    fleet.of(&"api".parse().unwrap(), vm.now()).any(|server| server.replica.id.as_str() == name)
+    fleet
+        .eligible(&"api".parse().unwrap(), vm.now())
+        .any(|server| server.replica.id.as_str() == name)
 }
 
 fn own(as_of: u64) -> Source<'static> {
@@ -203,22 +207,22 @@
     learn::take(&vm, Kind::Servers, &entry("r3", 10, "ready"), &own(10));
     // A reader that has been cut off since revision 8 answers with all that it knows.
     list(8, &both);
-    assert!(!takes_work(&vm, "r1"), "it had said that it leaves");
-    assert!(takes_work(&vm, "r2"));
-    assert!(takes_work(&vm, "r3"), "it came after that list");
+    assert!(!is_eligible(&vm, "r1"), "it had said that it leaves");
+    assert!(is_eligible(&vm, "r2"));
+    assert!(is_eligible(&vm, "r3"), "it came after that list");
     learn::drop_object(&vm, Kind::Servers, "r2", false, &own(2));
-    assert!(takes_work(&vm, "r2"), "its end is older than its entry");
+    assert!(is_eligible(&vm, "r2"), "its end is older than its entry");
     learn::drop_object(&vm, Kind::Servers, "r1", false, &own(9));
     list(8, &both);
-    assert!(!takes_work(&vm, "r1"), "its entry had gone");
+    assert!(!is_eligible(&vm, "r1"), "its entry had gone");
     learn::take(&vm, Kind::Servers, &entry("r1", 14, "ready"), &own(14));
-    assert!(takes_work(&vm, "r1"), "it lapsed, lives and wrote itself anew");
+    assert!(is_eligible(&vm, "r1"), "it lapsed, lives and wrote itself anew");
     list(16, &[entry("r2", 4, "ready")]);
-    assert!(!takes_work(&vm, "r1") && !takes_work(&vm, "r3"), "a newer list lacks them");
+    assert!(!is_eligible(&vm, "r1") && !is_eligible(&vm, "r3"), "a newer list lacks them");
 }
 
 /// Sessions that the first share of the trial of `v2` draws, in a site that grants a tenth.
-fn drawn() -> impl Iterator<Item = String> {
+fn drawn_sessions() -> impl Iterator<Item = String> {
     let (service, version) = ("api".parse().unwrap(), "v2".parse().unwrap());
     let names = (0..).map(|number| format!("s{number}"));
     names.filter(move |name| Draw::new(&service, &version, name).point() < 0.1)
@@ -232,7 +236,7 @@
     let pause = Duration::from_millis(1000);
     old.usually(Act::Events { last: 5, cut_after: None, confidence: None, pause });
     let vm = site.start_ready();
-    let sessions: Vec<String> = drawn().take(4).collect();
+    let sessions: Vec<String> = drawn_sessions().take(4).collect();
     let send = |session: &str| {
         let line = head("GET /talk/x", session, &format!("Session: {session}\r\n"));
         ask(vm.callers, &line.replace("X-Deadline-Ms: 2500", "X-Deadline-Ms: 9000"), b"")
@@ -290,29 +294,29 @@
 }
 
 /// A version that was found bad is out of use after this.
-const ROLLED_BACK_WITHIN: Duration = Duration::from_secs(5);
+const ROLLBACK_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[test]
 fn a_way_to_the_roll_outs_that_hangs_is_noticed() {
     // The same cause, one kind further: what vouches for roll-outs is a proof of the configuration too.
     let mut site = site();
-    site.bounds["rollback_ms"] = json!(ROLLED_BACK_WITHIN.as_millis());
+    site.bounds["rollback_ms"] = json!(ROLLBACK_TIMEOUT.as_millis());
     site.publish();
     site.replica("r1", "v1");
     let order = json!({"service": "api", "target_version": "v2", "duration_s": 60.0});
     site.store.put("rollouts", "api", order);
-    let way = Way::to(site.store_server.address);
-    let vm = site.start_through(way.address);
+    let proxy = Proxy::new(site.store_server.address);
+    let vm = site.start_through(proxy.address);
     eventually("it is ready", || vm.is_ready());
-    eventually("its way hangs", || way.silence("objects/rollouts?watch") > 0);
+    eventually("its proxy hangs", || proxy.silence("objects/rollouts?watch") > 0);
     let status = json!({"target_version": "v2", "state": "rolled_back"});
     site.store.set_status("rollouts", "api", status);
     let moved = Instant::now();
     let knows = || vm.lines().iter().any(|line| line["phase"] == "Some(RolledBack)");
-    while !knows() && moved.elapsed() < 2 * ROLLED_BACK_WITHIN {
+    while !knows() && moved.elapsed() < 2 * ROLLBACK_TIMEOUT {
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(moved.elapsed() < ROLLED_BACK_WITHIN, "heard after {:?}", moved.elapsed());
+    assert!(moved.elapsed() < ROLLBACK_TIMEOUT, "heard after {:?}", moved.elapsed());
 }
 
 #[test]
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -36,23 +36,23 @@
 
 /// What was heard from a server binds the VM that heard it from so soon on: an answer is on its way for a millisecond, and the choice of
 /// a server and the opening of a connection take a few more. Users allow half a second.
-const HEARD: Duration = Duration::from_millis(50);
+const SIGNAL_DELAY: Duration = Duration::from_millis(50);
 
 /// What a server gets is counted over any such time.
 const WINDOW: Span = Span::secs(4);
 
 /// Requests beyond the limit in a window: what one window holds of turns that begin and end in it. Users allow half of the limit and five.
-const BEYOND: f64 = 2.0;
+const WINDOW_EXCESS: f64 = 2.0;
 
 /// Part of what servers take that is used at least while work waits: whole requests in a window, and the margin between turns, cost the rest.
-const USED: f64 = 0.7;
+const MIN_UTILIZATION: f64 = 0.7;
 
 /// How long callers go on, and the pause between two requests of one of them.
-const SENT: Duration = Duration::from_secs(9);
-const PAUSE: Duration = Duration::from_millis(15);
+const LOAD_DURATION: Duration = Duration::from_secs(9);
+const CALL_INTERVAL: Duration = Duration::from_millis(15);
 
 /// Callers at each VM, one for each kind of request: one that may be repeated, one that may not, and a stream that may go on elsewhere.
-const LINES: [&str; 3] = ["POST /safe/x", "POST /once/x", "POST /stream/x"];
+const REQUEST_LINES: [&str; 3] = ["POST /safe/x", "POST /once/x", "POST /stream/x"];
 
 /// Servers that answer all kinds of requests alike: a short stream is a whole answer too.
 fn servers(site: &Site, limits: &[Option<&str>]) -> Vec<Replica> {
@@ -74,20 +74,20 @@
     vms
 }
 
-/// Callers at all VMs send requests for [`SENT`]; the answers. The id of a request says at which VM it is sent.
+/// Callers at all VMs send requests for [`LOAD_DURATION`]; the answers. The id of a request says at which VM it is sent.
 fn load(vms: &[Vm]) -> Vec<Answer> {
     let calls = |vm: usize, line: &str| {
         let begun = Instant::now();
         let mut answers = Vec::new();
-        while begun.elapsed() < SENT {
+        while begun.elapsed() < LOAD_DURATION {
             let id = format!("vm{vm}-{}-{}", line.len(), answers.len());
             answers.push(ask(vms[vm].callers, &head(line, &id, ""), b"x"));
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CALL_INTERVAL);
         }
         answers
     };
     std::thread::scope(|scope| {
-        let each = (0..vms.len()).flat_map(|vm| LINES.map(|line| (vm, line)));
+        let each = (0..vms.len()).flat_map(|vm| REQUEST_LINES.map(|line| (vm, line)));
         let callers: Vec<_> = each.map(|(vm, line)| scope.spawn(move || calls(vm, line))).collect();
         callers.into_iter().flat_map(|caller| caller.join().expect("no panic")).collect()
     })
@@ -97,13 +97,13 @@
 fn most_in_a_window(server: &Replica) -> usize {
     let seen = server.seen();
     let Some(begun) = seen.iter().map(|seen| seen.at).min() else { return 0 };
-    let mut told: HashMap<String, Instant> = HashMap::new();
+    let mut first_seen: HashMap<String, Instant> = HashMap::new();
     let mut at: Vec<Moment> = Vec::new();
     for seen in &seen {
         let id = seen.header("x-attempt-id").unwrap_or_default();
         let vm = id.split('-').next().unwrap_or_default().to_owned();
-        let first = *told.entry(vm).or_insert(seen.at);
-        if seen.at.duration_since(first) > HEARD {
+        let first = *first_seen.entry(vm).or_insert(seen.at);
+        if seen.at.duration_since(first) > SIGNAL_DELAY {
             at.push(Moment(seen.at.duration_since(begun).as_micros() as u64));
         }
     }
@@ -113,7 +113,7 @@
 }
 
 fn allowed(rate: f64) -> f64 {
-    rate * WINDOW.as_secs() + BEYOND
+    rate * WINDOW.as_secs() + WINDOW_EXCESS
 }
 
 /// What reached the servers from VMs that had been told stays within what each named.
@@ -157,8 +157,11 @@
     assert!(refused.iter().all(|answer| answer.header("retry-after").is_some()));
     let named: f64 = rates.iter().sum();
     let used = served as f64 / secs / named;
-    assert!(used >= USED, "{served} served in {secs:.1} s where {named} a second are named");
-    assert!(used <= 1.0 + BEYOND / 2.0, "{served} served in {secs:.1} s");
+    assert!(
+        used >= MIN_UTILIZATION,
+        "{served} served in {secs:.1} s where {named} a second are named"
+    );
+    assert!(used <= 1.0 + WINDOW_EXCESS / 2.0, "{served} served in {secs:.1} s");
     // A refusal that is not at once would keep its caller from asking again.
     let asked = answers.len() as f64 / secs;
     assert!(asked >= 200.0, "{asked} requests a second");
@@ -200,7 +203,7 @@
         !servers[0].seen().is_empty()
     });
     // Some hops among many VMs, each a few milliseconds.
-    std::thread::sleep(4 * HEARD);
+    std::thread::sleep(4 * SIGNAL_DELAY);
     let before = servers[0].seen().len();
     for number in 0..6 {
         for (at, vm) in vms.iter().enumerate() {
@@ -258,13 +261,13 @@
         cold: Span(0),
         ready: true,
     };
-    vm.fleet.borrow_mut().put(life.clone(), vm.now());
+    vm.fleet.borrow_mut().upsert(life.clone(), vm.now());
     (vm, life)
 }
 
 fn hears(vm: &forward::Vm, life: &Life, word: Word) {
     let now = vm.now();
-    vm.fleet.borrow_mut().life_mut(life).unwrap().standing.limit.hear(word, now, now);
+    vm.fleet.borrow_mut().incarnation_mut(life).unwrap().availability.limit.hear(word, now, now);
 }
 
 /// One request at the server that is chosen for it, after `meanwhile` happened.
@@ -299,7 +302,7 @@
     let rests = Said { rest: Some(Span::millis(200)), ..Said::default() };
     let hear_rest = || {
         let now = vm.now();
-        vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.hear(rests, now);
+        vm.fleet.borrow_mut().incarnation_mut(&life).unwrap().availability.hear(rests, now);
     };
     block(async {
         assert_eq!(one_attempt(&vm, hear_rest).await, End::Withheld);
@@ -319,16 +322,21 @@
     let server = Replica::launch().unwrap();
     let (vm, life) = alone(&server);
     let (id, version) = ("r1".parse().unwrap(), "v2".parse().unwrap());
-    vm.fleet.borrow_mut().put(Life { id, version, ..life.clone() }, vm.now());
+    vm.fleet.borrow_mut().upsert(Life { id, version, ..life.clone() }, vm.now());
     let job = site::job(&vm, "api");
     let chosen = || choice::server(&vm, &job.wish(None, &[]), vm.now());
     hears(&vm, &life, Word::Named(Rate(0.5)));
     assert_eq!(chosen().map(|place| place.replica.id), Some(life.id.clone()));
-    vm.fleet.borrow_mut().life_mut(&life).unwrap().turns.spend(vm.now());
+    vm.fleet.borrow_mut().incarnation_mut(&life).unwrap().pacer.spend(vm.now());
     assert!(chosen().is_none(), "its turn comes later");
     let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now());
     assert_eq!(again, None, "a server that bears anything is there");
-    vm.fleet.borrow_mut().get_mut(&"r1".parse().unwrap()).unwrap().standing.enter(false, vm.now());
+    vm.fleet
+        .borrow_mut()
+        .get_mut(&"r1".parse().unwrap())
+        .unwrap()
+        .availability
+        .enter(false, vm.now());
     let again = choice::come_back(&vm, &job.wish(None, &[]), vm.now()).expect("a time");
     // Two in four seconds, and callers come back within half a second one after the other.
     assert!((Span::millis(2000)..Span::millis(2600)).contains(&again), "{again}");
@@ -361,11 +369,11 @@
     for own in 0..vms {
         let others: Vec<u64> =
             (0..vms).filter(|vm| *vm != own && knows(own, *vm)).map(name).collect();
-        let part = Part::new(&bound, others.len() + 1);
-        let mut turns = Turns::default();
+        let share = Part::new(&bound, others.len() + 1);
+        let mut pacer = Turns::default();
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
-        while is_sender(&part, server, name(own), &others) && now < Moment(20_000_000) {
-            now = turns.take(&part, now).at;
+        while is_sender(&share, server, name(own), &others) && now < Moment(20_000_000) {
+            now = pacer.take(&share, now).at;
             all.push(now);
         }
     }
@@ -396,20 +404,20 @@
 
     /// Turns that are taken, spent late or given back, under limits that change, never come closer than the gap of the limit of then.
     fn turns_keep_their_distance(steps: Vec<(u8, u16)>) -> bool {
-        let mut turns = Turns::default();
+        let mut pacer = Turns::default();
         let (mut now, mut last) = (Moment(1), None::<Moment>);
         for (kind, amount) in steps {
             now = now + Span::millis(u64::from(amount % 700));
-            let part = Part::new(&Bound::of_limit(Rate(f64::from(kind) / 10.0)), 1);
-            let ticket = turns.take(&part, now);
-            if last.is_some_and(|last| ticket.at.since(last) < part.gap) {
+            let share = Part::new(&Bound::of_limit(Rate(f64::from(kind) / 10.0)), 1);
+            let reservation = pacer.take(&share, now);
+            if last.is_some_and(|last| reservation.at.since(last) < share.gap) {
                 return false;
             }
             match kind % 3 {
-                0 => turns.give_back(ticket),
+                0 => pacer.give_back(reservation),
                 _ => {
-                    now = now.max(ticket.at) + Span::millis(u64::from(kind % 50));
-                    turns.spend(now);
+                    now = now.max(reservation.at) + Span::millis(u64::from(kind % 50));
+                    pacer.spend(now);
                     last = Some(now);
                 }
             }
@@ -423,7 +431,7 @@
     for vms in [1, 3, 7, 9, 84, 300] {
         for rate in [0.5, 1.0, 1.4, 1.8, 2.0, 2.5, 5.0, 12.0] {
             let sent = sends(vms, rate, |_, _| true).len() as f64 / 20.0;
-            assert!(sent >= USED * rate, "{vms} VMs, {rate} a second: {sent}");
+            assert!(sent >= MIN_UTILIZATION * rate, "{vms} VMs, {rate} a second: {sent}");
         }
     }
 }
@@ -478,14 +486,14 @@
 #[test]
 fn a_limit_that_changes_ten_times_a_second_is_told_four_times_a_second_at_most() {
     let mut limit = Limit::default();
-    let mut told = 0;
+    let mut sent = 0;
     for tenth in 1..=200 {
         let now = Moment(tenth * 100_000);
         let rate = [1.0, 4.0, 2.0, 8.0, 0.5][tenth as usize % 5];
         limit.hear(Word::Named(Rate(rate)), now, now);
-        told += usize::from(limit.tell(now).is_some());
+        sent += usize::from(limit.tell(now).is_some());
     }
-    assert!((20..=80).contains(&told), "{told} times in 20 s");
+    assert!((20..=80).contains(&sent), "{sent} times in 20 s");
 }
 
 #[test]
@@ -508,8 +516,8 @@
 fn a_limit_of_nought_is_asked_now_and_then_whether_it_is_over() {
     for rate in [0.0, -0.0, 1e-12] {
         let bound = Bound::of_limit(Rate(rate));
-        let part = Part::new(&bound, 300);
-        assert_eq!((part.senders, part.gap), (1, Span::secs(10)));
+        let share = Part::new(&bound, 300);
+        assert_eq!((share.senders, share.gap), (1, Span::secs(10)));
     }
     let huge = Part::new(&Bound::of_limit(Rate(1e300)), 300);
     assert_eq!(huge.senders, 300);
