--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -30,27 +30,27 @@
 const POISON: &str = "a question that no server survives";
 
 /// Servers that may end under a content before it is held back.
-const ENDS: usize = 3;
+const CRASHES_BEFORE_QUARANTINE: usize = 3;
 
-/// Retries that may reach servers later than [`CONTACT`] after that.
-const RETRIES: usize = 3;
+/// Retries that may reach servers later than [`PROPAGATION_TIME`] after that.
+const MAX_LATE_RETRIES: usize = 3;
 
 /// Time in which VMs without trouble know what the others know.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Backend servers, and VMs before them.
 const SERVERS: usize = 8;
 const VMS: usize = 3;
 
 /// More VMs than hear each other all.
-const MANY: usize = 14;
+const RING_VMS: usize = 14;
 
 /// Time in which VMs that have started know each other, and what the others know.
-const SETTLED: Duration = Duration::from_millis(1500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1500);
 
 /// How long a caller repeats it, and the pause between two tries.
-const REPEATED: Duration = Duration::from_secs(6);
-const PAUSE: Duration = Duration::from_millis(60);
+const REPEAT_DURATION: Duration = Duration::from_secs(6);
+const CALL_INTERVAL: Duration = Duration::from_millis(60);
 
 fn site() -> Site {
     let mut site = Site::new()
@@ -80,10 +80,10 @@
 }
 
 /// When each life that ended did so, and when requests with the poison arrived, in order.
-fn ends(servers: &[Replica]) -> Vec<Instant> {
-    let mut ends: Vec<Instant> = servers.iter().flat_map(Replica::ends).collect();
-    ends.sort();
-    ends
+fn crashes(servers: &[Replica]) -> Vec<Instant> {
+    let mut crashes: Vec<Instant> = servers.iter().flat_map(Replica::ends).collect();
+    crashes.sort();
+    crashes
 }
 
 fn arrivals(servers: &[Replica], body: &str) -> Vec<Instant> {
@@ -100,20 +100,28 @@
         let vm = &vms[number % vms.len()];
         let status =
             ask(vm.callers, &head(line, &format!("try{number}"), ""), body.as_bytes()).status;
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(CALL_INTERVAL);
         status
     };
     (0..times).map(send).collect()
 }
 
 /// What the rule asks, and what is asked beyond it: three servers end, and one more for each try under way then.
-fn is_held_back(servers: &[Replica], body: &str, under_way: usize, vms: &[Vm]) {
+fn assert_quarantined(servers: &[Replica], body: &str, under_way: usize, vms: &[Vm]) {
     let logs = || vms.iter().map(Vm::log_end).collect::<String>();
-    let (ends, arrivals) = (ends(servers), arrivals(servers, body));
-    assert!(ends.len() >= ENDS, "only {} servers ended", ends.len());
-    let late = arrivals.iter().filter(|at| **at > ends[ENDS - 1] + CONTACT).count();
-    assert!(late <= RETRIES, "{late} retries after {} ends\n{}", ends.len(), logs());
-    assert!(ends.len() <= ENDS + under_way, "{} servers ended\n{}", ends.len(), logs());
+    let (crashes, arrivals) = (crashes(servers), arrivals(servers, body));
+    assert!(crashes.len() >= CRASHES_BEFORE_QUARANTINE, "only {} servers ended", crashes.len());
+    let late = arrivals
+        .iter()
+        .filter(|at| **at > crashes[CRASHES_BEFORE_QUARANTINE - 1] + PROPAGATION_TIME)
+        .count();
+    assert!(late <= MAX_LATE_RETRIES, "{late} retries after {} ends\n{}", crashes.len(), logs());
+    assert!(
+        crashes.len() <= CRASHES_BEFORE_QUARANTINE + under_way,
+        "{} servers ended\n{}",
+        crashes.len(),
+        logs()
+    );
 }
 
 #[test]
@@ -122,9 +130,9 @@
         let site = site();
         let servers = servers(&site, SERVERS);
         let vms = vms(&site, VMS);
-        let tries = (REPEATED.as_millis() / PAUSE.as_millis()) as usize / 2;
+        let tries = (REPEAT_DURATION.as_millis() / CALL_INTERVAL.as_millis()) as usize / 2;
         let statuses = repeat(&vms, line, POISON, tries);
-        is_held_back(&servers, POISON, 0, &vms);
+        assert_quarantined(&servers, POISON, 0, &vms);
         // What ran is said to; what did not is refused as such.
         assert!(statuses.iter().all(|status| [502, 503].contains(status)), "{statuses:?}");
         assert_eq!(statuses.last(), Some(&503), "{statuses:?}");
@@ -143,9 +151,13 @@
             let body = format!("question {}", served.len());
             served.extend(repeat(&vms, "POST /safe/x", &body, 1));
         }
-        is_held_back(&servers, POISON, 0, &vms);
+        assert_quarantined(&servers, POISON, 0, &vms);
         let failed = served.iter().filter(|status| **status != 200).count();
-        assert!(failed <= ENDS, "{failed} of {} others failed: {served:?}", served.len());
+        assert!(
+            failed <= CRASHES_BEFORE_QUARANTINE,
+            "{failed} of {} others failed: {served:?}",
+            served.len()
+        );
     });
 }
 
@@ -155,10 +167,10 @@
 fn many_vms_that_saw_one_end_each_know_it_together() {
     let site = site();
     let servers = servers(&site, SERVERS);
-    let vms = vms(&site, MANY);
-    std::thread::sleep(SETTLED);
-    repeat(&vms, "POST /once/x", POISON, 2 * MANY);
-    is_held_back(&servers, POISON, 0, &vms);
+    let vms = vms(&site, RING_VMS);
+    std::thread::sleep(DISCOVERY_TIME);
+    repeat(&vms, "POST /once/x", POISON, 2 * RING_VMS);
+    assert_quarantined(&servers, POISON, 0, &vms);
 }
 
 /// A VM that starts after the crashes has seen none of them; it knows them before it is asked.
@@ -171,9 +183,9 @@
     for _ in 0..2 {
         let late = [site.start()];
         are_ready(&late);
-        std::thread::sleep(SETTLED);
+        std::thread::sleep(DISCOVERY_TIME);
         repeat(&late, "POST /safe/x", POISON, 10);
-        is_held_back(&servers, POISON, 0, &late);
+        assert_quarantined(&servers, POISON, 0, &late);
     }
 }
 
@@ -187,9 +199,9 @@
     repeat(&vms[1..], "POST /safe/x", POISON, 4);
     std::thread::sleep(Duration::from_secs(2));
     vms[0].signal(libc::SIGCONT);
-    std::thread::sleep(SETTLED);
+    std::thread::sleep(DISCOVERY_TIME);
     repeat(&vms[..1], "POST /safe/x", POISON, 10);
-    is_held_back(&servers, POISON, 0, &vms);
+    assert_quarantined(&servers, POISON, 0, &vms);
 }
 
 /// A prompt that makes up most of the traffic is open at every server that crashes, and crashes none.
@@ -278,16 +290,16 @@
     let vms: Vec<_> = world.nodes.values().map(|node| node.address).collect();
     let callers = std::thread::spawn(move || {
         let refused = (0..20).map(|number| {
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CALL_INTERVAL);
             chat(vms[number % vms.len()], POISON)
         });
         let refused: Vec<_> = refused.collect();
         (refused, chat(vms[0], "an innocent question"))
     });
-    let mut ends = vec![0; world.engines.len()];
+    let mut crashes = vec![0; world.engines.len()];
     let mut down: Vec<(usize, Instant)> = Vec::new();
     while !callers.is_finished() {
-        for (at, known) in ends.iter_mut().enumerate() {
+        for (at, known) in crashes.iter_mut().enumerate() {
             if world.engines[at].crashes() > *known {
                 *known = world.engines[at].crashes();
                 world.crash_engine(at);
@@ -303,8 +315,8 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     let (refused, innocent) = callers.join().unwrap();
-    let ended: u64 = ends.iter().sum();
-    assert_eq!(ended as usize, ENDS, "{refused:?}\n{}", log.text());
+    let ended: u64 = crashes.iter().sum();
+    assert_eq!(ended as usize, CRASHES_BEFORE_QUARANTINE, "{refused:?}\n{}", log.text());
     assert_eq!(refused.last(), Some(&Some("\"no\"".to_owned())), "{refused:?}");
     assert_eq!(innocent, None);
     world.end();
--- a/tests/restore.rs
+++ b/tests/restore.rs
@@ -94,7 +94,9 @@
 
 fn takes_work(vm: &Inner) -> bool {
     let fleet = vm.fleet.borrow();
-    fleet.of(&"api".parse().unwrap(), vm.now()).any(|server| server.replica.id.as_str() == "r1")
+    fleet
+        .eligible(&"api".parse().unwrap(), vm.now())
+        .any(|server| server.replica.id.as_str() == "r1")
 }
 
 fn status(vm: &Vm, key: &str) -> u16 {
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -31,19 +31,19 @@
 use kitepulley::watch::line::Lines;
 use serde_json::{Value, json};
 
-pub mod way;
+pub mod proxy;
 
 /// A VM must be ready, and a change in force, within this; a busy machine is slow.
-const SOON: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// When the first life of a backend server that comes back began, in milliseconds since 1970; the others follow it.
-const FIRST_BORN: u64 = 1_700_000_000_000;
+const FIRST_INCARNATION_MS: u64 = 1_700_000_000_000;
 
 /// Log lines of each VM that the message of a failed check shows.
-const LOG_END: usize = 40;
+const LOG_TAIL_LINES: usize = 40;
 
 /// Tells the files of sites apart.
-static SITES: AtomicU32 = AtomicU32::new(0);
+static NEXT_VM: AtomicU32 = AtomicU32::new(0);
 
 /// An entry VM's process.
 pub struct Vm {
@@ -97,8 +97,8 @@
     /// The last log lines, those of single requests apart, for the message of a check that fails.
     pub fn log_end(&self) -> String {
         let lines = self.lines();
-        let told: Vec<&Value> = lines.iter().filter(|line| line["event"] != "request").collect();
-        let end = told.iter().skip(told.len().saturating_sub(LOG_END));
+        let shown: Vec<&Value> = lines.iter().filter(|line| line["event"] != "request").collect();
+        let end = shown.iter().skip(shown.len().saturating_sub(LOG_TAIL_LINES));
         let end: Vec<String> = end.map(|line| line.to_string()).collect();
         format!("{}:\n{}\n", self.callers, end.join("\n"))
     }
@@ -194,8 +194,12 @@
     pub fn fragile(&self, id: &str, crash: Crash) -> Replica {
         let replica = Replica::launch().unwrap();
         let (store, name, address) = (self.store.clone(), id.to_owned(), replica.address);
-        let list = move |life: u64| {
-            store.put("servers", &name, entry(address, json!({"born": FIRST_BORN + life})));
+        let list = move |incarnation: u64| {
+            store.put(
+                "servers",
+                &name,
+                entry(address, json!({"born": FIRST_INCARNATION_MS + incarnation})),
+            );
         };
         list(0);
         replica.crashes(crash).on_start(list);
@@ -213,7 +217,7 @@
         self.start_through(self.store_server.address)
     }
 
-    /// The same, with the store at another address: a [`way::Way`] to it.
+    /// The same, with the store at another address: a [`proxy::Proxy`] to it.
     pub fn start_through(&self, store: SocketAddr) -> Vm {
         self.launch(store, "here")
     }
@@ -224,16 +228,16 @@
     }
 
     fn launch(&self, store: SocketAddr, data_centre: &str) -> Vm {
-        let number = SITES.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_VM.fetch_add(1, Ordering::SeqCst);
         let name = format!("kitepulley-{}-{number}", std::process::id());
-        let (callers, readiness, metrics) = (free(), free(), free());
+        let (callers, readiness, metrics) = (free_address(), free_address(), free_address());
         let settings = std::env::temp_dir().join(format!("{name}.json"));
         let log = std::env::temp_dir().join(format!("{name}.log"));
         let text = json!({
             "node_name": format!("vm{number:04}"), "ip": "127.0.0.1", "zone": data_centre,
             "zones": {"here": "north", "there": "south"},
             "listen": {"frontend": callers.to_string(), "readiness": readiness.to_string()},
-            "port_range": [free().port(), 0],
+            "port_range": [free_address().port(), 0],
             "bounds": self.bounds, "something_new": {"unknown": true},
             "platform": {"address": store.to_string()},
         });
@@ -272,7 +276,7 @@
 }
 
 fn process(settings: &Path, log: &Path, metrics: SocketAddr) -> Child {
-    let _probes = PROBES.lock().unwrap();
+    let _lock = PORT_PROBE_LOCK.lock().unwrap();
     let out = std::fs::File::options().create(true).append(true).open(log).unwrap();
     Command::new(env!("CARGO_BIN_EXE_kitepulley"))
         .args(["entry", "--metrics-port", &metrics.port().to_string()])
@@ -296,21 +300,21 @@
 }
 
 /// Ports below those that the system gives to connections, so that none takes one meanwhile.
-const PORTS: std::ops::Range<u32> = 12_000..32_000;
+const PORT_RANGE: std::ops::Range<u32> = 12_000..32_000;
 
 /// Held while a port is probed and while a process is started: a child that has not begun its program yet holds what its
 /// parent had open, and a VM whose port another test was probing then could not bind it (1 in 100 binds of a loop beside
 /// three that start processes).
-static PROBES: Mutex<()> = Mutex::new(());
+static PORT_PROBE_LOCK: Mutex<()> = Mutex::new(());
 
 /// Ports that one test program takes at a time.
-const BLOCK: u32 = 500;
+const PORTS_PER_PROCESS: u32 = 500;
 
 /// The block of ports of this program, which no other test program has meanwhile: a lock on a file of that number, which ends with the process.
 /// Ports are let go between a probe and the VM's bind; of 48 whole runs of one program, four at a time, 6 failed as others took them.
-fn block() -> u32 {
-    static BLOCK_HELD: OnceLock<(File, u32)> = OnceLock::new();
-    let blocks = (PORTS.end - PORTS.start) / BLOCK;
+fn port_block() -> u32 {
+    static HELD_BLOCK: OnceLock<(File, u32)> = OnceLock::new();
+    let blocks = (PORT_RANGE.end - PORT_RANGE.start) / PORTS_PER_PROCESS;
     let lock = |number: u32| {
         let path = std::env::temp_dir().join(format!("kitepulley-ports-{number}"));
         let file = File::options().create(true).append(true).open(path).ok()?;
@@ -318,16 +322,16 @@
         let locked = unsafe { libc::flock(file.as_raw_fd(), libc::LOCK_EX | libc::LOCK_NB) } == 0;
         locked.then_some((file, number))
     };
-    BLOCK_HELD.get_or_init(|| (0..blocks).find_map(lock).expect("a block of ports is free")).1
+    HELD_BLOCK.get_or_init(|| (0..blocks).find_map(lock).expect("a block of ports is free")).1
 }
 
 /// An address that is free, and that no other test of this process gets.
-fn free() -> SocketAddr {
-    let _probes = PROBES.lock().unwrap();
+fn free_address() -> SocketAddr {
+    let _lock = PORT_PROBE_LOCK.lock().unwrap();
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let first = PORTS.start + block() * BLOCK;
+    let first = PORT_RANGE.start + port_block() * PORTS_PER_PROCESS;
     loop {
-        let port = first + NEXT.fetch_add(1, Ordering::SeqCst) % BLOCK;
+        let port = first + NEXT.fetch_add(1, Ordering::SeqCst) % PORTS_PER_PROCESS;
         let address = SocketAddr::from(([127, 0, 0, 1], port as u16));
         // Links between VMs are on UDP, whose ports others may hold.
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
@@ -338,10 +342,10 @@
 
 /// Whether a VM follows a reader now.
 pub fn follows(vm: &Vm) -> bool {
-    let told = ["follows a reader", "reads the store itself"];
+    let events = ["follows a reader", "reads the store itself"];
     let lines = vm.lines();
-    let last = lines.iter().rev().find(|line| told.iter().any(|event| line["event"] == *event));
-    last.is_some_and(|line| line["event"] == told[0])
+    let last = lines.iter().rev().find(|line| events.iter().any(|event| line["event"] == *event));
+    last.is_some_and(|line| line["event"] == events[0])
 }
 
 /// Waits until all VMs call themselves ready; if one does not, the message has the logs of all.
@@ -349,7 +353,7 @@
     let begun = Instant::now();
     while !vms.iter().all(Vm::is_ready) {
         let logs = || vms.iter().map(Vm::log_end).collect::<String>();
-        assert!(begun.elapsed() < SOON, "not ready within {SOON:?}\n{}", logs());
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "not ready within {WAIT_TIMEOUT:?}\n{}", logs());
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -358,7 +362,7 @@
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < SOON, "not within {SOON:?}: {what}");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "not within {WAIT_TIMEOUT:?}: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -402,7 +406,7 @@
 /// As [`ask`]; nothing if there is no answer.
 pub fn try_ask(to: SocketAddr, head: &str, body: &[u8]) -> Option<Answer> {
     let mut stream = TcpStream::connect(to).ok()?;
-    stream.set_read_timeout(Some(SOON)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     let length = format!("Content-Length: {}\r\n", body.len());
     let length = if body.is_empty() { "" } else { length.as_str() };
     let text = format!("{head}{length}Connection: close\r\n\r\n");
@@ -422,7 +426,7 @@
     let mut answer = Answer { status, head, body: Vec::new(), whole: false };
     let rest = &bytes[end + 4..];
     if answer.header("transfer-encoding").is_some() {
-        (answer.body, answer.whole) = chunks(rest);
+        (answer.body, answer.whole) = decode_chunks(rest);
     } else {
         let length = answer.header("content-length").and_then(|text| text.parse().ok());
         answer.whole = length.unwrap_or(0) == rest.len();
@@ -431,7 +435,7 @@
     Some(answer)
 }
 
-fn chunks(mut bytes: &[u8]) -> (Vec<u8>, bool) {
+fn decode_chunks(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut body = Vec::new();
     loop {
         let Some(line) = bytes.windows(2).position(|end| end == b"\r\n") else {
@@ -498,10 +502,10 @@
 pub fn vm_with_clock(clock: Clock, key_staleness: Option<Span>) -> Rc<Inner> {
     let address = "127.0.0.1:9".parse().unwrap();
     let bounds = Bounds {
-        contact: Span::secs(3),
-        in_force: Span::secs(2),
-        leave_within: Span::secs(2),
-        empty_within: Span::secs(5),
+        settling_time: Span::secs(3),
+        config_propagation: Span::secs(2),
+        drain_within: Span::secs(2),
+        evacuate_within: Span::secs(5),
         key_staleness,
         rollback: Span::secs(5),
         stop_within: Span::secs(8),
@@ -509,7 +513,7 @@
         retry_share: 0.9,
         retry_extra: 54.0,
         retry_window: Span::secs(10),
-        exposure: 0.15,
+        max_exposure: 0.15,
     };
     let settings = Settings {
         vm: "vm-a".parse().unwrap(),
--- a/tests/site/way.rs
+++ b/tests/site/proxy.rs
@@ -8,44 +8,45 @@
 use std::time::Duration;
 
 /// Time between two looks whether a connection has become silent.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// One connection through the proxy.
 #[derive(Default)]
-struct Line {
+struct Connection {
     /// The last bytes that the VM sent.
-    asked: String,
+    last_request: String,
     silent: bool,
 }
 
-type Lines = Arc<Mutex<Vec<Arc<Mutex<Line>>>>>;
+type Connections = Arc<Mutex<Vec<Arc<Mutex<Connection>>>>>;
 
 /// The way.
-pub struct Way {
+pub struct Proxy {
     pub address: SocketAddr,
-    lines: Lines,
+    connections: Connections,
     cut: Arc<AtomicBool>,
 }
 
-impl Way {
+impl Proxy {
     /// A way to `store`. Its threads end with their connections, or with the test's process.
-    pub fn to(store: SocketAddr) -> Way {
+    pub fn new(store: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let lines = Lines::default();
-        let known = lines.clone();
+        let connections = Connections::default();
+        let accepted = connections.clone();
         let cut = Arc::new(AtomicBool::new(false));
         let is_cut = cut.clone();
         std::thread::spawn(move || {
             for vm in listener.incoming().map_while(Result::ok) {
                 let Ok(store) = TcpStream::connect(store) else { continue };
                 let silent = is_cut.load(Ordering::SeqCst);
-                let line = Arc::new(Mutex::new(Line { silent, ..Line::default() }));
-                known.lock().unwrap().push(line.clone());
-                join(vm, store, line);
+                let connection =
+                    Arc::new(Mutex::new(Connection { silent, ..Connection::default() }));
+                accepted.lock().unwrap().push(connection.clone());
+                relay(vm, store, connection);
             }
         });
-        Way { address, lines, cut }
+        Proxy { address, connections, cut }
     }
 
     /// Nothing passes any more.
@@ -56,12 +57,12 @@
 
     /// Every open connection whose last request contains `part` says nothing more. How many those are.
     pub fn silence(&self, part: &str) -> usize {
-        let lines = self.lines.lock().unwrap();
+        let connections = self.connections.lock().unwrap();
         let mut silenced = 0;
-        for line in lines.iter() {
-            let mut line = line.lock().unwrap();
-            if line.asked.contains(part) && !line.silent {
-                line.silent = true;
+        for connection in connections.iter() {
+            let mut connection = connection.lock().unwrap();
+            if connection.last_request.contains(part) && !connection.silent {
+                connection.silent = true;
                 silenced += 1;
             }
         }
@@ -69,31 +70,31 @@
     }
 }
 
-fn join(vm: TcpStream, store: TcpStream, line: Arc<Mutex<Line>>) {
+fn relay(vm: TcpStream, store: TcpStream, connection: Arc<Mutex<Connection>>) {
     let (from_vm, from_store) = (vm.try_clone().unwrap(), store.try_clone().unwrap());
-    let asks = line.clone();
+    let sender = connection.clone();
     std::thread::spawn(move || {
-        copy(from_vm, store, &asks, |line, bytes| {
-            line.asked = String::from_utf8_lossy(bytes).into_owned();
+        copy(from_vm, store, &sender, |connection, bytes| {
+            connection.last_request = String::from_utf8_lossy(bytes).into_owned();
         });
     });
-    std::thread::spawn(move || copy(from_store, vm, &line, |_, _| {}));
+    std::thread::spawn(move || copy(from_store, vm, &connection, |_, _| {}));
 }
 
 fn copy(
     mut from: TcpStream,
     mut to: TcpStream,
-    line: &Mutex<Line>,
-    note: impl Fn(&mut Line, &[u8]),
+    connection: &Mutex<Connection>,
+    on_read: impl Fn(&mut Connection, &[u8]),
 ) {
     let mut buffer = [0; 16 * 1024];
     loop {
         let read = from.read(&mut buffer).unwrap_or(0);
         if read > 0 {
-            note(&mut line.lock().unwrap(), &buffer[..read]);
+            on_read(&mut connection.lock().unwrap(), &buffer[..read]);
         }
-        while line.lock().unwrap().silent {
-            std::thread::sleep(LOOK);
+        while connection.lock().unwrap().silent {
+            std::thread::sleep(POLL_INTERVAL);
         }
         if read == 0 || to.write_all(&buffer[..read]).is_err() {
             let _ = to.shutdown(std::net::Shutdown::Both);
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -31,7 +31,7 @@
     };
 }
 
-fn sleep(asleep: &AtomicU64, time: Span) {
+fn suspend(asleep: &AtomicU64, time: Span) {
     asleep.fetch_add(time.0, Ordering::SeqCst);
 }
 
@@ -47,9 +47,9 @@
 #[test]
 fn a_vm_that_slept_past_its_proof_sends_nothing_on_with_a_key() {
     let vm = vm_that_proved(keys);
-    sleep(&KEYS_ASLEEP, Span::secs(1));
+    suspend(&KEYS_ASLEEP, Span::secs(1));
     assert!(vm.may_use_keys(vm.now()), "a proof of a second ago is young enough");
-    sleep(&KEYS_ASLEEP, Span::secs(4));
+    suspend(&KEYS_ASLEEP, Span::secs(4));
     assert!(!vm.may_use_keys(vm.now()));
     assert!(!vm.is_ready(vm.now()));
     learn::prove(&vm, vm.now(), Revision(0));
@@ -62,17 +62,17 @@
 #[test]
 fn a_sleep_is_told_once_and_news_wait_for_what_happened_meanwhile() {
     let vm = vm_that_proved(wakes);
-    let known = wake::look(&vm, Span::default());
-    assert_eq!((known, vm.held_up.get()), (Span::default(), None));
+    let known = wake::check(&vm, Span::default());
+    assert_eq!((known, vm.stalled_at.get()), (Span::default(), None));
     WAKE_AWAKE.fetch_add(700_000, Ordering::SeqCst);
-    assert_eq!(wake::look(&vm, known), Span::default(), "time awake is no sleep");
-    sleep(&WAKE_ASLEEP, Span::secs(30));
-    let known = wake::look(&vm, known);
+    assert_eq!(wake::check(&vm, known), Span::default(), "time awake is no sleep");
+    suspend(&WAKE_ASLEEP, Span::secs(30));
+    let known = wake::check(&vm, known);
     assert_eq!(known, Span::secs(30));
-    assert_eq!(vm.held_up.get(), Some(vm.now()));
-    vm.held_up.set(None);
-    assert_eq!(wake::look(&vm, known), known);
-    assert_eq!(vm.held_up.get(), None);
+    assert_eq!(vm.stalled_at.get(), Some(vm.now()));
+    vm.stalled_at.set(None);
+    assert_eq!(wake::check(&vm, known), known);
+    assert_eq!(vm.stalled_at.get(), None);
 }
 
 machine!(AGES_AWAKE, AGES_ASLEEP, ages);
@@ -83,9 +83,9 @@
     let clock = Clock::new(ages);
     let before = clock.now();
     let bound = Bound { rate: Rate(2.0), window: Span::secs(1) };
-    let part = Part::new(&bound, 1);
-    let mut turns = Turns::default();
-    turns.take(&part, before);
+    let share = Part::new(&bound, 1);
+    let mut pacer = Turns::default();
+    pacer.take(&share, before);
     let mut contents = Exchange::default();
     let content = digest(&[b"a question"]);
     for life in 0..3 {
@@ -94,10 +94,10 @@
     }
     for (sleeps, stale, held) in [(1, false, true), (5, true, true), (600, true, false)] {
         AGES_AWAKE.fetch_add(1000, Ordering::SeqCst);
-        sleep(&AGES_ASLEEP, Span::secs(sleeps));
+        suspend(&AGES_ASLEEP, Span::secs(sleeps));
         let now = clock.now();
         assert_eq!(is_stale(now.since(before), Span::secs(2)), stale, "servers after {sleeps} s");
-        assert_eq!(turns.next(&part, now), now.max(before + part.gap), "a turn after {sleeps} s");
+        assert_eq!(pacer.next(&share, now), now.max(before + share.gap), "a turn after {sleeps} s");
         assert_eq!(contents.held(&content, now).is_some(), held, "a belief after {sleeps} s");
     }
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -39,20 +39,20 @@
 
 /// What was heard from a server binds the VM that heard it from so soon on: an answer is on its way for a millisecond, and the choice of
 /// a server and the opening of a connection take a few more. Users allow two seconds, and two requests in a rest after half a second.
-const HEARD: Duration = Duration::from_millis(50);
+const SIGNAL_DELAY: Duration = Duration::from_millis(50);
 
 /// How long callers go on, and the pause between two requests of one of them.
-const SENT: Duration = Duration::from_secs(3);
-const PAUSE: Duration = Duration::from_millis(8);
+const LOAD_DURATION: Duration = Duration::from_secs(3);
+const CALL_INTERVAL: Duration = Duration::from_millis(8);
 
 /// Callers at each VM.
-const CALLERS: usize = 4;
+const CALLERS_PER_VM: usize = 4;
 
 /// A rest that servers ask for, as they write it and as it is.
-const REST: (&str, Duration) = ("1.5", Duration::from_millis(1500));
+const BACKOFF: (&str, Duration) = ("1.5", Duration::from_millis(1500));
 
 /// Kinds of requests: one that may be repeated, one that may not, and a stream that may go on elsewhere.
-const LINES: [&str; 3] = ["POST /safe/x", "POST /once/x", "POST /stream/x"];
+const REQUEST_LINES: [&str; 3] = ["POST /safe/x", "POST /once/x", "POST /stream/x"];
 
 /// What a server does with a request of that kind.
 fn serves(line: &str) -> Act {
@@ -84,20 +84,21 @@
     format!("vm{vm}-{caller}-{number}")
 }
 
-/// Callers at all VMs send requests for [`SENT`]; the answers.
+/// Callers at all VMs send requests for [`LOAD_DURATION`]; the answers.
 fn load(vms: &[Vm], line: &str) -> Vec<Answer> {
     let calls = |vm: usize, caller: usize| {
         let begun = Instant::now();
         let mut answers = Vec::new();
-        while begun.elapsed() < SENT {
+        while begun.elapsed() < LOAD_DURATION {
             let head = head(line, &id(vm, caller, answers.len()), "");
             answers.push(ask(vms[vm].callers, &head, format!("{caller}").as_bytes()));
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(CALL_INTERVAL);
         }
         answers
     };
     std::thread::scope(|scope| {
-        let each = (0..vms.len()).flat_map(|vm| (0..CALLERS).map(move |caller| (vm, caller)));
+        let each =
+            (0..vms.len()).flat_map(|vm| (0..CALLERS_PER_VM).map(move |caller| (vm, caller)));
         let callers: Vec<_> =
             each.map(|(vm, caller)| scope.spawn(move || calls(vm, caller))).collect();
         callers.into_iter().flat_map(|caller| caller.join().expect("no panic")).collect()
@@ -120,25 +121,26 @@
     let arrivals = arrivals(server, vm);
     let since: Vec<Instant> = arrivals.into_iter().filter(|at| *at >= said).collect();
     let Some(first) = since.first() else { return (0, Duration::ZERO) };
-    let late = since.iter().map(|at| at.duration_since(*first)).filter(|after| *after > HEARD);
+    let late =
+        since.iter().map(|at| at.duration_since(*first)).filter(|after| *after > SIGNAL_DELAY);
     (late.clone().count(), late.max().unwrap_or_default())
 }
 
 /// Requests from one VM that reached a server in a rest that it had asked that VM for.
-fn in_rests(server: &Replica, vm: usize) -> usize {
+fn count_during_backoff(server: &Replica, vm: usize) -> usize {
     let mut asked: Option<Instant> = None;
     let mut late = 0;
     for at in arrivals(server, vm) {
         let after = asked.map(|asked| at.duration_since(asked));
         match after {
-            Some(after) if after < REST.1 => late += usize::from(after > HEARD),
+            Some(after) if after < BACKOFF.1 => late += usize::from(after > SIGNAL_DELAY),
             _ => asked = Some(at),
         }
     }
     late
 }
 
-fn are_served(answers: &[Answer]) {
+fn assert_all_served(answers: &[Answer]) {
     let failed: Vec<u16> =
         answers.iter().map(|answer| answer.status).filter(|status| *status != 200).collect();
     assert!(failed.is_empty(), "{} of {} not served: {failed:?}", failed.len(), answers.len());
@@ -150,14 +152,14 @@
 
 #[test]
 fn a_server_that_said_that_it_leaves_gets_nothing_new_while_the_store_is_away() {
-    for line in LINES {
+    for line in REQUEST_LINES {
         let site = three_kinds();
         let servers = servers(&site, 3, line);
         let vms = vms(&site, 2);
         site.store.switch(Switches { down: true, ..Switches::default() });
         let said = Instant::now();
         servers[0].leaves();
-        are_served(&load(&vms, line));
+        assert_all_served(&load(&vms, line));
         for vm in 0..vms.len() {
             let (late, by) = after_leaving(&servers[0], vm, said);
             assert_eq!(late, 0, "{line}: VM {vm}, up to {by:?} later\n{}", logs(&vms));
@@ -167,18 +169,18 @@
 
 #[test]
 fn a_server_that_asked_for_rest_gets_none_of_what_comes_meanwhile() {
-    for line in LINES {
+    for line in REQUEST_LINES {
         let site = three_kinds();
         let servers = servers(&site, 4, line);
         let vms = vms(&site, 2);
         for server in &servers[..2] {
-            server.usually(Act::TurnAway(REST.0.into()));
+            server.usually(Act::TurnAway(BACKOFF.0.into()));
         }
-        are_served(&load(&vms, line));
+        assert_all_served(&load(&vms, line));
         for (at, server) in servers[..2].iter().enumerate() {
             assert!(!server.turned_away().is_empty(), "it was never asked");
             for vm in 0..vms.len() {
-                let late = in_rests(server, vm);
+                let late = count_during_backoff(server, vm);
                 assert_eq!(late, 0, "{line}: server {at}, VM {vm}\n{}", logs(&vms));
             }
         }
@@ -206,10 +208,10 @@
         servers[0].usually(act.clone()).leaves();
         let begun = Instant::now();
         while servers[0].seen().is_empty() {
-            assert!(begun.elapsed() < SENT, "{act:?}: it was never asked");
+            assert!(begun.elapsed() < LOAD_DURATION, "{act:?}: it was never asked");
             ask(vms[0].callers, &head("POST /safe/x", "first", ""), b"x");
         }
-        std::thread::sleep(HEARD);
+        std::thread::sleep(SIGNAL_DELAY);
         let before = servers[0].seen().len();
         for number in 0..40 {
             let answer = ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, number), ""), b"x");
@@ -235,7 +237,7 @@
     caller.write_all(text.as_bytes()).unwrap();
     let asked = |server: &Replica| !server.seen().is_empty();
     site::eventually("one is asked", || servers.iter().any(asked));
-    std::thread::sleep(HEARD);
+    std::thread::sleep(SIGNAL_DELAY);
     drop(caller);
     let (leaving, other) = if asked(&servers[0]) { (0, 1) } else { (1, 0) };
     servers[other].usually(serves("POST /stream/x"));
@@ -295,7 +297,7 @@
         drop(first.join().expect("no panic"));
     });
     // A check takes a connection or two.
-    std::thread::sleep(10 * HEARD);
+    std::thread::sleep(10 * SIGNAL_DELAY);
     let checked = vms[0].counter(&["kitepulley_checks{"]);
     assert_eq!(checked, 0.0, "{}", logs(&vms));
 }
@@ -318,7 +320,7 @@
             (0..WAITING).map(|number| scope.spawn(move || send(number))).collect();
         callers.into_iter().map(|caller| caller.join().expect("no panic")).collect()
     });
-    are_served(&answers);
+    assert_all_served(&answers);
     let at: Vec<Duration> = arrivals(server, 0).iter().map(|at| at.duration_since(asked)).collect();
     assert_eq!(at.len(), WAITING);
     assert!(at[0] >= Duration::from_millis(750), "{at:?}");
@@ -346,22 +348,22 @@
     let at = |ms: u64| Moment(ms * 1000);
     let mut fleet = Fleet::default();
     let first = replica("r0", 1);
-    fleet.put(first.clone(), at(0));
+    fleet.upsert(first.clone(), at(0));
     let said = Said { leaves: true, rest: Some(Span::secs(2)) };
-    fleet.life_mut(&first).unwrap().standing.hear(said, at(10));
-    fleet.put(first.clone(), at(20));
-    assert!(matches!(fleet.forbids(&first, at(30)), Some(Bar::Leaves(_))));
+    fleet.incarnation_mut(&first).unwrap().availability.hear(said, at(10));
+    fleet.upsert(first.clone(), at(20));
+    assert!(matches!(fleet.unavailable_reason(&first, at(30)), Some(Bar::Leaves(_))));
     for in_outage in [true, false] {
         fleet.remove(&first.id, in_outage, at(40));
         fleet.expire(at(50));
-        assert_eq!(fleet.forbids(&first, at(50)), Some(Bar::IsGone));
-        fleet.put(first.clone(), at(60));
-        assert!(matches!(fleet.forbids(&first, at(60)), Some(Bar::Leaves(_))));
+        assert_eq!(fleet.unavailable_reason(&first, at(50)), Some(Bar::IsGone));
+        fleet.upsert(first.clone(), at(60));
+        assert!(matches!(fleet.unavailable_reason(&first, at(60)), Some(Bar::Leaves(_))));
     }
     let second = replica("r0", 2);
-    fleet.put(second.clone(), at(70));
-    assert_eq!(fleet.forbids(&second, at(80)), None);
-    assert_eq!(fleet.forbids(&first, at(80)), Some(Bar::IsGone));
+    fleet.upsert(second.clone(), at(70));
+    assert_eq!(fleet.unavailable_reason(&second, at(80)), None);
+    assert_eq!(fleet.unavailable_reason(&first, at(80)), Some(Bar::IsGone));
 }
 
 /// A request whose server was chosen before the server said that it leaves, or wants rest: it waited, or its connection took a while.
@@ -369,10 +371,10 @@
     let server = Replica::launch().unwrap();
     let vm = site::bare_vm();
     let life = Life { address: server.address, ..replica("r0", 1) };
-    vm.fleet.borrow_mut().put(life.clone(), vm.now());
+    vm.fleet.borrow_mut().upsert(life.clone(), vm.now());
     let job = site::job(&vm, "api");
     let place = choice::server(&vm, &job.wish(None, &[]), vm.now()).expect("it takes work");
-    vm.fleet.borrow_mut().life_mut(&life).unwrap().standing.hear(said, vm.now());
+    vm.fleet.borrow_mut().incarnation_mut(&life).unwrap().availability.hear(said, vm.now());
     let (_, waiting) = job.send(&place, None);
     let until = job.deadline;
     let attempt = attempt::run(&job, &place.replica, None, None, waiting, until);
@@ -391,26 +393,26 @@
 quickcheck! {
     /// Facts in any order: what it said of leaving is never taken back, what its entry said by a later entry alone; a rest never ends sooner than the latest end that was asked for.
     fn leaving_is_never_taken_back_and_no_rest_is_cut(facts: Vec<(u8, u16)>) -> bool {
-        let mut standing = Standing::default();
+        let mut availability = Standing::default();
         let (mut now, mut rests_until) = (Moment(1), Moment(0));
         let (mut said, mut listed) = (false, false);
         for (kind, amount) in facts {
             now = now + Span::millis(u64::from(amount % 97));
             let span = Span::millis(u64::from(amount));
             match kind % 5 {
-                0 => { standing.enter(true, now); listed = false; }
-                1 => { standing.enter(false, now); listed = true; }
-                2 => { standing.hear(Said { leaves: true, rest: None }, now); said = true; }
+                0 => { availability.enter(true, now); listed = false; }
+                1 => { availability.enter(false, now); listed = true; }
+                2 => { availability.hear(Said { leaves: true, rest: None }, now); said = true; }
                 3 => {
-                    standing.hear(Said { leaves: false, rest: Some(span) }, now);
+                    availability.hear(Said { leaves: false, rest: Some(span) }, now);
                     rests_until = rests_until.max(now + span);
                 }
-                _ => { standing.note(End::Good, 0.0, now); }
+                _ => { availability.note(End::Good, 0.0, now); }
             }
             // One that is tried after a rest counts as resting no longer.
-            let expected = if said || listed { matches!(standing.bar(now), Some(Bar::Leaves(_))) }
-                else if now < rests_until { standing.bar(now) == Some(Bar::Rests(rests_until.since(now))) }
-                else { !standing.bar(now).is_some_and(Bar::binds) };
+            let expected = if said || listed { matches!(availability.bar(now), Some(Bar::Leaves(_))) }
+                else if now < rests_until { availability.bar(now) == Some(Bar::Rests(rests_until.since(now))) }
+                else { !availability.bar(now).is_some_and(Bar::binds) };
             if !expected { return false; }
         }
         true
@@ -430,9 +432,9 @@
         assert_eq!(rest(503, text), None, "{text}");
     }
     assert_eq!(rest(200, "3"), None);
-    let mut standing = Standing::default();
-    standing.hear(Said { leaves: false, rest: rest(503, "1e300") }, Moment(1));
-    assert_eq!(standing.bar(Moment(1) + Span::secs(600)), None);
+    let mut availability = Standing::default();
+    availability.hear(Said { leaves: false, rest: rest(503, "1e300") }, Moment(1));
+    assert_eq!(availability.bar(Moment(1) + Span::secs(600)), None);
 }
 
 /// What one VM heard all know, also those that send the server nothing: the store is away, so nobody else tells them.
@@ -449,7 +451,7 @@
         !servers[0].seen().is_empty()
     });
     // Some hops among many VMs, each a few milliseconds.
-    std::thread::sleep(4 * HEARD);
+    std::thread::sleep(4 * SIGNAL_DELAY);
     let before = servers[0].seen().len();
     for (at, vm) in vms.iter().enumerate() {
         for number in 0..6 {
