--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -7,13 +7,11 @@
 
 use super::call::Response;
 use super::connection::{Connection, Fault};
-use super::crash;
 use super::job::{Job, OpenRequest, PendingPrompt};
-use super::pool;
 use super::replica::Replica;
-use super::said;
 use super::sse::{Batch, EventBuffer};
 use super::vm::Vm;
+use super::{announce, crash, pool};
 use crate::config::Repeat;
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::poison::Broken;
@@ -134,18 +132,18 @@
     vm.metrics.attempts.with_label_values(&[job.service.as_str(), end.as_str()]).inc();
     job.record.add_attempt_end(outcome.end, &outcome.reason, now);
     let mut fleet = vm.fleet.borrow_mut();
-    let usual = fleet.failures(&job.service, now);
-    let Some(server) = fleet.life_mut(replica) else { return };
+    let usual = fleet.failure_rate(&job.service, now);
+    let Some(server) = fleet.incarnation_mut(replica) else { return };
     if let Some(load) = outcome.head.as_ref().and_then(|(_, answer)| answer.load) {
         server.load.observe(load.running + load.waiting, now);
     }
     let is_another =
         |(head, _): &(ResponseHead, Response)| head.status == StatusCode::MISDIRECTED_REQUEST;
     if outcome.head.as_ref().is_some_and(is_another) {
-        server.standing.mark_address_reused();
+        server.availability.mark_address_reused();
     }
-    let left_out = server.standing.record(outcome.end, usual, now);
-    let failures = server.standing.failure_rate();
+    let left_out = server.availability.record(outcome.end, usual, now);
+    let failures = server.availability.failure_rate();
     drop(fleet);
     if left_out {
         vm.log(
@@ -174,18 +172,18 @@
     let now = vm.now();
     let resting = {
         let mut fleet = vm.fleet.borrow_mut();
-        fleet.life_mut(replica).and_then(|server| server.pool.checkout(repeatable, now))
+        fleet.incarnation_mut(replica).and_then(|server| server.pool.checkout(repeatable, now))
     };
     let mut connection = match pool::reuse_or_open(resting, replica.address, OPEN_WITHIN).await {
         Ok(connection) => connection,
         Err(fault) => return broken(fault),
     };
-    let forbidden = vm.fleet.borrow().forbids(replica, vm.now());
+    let forbidden = vm.fleet.borrow().unavailable_reason(replica, vm.now());
     if let Some(bar) = forbidden {
         release_connection(job, replica, connection, None);
         return Outcome::without_answer(AttemptOutcome::Withheld, bar.to_string());
     }
-    if let Err(why) = waiting.turn.spend(vm.now()) {
+    if let Err(why) = waiting.turn.consume(vm.now()) {
         release_connection(job, replica, connection, None);
         return Outcome::without_answer(AttemptOutcome::Withheld, why.to_string());
     }
@@ -262,8 +260,8 @@
 fn note_unknown(job: &Job, replica: &Replica, head: &ResponseHead) {
     let vm = &job.vm;
     for name in header::unknown(head) {
-        let (name, is_new) = vm.unknown.borrow_mut().meet(name);
-        vm.metrics.unknown.with_label_values(&[name]).inc();
+        let (name, is_new) = vm.unknown_headers.borrow_mut().meet(name);
+        vm.metrics.unknown_headers.with_label_values(&[name]).inc();
         if is_new {
             let fields = [
                 ("name", name.into()),
@@ -286,12 +284,12 @@
     let now = vm.now();
     let (heard, limited, rate) = {
         let mut fleet = vm.fleet.borrow_mut();
-        let Some(server) = fleet.life_mut(replica) else { return };
-        let standing = &mut server.standing;
-        let limited = standing.limit.observe(answer.limit, asked.unwrap_or_default(), now);
-        (standing.observe(answer.signal, now), limited, standing.limit.rate(now))
+        let Some(server) = fleet.incarnation_mut(replica) else { return };
+        let availability = &mut server.availability;
+        let limited = availability.limit.observe(answer.limit, asked.unwrap_or_default(), now);
+        (availability.observe(answer.signal, now), limited, availability.limit.rate(now))
     };
-    said::tell_limit(vm, replica);
+    announce::broadcast_limit(vm, replica);
     let news = [
         ("leaves", heard && answer.signal.draining),
         ("rest", heard && !answer.signal.draining),
@@ -300,14 +298,14 @@
     ];
     let mut is_news = false;
     for (word, _) in news.iter().filter(|(_, is_new)| *is_new) {
-        vm.metrics.said.with_label_values(&[job.service.as_str(), word]).inc();
+        vm.metrics.server_signals.with_label_values(&[job.service.as_str(), word]).inc();
         is_news = true;
     }
     if is_news {
         log_said(job, replica, answer, rate);
     }
     if heard && answer.signal.draining {
-        said::tell_leave(vm, replica);
+        announce::broadcast_drain(vm, replica);
     }
 }
 
@@ -373,7 +371,7 @@
 ) {
     let vm: &Rc<super::Vm> = &job.vm;
     let now = vm.now();
-    if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
+    if let Some(server) = vm.fleet.borrow_mut().incarnation_mut(replica) {
         server.pool.release(connection, rest, now);
     }
 }
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -9,13 +9,12 @@
 use super::feed::{Cursor, Origin, Reachability, Update};
 use super::kind::Kind;
 use super::pack::Change;
-use super::peer;
-use super::poison;
 use super::poll::{self, Response, STALL_THRESHOLD};
 use super::role::{Decline, Role};
 use super::tally::{self, Seen, Tally};
 use super::trial::Trials;
 use super::vm::Vm;
+use super::{peer, poison};
 use crate::decide::reader::{
     self as decide, ASK_EVERY, ASK_SOON, Asked, FIRST_ANSWER_WITHIN, Rank, SETTLED, Without,
     YOUNG_FOR, may_be_taken, time_to_ask,
@@ -29,7 +28,7 @@
         vm.role.send_replace(Role::Reads);
         return;
     }
-    vm.peers_named.notified().await;
+    vm.peers_listed.notified().await;
     let started = vm.now();
     let mut follower = Follower {
         vm,
@@ -43,13 +42,13 @@
     loop {
         let pause = if follower.poll().await { ASK_EVERY } else { ASK_SOON };
         let expected = follower.vm.now() + pause;
-        let asked_again = follower.vm.ask_again.notified();
+        let asked_again = follower.vm.reader_search.notified();
         if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
             follower.asked.forget_declined();
         }
         let now = follower.vm.now();
         if now.since(expected) >= STALL_THRESHOLD {
-            follower.vm.held_up.set(Some(now));
+            follower.vm.stalled_at.set(Some(now));
         }
     }
 }
@@ -117,7 +116,7 @@
         let gain =
             if gain < Gain::Fresh { gain.max(self.apply_outcome(of_followed)) } else { gain };
         if gain == Gain::Stale {
-            self.vm.hear_store(Reachability::Down, self.vm.now());
+            self.vm.on_store_report(Reachability::Down, self.vm.now());
         }
         gain == Gain::Fresh || self.decide_without_update(gain == Gain::Stale, &candidates)
     }
@@ -126,8 +125,8 @@
     /// known.
     fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
-        let lost = self.vm.told_lost.get() || self.is_store_reported_down(candidates);
-        time_to_ask(self.servers_as_of.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
+        let lost = self.vm.upstream_store_lost.get() || self.is_store_reported_down(candidates);
+        time_to_ask(self.servers_as_of.filter(|_| !lost), self.vm.settings.bounds.drain_within, now)
     }
 
     fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
@@ -163,10 +162,10 @@
     fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
         let is_first = self.place(candidates) == decide::Place::First;
-        let since = self.vm.first_since.get();
-        self.vm.first_since.set(is_first.then(|| since.unwrap_or(now)));
+        let since = self.vm.first_in_group_since.get();
+        self.vm.first_in_group_since.set(is_first.then(|| since.unwrap_or(now)));
         let among = self.asked.place(&candidates.own, candidates.firsts.iter(), now);
-        self.vm.tries_rarely.set(among == decide::Place::Behind);
+        self.vm.probes_rarely.set(among == decide::Place::Behind);
     }
 
     /// The next VM to ask: one before this one in its group; for the first of a group, the first of another.
@@ -174,7 +173,7 @@
         let now = self.vm.now();
         let next = if self.place(candidates) != decide::Place::First {
             self.asked.next(&candidates.own, candidates.group.iter(), now)
-        } else if self.vm.store_lost.get() || self.vm.doubts_store.get() {
+        } else if self.vm.store_lost.get() || self.vm.store_suspect.get() {
             self.asked.any(candidates.firsts.iter(), now)
         } else {
             self.asked.next(&candidates.own, candidates.firsts.iter(), now)
@@ -191,7 +190,7 @@
             false => self.time_to_ask(candidates)?,
         };
         let cursor = self.cursors.get(&name).copied().unwrap_or_default();
-        let is_first = vm.first_since.get().is_some();
+        let is_first = vm.first_in_group_since.get().is_some();
         let seen = self.tally.news(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
@@ -206,7 +205,7 @@
         let Some(Outcome { name, asked, seen, reply }) = answer else { return Gain::None };
         let now = self.vm.now();
         if !matches!(reply, Response::NoAnswer) {
-            peer::heard(&self.vm, &name);
+            peer::on_contact(&self.vm, &name);
             self.tally.note(&name, seen);
         }
         match reply {
@@ -223,7 +222,7 @@
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
         let is_lost = update.store == Reachability::Down;
-        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.reads()) {
+        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
             self.asked.declined(from, vm.now());
             return Gain::None;
         }
@@ -241,7 +240,7 @@
             self.asked.declined(from, vm.now());
             return Gain::None;
         }
-        vm.enter_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
+        vm.enter_era_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
         let Some(changes) = update.changes.changes() else {
             let bytes = ("bytes", update.changes.size().into());
             vm.log("news not read", &[("from", from.as_str().into()), bytes]);
@@ -250,10 +249,10 @@
         };
         self.cursors.insert(from.clone(), update.cursor);
         if !is_lost {
-            vm.hear_store(update.store, asked);
+            vm.on_store_report(update.store, asked);
         }
         tally::hear_verdicts(&vm, &update.verdicts);
-        poison::hear_held(&vm, from.as_str(), &update.held, asked);
+        poison::on_quarantine_list(&vm, from.as_str(), &update.held, asked);
         apply_contents(&vm, asked, from, update, &changes);
         let disputed = update.restore.iter().flat_map(|restore| &restore.disputed);
         disputed.for_each(|incarnation| vm.fleet.borrow_mut().dispute(incarnation, vm.now()));
@@ -275,12 +274,12 @@
     /// What this VM does without update. Whether it has what it needs for now.
     fn decide_without_update(&mut self, is_reported_down: bool, candidates: &Candidates) -> bool {
         let vm = &self.vm;
-        if vm.reads() {
-            return !vm.doubts_store.get();
+        if vm.is_reader() {
+            return !vm.store_suspect.get();
         }
         self.update_rank(candidates);
         let now = vm.now();
-        let bound = vm.settings.bounds.leave_within;
+        let bound = vm.settings.bounds.drain_within;
         let without = Without {
             place: self.place(candidates),
             others: !candidates.firsts.is_empty(),
@@ -372,9 +371,9 @@
     ];
     vm.log("follows a reader", &fields);
     if vm.store_lost.replace(false) {
-        vm.log("told of the store", &[("lost", vm.told_lost.get().into())]);
+        vm.log("told of the store", &[("lost", vm.upstream_store_lost.get().into())]);
     }
-    vm.doubts_store.set(false);
+    vm.store_suspect.set(false);
     vm.role.send_replace(role);
 }
 
@@ -386,9 +385,9 @@
         ("overdue", without.overdue.into()),
     ];
     vm.log("reads the store itself", &fields);
-    vm.told_lost.set(false);
-    vm.unsure.set(without.lost);
-    vm.prove.notify_one();
+    vm.upstream_store_lost.set(false);
+    vm.store_untested.set(without.lost);
+    vm.proof_requested.notify_one();
     vm.origin.replace(None);
     vm.trials.borrow_mut().values_mut().for_each(Trials::forget_verdict);
     vm.role.send_replace(Role::Reads);
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -8,15 +8,14 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use super::bounded::Turn;
 use super::call::Call;
+use super::rate_limit::Permit;
 use super::replica::Replica;
 use super::selection::{self, Criteria, Estimate, Placement, Reason, Skipped, Wait};
 use super::vm::Vm;
 use crate::config::{Holder, Repeat, Route};
-use crate::decide::escalate;
 use crate::decide::outcome::AttemptOutcome;
-use crate::decide::priority;
+use crate::decide::{escalate, priority};
 use crate::unit::{Digest, Model, Moment, Service, Span, Version, hash};
 
 /// A request that may be repeated is tried elsewhere after this many times the route's goal without
@@ -118,7 +117,7 @@
         let sent = selection::record_send(&self.vm, place, &self.call, named, now);
         let turn = place.turn.clone().unwrap_or_else(|| {
             let mut fleet = self.vm.fleet.borrow_mut();
-            Rc::new(Turn::take(&self.vm, &mut fleet, &place.replica, now))
+            Rc::new(Permit::reserve(&self.vm, &mut fleet, &place.replica, now))
         });
         self.record.add_attempt(place, named, &sent, now);
         (sent, PendingPrompt::new(&self.vm, &place.replica, sent.prefill_time, turn))
@@ -285,7 +284,7 @@
         let outcome = self.outcome.borrow();
         vm.metrics.requests.with_label_values(&[self.route.as_str(), outcome.as_str()]).inc();
         if let Some(first) = self.first.get() {
-            let histogram = vm.metrics.answer.with_label_values(&[self.route.as_str()]);
+            let histogram = vm.metrics.response_time.with_label_values(&[self.route.as_str()]);
             histogram.observe(first.as_secs());
         }
         // The session lives on from the end of the answer.
@@ -320,12 +319,12 @@
     /// Time that the server needs to read it.
     pub prefill_time: Span,
     /// Its turn, if the server bears only so much.
-    pub turn: Rc<Turn>,
+    pub turn: Rc<Permit>,
 }
 
 impl PendingPrompt {
-    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> PendingPrompt {
-        if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
+    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Permit>) -> PendingPrompt {
+        if let Some(server) = vm.fleet.borrow_mut().incarnation_mut(replica) {
             server.backlog.add_own(reads);
         }
         PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time: reads, turn }
@@ -334,7 +333,7 @@
 
 impl Drop for PendingPrompt {
     fn drop(&mut self) {
-        if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
+        if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
             server.backlog.remove_own(self.prefill_time);
         }
     }
@@ -351,10 +350,10 @@
     /// Counts a request at a server.
     pub fn new(vm: &Rc<Vm>, replica: &Replica) -> OpenRequest {
         let mut fleet = vm.fleet.borrow_mut();
-        let server = fleet.life_mut(replica);
+        let server = fleet.incarnation_mut(replica);
         let over = server.map(|server| {
             server.load.on_open();
-            server.over.clone()
+            server.superseded.clone()
         });
         OpenRequest { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
     }
@@ -367,7 +366,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        if let Some(server) = self.vm.fleet.borrow_mut().life_mut(&self.replica) {
+        if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
             server.load.on_close();
         }
     }
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,10 +1,10 @@
 //! An entry VM on the users' platform: requests are forwarded to backend servers unchanged, and
 //! what must be agreed lies in the platform's store. `docs/PLATFORM.md` has the design.
 
+mod announce;
 pub mod apply;
 pub mod attempt;
 mod backoff;
-pub mod bounded;
 pub mod call;
 pub mod connection;
 pub mod content;
@@ -16,9 +16,10 @@
 pub mod job;
 pub mod kept;
 pub mod kind;
-mod life;
-mod membership;
 mod listener;
+mod liveness;
+mod membership;
+mod message;
 mod metrics;
 pub mod pack;
 pub mod peer;
@@ -27,12 +28,12 @@
 pub mod pool;
 pub mod positions;
 mod proof;
+pub mod rate_limit;
 mod relay;
 pub mod replica;
 pub mod restore;
 pub mod role;
 mod run;
-mod said;
 pub mod selection;
 pub mod server;
 pub mod session;
@@ -45,7 +46,6 @@
 mod vm;
 pub mod wake;
 mod watched;
-mod word;
 
 pub use run::run;
 pub use settings::{Bounds, Settings};
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -11,12 +11,11 @@
 
 use super::feed::{Cursor, Origin, Proof, Reachability, Status, Update};
 use super::kind::Kind;
-use super::peer;
-use super::poison;
 use super::restore::Notice;
 use super::role::Decline;
 use super::tally::{self, Seen};
 use super::vm::Vm;
+use super::{peer, poison};
 use crate::decide::reader::is_stale;
 use crate::peer::wire::{decode, encode};
 use crate::unit::{Span, Vm as Name};
@@ -62,7 +61,7 @@
 ) -> Response {
     let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
     let from = vm.settings.vm.clone();
-    let (seen, held) = (seen.to_vec(), poison::held(vm));
+    let (seen, held) = (seen.to_vec(), poison::quarantined(vm));
     let question = encode(&Request { from, cursor, seen, held });
     let answer = tokio::time::timeout(within.duration(), links.call(to, question)).await;
     match answer.ok().flatten().and_then(|bytes| decode::<Result<Update, Decline>>(&bytes)) {
@@ -78,9 +77,9 @@
         vm.log("question of a peer not read", &[("bytes", question.len().into())]);
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
-    peer::heard(vm, &from);
+    peer::on_contact(vm, &from);
     tally::hear(vm, seen);
-    poison::hear_held(vm, from.as_str(), &held, vm.now());
+    poison::on_quarantine_list(vm, from.as_str(), &held, vm.now());
     let update = update(vm, cursor);
     log_decline(vm, update.as_ref().err().copied());
     encode(&update)
@@ -88,7 +87,7 @@
 
 /// Notes why this VM gives no update, when that changes.
 fn log_decline(vm: &Vm, why: Option<Decline>) {
-    if vm.declined.replace(why) == why {
+    if vm.last_decline.replace(why) == why {
         return;
     }
     let now = vm.now();
@@ -108,7 +107,7 @@
     if !vm.feed.borrow().is_complete() {
         return Err(Decline::KnowsTooLittle);
     }
-    if vm.held_up.get().is_some_and(|at| now.since(at) < STALL_QUARANTINE) {
+    if vm.stalled_at.get().is_some_and(|at| now.since(at) < STALL_QUARANTINE) {
         return Err(Decline::HeldUp);
     }
     if vm.is_stopping() {
@@ -116,13 +115,13 @@
     }
     if !vm.has_followers(now) {
         // From now on proofs are due earlier.
-        vm.prove.notify_one();
+        vm.proof_requested.notify_one();
     }
-    vm.asked.set(Some(now));
+    vm.follower_polled_at.set(Some(now));
     let proof_age = vm.proof_age(now);
     let verdicts = tally::verdicts(vm);
     let store = availability(vm, check_ages(vm, proof_age))?;
-    let held = poison::held(vm);
+    let held = poison::quarantined(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
@@ -135,7 +134,7 @@
 /// one is, is told with it. It counts as lost until all is current again: 9 of 16 VMs read for themselves when the first
 /// had an answer about servers some milliseconds before its proof.
 fn availability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
-    match (vm.store(vm.now()), current) {
+    match (vm.store_state(vm.now()), current) {
         (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
         (store, current) => current.map(|()| store),
     }
@@ -148,7 +147,7 @@
 }
 
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
-    if let Some(longest) = vm.longest_proof_age() {
+    if let Some(longest) = vm.max_proof_age() {
         proof_age
             .filter(|age| *age < longest.part(MAX_PROOF_AGE_FRACTION))
             .ok_or(Decline::OldProof)?;
@@ -156,7 +155,7 @@
     // A proof of the configuration says nothing of servers: they have an age of their own.
     let servers = vm.feed.borrow().freshness(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
     let age = vm.now().since(servers.sent);
-    if is_stale(age, vm.settings.bounds.leave_within) {
+    if is_stale(age, vm.settings.bounds.drain_within) {
         return Err(Decline::OldServers);
     }
     Ok(())
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -4,13 +4,11 @@
 use bytes::Bytes;
 use futures_util::Stream as Pieces;
 
-use super::attempt;
 use super::connection::Fault;
-use super::crash;
 use super::dispatch::StartedStream;
 use super::job::Job;
-use super::poison;
 use super::sse::Batch;
+use super::{attempt, crash, poison};
 use crate::config::Repeat;
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::poison::{Broken, RAN_FOR};
@@ -58,7 +56,7 @@
             }
             None => {
                 relay.job.record.set_outcome("streamed");
-                poison::ran_well(&relay.job.vm, relay.job.content);
+                poison::on_success(&relay.job.vm, relay.job.content);
                 relay.rest();
                 None
             }
@@ -127,9 +125,9 @@
         self.job.record.add_attempt_end(AttemptOutcome::Broken, &why, vm.now());
         {
             let mut fleet = vm.fleet.borrow_mut();
-            let usual = fleet.failures(&self.job.service, vm.now());
-            if let Some(server) = fleet.life_mut(broken) {
-                server.standing.record(AttemptOutcome::Broken, usual, vm.now());
+            let usual = fleet.failure_rate(&self.job.service, vm.now());
+            if let Some(server) = fleet.incarnation_mut(broken) {
+                server.availability.record(AttemptOutcome::Broken, usual, vm.now());
             }
         }
         let ran = vm.now().since(self.begun.stream.started_at) >= RAN_FOR;
@@ -139,10 +137,10 @@
         }
         loop {
             let now = vm.now();
-            if !self.may_go_on(now) || poison::holds_back(&self.job) {
+            if !self.may_go_on(now) || poison::is_quarantined(&self.job) {
                 return Err(why);
             }
-            if !vm.spend_repeat(&self.job.service, now) {
+            if !vm.spend_retry(&self.job.service, now) {
                 tokio::time::sleep(PAUSE.duration()).await;
                 continue;
             }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -5,9 +5,12 @@
 
 use std::rc::Rc;
 
-use super::bounded::{self, Access, Turn};
+use prompt::Prompt;
+use version::{eligible_versions, trial_servers};
+
 use super::call::Call;
 use super::peer;
+use super::rate_limit::{self, Limiter, Permit};
 use super::replica::{Phase, Replica};
 use super::server::{Fleet, Server};
 use super::vm::Vm;
@@ -17,9 +20,7 @@
 use crate::decide::placement::{self, Candidate};
 use crate::unit::{Model, Moment, Rate, Service, Span};
 
-use prompt::Prompt;
 pub use version::{Reason, Versions};
-use version::{eligible_versions, trial_servers};
 
 /// Requests that wait for the end of one rest look for a server within so long after it.
 const APART: Span = Span::millis(20);
@@ -65,7 +66,7 @@
     /// Why its version.
     pub reason: Reason,
     /// Its turn, if it has waited for one.
-    pub turn: Option<Rc<Turn>>,
+    pub turn: Option<Rc<Permit>>,
     /// Servers of the service that were passed over though they do not leave.
     pub skipped: Skipped,
 }
@@ -84,16 +85,16 @@
 }
 
 impl Skipped {
-    fn count(fleet: &Fleet, access: &Access, service: &Service, now: Moment) -> Skipped {
+    fn count(fleet: &Fleet, access: &Limiter, service: &Service, now: Moment) -> Skipped {
         let (mut cold, mut limited) = (0, 0);
-        for server in fleet.of(service, now).filter(|one| !access.lets(one)) {
+        for server in fleet.eligible(service, now).filter(|one| !access.allows(one)) {
             match access.is_cold(server) {
                 true => cold += 1,
                 false => limited += 1,
             }
         }
-        let resting = fleet.resting(service, now).count();
-        Skipped { emptied: fleet.emptied_of(service), cold, limited, resting }
+        let resting = fleet.backing_off(service, now).count();
+        Skipped { emptied: fleet.count_evacuated(service), cold, limited, resting }
     }
 }
 
@@ -113,7 +114,7 @@
     /// When that comes.
     pub until: Moment,
     /// Its turn.
-    pub turn: Option<Turn>,
+    pub turn: Option<Permit>,
 }
 
 /// What comes by `until`, if anything does.
@@ -125,7 +126,7 @@
 fn rest_wait(vm: &Vm, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| {
+    let resting = fleet.backing_off(criteria.service, now).filter(|(one, _)| {
         let replica = &one.replica;
         versions.contains(&replica.version)
             && criteria.allows(vm, one)
@@ -139,20 +140,20 @@
 /// Takes the next turn at a server that bears only so much.
 fn turn_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
-    let access = bounded::access(vm, criteria.service, now);
+    let access = rate_limit::limiter(vm, criteria.service, now);
     let mut fleet = vm.fleet.borrow_mut();
-    let allowed = fleet.of(criteria.service, now).filter(|one| {
+    let allowed = fleet.eligible(criteria.service, now).filter(|one| {
         let replica = &one.replica;
         versions.contains(&replica.version)
             && criteria.allows(vm, one)
             && !criteria.has_tried(replica)
     });
-    let turns = allowed.filter_map(|one| Some((access.next_turn(one)?, &one.replica)));
+    let turns = allowed.filter_map(|one| Some((access.next_permit(one)?, &one.replica)));
     let first =
         turns.min_by(|(at, one), (other_at, other)| (at, &one.id).cmp(&(other_at, &other.id)));
     let (at, replica) = first.filter(|(at, _)| *at <= until)?;
     let replica = replica.clone();
-    let turn = Turn::take(vm, &mut fleet, &replica, now);
+    let turn = Permit::reserve(vm, &mut fleet, &replica, now);
     Some(Wait { until: at, turn: Some(turn) })
 }
 
@@ -166,9 +167,11 @@
     let turn = wait.turn?;
     let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let server = fleet.of(criteria.service, now).find(|one| one.replica.id == turn.server().id);
+    let server =
+        fleet.eligible(criteria.service, now).find(|one| one.replica.id == turn.server().id);
     let server = server.filter(|one| {
-        versions.contains(&one.replica.version) && one.standing.unavailable_reason(now).is_none()
+        versions.contains(&one.replica.version)
+            && one.availability.unavailable_reason(now).is_none()
     });
     let place = server.map(|server| {
         let prompt = Prompt::new(criteria, &[server]);
@@ -229,9 +232,9 @@
     let fleet = vm.fleet.borrow();
     let is_meant =
         |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
-    let is_limited = |one: &Server| one.standing.limit.rate(now).is_some();
-    let mut resting = fleet.resting(criteria.service, now);
-    let mut taking = fleet.of(criteria.service, now);
+    let is_limited = |one: &Server| one.availability.limit.rate(now).is_some();
+    let mut resting = fleet.backing_off(criteria.service, now);
+    let mut taking = fleet.eligible(criteria.service, now);
     resting.any(|(one, _)| is_meant(one))
         || (!matches!(reason, Reason::Drawn { .. })
             && taking.any(|one| is_meant(one) && is_limited(one)))
@@ -240,14 +243,14 @@
 /// When to come back, if all servers that a request may go to want rest or bear only so much: when the first rest ends or the first turn comes.
 pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, criteria.service, now);
+    let access = rate_limit::limiter(vm, criteria.service, now);
     let is_meant = |one: &&Server| criteria.allows(vm, one);
-    let taking = || fleet.of(criteria.service, now).filter(is_meant);
-    if taking().any(|one| access.bound(one).is_none()) {
+    let taking = || fleet.eligible(criteria.service, now).filter(is_meant);
+    if taking().any(|one| access.rate_limit(one).is_none()) {
         return None;
     }
-    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| is_meant(one));
-    let turns = taking().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
+    let resting = fleet.backing_off(criteria.service, now).filter(|(one, _)| is_meant(one));
+    let turns = taking().filter_map(|one| access.next_permit(one)).map(|turn| turn.since(now));
     availability::retry_after(resting.map(|(_, left)| left).chain(turns), rand::random())
 }
 
@@ -259,17 +262,17 @@
     now: Moment,
 ) -> Option<Placement> {
     let fleet = vm.fleet.borrow();
-    let access = bounded::access(vm, criteria.service, now);
+    let access = rate_limit::limiter(vm, criteria.service, now);
     let of_version = || {
         let allowed = |one: &&Server| versions.contains(&one.replica.version);
         let within = |one: &&Server| criteria.allows(vm, one);
         fleet
-            .of(criteria.service, now)
+            .eligible(criteria.service, now)
             .filter(allowed)
             .filter(within)
-            .filter(|one| access.lets(one))
+            .filter(|one| access.allows(one))
     };
-    let sound = |one: &&Server| one.standing.unavailable_reason(now).is_none();
+    let sound = |one: &&Server| one.availability.unavailable_reason(now).is_none();
     let busy = trial_servers(vm, criteria.service, versions, of_version().filter(sound));
     let most = connections_each(vm, criteria.service, now);
     let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < most;
@@ -301,7 +304,7 @@
 /// takes from all VMs together; beyond them it resets.
 fn connections_each(vm: &Vm, service: &Service, now: Moment) -> u32 {
     let declared = vm.routes().and_then(|table| table.pool(service).map(|pool| pool.connections));
-    let vms = vm.peers.borrow().present(now) as u32;
+    let vms = vm.peers.borrow().count_live(now) as u32;
     declared.map_or(u32::MAX, |all| limit::even_share(all, vms))
 }
 
@@ -337,23 +340,23 @@
 ) -> Estimate {
     let replica = &place.replica;
     let mut fleet = vm.fleet.borrow_mut();
-    let Some(server) = fleet.life_mut(replica) else { return Estimate::default() };
-    let (load, bar) = (server.load.estimate(now), server.standing.unavailable_reason(now));
-    let limit = server.standing.limit.rate(now).zip(server.standing.limit.age(now));
-    server.standing.on_send(now);
+    let Some(server) = fleet.incarnation_mut(replica) else { return Estimate::default() };
+    let (load, bar) = (server.load.estimate(now), server.availability.unavailable_reason(now));
+    let limit = server.availability.limit.rate(now).zip(server.availability.limit.age(now));
+    server.availability.on_send(now);
     if call.prompt.is_empty() {
         return Estimate { load, bar, limit, ..Estimate::default() };
     }
     let prompt = Prompt::without_affinity(call, model);
     let uncached_tokens = prompt.uncached_tokens(server, now);
     let prompt_tokens = prompt.tokens();
-    let prefill_time = vm.reading(model, uncached_tokens);
+    let prefill_time = vm.prefill_time(model, uncached_tokens);
     let queue_time = server.backlog.remaining(now);
     let expected_time = Some(Span(server.backlog.expected(now).0 + prefill_time.0));
     server.backlog.add(prefill_time, now);
-    prompt.hashes().for_each(|part| server.hold(part, now));
+    prompt.hashes().for_each(|part| server.record_prefix(part, now));
     drop(fleet);
-    peer::tell_work(vm, &replica.id, prefill_time);
+    peer::broadcast_work(vm, &replica.id, prefill_time);
     Estimate {
         prompt_tokens,
         uncached_tokens,
@@ -373,7 +376,7 @@
     server: &Server,
     now: Moment,
 ) -> Candidate {
-    let prefill_time = vm.reading(criteria.model, prompt.uncached_tokens(server, now));
+    let prefill_time = vm.prefill_time(criteria.model, prompt.uncached_tokens(server, now));
     Candidate {
         load: server.load.estimate(now),
         slots: f64::from(server.replica.slots),
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -78,7 +78,7 @@
 ) -> (Versions, Reason) {
     let rollouts = vm.rollouts.borrow();
     let Some(rollout) = rollouts.get(service) else {
-        let usual = vm.fleet.borrow().usual(service).cloned();
+        let usual = vm.fleet.borrow().default_version(service).cloned();
         return (usual.map_or(Versions::Any, Versions::Only), Reason::Settled);
     };
     let old = Versions::Except(rollout.version.clone());
@@ -103,7 +103,9 @@
             match last {
                 Some(last) if *last == rollout.version => (new, Reason::Kept),
                 Some(_) if is_young => (old, Reason::Kept),
-                None if is_young && vm.kept.borrow().has(draw, gap, now) => (old, Reason::Heard),
+                None if is_young && vm.pinned_sessions.borrow().has(draw, gap, now) => {
+                    (old, Reason::Heard)
+                }
                 _ if point < share => (new, drawn),
                 _ => (old, drawn),
             }
