--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -4,9 +4,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use kitepulley::decide::admit::{Ended, Gate};
-use kitepulley::decide::cascade::{BINS, Belief, Cell, Rungs, solve};
+use kitepulley::decide::cascade::{BINS, Belief, Ratings, Rungs, solve};
 use kitepulley::decide::replica::{Replica, choose};
-use kitepulley::decide::rollout::{Arm, Policy, View, decide};
+use kitepulley::decide::rollout::{Arm, Inputs, Policy, decide};
 use kitepulley::decide::sequential::Count;
 use kitepulley::decide::standing::Said;
 use kitepulley::forward::replica::Replica as Life;
@@ -39,16 +39,16 @@
 
 fn rollout(bench: &mut Criterion) {
     let arm = |all, bad| Arm { poor: Count::of(all, bad), ..Arm::default() };
-    let view = View {
+    let view = Inputs {
         new: arm(1000, 80),
         old: arm(1000, 80),
-        before: Count::of(1500, 120),
+        earlier: Count::of(1500, 120),
         share: Parts::of(0.05),
         held: false,
         at_share: Span::secs(100),
         rate: 50.0,
         lag: Span::secs(60),
-        silent: Span::secs(1),
+        since_rating: Span::secs(1),
         prior: 0.08,
     };
     let policy = Policy::default();
@@ -56,10 +56,10 @@
 }
 
 fn cascade(bench: &mut Criterion) {
-    let mut belief = Belief { asked: 1000.0, ..Belief::default() };
+    let mut belief = Belief { requests: 1000.0, ..Belief::default() };
     for i in 0..BINS {
-        belief.seen[i] = 60.0;
-        belief.cheap[i] = Cell { all: 20.0, pass: i as f64 * 1.2 };
+        belief.confidence_counts[i] = 60.0;
+        belief.cheap[i] = Ratings { all: 20.0, pass: i as f64 * 1.2 };
     }
     let rungs =
         Rungs { cheap_cost: 1.0, strong_cost: 15.0, cheap_quality: 0.7, strong_quality: 0.95 };
--- a/src/decide/cascade/expect.rs
+++ b/src/decide/cascade/expect.rs
@@ -1,7 +1,7 @@
 //! What is expected of each kind of work: ratings smoothed, with the errors that remain.
 
 use super::rating::explore;
-use super::{BINS, Belief, Cell, PRIOR, Rungs};
+use super::{BINS, Belief, PRIOR_RATINGS, Ratings, Rungs};
 
 /// What is expected of one kind, smoothed.
 #[derive(Clone, Debug)]
@@ -19,29 +19,29 @@
 
 pub(super) fn expect(beliefs: &[Belief], rungs: &Rungs) -> Vec<Expected> {
     let pooled = pool(beliefs, rungs);
-    let strong = all_strong(beliefs);
-    let total: f64 = beliefs.iter().map(|b| b.asked + 1.0).sum();
+    let strong = strong_ratings_of(beliefs);
+    let total: f64 = beliefs.iter().map(|b| b.requests + 1.0).sum();
     beliefs.iter().map(|belief| expect_kind(belief, &pooled, strong, rungs, total)).collect()
 }
 
 /// All ratings of strong answers.
-fn all_strong(beliefs: &[Belief]) -> Cell {
+fn strong_ratings_of(beliefs: &[Belief]) -> Ratings {
     let cells = beliefs.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
-    cells.fold(Cell::default(), |sum, cell| Cell {
+    cells.fold(Ratings::default(), |sum, cell| Ratings {
         all: sum.all + cell.all,
         pass: sum.pass + cell.pass,
     })
 }
 
 /// A strong rung is much alike over kinds: others' ratings count as at most so many.
-const ALIKE: f64 = 80.0;
+const MAX_POOLED_RATINGS: f64 = 80.0;
 
 /// The pass share of each bin over all kinds: the shape of a kind of which little is known.
 fn pool(beliefs: &[Belief], rungs: &Rungs) -> [f64; BINS] {
     let mut pooled = [0.0; BINS];
     let mut weights = [0.0; BINS];
     for (i, share) in pooled.iter_mut().enumerate() {
-        let mut cell = Cell::default();
+        let mut cell = Ratings::default();
         for belief in beliefs {
             cell.all += belief.cheap[i].all;
             cell.pass += belief.cheap[i].pass;
@@ -49,8 +49,8 @@
         // Confidence is trusted a little before any rating has come.
         let middle = (i as f64 + 0.5) / BINS as f64;
         let prior = (rungs.cheap_quality * 0.5 + middle * 0.5).min(rungs.cheap_quality);
-        *share = cell.toward(prior);
-        weights[i] = cell.all + PRIOR;
+        *share = cell.smoothed_rate(prior);
+        weights[i] = cell.all + PRIOR_RATINGS;
     }
     monotone(&mut pooled, &weights);
     smooth(&pooled)
@@ -66,62 +66,62 @@
 }
 
 /// Ratings' worth of trust that a kind is at the level of all kinds.
-const LEVEL: f64 = 4.0;
+const LEVEL_PRIOR_RATINGS: f64 = 4.0;
 
 /// Newton steps towards a kind's level.
-const STEPS: usize = 6;
+const NEWTON_STEPS: usize = 6;
 
 /// The shape over all kinds, moved in log-odds to the level that a kind's own ratings show.
-fn at_level(pooled: &[f64; BINS], cells: &[Cell; BINS]) -> [f64; BINS] {
-    let odds = pooled.map(|p| {
+fn shift_to_level(pooled: &[f64; BINS], cells: &[Ratings; BINS]) -> [f64; BINS] {
+    let log_odds = pooled.map(|p| {
         let p = p.clamp(0.01, 0.99);
         (p / (1.0 - p)).ln()
     });
     let mut shift = 0.0;
-    for _ in 0..STEPS {
-        let mut slope = -shift * LEVEL * 0.25;
-        let mut bend = LEVEL * 0.25;
-        for (odds, cell) in odds.iter().zip(cells) {
-            let p = 1.0 / (1.0 + (-(odds + shift)).exp());
-            slope += cell.pass - cell.all * p;
-            bend += cell.all * p * (1.0 - p);
+    for _ in 0..NEWTON_STEPS {
+        let mut gradient = -shift * LEVEL_PRIOR_RATINGS * 0.25;
+        let mut curvature = LEVEL_PRIOR_RATINGS * 0.25;
+        for (log_odds, cell) in log_odds.iter().zip(cells) {
+            let p = 1.0 / (1.0 + (-(log_odds + shift)).exp());
+            gradient += cell.pass - cell.all * p;
+            curvature += cell.all * p * (1.0 - p);
         }
-        shift += (slope / bend).clamp(-1.0, 1.0);
+        shift += (gradient / curvature).clamp(-1.0, 1.0);
     }
-    odds.map(|odds| 1.0 / (1.0 + (-(odds + shift)).exp()))
+    log_odds.map(|log_odds| 1.0 / (1.0 + (-(log_odds + shift)).exp()))
 }
 
 fn expect_kind(
     belief: &Belief,
     pooled: &[f64; BINS],
-    strong_ratings: Cell,
+    strong_ratings: Ratings,
     rungs: &Rungs,
     total: f64,
 ) -> Expected {
-    let shown: f64 = belief.seen.iter().sum();
-    let weight = (belief.asked + 1.0) / total;
+    let observed: f64 = belief.confidence_counts.iter().sum();
+    let weight = (belief.requests + 1.0) / total;
     let mut seen = [1.0 / BINS as f64; BINS];
     let mut cheap = [0.0; BINS];
     let mut weights = [0.0; BINS];
-    let level = at_level(pooled, &belief.cheap);
-    let own = all_strong(std::slice::from_ref(belief));
-    let prior = strong_ratings.toward(rungs.strong_quality);
-    let trust = strong_ratings.all.min(ALIKE) + PRIOR;
+    let level = shift_to_level(pooled, &belief.cheap);
+    let own = strong_ratings_of(std::slice::from_ref(belief));
+    let prior = strong_ratings.smoothed_rate(rungs.strong_quality);
+    let trust = strong_ratings.all.min(MAX_POOLED_RATINGS) + PRIOR_RATINGS;
     let overall = (own.pass + trust * prior) / (own.all + trust);
     let overall_error = (overall * (1.0 - overall) / (own.all + trust)).sqrt();
     let mut strong = [overall; BINS];
     let mut strong_error = [0.0; BINS];
     for i in 0..BINS {
-        if shown > 0.0 {
-            seen[i] = (belief.seen[i] + 0.05) / (shown + 0.05 * BINS as f64);
+        if observed > 0.0 {
+            seen[i] = (belief.confidence_counts[i] + 0.05) / (observed + 0.05 * BINS as f64);
         }
-        cheap[i] = belief.cheap[i].toward(level[i]);
-        weights[i] = belief.cheap[i].all + PRIOR;
-        strong[i] = belief.strong[i].toward(overall);
+        cheap[i] = belief.cheap[i].smoothed_rate(level[i]);
+        weights[i] = belief.cheap[i].all + PRIOR_RATINGS;
+        strong[i] = belief.strong[i].smoothed_rate(overall);
         strong_error[i] = overall_error;
     }
     monotone(&mut cheap, &weights);
-    monotone(&mut strong, &belief.strong.map(|cell| cell.all + PRIOR));
+    monotone(&mut strong, &belief.strong.map(|cell| cell.all + PRIOR_RATINGS));
     let mut cheap_error = [0.0; BINS];
     for i in 0..BINS {
         let p = cheap[i].clamp(0.02, 0.98);
@@ -156,10 +156,10 @@
             count -= 1;
         }
     }
-    let mut at = 0;
+    let mut start = 0;
     for block in &blocks[..count] {
-        values[at..at + block.2].fill(block.0);
-        at += block.2;
+        values[start..start + block.2].fill(block.0);
+        start += block.2;
     }
 }
 
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -9,38 +9,38 @@
 
 use expect::{Expected, expect};
 
-pub use rating::{Answer, Credit, Watch, worth};
+pub use rating::{Answer, Credit, DriftDetector, rating_value};
 
 /// Bins of an engine's confidence.
 pub const BINS: usize = 16;
 
 /// Weight of the prior in each bin, in ratings: the shape over all kinds, at the kind's level.
-const PRIOR: f64 = 10.0;
+const PRIOR_RATINGS: f64 = 10.0;
 
 /// Standard errors kept between the expected quality and the target.
-const CAUTION: f64 = 0.6;
+const CAUTION_ERRORS: f64 = 0.6;
 
 /// Kept between the expected quality and the target whatever is known.
-const SLACK: f64 = 0.001;
+const QUALITY_SLACK: f64 = 0.001;
 
 /// Halvings of the interval in which the multiplier is searched.
-const HALVINGS: usize = 40;
+const MAX_BISECTIONS: usize = 40;
 
 /// The largest multiplier, in costs of the strongest rung.
-const DEAREST: f64 = 1e4;
+const MAX_PRICE_FACTOR: f64 = 1e4;
 
 /// Ratings, decayed with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Cell {
+pub struct Ratings {
     /// Ratings.
     pub all: f64,
     /// Those that passed.
     pub pass: f64,
 }
 
-impl Cell {
-    fn toward(self, prior: f64) -> f64 {
-        (self.pass + PRIOR * prior) / (self.all + PRIOR)
+impl Ratings {
+    fn smoothed_rate(self, prior: f64) -> f64 {
+        (self.pass + PRIOR_RATINGS * prior) / (self.all + PRIOR_RATINGS)
     }
 
     fn decay(&mut self, kept: f64) {
@@ -64,40 +64,40 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Belief {
     /// Requests of this kind.
-    pub asked: f64,
+    pub requests: f64,
     /// How often the cheap rung showed each confidence.
-    pub seen: [f64; BINS],
+    pub confidence_counts: [f64; BINS],
     /// Ratings of cheap answers, by confidence.
-    pub cheap: [Cell; BINS],
+    pub cheap: [Ratings; BINS],
     /// Ratings of strong answers, by the confidence of the cheap one before.
-    pub strong: [Cell; BINS],
+    pub strong: [Ratings; BINS],
     /// Ratings of strong answers that began there.
-    pub direct: Cell,
+    pub direct: Ratings,
 }
 
 impl Belief {
     /// Forgets a part of everything; `kept` of it remains.
     pub fn decay(&mut self, kept: f64) {
-        self.asked *= kept;
-        self.seen.iter_mut().for_each(|seen| *seen *= kept);
+        self.requests *= kept;
+        self.confidence_counts.iter_mut().for_each(|seen| *seen *= kept);
         self.cheap.iter_mut().for_each(|cell| cell.decay(kept));
         self.strong.iter_mut().for_each(|cell| cell.decay(kept));
         self.direct.decay(kept);
     }
 
     /// Forgets most ratings, since they no longer agree with what is met.
-    pub fn doubt(&mut self) {
-        self.cheap.iter_mut().for_each(|cell| cell.decay(REMAINS));
-        self.strong.iter_mut().for_each(|cell| cell.decay(REMAINS));
-        self.direct.decay(REMAINS);
+    pub fn discount(&mut self) {
+        self.cheap.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
+        self.strong.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
+        self.direct.decay(KEPT_AFTER_ALARM);
     }
 }
 
 /// Ratings fade by this with each further rating of their kind.
-pub const FADE: f64 = 0.9995;
+pub const RATING_DECAY: f64 = 0.9995;
 
 /// What remains of ratings after an alarm: little, so that caution returns at once.
-const REMAINS: f64 = 0.08;
+const KEPT_AFTER_ALARM: f64 = 0.08;
 
 /// The price and declared quality of the rungs.
 #[derive(Clone, Copy, Debug)]
@@ -134,7 +134,7 @@
             direct: 1.0,
             keep: [0.0; BINS],
             quality: 0.0,
-            explore: rating::SCOUT,
+            explore: rating::EXPLORE_UNKNOWN,
             cheap: [0.0; BINS],
         }
     }
@@ -144,16 +144,16 @@
 pub fn solve(beliefs: &[Belief], rungs: &Rungs, target: f64) -> Vec<Rule> {
     let expected = expect(beliefs, rungs);
     let meets = |price: f64| {
-        let (quality, error) = outcome(&expected, rungs, price);
-        quality - CAUTION * error - SLACK >= target
+        let (quality, error) = expected_quality(&expected, rungs, price);
+        quality - CAUTION_ERRORS * error - QUALITY_SLACK >= target
     };
-    let top = DEAREST * rungs.strong_cost;
+    let top = MAX_PRICE_FACTOR * rungs.strong_cost;
     if meets(0.0) {
         return expected.iter().map(|kind| rule(kind, rungs, 0.0)).collect();
     }
     let (mut low, mut high) = (0.0, top);
     // On a logarithmic scale, since prices of quality span orders of magnitude.
-    for _ in 0..HALVINGS {
+    for _ in 0..MAX_BISECTIONS {
         let middle: f64 = if low == 0.0 { high * 1e-2 } else { (low * high).sqrt() };
         if meets(middle) {
             high = middle;
@@ -164,16 +164,16 @@
             break;
         }
     }
-    let share = mixture(&expected, rungs, target, low, high);
-    let mixed = |kind| rule(kind, rungs, low).mix(&rule(kind, rungs, high), share);
+    let share = mixing_share(&expected, rungs, target, low, high);
+    let mixed = |kind| rule(kind, rungs, low).interpolate(&rule(kind, rungs, high), share);
     expected.iter().map(mixed).collect()
 }
 
 /// The share of the dearer price: the two together just meet the target.
-fn mixture(expected: &[Expected], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
+fn mixing_share(expected: &[Expected], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
     let sure = |price| {
-        let (quality, error) = outcome(expected, rungs, price);
-        quality - CAUTION * error - SLACK
+        let (quality, error) = expected_quality(expected, rungs, price);
+        quality - CAUTION_ERRORS * error - QUALITY_SLACK
     };
     let (under, over) = (sure(low), sure(high));
     if over - under < 1e-9 {
@@ -193,16 +193,16 @@
         point < self.keep[bin]
     }
 
-    fn mix(&self, other: &Rule, share: f64) -> Rule {
-        let mix = |a: f64, b: f64| a + (b - a) * share;
+    fn interpolate(&self, other: &Rule, share: f64) -> Rule {
+        let interpolate = |a: f64, b: f64| a + (b - a) * share;
         let mut keep = [0.0; BINS];
         for (i, keep) in keep.iter_mut().enumerate() {
-            *keep = mix(self.keep[i], other.keep[i]);
+            *keep = interpolate(self.keep[i], other.keep[i]);
         }
         Rule {
-            direct: mix(self.direct, other.direct),
+            direct: interpolate(self.direct, other.direct),
             keep,
-            quality: mix(self.quality, other.quality),
+            quality: interpolate(self.quality, other.quality),
             explore: self.explore,
             cheap: self.cheap,
         }
@@ -232,7 +232,7 @@
 }
 
 /// Expected quality over all kinds, and its standard error.
-fn outcome(expected: &[Expected], rungs: &Rungs, price: f64) -> (f64, f64) {
+fn expected_quality(expected: &[Expected], rungs: &Rungs, price: f64) -> (f64, f64) {
     let mut quality = 0.0;
     let mut variance = 0.0;
     for kind in expected {
@@ -265,10 +265,10 @@
     fn informed(pass_low: f64, pass_high: f64, ratings: f64) -> Belief {
         let mut belief = Belief::default();
         for i in 0..BINS {
-            belief.seen[i] = 100.0;
+            belief.confidence_counts[i] = 100.0;
             let pass = if i < BINS / 2 { pass_low } else { pass_high };
-            belief.cheap[i] = Cell { all: ratings, pass: ratings * pass };
-            belief.strong[i] = Cell { all: ratings, pass: ratings * 0.95 };
+            belief.cheap[i] = Ratings { all: ratings, pass: ratings * pass };
+            belief.strong[i] = Ratings { all: ratings, pass: ratings * 0.95 };
         }
         belief
     }
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -6,28 +6,28 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::{Broken, Change, Evidence, Life, Told};
+use super::evidence::{Change, Evidence, OpenRequest, QuarantinedContent, ServerIncarnation};
 use crate::unit::{Digest, Moment, Span};
 
 /// Contents that are told at once, the newest; each is some 24 bytes.
-const MOST_TOLD: usize = 100;
+const MAX_QUARANTINED_PER_MESSAGE: usize = 100;
 
 /// What one VM tells another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
+pub enum Message {
     /// A life of a server ended so long ago with these open.
-    Ended {
+    ServerCrashed {
         /// The life.
-        life: Life,
+        incarnation: ServerIncarnation,
         /// Its requests.
-        broken: Vec<Broken>,
+        requests: Vec<OpenRequest>,
         /// How long ago.
         age: Span,
     },
     /// These are held back.
-    Held(Vec<Told>),
+    Quarantined(Vec<QuarantinedContent>),
     /// One that others suspect ran to a good end so long ago.
-    RanWell {
+    Succeeded {
         /// The content.
         content: Digest,
         /// How long ago.
@@ -37,53 +37,53 @@
 
 /// Whom news are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Recipients {
     /// All VMs, or of many the neighbours, which pass it on.
     All,
     /// The VMs that gather what is known of this content; of few, all.
-    Gatherers(Digest),
+    Aggregators(Digest),
 }
 
 /// News to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Word {
+pub struct Outgoing {
     /// To these.
-    pub to: To,
+    pub to: Recipients,
     /// What is told.
-    pub news: News,
+    pub message: Message,
 }
 
 /// What a VM believes from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum Transition {
     /// A content is held back, for so many lives that ended under it.
-    Held(Digest, u32),
+    Quarantined(Digest, u32),
     /// It is no longer.
-    Freed(Digest),
+    Released(Digest),
 }
 
 /// What follows from something that was seen or heard.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Out {
+pub struct Effects {
     /// News for others.
-    pub words: Vec<Word>,
+    pub messages: Vec<Outgoing>,
     /// Changes of what is believed.
-    pub turns: Vec<Turn>,
+    pub transitions: Vec<Transition>,
 }
 
-impl Out {
-    fn tell(&mut self, to: To, news: News) {
-        self.words.push(Word { to, news });
+impl Effects {
+    fn send(&mut self, to: Recipients, message: Message) {
+        self.messages.push(Outgoing { to, message });
     }
 }
 
 /// How news go round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ways {
+pub enum Topology {
     /// Each VM tells each other at once.
     Direct,
     /// Each VM tells its neighbours, and passes on what is news to it.
-    ByNeighbours,
+    Gossip,
 }
 
 /// One VM's part in it.
@@ -94,17 +94,17 @@
 
 impl Exchange {
     /// How many lives ended under a content, if it is held back.
-    pub fn held(&self, content: &Digest, now: Moment) -> Option<u32> {
-        self.evidence.held(content, now)
+    pub fn quarantine_crashes(&self, content: &Digest, now: Moment) -> Option<u32> {
+        self.evidence.quarantine_crashes(content, now)
     }
 
     /// Contents that are held back, as they are told: the newest, and not more than fit.
-    pub fn all_held(&self, now: Moment) -> Vec<Told> {
-        self.evidence.all_held(MOST_TOLD, now)
+    pub fn quarantined(&self, now: Moment) -> Vec<QuarantinedContent> {
+        self.evidence.quarantined(MAX_QUARANTINED_PER_MESSAGE, now)
     }
 
     /// How many contents are suspected, those that are held back among them.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.evidence.len()
     }
 
@@ -114,88 +114,129 @@
     }
 
     /// A life of a server has ended with these requests of this VM open.
-    pub fn ended(&mut self, life: Life, broken: &[Broken], ways: Ways, now: Moment) -> Out {
-        let mut out = self.take_end(life, broken, now, now);
-        let at_once = if ways == Ways::Direct { broken.len() } else { 1 };
-        for some in broken.chunks(at_once.max(1)) {
-            let news = News::Ended { life, broken: some.to_vec(), age: Span::default() };
-            out.tell(To::Gatherers(some[0].content), news);
+    pub fn on_server_crash(
+        &mut self,
+        incarnation: ServerIncarnation,
+        requests: &[OpenRequest],
+        topology: Topology,
+        now: Moment,
+    ) -> Effects {
+        let mut effects = self.apply_crash(incarnation, requests, now, now);
+        let chunk_size = if topology == Topology::Direct { requests.len() } else { 1 };
+        for chunk in requests.chunks(chunk_size.max(1)) {
+            let message = Message::ServerCrashed {
+                incarnation,
+                requests: chunk.to_vec(),
+                age: Span::default(),
+            };
+            effects.send(Recipients::Aggregators(chunk[0].content), message);
         }
-        out
+        effects
     }
 
     /// A request ran to a good end, whole.
-    pub fn ran_well(&mut self, content: Digest, now: Moment) -> Out {
-        let mut out = Out::default();
-        if let Change::Cleared { was_held } = self.evidence.ran_well(content, now, now) {
-            out.turns.extend(was_held.then_some(Turn::Freed(content)));
-            let to = if was_held { To::All } else { To::Gatherers(content) };
-            out.tell(to, News::RanWell { content, age: Span::default() });
+    pub fn on_success(&mut self, content: Digest, now: Moment) -> Effects {
+        let mut effects = Effects::default();
+        if let Change::Cleared { was_quarantined } = self.evidence.on_success(content, now, now) {
+            effects.transitions.extend(was_quarantined.then_some(Transition::Released(content)));
+            let to =
+                if was_quarantined { Recipients::All } else { Recipients::Aggregators(content) };
+            effects.send(to, Message::Succeeded { content, age: Span::default() });
         }
-        out
+        effects
     }
 
     /// Takes what another VM tells.
-    pub fn hear(&mut self, news: &News, ways: Ways, now: Moment) -> Out {
-        match news {
-            News::Ended { life, broken, age } => {
-                let mut out = self.take_end(*life, broken, before(now, *age), now);
-                for one in broken {
-                    self.speak_for(one.content, To::Gatherers(one.content), now, &mut out);
+    pub fn on_message(&mut self, message: &Message, topology: Topology, now: Moment) -> Effects {
+        match message {
+            Message::ServerCrashed { incarnation, requests, age } => {
+                let mut effects = self.apply_crash(*incarnation, requests, before(now, *age), now);
+                for request in requests {
+                    self.report_success(
+                        request.content,
+                        Recipients::Aggregators(request.content),
+                        now,
+                        &mut effects,
+                    );
                 }
-                out
+                effects
+            }
+            Message::Quarantined(reports) => self.on_quarantine_report(reports, topology, now, now),
+            Message::Succeeded { content, age } => {
+                self.on_success_report(*content, *age, topology, now)
             }
-            News::Held(told) => self.hear_held(told, ways, now, now),
-            News::RanWell { content, age } => self.hear_good_run(*content, *age, ways, now),
         }
     }
 
     /// Takes contents that another VM holds back, as old as they were at the moment `told_at`.
-    pub fn hear_held(&mut self, told: &[Told], ways: Ways, told_at: Moment, now: Moment) -> Out {
-        let mut out = Out::default();
-        for Told { content, ends, age } in told {
-            let change = self.evidence.told(*content, *ends, before(told_at, *age), now);
-            if change == Change::Held {
-                out.turns.push(Turn::Held(*content, *ends));
+    pub fn on_quarantine_report(
+        &mut self,
+        reports: &[QuarantinedContent],
+        topology: Topology,
+        reported_at: Moment,
+        now: Moment,
+    ) -> Effects {
+        let mut effects = Effects::default();
+        for QuarantinedContent { content, crashes, age } in reports {
+            let change = self.evidence.on_quarantine_report(
+                *content,
+                *crashes,
+                before(reported_at, *age),
+                now,
+            );
+            if change == Change::Quarantined {
+                effects.transitions.push(Transition::Quarantined(*content, *crashes));
             }
-            self.speak_for(*content, To::All, now, &mut out);
+            self.report_success(*content, Recipients::All, now, &mut effects);
         }
-        if !out.turns.is_empty() && ways == Ways::ByNeighbours {
-            out.tell(To::All, News::Held(self.all_held(now)));
+        if !effects.transitions.is_empty() && topology == Topology::Gossip {
+            effects.send(Recipients::All, Message::Quarantined(self.quarantined(now)));
         }
-        out
+        effects
     }
 
-    fn hear_good_run(&mut self, content: Digest, age: Span, ways: Ways, now: Moment) -> Out {
-        let mut out = Out::default();
-        let change = self.evidence.ran_well(content, before(now, age), now);
-        if change == (Change::Cleared { was_held: true }) {
-            out.turns.push(Turn::Freed(content));
-            if ways == Ways::ByNeighbours {
-                out.tell(To::All, News::RanWell { content, age });
+    fn on_success_report(
+        &mut self,
+        content: Digest,
+        age: Span,
+        topology: Topology,
+        now: Moment,
+    ) -> Effects {
+        let mut effects = Effects::default();
+        let change = self.evidence.on_success(content, before(now, age), now);
+        if change == (Change::Cleared { was_quarantined: true }) {
+            effects.transitions.push(Transition::Released(content));
+            if topology == Topology::Gossip {
+                effects.send(Recipients::All, Message::Succeeded { content, age });
             }
         }
-        out
+        effects
     }
 
-    fn take_end(&mut self, life: Life, broken: &[Broken], at: Moment, now: Moment) -> Out {
-        let mut out = Out::default();
-        for one in broken {
-            if self.evidence.ended(*one, life, at, now) == Change::Held {
-                let ends = self.held(&one.content, now).unwrap_or_default();
-                out.turns.push(Turn::Held(one.content, ends));
+    fn apply_crash(
+        &mut self,
+        incarnation: ServerIncarnation,
+        requests: &[OpenRequest],
+        at: Moment,
+        now: Moment,
+    ) -> Effects {
+        let mut effects = Effects::default();
+        for request in requests {
+            if self.evidence.on_crash(*request, incarnation, at, now) == Change::Quarantined {
+                let crashes = self.quarantine_crashes(&request.content, now).unwrap_or_default();
+                effects.transitions.push(Transition::Quarantined(request.content, crashes));
             }
         }
-        if !out.turns.is_empty() {
-            out.tell(To::All, News::Held(self.all_held(now)));
+        if !effects.transitions.is_empty() {
+            effects.send(Recipients::All, Message::Quarantined(self.quarantined(now)));
         }
-        out
+        effects
     }
 
     /// Says that a content which others suspect ran well here, if it did so of late.
-    fn speak_for(&self, content: Digest, to: To, now: Moment, out: &mut Out) {
-        if let Some(age) = self.evidence.sound_age(&content, now) {
-            out.tell(to, News::RanWell { content, age });
+    fn report_success(&self, content: Digest, to: Recipients, now: Moment, effects: &mut Effects) {
+        if let Some(age) = self.evidence.success_age(&content, now) {
+            effects.send(to, Message::Succeeded { content, age });
         }
     }
 }
--- a/src/decide/poison/mod.rs
+++ b/src/decide/poison/mod.rs
@@ -10,5 +10,7 @@
 mod evidence;
 mod exchange;
 
-pub use evidence::{Broken, Change, Evidence, Life, RAN_FOR, Told};
-pub use exchange::{Exchange, News, Out, To, Turn, Ways, Word};
+pub use evidence::{
+    Change, Evidence, OpenRequest, QuarantinedContent, STABLE_AFTER, ServerIncarnation,
+};
+pub use exchange::{Effects, Exchange, Message, Outgoing, Recipients, Topology, Transition};
--- a/src/decide/sequential.rs
+++ b/src/decide/sequential.rs
@@ -6,14 +6,14 @@
 
 /// Alternatives that the test against harm is a mixture of, in share of bad events, and their
 /// weights: harm that is worth finding fast weighs most.
-const HARMS: [(f64, f64); 6] =
+const HARM_ALTERNATIVES: [(f64, f64); 6] =
     [(0.03, 0.13), (0.06, 0.22), (0.12, 0.27), (0.24, 0.18), (0.48, 0.1), (0.9, 0.1)];
 
 /// Weight of the prior that keeps rates of few events off 0 and 1.
-const PRIOR: f64 = 2.0;
+const PRIOR_EVENTS: f64 = 2.0;
 
 /// Shares are kept this far from 0 and 1.
-const EDGE: f64 = 1e-4;
+const MIN_SHARE: f64 = 1e-4;
 
 /// Bad events among all events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
     /// The share of bad events, drawn towards `prior` while there are few.
     pub fn rate(self, prior: f64) -> f64 {
-        (self.bad + PRIOR * prior) / (self.all + PRIOR)
+        (self.bad + PRIOR_EVENTS * prior) / (self.all + PRIOR_EVENTS)
     }
 
     /// Both counts together.
@@ -41,7 +41,7 @@
     }
 
     /// The same share, as if of at most `most` events.
-    pub fn at_most(self, most: f64) -> Count {
+    pub fn capped(self, most: f64) -> Count {
         let kept = (most / self.all.max(1.0)).min(1.0);
         Count { all: self.all * kept, bad: self.bad * kept }
     }
@@ -60,14 +60,14 @@
     /// The difference of `new` from `old`.
     pub fn between(new: Count, old: Count, prior: f64) -> Difference {
         let (a, b) = (new.rate(prior), old.rate(prior));
-        let spread = |p: f64, n: f64| p.max(0.01) * (1.0 - p.min(0.99)) / (n + PRIOR);
+        let spread = |p: f64, n: f64| p.max(0.01) * (1.0 - p.min(0.99)) / (n + PRIOR_EVENTS);
         let error = (spread(a, new.all) + spread(b, old.all)).sqrt();
         Difference { mean: a - b, error }
     }
 
     /// Chance that it exceeds `margin`.
-    pub fn exceeds(self, margin: f64) -> f64 {
-        below((self.mean - margin) / self.error)
+    pub fn chance_above(self, margin: f64) -> f64 {
+        normal_cdf((self.mean - margin) / self.error)
     }
 
     /// Its expectation beyond `tolerance`, counted as nothing where it is less.
@@ -75,12 +75,12 @@
         let mean = self.mean - tolerance;
         let z = mean / self.error;
         let density = (-0.5 * z * z).exp() / (2.0 * std::f64::consts::PI).sqrt();
-        mean * below(z) + self.error * density
+        mean * normal_cdf(z) + self.error * density
     }
 }
 
 /// Chance that a standard normal lies below `z`.
-fn below(z: f64) -> f64 {
+fn normal_cdf(z: f64) -> f64 {
     0.5 * libm::erfc(-z / std::f64::consts::SQRT_2)
 }
 
@@ -89,11 +89,11 @@
 /// The mixture's expectation is at most 1 at every look if the share is at most `usual`, so
 /// evidence of `ln(1 / alpha)` is reached with a chance of at most `alpha`.
 pub fn evidence(count: Count, usual: f64) -> f64 {
-    let usual = usual.clamp(EDGE, 1.0 - EDGE);
+    let usual = usual.clamp(MIN_SHARE, 1.0 - MIN_SHARE);
     let good = count.all - count.bad;
-    let mut terms = [0.0; HARMS.len()];
-    for (term, (harm, weight)) in terms.iter_mut().zip(HARMS) {
-        let worse = (usual + harm * (1.0 - usual)).min(1.0 - EDGE);
+    let mut terms = [0.0; HARM_ALTERNATIVES.len()];
+    for (term, (harm, weight)) in terms.iter_mut().zip(HARM_ALTERNATIVES) {
+        let worse = (usual + harm * (1.0 - usual)).min(1.0 - MIN_SHARE);
         let ratio = count.bad * (worse / usual).ln() + good * ((1.0 - worse) / (1.0 - usual)).ln();
         *term = ratio + weight.ln();
     }
@@ -141,6 +141,6 @@
         let usual = Count { all: 1000.0, bad: 100.0 };
         let found = Difference::between(worse, usual, 0.1);
         assert!((found.expected_harm(0.0) - 0.2).abs() < 0.01);
-        assert!(found.exceeds(0.1) > 0.99);
+        assert!(found.chance_above(0.1) > 0.99);
     }
 }
--- a/src/entry/drive/account.rs
+++ b/src/entry/drive/account.rs
@@ -4,7 +4,7 @@
 
 use super::Drive;
 use crate::decide::cascade::{self, Answer, BINS, Rule};
-use crate::evidence::{Key, Tally};
+use crate::evidence::{Counts, Key};
 use crate::ledger::{Entry, Part, Why};
 use crate::standin::rating::Sample;
 use crate::unit::{Cost, Moment, RequestId, Span, Target};
@@ -47,7 +47,7 @@
 
     /// Counts an answer under a cascade's key; its rating will count there and in its trial.
     fn counted(&self, target: &Target, key: Key) -> Vec<Key> {
-        self.vm.learn(key.clone(), Tally { ended: 1, ..Tally::default() });
+        self.vm.learn(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.trial_key(target), key]
     }
 
@@ -59,7 +59,7 @@
         };
         let keys = self.counted(target, key);
         let id = format!("{}.cheap", self.job.request);
-        let worth = cascade::worth(rule, Answer::Cheap(bin));
+        let worth = cascade::rating_value(rule, Answer::Cheap(bin));
         if let Ok(id) = id.parse() {
             self.rate(target, id, keys, worth, kept.concat());
         }
@@ -73,7 +73,7 @@
         };
         let keys = self.counted(target, key);
         let answer = if bin == BINS { Answer::Direct } else { Answer::Climbed };
-        let worth = cascade::worth(rule, answer);
+        let worth = cascade::rating_value(rule, answer);
         self.rate(target, self.job.request.clone(), keys, worth, kept.concat());
     }
 
--- a/src/entry/drive/attempts.rs
+++ b/src/entry/drive/attempts.rs
@@ -6,12 +6,12 @@
 use super::{Drive, Stop};
 use crate::config::{Allowed, Snapshot};
 use crate::decide::admit::Ended;
-use crate::decide::poison::{Broken, RAN_FOR};
+use crate::decide::poison::{OpenRequest, STABLE_AFTER};
 use crate::decide::retry::{self, Failure};
 use crate::engine::wire::{End, Generate};
 use crate::entry::attempt::{self, Attempt, Piece};
 use crate::entry::refusal::{Kind as Refused, Refusal};
-use crate::evidence::Tally;
+use crate::evidence::Counts;
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
 
@@ -42,11 +42,11 @@
         let late = self.late(began, first);
         self.let_out(target, &outcome, late);
         let failed = matches!(&outcome, Err(Stop::Refused(_)));
-        let more = Tally {
+        let more = Counts {
             ended: 1,
             failed: u64::from(failed),
             slow: u64::from(late),
-            ..Tally::default()
+            ..Counts::default()
         };
         self.vm.learn(self.trial_key(target), more);
         self.burn(target, failed || late);
@@ -164,8 +164,8 @@
     /// An answer broke off at a server, after its first token came at a moment, if it did.
     fn suspect(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
         let now = self.vm.clock.now();
-        let ran = first.is_some_and(|first| now.since(first) >= RAN_FOR);
-        let request = Broken { content: self.job.content, ran };
+        let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
+        let request = OpenRequest { content: self.job.content, was_stable: ran };
         poison::broke(&self.vm, server, address, request);
     }
 
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -16,7 +16,7 @@
 use super::{header, stream::guarded};
 use crate::config::{Allowed, Snapshot, WorkspaceEntry, digest};
 use crate::engine::client::Engines;
-use crate::evidence::{Key, Tally};
+use crate::evidence::{Counts, Key};
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Errand, Vm};
 
@@ -85,7 +85,7 @@
         return Err(Refusal::new(Refused::NoLedger));
     }
     let demand = Key::Demand { workspace: workspace.name.clone() };
-    vm.learn(demand, Tally { ended: 1, ..Tally::default() });
+    vm.learn(demand, Counts { ended: 1, ..Counts::default() });
     vm.take_rate(&workspace.name, workspace.limit, now)
         .map_err(|wait| Refusal::after(Refused::Limited, wait))?;
     let kind = text(header::KIND).and_then(|kind| kind.parse().ok());
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -14,7 +14,7 @@
 use super::models::{Caller, admit, body};
 use super::refusal::{Kind as Refused, Refusal};
 use crate::config::ServiceEntry;
-use crate::decide::poison::Broken;
+use crate::decide::poison::OpenRequest;
 use crate::decide::retry::{self, Failure};
 use crate::engine::client::Engines;
 use crate::history::{Event, Ran};
@@ -368,7 +368,7 @@
         };
         if failure == Failure::Broken {
             *may_have_run = true;
-            let request = Broken { content, ran: false };
+            let request = OpenRequest { content, was_stable: false };
             poison::broke(vm, &picked.server, picked.address, request);
         }
         let may = retry::allowed(failure, call.repeatable, tries, now, call.deadline, LEAST);
--- a/src/evidence/mod.rs
+++ b/src/evidence/mod.rs
@@ -2,4 +2,4 @@
 
 mod table;
 
-pub use table::{Cell, Key, Origin, Row, Table, Tally};
+pub use table::{Cell, Counts, Key, Origin, Row, Table};
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -56,7 +56,7 @@
 
 /// Counts about one key; each only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct Counts {
     /// Requests that ended.
     pub ended: u64,
     /// Those that failed.
@@ -69,10 +69,10 @@
     pub poor: u64,
 }
 
-impl Tally {
+impl Counts {
     /// The greater of each count.
-    pub fn join(self, other: Tally) -> Tally {
-        Tally {
+    pub fn join(self, other: Counts) -> Counts {
+        Counts {
             ended: self.ended.max(other.ended),
             failed: self.failed.max(other.failed),
             slow: self.slow.max(other.slow),
@@ -81,8 +81,8 @@
         }
     }
 
-    fn plus(self, other: Tally) -> Tally {
-        Tally {
+    fn plus(self, other: Counts) -> Counts {
+        Counts {
             ended: self.ended + other.ended,
             failed: self.failed + other.failed,
             slow: self.slow + other.slow,
@@ -98,7 +98,7 @@
     /// What it is about.
     pub key: Key,
     /// The counts.
-    pub tally: Tally,
+    pub counts: Counts,
 }
 
 /// Counters of one origin as they travel.
@@ -111,8 +111,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
-    tally: Tally,
+struct Entry {
+    counts: Counts,
     changed: u64,
     from: Option<Vm>,
 }
@@ -120,22 +120,23 @@
 /// All counters that a VM knows.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    rows: BTreeMap<Origin, BTreeMap<Key, Held>>,
+    rows: BTreeMap<Origin, BTreeMap<Key, Entry>>,
     counter: u64,
 }
 
 impl Table {
     /// Adds to the VM's own row.
-    pub fn add(&mut self, own: &Origin, key: Key, more: Tally) {
+    pub fn add(&mut self, own: &Origin, key: Key, more: Counts) {
         self.counter += 1;
         let changed = self.counter;
         let row = match self.rows.get_mut(own) {
             Some(row) => row,
             None => self.rows.entry(own.clone()).or_default(),
         };
-        let held = row.entry(key).or_insert(Held { tally: Tally::default(), changed, from: None });
-        held.tally = held.tally.plus(more);
-        held.changed = changed;
+        let entry =
+            row.entry(key).or_insert(Entry { counts: Counts::default(), changed, from: None });
+        entry.counts = entry.counts.plus(more);
+        entry.changed = changed;
     }
 
     /// Takes rows that a peer sent.
@@ -143,14 +144,15 @@
         for row in rows {
             let held_row = self.rows.entry(row.origin).or_default();
             for cell in row.cells {
-                let before = held_row.get(&cell.key).map(|held| held.tally);
-                let joined = before.unwrap_or_default().join(cell.tally);
+                let before = held_row.get(&cell.key).map(|entry| entry.counts);
+                let joined = before.unwrap_or_default().join(cell.counts);
                 if before == Some(joined) {
                     continue;
                 }
                 self.counter += 1;
-                let held = Held { tally: joined, changed: self.counter, from: Some(from.clone()) };
-                held_row.insert(cell.key, held);
+                let entry =
+                    Entry { counts: joined, changed: self.counter, from: Some(from.clone()) };
+                held_row.insert(cell.key, entry);
             }
         }
     }
@@ -162,58 +164,58 @@
 
     /// What changed after `since` and did not come from `to`, at most `most` cells, and the place
     /// up to which that is all.
-    pub fn delta(&self, to: &Vm, since: u64, most: usize) -> (Vec<Row>, u64) {
+    pub fn delta(&self, to: &Vm, since: u64, max_cells: usize) -> (Vec<Row>, u64) {
         if self.counter == since {
             return (Vec::new(), since);
         }
-        let mut changed: Vec<(u64, &Origin, &Key, &Held)> = Vec::new();
+        let mut changed: Vec<(u64, &Origin, &Key, &Entry)> = Vec::new();
         for (origin, row) in &self.rows {
-            let newer = row.iter().filter(|(_, held)| held.changed > since);
-            changed.extend(newer.map(|(key, held)| (held.changed, origin, key, held)));
+            let newer = row.iter().filter(|(_, entry)| entry.changed > since);
+            changed.extend(newer.map(|(key, entry)| (entry.changed, origin, key, entry)));
         }
         changed.sort_by_key(|entry| entry.0);
-        let upto = match changed.get(most) {
+        let up_to = match changed.get(max_cells) {
             Some(next) => next.0 - 1,
             None => self.counter,
         };
-        changed.truncate(most);
+        changed.truncate(max_cells);
         let mut rows: BTreeMap<&Origin, Vec<Cell>> = BTreeMap::new();
-        for (_, origin, key, held) in changed {
-            if held.from.as_ref() != Some(to) {
-                let cell = Cell { key: key.clone(), tally: held.tally };
+        for (_, origin, key, entry) in changed {
+            if entry.from.as_ref() != Some(to) {
+                let cell = Cell { key: key.clone(), counts: entry.counts };
                 rows.entry(origin).or_default().push(cell);
             }
         }
         let rows = rows.into_iter().map(|(origin, cells)| Row { origin: origin.clone(), cells });
-        (rows.collect(), upto)
+        (rows.collect(), up_to)
     }
 
     /// The sum over all origins for one key.
-    pub fn sum(&self, key: &Key) -> Tally {
-        let held = self.rows.values().filter_map(|row| row.get(key));
-        held.fold(Tally::default(), |sum, held| sum.plus(held.tally))
+    pub fn sum(&self, key: &Key) -> Counts {
+        let entry = self.rows.values().filter_map(|row| row.get(key));
+        entry.fold(Counts::default(), |sum, entry| sum.plus(entry.counts))
     }
 
     /// The VM's own count for one key.
-    pub fn own(&self, own: &Origin, key: &Key) -> Tally {
-        let held = self.rows.get(own).and_then(|row| row.get(key));
-        held.map(|held| held.tally).unwrap_or_default()
+    pub fn own(&self, own: &Origin, key: &Key) -> Counts {
+        let entry = self.rows.get(own).and_then(|row| row.get(key));
+        entry.map(|entry| entry.counts).unwrap_or_default()
     }
 
     /// Sums over all origins, for the keys that `wanted` picks.
-    pub fn sums(&self, wanted: impl Fn(&Key) -> bool) -> BTreeMap<Key, Tally> {
-        let mut sums: BTreeMap<Key, Tally> = BTreeMap::new();
+    pub fn sums(&self, wanted: impl Fn(&Key) -> bool) -> BTreeMap<Key, Counts> {
+        let mut sums: BTreeMap<Key, Counts> = BTreeMap::new();
         for row in self.rows.values() {
-            for (key, held) in row.iter().filter(|(key, _)| wanted(key)) {
+            for (key, entry) in row.iter().filter(|(key, _)| wanted(key)) {
                 let sum = sums.entry(key.clone()).or_default();
-                *sum = sum.plus(held.tally);
+                *sum = sum.plus(entry.counts);
             }
         }
         sums
     }
 
     /// Forgets counters that no decision needs any more.
-    pub fn forget(&mut self, needless: impl Fn(&Key) -> bool) {
+    pub fn remove_where(&mut self, needless: impl Fn(&Key) -> bool) {
         for row in self.rows.values_mut() {
             row.retain(|key, _| !needless(key));
         }
@@ -247,13 +249,14 @@
 
     fn rows(facts: &[(u8, u8, u8)]) -> Vec<Row> {
         let row = |(vm, about, n): &(u8, u8, u8)| {
-            let tally = Tally { rated: u64::from(*n), poor: u64::from(n / 2), ..Tally::default() };
-            Row { origin: origin(*vm), cells: vec![Cell { key: key(*about), tally }] }
+            let tally =
+                Counts { rated: u64::from(*n), poor: u64::from(n / 2), ..Counts::default() };
+            Row { origin: origin(*vm), cells: vec![Cell { key: key(*about), counts: tally }] }
         };
         facts.iter().map(row).collect()
     }
 
-    fn merged(parts: &[Vec<Row>]) -> BTreeMap<Key, Tally> {
+    fn merged(parts: &[Vec<Row>]) -> BTreeMap<Key, Counts> {
         let mut table = Table::default();
         let from: Vm = "x".parse().unwrap();
         for part in parts {
@@ -274,16 +277,16 @@
                 && whole == merged(&[a.clone(), b.clone(), a, c.clone(), b, c])
         }
 
-        fn deltas_carry_everything_in_parts(facts: Vec<(u8, u8, u8)>, most: u8) -> bool {
+        fn deltas_carry_everything_in_parts(facts: Vec<(u8, u8, u8)>, max_cells: u8) -> bool {
             let (a, b): (Vm, Vm) = ("a".parse().unwrap(), "b".parse().unwrap());
             let mut from = Table::default();
             from.merge(&a, rows(&facts));
             let mut to = Table::default();
             let mut since = 0;
             while since < from.counter() {
-                let (rows, upto) = from.delta(&b, since, usize::from(most % 7) + 1);
+                let (rows, up_to) = from.delta(&b, since, usize::from(max_cells % 7) + 1);
                 to.merge(&a, rows);
-                since = upto;
+                since = up_to;
             }
             to.sums(|_| true) == from.sums(|_| true)
         }
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -11,7 +11,8 @@
 use super::options::Options;
 use super::table::{Row, Table, quantile};
 use crate::decide::cascade::{
-    Answer, BINS, Belief, Credit, FADE, Rule, Rungs, Watch, bin, solve, worth,
+    Answer, BINS, Belief, Credit, DriftDetector, RATING_DECAY, Rule, Rungs, bin, rating_value,
+    solve,
 };
 
 /// Costs of a cheap and a strong answer.
@@ -269,7 +270,7 @@
 
 struct Ours {
     beliefs: Vec<Belief>,
-    watches: Vec<Watch>,
+    watches: Vec<DriftDetector>,
     rules: Vec<Rule>,
     rungs: Rungs,
     ratings: VecDeque<Rated>,
@@ -281,7 +282,7 @@
     fn new(options: &Options) -> Ours {
         Ours {
             beliefs: vec![Belief::default(); options.kinds],
-            watches: vec![Watch::default(); options.kinds],
+            watches: vec![DriftDetector::default(); options.kinds],
             rules: vec![Rule::default(); options.kinds],
             rungs: Rungs {
                 cheap_cost: CHEAP,
@@ -310,7 +311,7 @@
 
     fn decide(&mut self, due: usize, request: &Request, share: f64, trail: &mut Trail) {
         self.credit.earn(share);
-        self.beliefs[request.kind].asked += 1.0;
+        self.beliefs[request.kind].requests += 1.0;
         let rule = self.rules[request.kind];
         let strong = rule.begins_strong(request.point);
         if strong && request.explore >= rule.explore {
@@ -319,7 +320,7 @@
             return;
         }
         let bin = bin(request.confidence);
-        self.beliefs[request.kind].seen[bin] += 1.0;
+        self.beliefs[request.kind].confidence_counts[bin] += 1.0;
         self.rate(due, request, Answer::Cheap(bin), bin, request.rated);
         if rule.keeps(bin, request.point) && !strong {
             trail.cheap(request);
@@ -331,7 +332,7 @@
 
     fn rate(&mut self, due: usize, request: &Request, answer: Answer, bin: usize, point: f64) {
         let rule = &self.rules[request.kind];
-        if !self.credit.spend(worth(rule, answer), point) {
+        if !self.credit.spend(rating_value(rule, answer), point) {
             return;
         }
         let cheap = matches!(answer, Answer::Cheap(_));
@@ -345,7 +346,7 @@
         while self.ratings.front().is_some_and(|rated| rated.due <= now) {
             let rated = self.ratings.pop_front().expect("there is one");
             let belief = &mut self.beliefs[rated.kind];
-            belief.decay(FADE);
+            belief.decay(RATING_DECAY);
             let cell = match rated.answer {
                 Answer::Cheap(bin) => &mut belief.cheap[bin],
                 Answer::Climbed => &mut belief.strong[rated.bin],
@@ -353,8 +354,8 @@
             };
             cell.add(rated.pass);
             let watched = matches!(rated.answer, Answer::Cheap(_)) && rated.expected > 0.0;
-            if watched && self.watches[rated.kind].note(rated.expected, rated.pass) {
-                belief.doubt();
+            if watched && self.watches[rated.kind].record(rated.expected, rated.pass) {
+                belief.discount();
             }
         }
     }
--- a/src/experiment/poison/fleet.rs
+++ b/src/experiment/poison/fleet.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-use crate::decide::poison::Ways;
+use crate::decide::poison::Topology;
 use crate::peer::neighbours;
 use crate::unit::{Digest, Vm, hash};
 
@@ -66,8 +66,8 @@
     }
 
     /// How news go round.
-    pub fn ways(&self) -> Ways {
-        if self.vms() <= FEW { Ways::Direct } else { Ways::ByNeighbours }
+    pub fn ways(&self) -> Topology {
+        if self.vms() <= FEW { Topology::Direct } else { Topology::Gossip }
     }
 
     /// The VMs that one tells what all are to know.
--- a/src/experiment/poison/world.rs
+++ b/src/experiment/poison/world.rs
@@ -8,7 +8,9 @@
 use rand::seq::IteratorRandom;
 
 use super::fleet::{Fleet, Way};
-use crate::decide::poison::{Broken, Exchange, Life, News, Out, RAN_FOR, To, Ways};
+use crate::decide::poison::{
+    Effects, Exchange, Message, OpenRequest, Recipients, STABLE_AFTER, ServerIncarnation, Topology,
+};
 use crate::peer::wire::encode;
 use crate::unit::{Digest, Moment, Span, digest};
 
@@ -65,7 +67,7 @@
     Ends(u64),
     Crashes(usize, u64),
     IsBack(usize),
-    Hears(usize, News),
+    Hears(usize, Message),
     /// A suspect may run now, by the word of the VM that lets it.
     MayRun(Request),
 }
@@ -216,7 +218,7 @@
                 Event::IsBack(server) => self.servers[server].lives = true,
                 Event::Hears(vm, news) => {
                     let ways = self.fleet.ways();
-                    let out = self.vms[vm].hear(&news, ways, self.now);
+                    let out = self.vms[vm].on_message(&news, ways, self.now);
                     self.act(vm, out);
                 }
             }
@@ -224,7 +226,7 @@
     }
 
     fn is_held(&self, request: &Request) -> bool {
-        let held = self.vms[request.vm].held(&request.content, self.now);
+        let held = self.vms[request.vm].quarantine_crashes(&request.content, self.now);
         self.way != Way::Nothing && held.is_some()
     }
 
@@ -297,7 +299,7 @@
     fn ends(&mut self, run: u64) {
         let Some(Run { request, server, .. }) = self.runs.remove(&run) else { return };
         self.servers[server].open.remove(&run);
-        let out = self.vms[request.vm].ran_well(request.content, self.now);
+        let out = self.vms[request.vm].on_success(request.content, self.now);
         self.act(request.vm, out);
         self.suspected.remove(&request.content);
         self.let_next(request.content);
@@ -319,7 +321,8 @@
             return;
         }
         let open = std::mem::take(&mut self.servers[server].open);
-        let known = Life::new(&format!("server{server}"), Some(self.servers[server].life));
+        let known =
+            ServerIncarnation::new(&format!("server{server}"), Some(self.servers[server].life));
         self.servers[server].lives = false;
         self.servers[server].life += 1;
         self.push(self.now + BACK, Event::IsBack(server));
@@ -332,9 +335,10 @@
             poisons.into_iter().for_each(|poison| self.count(poison));
         }
         for Run { request, begun, .. } in broken {
-            let ran = request.poison.is_none() && self.now.since(begun) >= RAN_FOR;
-            let one = [Broken { content: request.content, ran }];
-            let out = self.vms[request.vm].ended(known, &one, self.fleet.ways(), self.now);
+            let ran = request.poison.is_none() && self.now.since(begun) >= STABLE_AFTER;
+            let one = [OpenRequest { content: request.content, was_stable: ran }];
+            let out =
+                self.vms[request.vm].on_server_crash(known, &one, self.fleet.ways(), self.now);
             self.act(request.vm, out);
             self.suspected.entry(request.content).or_insert(self.now);
             self.let_next(request.content);
@@ -368,22 +372,24 @@
         self.push(at, Event::Arrives(request));
     }
 
-    fn act(&mut self, vm: usize, out: Out) {
+    fn act(&mut self, vm: usize, out: Effects) {
         if matches!(self.way, Way::Nothing | Way::Alone) || self.cut[vm] {
             return;
         }
-        for word in out.words {
+        for word in out.messages {
             let to = match word.to {
-                To::All => self.fleet.neighbours(vm),
-                To::Gatherers(_) if self.fleet.ways() == Ways::Direct => self.fleet.neighbours(vm),
-                To::Gatherers(content) => self.fleet.gatherers(content),
+                Recipients::All => self.fleet.neighbours(vm),
+                Recipients::Aggregators(_) if self.fleet.ways() == Topology::Direct => {
+                    self.fleet.neighbours(vm)
+                }
+                Recipients::Aggregators(content) => self.fleet.gatherers(content),
             };
-            let bytes = (encode(&word.news).len() + PACKET) as u64;
+            let bytes = (encode(&word.message).len() + PACKET) as u64;
             for other in to.into_iter().filter(|other| *other != vm) {
                 self.bytes += bytes;
                 if !self.cut[other] {
                     let way = Span(self.rng.random_range(1_000..4_000));
-                    self.push(self.now + way, Event::Hears(other, word.news.clone()));
+                    self.push(self.now + way, Event::Hears(other, word.message.clone()));
                 }
             }
         }
--- a/src/experiment/reading/node.rs
+++ b/src/experiment/reading/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::decide::reader::{Asked, Rank};
+use crate::decide::reader::{Rank, SourceHistory};
 use crate::unit::{Millicores, Moment};
 
 /// Data centres, and the large VMs of each, as on the users' largest site.
@@ -33,7 +33,7 @@
     /// Who reads for it.
     pub role: Role,
     /// What it remembers of those that it asked.
-    pub asked: Asked,
+    pub asked: SourceHistory,
     /// Of when what it knows is.
     pub known: Option<Moment>,
     /// Who read that, and by how many VMs it was passed on.
@@ -62,7 +62,7 @@
             life: 0,
             began: Moment(0),
             role: Role::Joins,
-            asked: Asked::default(),
+            asked: SourceHistory::default(),
             known: None,
             origin: (at, 0),
             lost: false,
--- a/src/experiment/reading/world.rs
+++ b/src/experiment/reading/world.rs
@@ -10,8 +10,8 @@
 use super::node::{DATA_CENTRES, Node, Role};
 
 use crate::decide::reader::{
-    ANSWER_WITHIN, ASK_EVERY, ASK_SOON, FIRST_ANSWER_WITHIN, Place, Rank, SETTLED, Without,
-    YOUNG_FOR, may_be_taken, reads, time_to_ask,
+    ANSWER_TIMEOUT, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Place,
+    Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, answer_timeout, may_accept, should_read_store,
 };
 use crate::unit::{Moment, Span, Vm as Name};
 
@@ -205,7 +205,8 @@
         let others = (0..DATA_CENTRES).filter(|other| *other != at % DATA_CENTRES);
         let of = |other: usize| (other..self.nodes.len()).step_by(DATA_CENTRES);
         let asked = &self.nodes[at].asked;
-        let first = |other| asked.first(of(other).map(|one| &self.nodes[one].rank), self.now);
+        let first =
+            |other| asked.first_responsive(of(other).map(|one| &self.nodes[one].rank), self.now);
         others.filter_map(first).collect()
     }
 
@@ -219,13 +220,13 @@
         let next = match (self.place(at), self.way) {
             (Place::First, Way::Itself) => None,
             (Place::First, Way::Passed) if node.lost => {
-                node.asked.any(self.firsts(at).into_iter(), self.now)
+                node.asked.any_source(self.firsts(at).into_iter(), self.now)
             }
             (Place::First, Way::Passed) => {
-                node.asked.next(&node.rank, self.firsts(at).into_iter(), self.now)
+                node.asked.next_source(&node.rank, self.firsts(at).into_iter(), self.now)
             }
             (Place::Next | Place::Behind, _) => {
-                node.asked.next(&node.rank, self.group(at), self.now)
+                node.asked.next_source(&node.rank, self.group(at), self.now)
             }
         };
         next.map(|name| self.index[name])
@@ -244,10 +245,10 @@
         let settled = has_news || self.go_without(at, told.contains(&Some(false)));
         let waited = match (answered, self.nodes[at].known) {
             (true, _) => QUESTION,
-            (false, None) => FIRST_ANSWER_WITHIN,
-            (false, Some(_)) => ANSWER_WITHIN,
+            (false, None) => FIRST_ANSWER_TIMEOUT,
+            (false, Some(_)) => ANSWER_TIMEOUT,
         };
-        let pause = if settled { ASK_EVERY } else { ASK_SOON };
+        let pause = if settled { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let life = self.nodes[at].life;
         self.push(self.now + waited + pause, Event::Look(at, life));
     }
@@ -260,9 +261,9 @@
             let new = self.nodes[at].known.is_none();
             let asked = &mut self.nodes[at].asked;
             if new {
-                asked.unheard(&name, now)
+                asked.on_startup_timeout(&name, now)
             } else {
-                asked.silent(&name, now)
+                asked.on_timeout(&name, now)
             }
             return None;
         }
@@ -273,15 +274,15 @@
         let reader_name = self.nodes[reader].rank.vm.clone();
         let node = &mut self.nodes[at];
         let Some(known) = known.filter(|_| reads_itself) else {
-            node.asked.unready(&name, now);
+            node.asked.on_not_ready(&name, now);
             return None;
         };
-        if !may_be_taken(&reader_name, hops, &node.rank.vm) || (lost && node.role == Role::Reads) {
-            node.asked.declined(&name, now);
+        if !may_accept(&reader_name, hops, &node.rank.vm) || (lost && node.role == Role::Reads) {
+            node.asked.on_declined(&name, now);
             return None;
         }
         if lost && self.way == Way::Itself {
-            node.asked.declined(&name, now);
+            node.asked.on_declined(&name, now);
             return None;
         }
         let whole = node.whole_from.insert(other, life) != Some(life);
@@ -289,11 +290,11 @@
         node.known = node.known.max(Some(known));
         node.origin = (reader, hops + 1);
         if lost {
-            node.asked.lost(&name, now);
+            node.asked.on_store_lost(&name, now);
             node.lost_since = node.lost_since.or(Some(now));
             node.lost = true;
         } else {
-            node.asked.answered(&name);
+            node.asked.on_update(&name);
             node.role = Role::Follows(other);
             node.lost_since = None;
             node.ready = node.ready.or(Some(now + QUESTION));
@@ -312,25 +313,25 @@
         if node.role == Role::Reads {
             return true;
         }
-        let without = Without {
+        let without = FollowerState {
             place: self.place(at),
-            others: self.way == Way::Passed,
-            may_ask: self.next(at).is_some(),
-            lost: node.asked.is_told_lost(&node.rank, self.group(at), self.now),
-            knows: node.known.is_some(),
-            is_young: self.now.since(node.began) < YOUNG_FOR,
-            overdue: time_to_ask(node.known, LEAVE_WITHIN, self.now).is_none(),
+            has_other_groups: self.way == Way::Passed,
+            has_source: self.next(at).is_some(),
+            is_store_lost: node.asked.is_store_reported_lost(&node.rank, self.group(at), self.now),
+            has_snapshot: node.known.is_some(),
+            is_starting: self.now.since(node.began) < STARTUP_WAIT,
+            is_overdue: answer_timeout(node.known, LEAVE_WITHIN, self.now).is_none(),
         };
         let itself = match self.way {
-            Way::Passed => reads(&without),
-            Way::Itself => !without.may_ask,
+            Way::Passed => should_read_store(&without),
+            Way::Itself => !without.has_source,
         };
         if itself {
-            self.begin_to_read(at, without.lost);
+            self.begin_to_read(at, without.is_store_lost);
             return true;
         }
         let since = self.nodes[at].lost_since;
-        is_told && since.is_some_and(|since| self.now.since(since) >= SETTLED)
+        is_told && since.is_some_and(|since| self.now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
     }
 
     fn begin_to_read(&mut self, at: usize, told_lost: bool) {
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -9,7 +9,7 @@
 
 use super::options::Options;
 use super::table::{Row, Table, quantile};
-use crate::decide::rollout::{self, Arm, Move, Policy, View};
+use crate::decide::rollout::{self, Action, Arm, Inputs, Policy};
 use crate::decide::sequential::Count;
 use crate::unit::{Parts, Span};
 
@@ -125,7 +125,12 @@
             Kind::Timed | Kind::Threshold | Kind::Careful => {
                 (self.options.rated_share, self.options.rated_share)
             }
-            _ => rollout::sampling(self.share, RATE, RATE * self.options.rated_share, self.new.all),
+            _ => rollout::rating_shares(
+                self.share,
+                RATE,
+                RATE * self.options.rated_share,
+                self.new.all,
+            ),
         };
         let turns = (self.sessions * TURN + rng.random::<f64>()) as u64;
         for i in 0..arrivals + turns {
@@ -175,17 +180,17 @@
         }
     }
 
-    fn view(&self, now: u64) -> View {
-        View {
+    fn view(&self, now: u64) -> Inputs {
+        Inputs {
             new: Arm { poor: self.new, ..Arm::default() },
             old: Arm { poor: self.old, ..Arm::default() },
-            before: self.before,
+            earlier: self.before,
             share: self.share,
             held: self.held,
             at_share: Span::secs(now - self.since),
             rate: RATE,
             lag: Span(self.options.rating_lag.0 + Span::secs(self.delay).0),
-            silent: Span::secs(now - self.rated_at),
+            since_rating: Span::secs(now - self.rated_at),
             prior: USUAL,
         }
     }
@@ -195,21 +200,21 @@
         let view = self.view(now);
         self.takes_sessions = rollout::takes_sessions(&policy, &view);
         let share = match rollout::decide(&policy, &view) {
-            Move::Stay => return,
-            Move::Withdraw(_) => {
+            Action::Stay => return,
+            Action::Withdraw(_) => {
                 result.withdrawn = Some(now);
                 return;
             }
-            Move::Complete(_) => {
+            Action::Complete(_) => {
                 result.full.get_or_insert(now);
                 Parts::ALL
             }
-            Move::Grow(share, _) | Move::Shrink(share, _) => share,
-            Move::Hold(share, _) => {
+            Action::Grow(share, _) | Action::Shrink(share, _) => share,
+            Action::Hold(share, _) => {
                 self.held = true;
                 share
             }
-            Move::Resume(_) => {
+            Action::Resume(_) => {
                 self.held = false;
                 self.share
             }
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -15,7 +15,7 @@
 use crate::decide::replica::{Replica, choose};
 use crate::entry::session::{self, Session};
 use crate::error::Error;
-use crate::evidence::{Key, Origin, Table as Evidence, Tally};
+use crate::evidence::{Counts, Key, Origin, Table as Evidence};
 use crate::ledger::{Book, Entry, Part, Why};
 use crate::once::{Claim, Outcome, Record, Settled, Shard, digest as claim_digest};
 use crate::peer::wire::{Call, Envelope, Frame, encode};
@@ -118,7 +118,7 @@
 fn evidence(cells: usize) -> Evidence {
     let mut table = Evidence::default();
     for i in 0..cells {
-        table.add(&origin(), key(i), Tally { ended: 1, rated: 1, ..Tally::default() });
+        table.add(&origin(), key(i), Counts { ended: 1, rated: 1, ..Counts::default() });
     }
     table
 }
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -17,7 +17,7 @@
 use crate::config::Repeat;
 use crate::decide::bound;
 use crate::decide::ends::End;
-use crate::decide::poison::Broken;
+use crate::decide::poison::OpenRequest;
 use crate::platform::header::{self, Extra};
 use crate::unit::{Model, Moment, Rate, Span};
 
@@ -117,7 +117,7 @@
     drop(waiting);
     note(job, replica, &outcome);
     if outcome.end == End::Broken || is_lost {
-        crash::suspect(vm, replica, Broken { content: job.content, ran: false });
+        crash::suspect(vm, replica, OpenRequest { content: job.content, was_stable: false });
     }
     outcome
 }
--- a/src/forward/choice/version.rs
+++ b/src/forward/choice/version.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::canary;
 use crate::forward::call::Call;
-use crate::forward::kept::{self, Draw};
+use crate::forward::pinned::{self, Draw};
 use crate::forward::replica::Phase;
 use crate::forward::server::Server;
 use crate::forward::vm::Vm;
@@ -91,14 +91,14 @@
             let name = call.session.as_deref().unwrap_or(&call.id);
             let sessions = vm.sessions.borrow();
             let last = call.session.as_deref().and_then(|one| sessions.version(one, gap, now));
-            let is_young = kept::is_young(vm, rollout, now);
+            let is_young = pinned::is_pinning(vm, rollout, now);
             let draw = Draw::new(service, &rollout.version, name);
             let point = draw.point();
             let drawn = Why::Drawn { point, share, known: last.is_some() };
             match last {
                 Some(last) if *last == rollout.version => (new, Why::Kept),
                 Some(_) if is_young => (old, Why::Kept),
-                None if is_young && vm.kept.borrow().has(draw, gap, now) => (old, Why::Heard),
+                None if is_young && vm.kept.borrow().is_pinned(draw, gap, now) => (old, Why::Heard),
                 _ if point < share => (new, drawn),
                 _ => (old, drawn),
             }
@@ -125,6 +125,6 @@
         .map(|id| (hash::stable(&[service.as_str(), id.as_str()]), id))
         .collect();
     ranked.sort();
-    ranked.truncate(canary::busy_servers(share, ranked.len()));
+    ranked.truncate(canary::trial_servers(share, ranked.len()));
     Some(ranked.into_iter().map(|(_, id)| id).collect())
 }
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -12,7 +12,7 @@
 use super::replica::Replica;
 use super::server::Fleet;
 use super::vm::Vm;
-use crate::decide::poison::Broken;
+use crate::decide::poison::OpenRequest;
 use crate::engine::check::{self, Found};
 
 /// What a broken answer means for the life of its server, as far as this VM knows.
@@ -26,7 +26,7 @@
 }
 
 /// The answer to a request broke off at a life of a server.
-pub fn suspect(vm: &Rc<Vm>, replica: &Replica, request: Broken) {
+pub fn suspect(vm: &Rc<Vm>, replica: &Replica, request: OpenRequest) {
     match next(&mut vm.fleet.borrow_mut(), replica, request) {
         Next::IsOver => {}
         Next::Check => {
@@ -38,7 +38,7 @@
     note(vm, replica, vec![request], Found::IsGone);
 }
 
-fn next(fleet: &mut Fleet, replica: &Replica, request: Broken) -> Next {
+fn next(fleet: &mut Fleet, replica: &Replica, request: OpenRequest) -> Next {
     let Some(server) = fleet.get_mut(&replica.id) else { return Next::Nothing };
     if !server.replica.is_life_of(replica) {
         return Next::IsOver;
@@ -71,7 +71,7 @@
     note(&vm, &replica, broken, found);
 }
 
-fn note(vm: &Rc<Vm>, replica: &Replica, broken: Vec<Broken>, found: Found) {
+fn note(vm: &Rc<Vm>, replica: &Replica, broken: Vec<OpenRequest>, found: Found) {
     let outcome = format!("{found:?}");
     vm.metrics.checks.with_label_values(&[replica.service.as_str(), &outcome]).inc();
     let texts: Vec<String> = broken.iter().map(|one| one.content.to_string()).collect();
--- a/src/forward/drive.rs
+++ b/src/forward/drive.rs
@@ -9,7 +9,7 @@
 use super::job::Job;
 use super::poison;
 use super::replica::Replica;
-use super::watched::Watched;
+use super::trial_attempt::TrialAttempt;
 use crate::config::Repeat;
 use crate::decide::ends::{self, End, Last, Next};
 use crate::decide::escalate;
@@ -151,10 +151,10 @@
     let begun = vm.now();
     let named = model.or(job.call.model.as_ref());
     let (sent, waiting) = job.send(place, model);
-    let mut trial = Watched::new(job, replica, begun, sent.expected);
+    let mut trial = TrialAttempt::new(job, replica, begun, sent.expected);
     let attempt = attempt::run(job, replica, model, job.call.after_event, waiting, until);
     let outcome = trial.wait(attempt).await;
-    trial.ended(outcome.end);
+    trial.on_end(outcome.end);
     if outcome.end == End::Good {
         let took = vm.now().since(begun);
         vm.learn_pace(named, sent.unread, took);
@@ -206,16 +206,16 @@
     let place = choice::server(&job.vm, &job.wish(Some(&larger), &[]), now)?;
     let left = (job.arrived + job.route.goal).since(now);
     let pressure = job.vm.pressure(&job.service, now);
-    let known = escalate::Known {
+    let known = escalate::Inputs {
         confidence,
-        keep_from: job.vm.settings.keep_confidence / 100.0,
+        keep_confidence: job.vm.settings.keep_confidence / 100.0,
         pressure,
-        waits: Span(place.until_read.0 - place.reads.0),
-        reads: place.reads,
-        left,
+        queue_wait: Span(place.until_read.0 - place.reads.0),
+        prefill_time: place.reads,
+        time_left: left,
     };
     job.record.weighed(&known);
-    let may = escalate::gives_way(&known) && job.vm.spend_spare(&job.service, now);
+    let may = escalate::should_escalate(&known) && job.vm.spend_spare(&job.service, now);
     may.then_some(larger)
 }
 
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -13,7 +13,7 @@
 use super::pack::{Change, Packed};
 use super::poison;
 use super::restore::Notice;
-use super::tally;
+use super::rollout_counts;
 use crate::platform::object::Object;
 use crate::unit::{Moment, Position, Revision, Span, Vm};
 
@@ -99,9 +99,9 @@
     /// The last restore of the store, if owners may not have had time to write again.
     pub restore: Option<Notice>,
     /// What it makes of versions that are rolled out.
-    pub verdicts: Vec<tally::Told>,
+    pub verdicts: Vec<rollout_counts::VersionVerdict>,
     /// Contents that it holds back.
-    pub held: Vec<poison::Told>,
+    pub held: Vec<poison::QuarantinedContent>,
 }
 
 impl News {
@@ -128,9 +128,9 @@
     /// The last restore of the store, if owners may not have had time to write again.
     pub restore: Option<Notice>,
     /// What it makes of versions that are rolled out.
-    pub verdicts: Vec<tally::Told>,
+    pub verdicts: Vec<rollout_counts::VersionVerdict>,
     /// Contents that it holds back.
-    pub held: Vec<poison::Told>,
+    pub held: Vec<poison::QuarantinedContent>,
 }
 
 /// The objects that a VM knows, and their last changes.
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -13,12 +13,12 @@
 use super::poison;
 use super::reader::{self, HELD_UP, Reply};
 use super::role::{Decline, Role};
-use super::tally::{self, Seen, Tally};
-use super::trial::Trials;
+use super::rollout_counts::{self, Observations, SentCounts};
+use super::trial::RolloutTrial;
 use super::vm::Vm;
 use crate::decide::reader::{
-    self as decide, ASK_EVERY, ASK_SOON, Asked, FIRST_ANSWER_WITHIN, Rank, SETTLED, Without,
-    YOUNG_FOR, may_be_taken, time_to_ask,
+    self as decide, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Rank,
+    STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, answer_timeout, may_accept,
 };
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
@@ -34,18 +34,18 @@
     let mut follower = Follower {
         vm,
         begun,
-        asked: Asked::default(),
+        asked: SourceHistory::default(),
         places: HashMap::new(),
         known: None,
         lost_since: None,
-        tally: Tally::default(),
+        tally: SentCounts::default(),
     };
     loop {
-        let pause = if follower.look().await { ASK_EVERY } else { ASK_SOON };
+        let pause = if follower.look().await { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let expected = follower.vm.now() + pause;
         let asked_again = follower.vm.ask_again.notified();
         if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
-            follower.asked.forget_declined();
+            follower.asked.clear_declined();
         }
         let now = follower.vm.now();
         if now.since(expected) >= HELD_UP {
@@ -59,7 +59,7 @@
     vm: Rc<Vm>,
     /// When it began.
     begun: Moment,
-    asked: Asked,
+    asked: SourceHistory,
     /// How far it has come with the news of each VM.
     places: HashMap<Name, Place>,
     /// Of when its knowledge of servers is; none while it reads for itself.
@@ -67,7 +67,7 @@
     /// Since when those that answer say that the store is lost.
     lost_since: Option<Moment>,
     /// What others were told of versions that are rolled out.
-    tally: Tally,
+    tally: SentCounts,
 }
 
 /// The VMs that one may ask.
@@ -84,7 +84,7 @@
     name: Name,
     asked: Moment,
     /// What was told with it.
-    seen: Vec<Seen>,
+    seen: Vec<Observations>,
     reply: Reply,
 }
 
@@ -126,11 +126,11 @@
     fn time_to_ask(&self, circle: &Circle) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.told_lost.get() || self.is_told_lost(circle);
-        time_to_ask(self.known.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
+        answer_timeout(self.known.filter(|_| !lost), self.vm.settings.bounds.leave_within, now)
     }
 
     fn is_told_lost(&self, circle: &Circle) -> bool {
-        self.asked.is_told_lost(&circle.own, circle.group.iter(), self.vm.now())
+        self.asked.is_store_reported_lost(&circle.own, circle.group.iter(), self.vm.now())
     }
 
     /// Whether this VM has just started and had no news yet.
@@ -139,7 +139,7 @@
     }
 
     fn is_young(&self) -> bool {
-        self.vm.now().since(self.begun) < YOUNG_FOR
+        self.vm.now().since(self.begun) < STARTUP_WAIT
     }
 
     fn circle(&self) -> Circle {
@@ -149,7 +149,8 @@
         let peers = vm.peers.borrow();
         let (group, others) = peers.groups(&vm.settings.data_centre);
         let firsts = others.into_values();
-        let firsts = firsts.filter_map(|group| self.asked.first(group.iter(), now).cloned());
+        let firsts =
+            firsts.filter_map(|group| self.asked.first_responsive(group.iter(), now).cloned());
         let firsts = firsts.collect();
         Circle { own, group, firsts }
     }
@@ -172,11 +173,11 @@
     fn next(&self, circle: &Circle) -> Option<Name> {
         let now = self.vm.now();
         let next = if self.place(circle) != decide::Place::First {
-            self.asked.next(&circle.own, circle.group.iter(), now)
+            self.asked.next_source(&circle.own, circle.group.iter(), now)
         } else if self.vm.store_lost.get() || self.vm.doubts_store.get() {
-            self.asked.any(circle.firsts.iter(), now)
+            self.asked.any_source(circle.firsts.iter(), now)
         } else {
-            self.asked.next(&circle.own, circle.firsts.iter(), now)
+            self.asked.next_source(&circle.own, circle.firsts.iter(), now)
         };
         next.cloned()
     }
@@ -186,12 +187,12 @@
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
         let within = match self.is_new() {
-            true => FIRST_ANSWER_WITHIN,
+            true => FIRST_ANSWER_TIMEOUT,
             false => self.time_to_ask(circle)?,
         };
         let place = self.places.get(&name).copied().unwrap_or_default();
         let is_first = vm.first_since.get().is_some();
-        let seen = self.tally.news(vm, &name, is_first);
+        let seen = self.tally.unsent(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
             Some(address) => reader::ask(vm, address, place, &seen, within).await,
@@ -206,14 +207,14 @@
         let now = self.vm.now();
         if !matches!(reply, Reply::Silence) {
             peer::heard(&self.vm, &name);
-            self.tally.note(&name, seen);
+            self.tally.record_sent(&name, seen);
         }
         match reply {
             Reply::News(news) => return self.take_news(&name, asked, &news),
-            Reply::Declined(Decline::KnowsTooLittle) => self.asked.unready(&name, now),
-            Reply::Declined(_) => self.asked.declined(&name, now),
-            Reply::Silence if self.is_new() => self.asked.unheard(&name, now),
-            Reply::Silence => self.asked.silent(&name, now),
+            Reply::Declined(Decline::KnowsTooLittle) => self.asked.on_not_ready(&name, now),
+            Reply::Declined(_) => self.asked.on_declined(&name, now),
+            Reply::Silence if self.is_new() => self.asked.on_startup_timeout(&name, now),
+            Reply::Silence => self.asked.on_timeout(&name, now),
         }
         Worth::None
     }
@@ -222,36 +223,38 @@
         let vm = self.vm.clone();
         let Origin { reader, hops } = &news.origin;
         let is_lost = news.store == Store::IsLost;
-        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.reads()) {
-            self.asked.declined(from, vm.now());
+        if !may_accept(reader, *hops, &vm.settings.vm) || (is_lost && vm.reads()) {
+            self.asked.on_declined(from, vm.now());
             return Worth::None;
         }
         if is_lost {
             // Another may reach the store; this one is asked on, to hear of its return.
-            self.asked.lost(from, vm.now());
+            self.asked.on_store_lost(from, vm.now());
             let lost_since = *self.lost_since.get_or_insert(vm.now());
-            if *vm.role.borrow() == Role::Joins && vm.now().since(lost_since) < SETTLED {
+            if *vm.role.borrow() == Role::Joins
+                && vm.now().since(lost_since) < STORE_LOSS_CONFIRMED_AFTER
+            {
                 return Worth::Old;
             }
         }
         let position = news.position();
         if position.era < vm.era.newest() {
             vm.log("news of an older era", &[("from", from.as_str().into())]);
-            self.asked.declined(from, vm.now());
+            self.asked.on_declined(from, vm.now());
             return Worth::None;
         }
         vm.enter_with(position.era, news.restore.as_ref().map(|restore| restore.at(asked)));
         let Some(changes) = news.changes.changes() else {
             let bytes = ("bytes", news.changes.size().into());
             vm.log("news not read", &[("from", from.as_str().into()), bytes]);
-            self.asked.declined(from, vm.now());
+            self.asked.on_declined(from, vm.now());
             return Worth::None;
         };
         self.places.insert(from.clone(), news.place);
         if !is_lost {
             vm.hear_store(news.store, asked);
         }
-        tally::hear_verdicts(&vm, &news.verdicts);
+        rollout_counts::apply_verdicts(&vm, &news.verdicts);
         poison::hear_held(&vm, from.as_str(), &news.held, asked);
         apply(&vm, asked, from, news, &changes);
         let disputed = news.restore.iter().flat_map(|restore| &restore.disputed);
@@ -265,7 +268,7 @@
             }
             return Worth::Old;
         }
-        self.asked.answered(from);
+        self.asked.on_update(from);
         self.lost_since = None;
         follow(&vm, from, news);
         Worth::News
@@ -280,21 +283,22 @@
         self.note_place(circle);
         let now = vm.now();
         let bound = vm.settings.bounds.leave_within;
-        let without = Without {
+        let without = FollowerState {
             place: self.place(circle),
-            others: !circle.firsts.is_empty(),
-            may_ask: self.next(circle).is_some(),
-            lost: self.is_told_lost(circle),
-            knows: self.known.is_some(),
-            is_young: self.is_young(),
-            overdue: time_to_ask(self.known, bound, now).is_none(),
+            has_other_groups: !circle.firsts.is_empty(),
+            has_source: self.next(circle).is_some(),
+            is_store_lost: self.is_told_lost(circle),
+            has_snapshot: self.known.is_some(),
+            is_starting: self.is_young(),
+            is_overdue: answer_timeout(self.known, bound, now).is_none(),
         };
-        if decide::reads(&without) {
+        if decide::should_read_store(&without) {
             read(vm, &without);
             self.known = None;
             return true;
         }
-        is_told && self.lost_since.is_some_and(|since| now.since(since) >= SETTLED)
+        is_told
+            && self.lost_since.is_some_and(|since| now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
     }
 }
 
@@ -377,18 +381,18 @@
     vm.role.send_replace(role);
 }
 
-fn read(vm: &Vm, without: &Without) {
+fn read(vm: &Vm, without: &FollowerState) {
     let place = format!("{:?}", without.place);
     let fields = [
         ("place", place.as_str().into()),
-        ("told_lost", without.lost.into()),
-        ("overdue", without.overdue.into()),
+        ("told_lost", without.is_store_lost.into()),
+        ("overdue", without.is_overdue.into()),
     ];
     vm.log("reads the store itself", &fields);
     vm.told_lost.set(false);
-    vm.unsure.set(without.lost);
+    vm.unsure.set(without.is_store_lost);
     vm.prove.notify_one();
     vm.origin.replace(None);
-    vm.trials.borrow_mut().values_mut().for_each(Trials::forget_verdict);
+    vm.trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
     vm.role.send_replace(Role::Reads);
 }
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -238,12 +238,15 @@
     }
 
     /// It was weighed whether a small model's answer gives way.
-    pub fn weighed(&self, known: &escalate::Known) {
+    pub fn weighed(&self, known: &escalate::Inputs) {
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " confidence {:.2}", known.confidence);
         let _ = write!(trail, " pressure {:.2}", known.pressure);
-        let _ =
-            write!(trail, " larger waits {} reads {} of {}", known.waits, known.reads, known.left);
+        let _ = write!(
+            trail,
+            " larger waits {} reads {} of {}",
+            known.queue_wait, known.prefill_time, known.time_left
+        );
     }
 
     /// An attempt ended.
--- a/src/forward/learn.rs
+++ b/src/forward/learn.rs
@@ -354,7 +354,7 @@
     vm.log("roll-out", &fields);
     let mut trials = vm.trials.borrow_mut();
     let trial = trials.entry(rollout.service.clone()).or_default();
-    trial.follow(&rollout.version, vm.now());
+    trial.track_version(&rollout.version, vm.now());
     if rollout.phase == Some(Phase::Completed) {
         vm.fleet.borrow_mut().settle(&rollout.service, &rollout.version);
     }
--- a/src/forward/life.rs
+++ b/src/forward/life.rs
@@ -1,6 +1,6 @@
 //! How a life of a backend server goes on, as far as a VM knows.
 
-use crate::decide::poison::Broken;
+use crate::decide::poison::OpenRequest;
 
 /// What is known of how a life of a server goes on.
 #[derive(Debug, Default)]
@@ -9,7 +9,7 @@
     #[default]
     GoesOn,
     /// Answers to these requests broke off, and it is being checked.
-    Doubtful(Vec<Broken>),
+    Doubtful(Vec<OpenRequest>),
     /// It has crashed.
     Over,
 }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -9,8 +9,8 @@
 use actix_web::rt::spawn;
 use tokio::sync::mpsc;
 
-use super::kept;
 use super::kind::VMS;
+use super::pinned;
 use super::poison;
 use super::reader;
 use super::role::Role;
@@ -214,9 +214,9 @@
         }
         Word::Seen { service, version, routes } => {
             let mut trials = vm.trials.borrow_mut();
-            trials.entry(service).or_default().hear(Source::Vm(from), &version, routes);
+            trials.entry(service).or_default().merge_totals(Source::Vm(from), &version, routes);
         }
-        Word::Kept { service, version, draws } => kept::hear(vm, &service, &version, draws),
+        Word::Kept { service, version, draws } => pinned::on_pinned(vm, &service, &version, draws),
         Word::Poison(news) => poison::hear(vm, from.as_str(), &news),
         Word::Leaves(life) => said::hear_leave(vm, from.as_str(), &life),
         Word::Limit { server, born, address, rate, age } => {
--- a/src/forward/kept.rs
+++ b/src/forward/pinned.rs
@@ -15,13 +15,13 @@
 use crate::unit::{Moment, Service, Span, Version, hash};
 
 /// Time between two looks. The first sessions go to a new version a second after the order at the earliest.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What was told counts for this many gaps between the requests of a session, and is told again after one.
-const COUNTS_FOR: u64 = 2;
+const VALID_GAPS: u64 = 2;
 
 /// Sessions told at once.
-const MOST: usize = 500;
+const MAX_DRAWS_PER_MESSAGE: usize = 500;
 
 /// The draw of a session, or of a request without one, for a version of a service: the same on all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -41,57 +41,62 @@
 
 /// Draws of sessions that keep the old version, and when they were told or heard last.
 #[derive(Default)]
-pub struct Kept {
-    heard: HashMap<Draw, Moment>,
-    swept: Moment,
+pub struct PinnedSessions {
+    seen_at: HashMap<Draw, Moment>,
+    last_sweep: Moment,
 }
 
-impl Kept {
+impl PinnedSessions {
     /// Whether a VM said that a session keeps the old version.
-    pub fn has(&self, draw: Draw, gap: Span, now: Moment) -> bool {
-        self.heard.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * COUNTS_FOR))
+    pub fn is_pinned(&self, draw: Draw, gap: Span, now: Moment) -> bool {
+        self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * VALID_GAPS))
     }
 
     /// Takes draws that are told or heard. Those that were not within the last gap.
-    pub fn note(&mut self, draws: impl Iterator<Item = Draw>, gap: Span, now: Moment) -> Vec<Draw> {
-        if now.since(self.swept) > gap {
-            self.swept = now;
-            self.heard.retain(|_, at| now.since(*at) < Span(gap.0 * COUNTS_FOR));
+    pub fn record(
+        &mut self,
+        draws: impl Iterator<Item = Draw>,
+        gap: Span,
+        now: Moment,
+    ) -> Vec<Draw> {
+        if now.since(self.last_sweep) > gap {
+            self.last_sweep = now;
+            self.seen_at.retain(|_, at| now.since(*at) < Span(gap.0 * VALID_GAPS));
         }
-        let is_new = |draw: &Draw| self.heard.get(draw).is_none_or(|at| now.since(*at) >= gap);
-        let new: Vec<Draw> = draws.filter(is_new).collect();
-        self.heard.extend(new.iter().map(|draw| (*draw, now)));
-        new
+        let is_new = |draw: &Draw| self.seen_at.get(draw).is_none_or(|at| now.since(*at) >= gap);
+        let unseen: Vec<Draw> = draws.filter(is_new).collect();
+        self.seen_at.extend(unseen.iter().map(|draw| (*draw, now)));
+        unseen
     }
 }
 
 /// Tells the others what they should know until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let now = vm.now();
-        let young: Vec<Rollout> = {
+        let pinning: Vec<Rollout> = {
             let rollouts = vm.rollouts.borrow();
-            rollouts.values().filter(|rollout| is_young(&vm, rollout, now)).cloned().collect()
+            rollouts.values().filter(|rollout| is_pinning(&vm, rollout, now)).cloned().collect()
         };
-        for rollout in young {
-            let own = own(&vm, &rollout, now);
-            take(&vm, &rollout.service, &rollout.version, own, now);
+        for rollout in pinning {
+            let own_draws = own_draws(&vm, &rollout, now);
+            record_and_broadcast(&vm, &rollout.service, &rollout.version, own_draws, now);
         }
     }
 }
 
 /// Takes what another VM told. Among many VMs it goes on to the neighbours of this one.
-pub fn hear(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
+pub fn on_pinned(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
     if vm.peers.borrow().are_few() {
-        vm.kept.borrow_mut().note(draws.into_iter(), vm.settings.bounds.session_gap, vm.now());
+        vm.kept.borrow_mut().record(draws.into_iter(), vm.settings.bounds.session_gap, vm.now());
     } else {
-        take(vm, service, version, draws, vm.now());
+        record_and_broadcast(vm, service, version, draws, vm.now());
     }
 }
 
 /// Whether sessions keep their version for now: in the first half of a roll-out's time.
-pub fn is_young(vm: &Vm, rollout: &Rollout, now: Moment) -> bool {
+pub fn is_pinning(vm: &Vm, rollout: &Rollout, now: Moment) -> bool {
     let trials = vm.trials.borrow();
     let trial = trials.get(&rollout.service);
     let first_half = trial.is_none_or(|trial| trial.age(now).0 * 2 < rollout.within.0);
@@ -99,8 +104,8 @@
 }
 
 /// Draws of this VM's live sessions that went to the old version, though the first share has them.
-fn own(vm: &Vm, rollout: &Rollout, now: Moment) -> Vec<Draw> {
-    let share = canary::first(vm.settings.bounds.exposure);
+fn own_draws(vm: &Vm, rollout: &Rollout, now: Moment) -> Vec<Draw> {
+    let share = canary::first_share(vm.settings.bounds.exposure);
     let sessions = vm.sessions.borrow();
     let live = sessions.live(vm.settings.bounds.session_gap, now);
     let old = live.filter(|(_, version)| **version != rollout.version);
@@ -109,11 +114,17 @@
 }
 
 /// Notes draws, and tells those that are news.
-fn take(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>, now: Moment) {
+fn record_and_broadcast(
+    vm: &Rc<Vm>,
+    service: &Service,
+    version: &Version,
+    draws: Vec<Draw>,
+    now: Moment,
+) {
     let gap = vm.settings.bounds.session_gap;
-    let new = vm.kept.borrow_mut().note(draws.into_iter(), gap, now);
-    for some in new.chunks(MOST) {
+    let unseen = vm.kept.borrow_mut().record(draws.into_iter(), gap, now);
+    for chunk in unseen.chunks(MAX_DRAWS_PER_MESSAGE) {
         let (service, version) = (service.clone(), version.clone());
-        peer::tell(vm, &Word::Kept { service, version, draws: some.to_vec() });
+        peer::tell(vm, &Word::Kept { service, version, draws: chunk.to_vec() });
     }
 }
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -9,7 +9,7 @@
 use super::role::Role;
 use super::roster;
 use super::vm::Vm;
-use crate::decide::reader::ASK_SOON;
+use crate::decide::reader::FAST_POLL_INTERVAL;
 use crate::platform::object::CONFIG;
 use crate::platform::objects::{Objects, Read, Trouble};
 use crate::unit::Span;
@@ -95,7 +95,7 @@
     while vm.now() < until {
         vm.ask_again.notify_one();
         let follows = role.wait_for(|role| *role != Role::Reads);
-        if tokio::time::timeout(ASK_SOON.duration(), follows).await.is_ok() {
+        if tokio::time::timeout(FAST_POLL_INTERVAL.duration(), follows).await.is_ok() {
             return true;
         }
     }
--- a/src/forward/reader.rs
+++ b/src/forward/reader.rs
@@ -15,7 +15,7 @@
 use super::poison;
 use super::restore::Notice;
 use super::role::Decline;
-use super::tally::{self, Seen};
+use super::rollout_counts::{self, Observations};
 use super::vm::Vm;
 use crate::decide::reader::is_stale;
 use crate::peer::wire::{decode, encode};
@@ -37,9 +37,9 @@
     /// How far it has come.
     place: Place,
     /// What it has seen of versions that are rolled out, as far as this is news.
-    seen: Vec<Seen>,
+    seen: Vec<Observations>,
     /// Contents that it holds back.
-    held: Vec<poison::Told>,
+    held: Vec<poison::QuarantinedContent>,
 }
 
 /// What came of a question.
@@ -53,7 +53,13 @@
 }
 
 /// Asks the VM at `to` for what changed since `place`, and tells it what was `seen` of versions.
-pub async fn ask(vm: &Vm, to: SocketAddr, place: Place, seen: &[Seen], within: Span) -> Reply {
+pub async fn ask(
+    vm: &Vm,
+    to: SocketAddr,
+    place: Place,
+    seen: &[Observations],
+    within: Span,
+) -> Reply {
     let Some(links) = vm.peers.borrow().links() else { return Reply::Silence };
     let from = vm.settings.vm.clone();
     let (seen, held) = (seen.to_vec(), poison::held(vm));
@@ -73,7 +79,7 @@
         return encode(&Err::<News, Decline>(Decline::Unreadable));
     };
     peer::heard(vm, &from);
-    tally::hear(vm, seen);
+    rollout_counts::merge_counts(vm, seen);
     poison::hear_held(vm, from.as_str(), &held, vm.now());
     let news = news(vm, place);
     tell_decline(vm, news.as_ref().err().copied());
@@ -114,7 +120,7 @@
     }
     vm.asked.set(Some(now));
     let proof_age = vm.proof_age(now);
-    let verdicts = tally::verdicts(vm);
+    let verdicts = rollout_counts::verdicts(vm);
     let store = store(vm, check_ages(vm, proof_age))?;
     let held = poison::held(vm);
     let configuration = vm.routes().map(|table| table.revision);
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -13,7 +13,7 @@
 use super::poison;
 use crate::config::Repeat;
 use crate::decide::ends::End;
-use crate::decide::poison::{Broken, RAN_FOR};
+use crate::decide::poison::{OpenRequest, STABLE_AFTER};
 use crate::unit::{Moment, Span};
 
 /// Pause until the budget of repeats is asked again.
@@ -132,8 +132,8 @@
                 server.standing.note(End::Broken, usual, vm.now());
             }
         }
-        let ran = vm.now().since(self.begun.stream.begun) >= RAN_FOR;
-        crash::suspect(&vm, broken, Broken { content: self.job.content, ran });
+        let ran = vm.now().since(self.begun.stream.begun) >= STABLE_AFTER;
+        crash::suspect(&vm, broken, OpenRequest { content: self.job.content, was_stable: ran });
         if self.job.route.repeat != Repeat::Resume {
             return Err(why);
         }
--- a/src/forward/tally.rs
+++ b/src/forward/rollout_counts.rs
@@ -11,13 +11,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::trial::{Routes, Source, Verdict};
+use super::trial::{Source, TotalsByRoute, Verdict};
 use super::vm::Vm;
 use crate::unit::{Service, Version, Vm as Name};
 
 /// What a source has seen of a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observations {
     /// The service.
     pub service: Service,
     /// The new version.
@@ -25,12 +25,12 @@
     /// Whose counts they are.
     pub source: Source,
     /// The counts by route.
-    pub routes: Routes,
+    pub routes: TotalsByRoute,
 }
 
 /// What the fleet's evidence says of a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct VersionVerdict {
     /// The service.
     pub service: Service,
     /// The new version.
@@ -41,29 +41,29 @@
 
 /// What one VM was told last by this one, for each service.
 #[derive(Default)]
-pub struct Tally {
-    told: HashMap<Service, (Name, Seen)>,
+pub struct SentCounts {
+    sent: HashMap<Service, (Name, Observations)>,
 }
 
-impl Tally {
+impl SentCounts {
     /// What the VM `to` does not know yet of what this one has seen; of its group, if this is the `first`.
-    pub fn news(&self, vm: &Vm, to: &Name, first: bool) -> Vec<Seen> {
-        let is_news = |seen: &Seen| {
-            let told = self.told.get(&seen.service);
-            told.is_none_or(|(told_to, told)| told_to != to || told != seen)
+    pub fn unsent(&self, vm: &Vm, to: &Name, first: bool) -> Vec<Observations> {
+        let is_unsent = |seen: &Observations| {
+            let sent = self.sent.get(&seen.service);
+            sent.is_none_or(|(sent_to, sent)| sent_to != to || sent != seen)
         };
-        seen(vm, first).into_iter().filter(is_news).collect()
+        observations(vm, first).into_iter().filter(is_unsent).collect()
     }
 
     /// The VM `to` has taken what it was told.
-    pub fn note(&mut self, to: &Name, seen: Vec<Seen>) {
-        let noted = seen.into_iter().map(|one| (one.service.clone(), (to.clone(), one)));
-        self.told.extend(noted);
+    pub fn record_sent(&mut self, to: &Name, seen: Vec<Observations>) {
+        let sent = seen.into_iter().map(|one| (one.service.clone(), (to.clone(), one)));
+        self.sent.extend(sent);
     }
 }
 
 /// Counts of the roll-outs that run. Among few VMs each tells each, so there are none to pass on.
-fn seen(vm: &Vm, first: bool) -> Vec<Seen> {
+fn observations(vm: &Vm, first: bool) -> Vec<Observations> {
     if vm.peers.borrow().are_few() {
         return Vec::new();
     }
@@ -74,8 +74,8 @@
     let trials = vm.trials.borrow();
     let counts = |(service, version): (Service, Version)| {
         let trial = trials.get(&service)?;
-        let routes = if first { trial.of_group() } else { trial.own().clone() };
-        let seen = Seen { service, version, source: source.clone(), routes };
+        let routes = if first { trial.group_totals() } else { trial.own_totals().clone() };
+        let seen = Observations { service, version, source: source.clone(), routes };
         (!seen.routes.is_empty()).then_some(seen)
     };
     running(vm).into_iter().filter_map(counts).collect()
@@ -89,27 +89,27 @@
 }
 
 /// Takes what those that follow this VM have seen.
-pub fn hear(vm: &Vm, seen: Vec<Seen>) {
+pub fn merge_counts(vm: &Vm, seen: Vec<Observations>) {
     let mut trials = vm.trials.borrow_mut();
-    for Seen { service, version, source, routes } in seen {
-        trials.entry(service).or_default().hear(source, &version, routes);
+    for Observations { service, version, source, routes } in seen {
+        trials.entry(service).or_default().merge_totals(source, &version, routes);
     }
 }
 
 /// What this VM makes of all that it knows, for those that follow it.
-pub fn verdicts(vm: &Vm) -> Vec<Told> {
+pub fn verdicts(vm: &Vm) -> Vec<VersionVerdict> {
     let trials = vm.trials.borrow();
     let verdict = |(service, version): (Service, Version)| {
         let verdict = trials.get(&service)?.verdict();
-        Some(Told { service, version, verdict })
+        Some(VersionVerdict { service, version, verdict })
     };
     running(vm).into_iter().filter_map(verdict).collect()
 }
 
 /// Takes the verdicts of the VM that this one follows.
-pub fn hear_verdicts(vm: &Vm, told: &[Told]) {
+pub fn apply_verdicts(vm: &Vm, verdicts: &[VersionVerdict]) {
     let mut trials = vm.trials.borrow_mut();
-    for Told { service, version, verdict } in told {
-        trials.entry(service.clone()).or_default().hear_verdict(version, *verdict);
+    for VersionVerdict { service, version, verdict } in verdicts {
+        trials.entry(service.clone()).or_default().set_upstream_verdict(version, *verdict);
     }
 }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -10,7 +10,7 @@
 use super::kind::Kind;
 use super::settings::Settings;
 use super::vm::Vm;
-use super::{door, follower, kept, peer, poison, proof, restore, steps, wake};
+use super::{door, follower, peer, pinned, poison, proof, restore, steps, wake};
 use crate::error::Error;
 use crate::platform;
 use crate::unit::Span;
@@ -52,7 +52,7 @@
     spawn(restore::broadcast_disputes(vm.clone()));
     spawn(follow::expire(vm.clone()));
     spawn(steps::run(vm.clone()));
-    spawn(kept::run(vm.clone()));
+    spawn(pinned::run(vm.clone()));
     spawn(wake::run(vm.clone()));
     spawn(peer::run(vm.clone()));
     spawn(follower::run(vm.clone()));
--- a/src/forward/trial.rs
+++ b/src/forward/trial.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::canary::{self, Trial};
+use crate::decide::canary::{self, Comparison};
 use crate::decide::sequential::Count;
 use crate::unit::{DataCentre, Moment, Span, Version, Vm as Name};
 
@@ -12,20 +12,20 @@
 /// it: the reading of its prompt, or, without one, the old version's usual time for its route. Where
 /// servers are overloaded, two in five answers of a sound version are slow in the first degree, and a
 /// slow version stands out in the higher ones only.
-const SLOW: [f64; DEGREES] = [2.5, 6.0, 15.0];
-const DEGREES: usize = 3;
+const SLOW_FACTORS: [f64; SLOWNESS_LEVELS] = [2.5, 6.0, 15.0];
+const SLOWNESS_LEVELS: usize = 3;
 
 /// And at least this much longer, so that jitter of fast answers does not count.
-const SLOW_LEAST: Span = Span::millis(15);
+const MIN_SLOW_EXCESS: Span = Span::millis(15);
 
 /// Time that any answer of a model takes beside the reading of its prompt, at least.
-const ON_THE_WAY: Span = Span::millis(25);
+const MIN_OVERHEAD: Span = Span::millis(25);
 
 /// Step of the running median, as a share of it.
-const STEP: f64 = 0.05;
+const MIN_MEDIAN_STEP: f64 = 0.05;
 
 /// Answers before a median is believed.
-const KNOWN: u32 = 10;
+const MIN_MEDIAN_SAMPLES: u32 = 10;
 
 /// A running median of times.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,30 +35,30 @@
 }
 
 impl Median {
-    fn note(&mut self, time: f64) {
+    fn record(&mut self, time: f64) {
         if self.seen == 0 {
             self.value = time;
         }
         // Large steps first, so that a first answer that was odd is soon forgotten.
-        let step = STEP.max(1.0 / f64::from(self.seen + 1)).min(0.5);
+        let step = MIN_MEDIAN_STEP.max(1.0 / f64::from(self.seen + 1)).min(0.5);
         let direction = if time > self.value { 1.0 } else { -1.0 };
         self.value += direction * step * self.value;
         self.seen += 1;
     }
 
     /// In how many degrees a time is slow.
-    fn degree(&self, time: f64) -> usize {
-        if self.seen < KNOWN || time <= self.value + SLOW_LEAST.0 as f64 {
+    fn level(&self, time: f64) -> usize {
+        if self.seen < MIN_MEDIAN_SAMPLES || time <= self.value + MIN_SLOW_EXCESS.0 as f64 {
             return 0;
         }
-        SLOW.iter().filter(|times| time > self.value * **times).count()
+        SLOW_FACTORS.iter().filter(|times| time > self.value * **times).count()
     }
 }
 
 /// The longest times of an answer that is not slow in each degree, if its first event was due within
 /// `expected`.
-pub fn slow_after(expected: Span) -> [Span; DEGREES] {
-    SLOW.map(|times| Span(((expected.0 + ON_THE_WAY.0) as f64 * times) as u64))
+pub fn slow_thresholds(expected: Span) -> [Span; SLOWNESS_LEVELS] {
+    SLOW_FACTORS.map(|times| Span(((expected.0 + MIN_OVERHEAD.0) as f64 * times) as u64))
 }
 
 /// Whose counts they are.
@@ -82,7 +82,7 @@
     /// Time to the answer or to the first event, or that it has been awaited; none if it failed.
     pub time: Option<Span>,
     /// Degrees of slowness in which it was noted before.
-    pub known_slow: usize,
+    pub reported_slow_levels: usize,
     /// Time within which the first event was due if the server holds nothing that this VM did not
     /// send it, if the request has a prompt. A new version that holds no prompt yet must not look slow
     /// beside one that holds many.
@@ -93,43 +93,43 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
     /// Failures.
-    pub failures: Trial,
+    pub failures: Comparison,
     /// Slow answers, by degree.
-    pub slow: [Trial; DEGREES],
+    pub slow: [Comparison; SLOWNESS_LEVELS],
 }
 
 impl Totals {
     fn plus(self, other: Totals) -> Totals {
-        let slow = std::array::from_fn(|degree| self.slow[degree].plus(other.slow[degree]));
+        let slow = std::array::from_fn(|level| self.slow[level].plus(other.slow[level]));
         Totals { failures: self.failures.plus(other.failures), slow }
     }
 
     /// Evidence that the new version is worse, in the way that tells most.
     fn evidence(&self) -> f64 {
-        let slow = self.slow.iter().map(Trial::evidence_of_slowness);
+        let slow = self.slow.iter().map(Comparison::evidence_of_slowness);
         slow.fold(self.failures.evidence(), f64::max)
     }
 }
 
 /// What was seen, by route. A version may be bad on one route only, and few of its answers lie
 /// there: what one VM sees of one route in a trial is some answers, what all see is enough.
-pub type Routes = HashMap<String, Totals>;
+pub type TotalsByRoute = HashMap<String, Totals>;
 
 /// Trials of one service.
 #[derive(Default)]
-pub struct Trials {
+pub struct RolloutTrial {
     /// The order's version that the counts are of.
     version: Option<Version>,
     since: Moment,
     bad: bool,
-    own: Routes,
+    own: TotalsByRoute,
     medians: HashMap<String, Median>,
     /// What other VMs have seen, and other groups of them.
-    others: HashMap<Source, Routes>,
+    others: HashMap<Source, TotalsByRoute>,
     /// What the VM that this one follows makes of what it knows.
-    heard: Option<Verdict>,
+    upstream_verdict: Option<Verdict>,
     /// What the others were told.
-    told: Routes,
+    sent: TotalsByRoute,
 }
 
 /// What the counts say of a new version.
@@ -141,66 +141,66 @@
     pub evidence: f64,
 }
 
-impl Trials {
+impl RolloutTrial {
     /// An order as it stands: counts begin anew with another version. `now` is when it was seen.
-    pub fn follow(&mut self, version: &Version, now: Moment) {
+    pub fn track_version(&mut self, version: &Version, now: Moment) {
         if self.version.as_ref() != Some(version) {
-            *self = Trials {
+            *self = RolloutTrial {
                 version: Some(version.clone()),
                 since: now,
                 medians: std::mem::take(&mut self.medians),
-                ..Trials::default()
+                ..RolloutTrial::default()
             };
         }
     }
 
     /// Notes an answer, or the moment when one that is awaited became slow.
-    pub fn note(&mut self, sample: &Sample) {
+    pub fn record(&mut self, sample: &Sample) {
         let is_new = self.version.as_ref() == Some(sample.version);
-        let degree = self.degree(sample, is_new);
+        let level = self.level(sample, is_new);
         if self.version.is_none() {
             return;
         }
-        let known = sample.known_slow;
+        let reported = sample.reported_slow_levels;
         let totals = self.own.entry(sample.route.to_owned()).or_default();
         let slow = totals.slow.iter_mut().enumerate();
-        let slow = slow.map(|(at, trial)| (trial, at >= known && at < degree));
+        let slow = slow.map(|(at, trial)| (trial, at >= reported && at < level));
         for (trial, bad) in slow.chain([(&mut totals.failures, sample.failed)]) {
             let count = if is_new { &mut trial.new } else { &mut trial.old };
-            *count = count.plus(Count::of(u64::from(known == 0), u64::from(bad)));
+            *count = count.plus(Count::of(u64::from(reported == 0), u64::from(bad)));
         }
-        self.bad = self.bad || (is_new && self.evidence() > canary::ACCUSED);
+        self.bad = self.bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
     }
 
     /// In how many degrees an answer was slow. Those of the old version teach what is usual for answers
     /// without a prompt.
-    fn degree(&mut self, sample: &Sample, is_new: bool) -> usize {
+    fn level(&mut self, sample: &Sample, is_new: bool) -> usize {
         let Some(time) = sample.time else { return 0 };
         if let Some(expected) = sample.expected {
-            return slow_after(expected).iter().filter(|limit| time > **limit).count();
+            return slow_thresholds(expected).iter().filter(|limit| time > **limit).count();
         }
         let median = self.medians.entry(sample.route.to_owned()).or_default();
-        let degree = median.degree(time.0 as f64);
+        let level = median.level(time.0 as f64);
         if !is_new {
-            median.note(time.0 as f64);
+            median.record(time.0 as f64);
         }
-        degree
+        level
     }
 
     /// What this VM has seen.
-    pub fn own(&self) -> &Routes {
+    pub fn own_totals(&self) -> &TotalsByRoute {
         &self.own
     }
 
     /// What this VM and others of its group have seen.
-    pub fn of_group(&self) -> Routes {
+    pub fn group_totals(&self) -> TotalsByRoute {
         self.sum(|source| matches!(source, Source::Vm(_)))
     }
 
     /// What this VM and others that were heard have seen, by route.
-    fn sum(&self, counts: impl Fn(&Source) -> bool) -> Routes {
+    fn sum(&self, included: impl Fn(&Source) -> bool) -> TotalsByRoute {
         let mut sums = self.own.clone();
-        let others = self.others.iter().filter(|(source, _)| counts(source));
+        let others = self.others.iter().filter(|(source, _)| included(source));
         for (route, totals) in others.flat_map(|(_, routes)| routes) {
             let sum = sums.entry(route.clone()).or_default();
             *sum = sum.plus(*totals);
@@ -215,7 +215,9 @@
         let all = sums.values().fold(Totals::default(), |sum, one| sum.plus(*one));
         let evidence = sums.values().map(Totals::evidence).fold(all.evidence(), f64::max);
         let counted = Verdict { seen: all.failures.new.all, evidence };
-        self.heard.filter(|heard| heard.seen >= counted.seen).unwrap_or(counted)
+        self.upstream_verdict
+            .filter(|upstream_verdict| upstream_verdict.seen >= counted.seen)
+            .unwrap_or(counted)
     }
 
     /// Evidence of all VMs that the new version is worse.
@@ -224,7 +226,7 @@
     }
 
     /// Takes what others have seen of a version; routes that are not named stay as they were.
-    pub fn hear(
+    pub fn merge_totals(
         &mut self,
         from: Source,
         version: &Version,
@@ -232,39 +234,39 @@
     ) {
         if self.version.as_ref() == Some(version) {
             self.others.entry(from).or_default().extend(routes);
-            self.bad = self.bad || self.evidence() > canary::ACCUSED;
+            self.bad = self.bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
         }
     }
 
     /// Takes the verdict of the VM that this one follows.
-    pub fn hear_verdict(&mut self, version: &Version, verdict: Verdict) {
+    pub fn set_upstream_verdict(&mut self, version: &Version, verdict: Verdict) {
         if self.version.as_ref() == Some(version) {
-            self.heard = Some(verdict);
-            self.bad = self.bad || self.evidence() > canary::ACCUSED;
+            self.upstream_verdict = Some(verdict);
+            self.bad = self.bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
         }
     }
 
     /// This VM follows none any more: what counts is what it is told from now on.
-    pub fn forget_verdict(&mut self) {
-        self.heard = None;
+    pub fn clear_upstream_verdict(&mut self) {
+        self.upstream_verdict = None;
     }
 
     /// What the others should be told: routes where more of the new version was seen than they know.
-    pub fn news(&mut self) -> Option<(Version, Vec<(String, Totals)>)> {
+    pub fn take_changed_totals(&mut self) -> Option<(Version, Vec<(String, Totals)>)> {
         let version = self.version.clone()?;
-        let is_news = |route: &String, totals: &Totals| {
-            let told = self.told.get(route).copied().unwrap_or_default();
-            totals.failures.new != told.failures.new
-                || (0..DEGREES).any(|at| totals.slow[at].new != told.slow[at].new)
+        let is_changed = |route: &String, totals: &Totals| {
+            let sent = self.sent.get(route).copied().unwrap_or_default();
+            totals.failures.new != sent.failures.new
+                || (0..SLOWNESS_LEVELS).any(|at| totals.slow[at].new != sent.slow[at].new)
         };
-        let news: Vec<(String, Totals)> = self
+        let changed: Vec<(String, Totals)> = self
             .own
             .iter()
-            .filter(|(route, totals)| is_news(route, totals))
+            .filter(|(route, totals)| is_changed(route, totals))
             .map(|(route, totals)| (route.clone(), *totals))
             .collect();
-        self.told.extend(news.iter().cloned());
-        (!news.is_empty()).then_some((version, news))
+        self.sent.extend(changed.iter().cloned());
+        (!changed.is_empty()).then_some((version, changed))
     }
 
     /// Whether this VM found the version bad.
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -8,18 +8,18 @@
 
 use super::era::Tracker;
 use super::feed::{Feed, Origin, Store};
-use super::kept::Kept;
 use super::kind::Kind;
 use super::known::Known;
 use super::metrics::Metrics;
 use super::peer::Peers;
+use super::pinned::PinnedSessions;
 use super::replica::Rollout;
 use super::restore::Restore;
 use super::role::{Decline, Role};
 use super::server::{Fleet, LAPSED_FOR};
 use super::session::Sessions;
 use super::settings::Settings;
-use super::trial::Trials;
+use super::trial::RolloutTrial;
 use crate::config::Table;
 use crate::decide::budget::Budget;
 use crate::decide::limit;
@@ -74,11 +74,11 @@
     /// Roll-outs of a copy that the store was restored from, while a later order is known.
     pub put_off: RefCell<HashMap<Service, Object>>,
     /// What was seen of roll-outs.
-    pub trials: RefCell<HashMap<Service, Trials>>,
+    pub trials: RefCell<HashMap<Service, RolloutTrial>>,
     /// Sessions seen of late.
     pub sessions: RefCell<Sessions>,
     /// Sessions that keep the old version, as other VMs say.
-    pub kept: RefCell<Kept>,
+    pub kept: RefCell<PinnedSessions>,
     /// Contents under which servers crashed.
     pub poison: RefCell<Exchange>,
     /// When the last read that proved the configuration the newest was sent.
--- a/src/forward/word.rs
+++ b/src/forward/word.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::kept::Draw;
+use super::pinned::Draw;
 use super::poison;
 use super::replica::Incarnation;
 use super::settings::Settings;
@@ -44,7 +44,7 @@
         draws: Vec<Draw>,
     },
     /// Contents under which servers crashed, or did not.
-    Poison(poison::News),
+    Poison(poison::Message),
     /// A life of a server has said that it leaves.
     Leaves(Incarnation),
     /// A life of a server names a limit, or no longer does.
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -141,7 +141,7 @@
     /// The burn report's counts.
     Burn,
     /// Contents under which servers crash.
-    Poison(poison::News),
+    Poison(poison::Message),
 }
 
 /// The answer to a call.
--- a/src/vm/duty/learn.rs
+++ b/src/vm/duty/learn.rs
@@ -7,7 +7,7 @@
 use crate::config::{Snapshot, VersionEntry};
 use crate::decide::cascade::{self, Belief, Rungs};
 use crate::decide::{limit, rollout};
-use crate::evidence::{Key, Tally};
+use crate::evidence::{Counts, Key};
 use crate::unit::{Kind, Model, Rate, Target, Workspace};
 use crate::vm::control::Control;
 use crate::vm::state::WINDOW;
@@ -32,9 +32,9 @@
 /// What was learnt of one workspace: the sums seen last, and what is believed since.
 #[derive(Default)]
 struct Learnt {
-    sums: BTreeMap<Key, Tally>,
+    sums: BTreeMap<Key, Counts>,
     beliefs: BTreeMap<Kind, Belief>,
-    watches: BTreeMap<Kind, cascade::Watch>,
+    watches: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
 fn learn_rules(control: &Control, snapshot: &Snapshot, learnt: &mut HashMap<Workspace, Learnt>) {
@@ -87,16 +87,16 @@
         let (Key::Cheap { kind, bin, .. } | Key::Strong { kind, bin, .. }) = key else { continue };
         let bin = usize::from(*bin).min(cascade::BINS);
         let belief = known.beliefs.entry(kind.clone()).or_default();
-        belief.decay(cascade::FADE.powf(rated as f64));
+        belief.decay(cascade::RATING_DECAY.powf(rated as f64));
         let cell = match key {
             Key::Cheap { .. } => {
-                belief.asked += ended;
-                belief.seen[bin.min(cascade::BINS - 1)] += ended;
+                belief.requests += ended;
+                belief.confidence_counts[bin.min(cascade::BINS - 1)] += ended;
                 &mut belief.cheap[bin.min(cascade::BINS - 1)]
             }
             _ if bin < cascade::BINS => &mut belief.strong[bin],
             _ => {
-                belief.asked += ended;
+                belief.requests += ended;
                 &mut belief.direct
             }
         };
@@ -110,9 +110,9 @@
         let rule = rules.get(&(workspace.clone(), kind.clone()));
         let expected = rule.map_or(0.0, |rule| rule.cheap[bin.min(cascade::BINS - 1)]);
         let watch = known.watches.entry(kind.clone()).or_default();
-        let alarms = (0..rated).filter(|i| expected > 0.0 && watch.note(expected, *i >= poor));
+        let alarms = (0..rated).filter(|i| expected > 0.0 && watch.record(expected, *i >= poor));
         if alarms.count() > 0 {
-            belief.doubt();
+            belief.discount();
         }
     }
     known.sums = sums;
@@ -148,7 +148,7 @@
         Some(rollout) => {
             let key = Key::Trial { target: rollout.to.clone(), since: rollout.begun.0 };
             let rated = control.gossip(|g| g.evidence.sum(&key).rated);
-            rollout::sampling(rollout.share, 1.0, usual, rated as f64)
+            rollout::rating_shares(rollout.share, 1.0, usual, rated as f64)
         }
         None => (usual, usual),
     };
@@ -161,7 +161,7 @@
     let oldest = date.0.saturating_sub((WINDOWS_KEPT + 1) * WINDOW);
     let running: Vec<u64> = snapshot.root.rollouts.iter().map(|r| r.begun.0).collect();
     control.gossip(|g| {
-        g.evidence.forget(|key| match key {
+        g.evidence.remove_where(|key| match key {
             Key::Trial { since, .. } => *since < oldest && !running.contains(since),
             _ => false,
         });
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -10,7 +10,7 @@
 use super::control::Control;
 use crate::decide::rollout::Arm;
 use crate::decide::sequential::Count;
-use crate::evidence::Tally;
+use crate::evidence::Counts;
 use crate::peer::ranked;
 use crate::unit::Model;
 
@@ -36,7 +36,7 @@
         })
 }
 
-fn arm(tally: Tally) -> Arm {
+fn arm(tally: Counts) -> Arm {
     Arm {
         errors: Count::of(tally.ended, tally.failed),
         slow: Count::of(tally.ended, tally.slow),
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -4,7 +4,7 @@
 
 use super::{STEP_EVERY, WINDOWS_KEPT, arm, is_mine};
 use crate::config::{Change, Plan, Rollout, Snapshot};
-use crate::decide::rollout::{self, Move, View};
+use crate::decide::rollout::{self, Action, Inputs};
 use crate::decide::sequential::Count;
 use crate::engine::wire::Order;
 use crate::evidence::Key;
@@ -56,16 +56,16 @@
     let policy = &control.vm.settings.rollout;
     let (event, share, reason) = match rollout::decide(policy, &view) {
         // Sessions may be let in, or kept out, without a change of share.
-        Move::Stay if rollout.sessions != rollout::takes_sessions(policy, &view) => {
+        Action::Stay if rollout.sessions != rollout::takes_sessions(policy, &view) => {
             ("grow", rollout.share, "sessions".to_owned())
         }
-        Move::Stay => return,
-        Move::Grow(share, reason) => ("grow", share, reason),
-        Move::Shrink(share, reason) => ("shrink", share, reason),
-        Move::Hold(share, reason) => ("hold", share, reason),
-        Move::Resume(reason) => ("resume", rollout.share, reason),
-        Move::Complete(reason) => ("complete", Parts::ALL, reason),
-        Move::Withdraw(reason) => ("withdraw", Parts(0), reason),
+        Action::Stay => return,
+        Action::Grow(share, reason) => ("grow", share, reason),
+        Action::Shrink(share, reason) => ("shrink", share, reason),
+        Action::Hold(share, reason) => ("hold", share, reason),
+        Action::Resume(reason) => ("resume", rollout.share, reason),
+        Action::Complete(reason) => ("complete", Parts::ALL, reason),
+        Action::Withdraw(reason) => ("withdraw", Parts(0), reason),
     };
     if rollout.state == "held" && event == "grow" {
         return;
@@ -126,7 +126,7 @@
     true
 }
 
-fn view(control: &Control, snapshot: &Snapshot, rollout: &Rollout, memory: &mut Memory) -> View {
+fn view(control: &Control, snapshot: &Snapshot, rollout: &Rollout, memory: &mut Memory) -> Inputs {
     let date = control.vm.clock.date();
     let from = Target { model: rollout.to.model.clone(), version: rollout.from.clone() };
     let trial = |target: &Target| Key::Trial { target: target.clone(), since: rollout.begun.0 };
@@ -150,17 +150,17 @@
     memory.ended_at = date;
     let lag = control.vm.waiting.lock().expect("no panic while held").lag();
     let declared = snapshot.version(&from).map_or(0.9, |version| version.quality);
-    View {
+    Inputs {
         new: arm(new),
         old: arm(old),
-        before: before(control, &from, rollout.begun.0),
+        earlier: before(control, &from, rollout.begun.0),
         share: rollout.share,
         held: rollout.state == "held",
         at_share: date.since(rollout.since),
         rate: memory.rate,
         // Evidence and the step itself need a moment to travel.
         lag: Span(lag.0 + Span::millis(1500).0),
-        silent: date.since(memory.rated_at),
+        since_rating: date.since(memory.rated_at),
         prior: 1.0 - declared,
     }
 }
--- a/src/vm/duty/service.rs
+++ b/src/vm/duty/service.rs
@@ -3,7 +3,7 @@
 use super::{STEP_EVERY, WINDOWS_KEPT, arm, is_mine};
 use crate::config::{Change, Plan, Snapshot};
 use crate::decide::sequential;
-use crate::evidence::{Key, Tally};
+use crate::evidence::{Counts, Key};
 use crate::operator::confirm;
 use crate::unit::Target;
 use crate::vm::control::Control;
@@ -52,14 +52,14 @@
     }
 }
 
-fn windows(control: &Control, target: &Target, window: u64) -> (Tally, Tally) {
+fn windows(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
     control.gossip(|g| {
         let oldest = window.saturating_sub(WINDOWS_KEPT * WINDOW);
         let of_target = g.evidence.sums(
             |key| matches!(key, Key::Trial { target: t, since } if t == target && *since >= oldest),
         );
-        let mut now = Tally::default();
-        let mut before = Tally::default();
+        let mut now = Counts::default();
+        let mut before = Counts::default();
         for (key, tally) in of_target {
             let Key::Trial { since, .. } = key else {
                 continue;
@@ -72,7 +72,7 @@
     })
 }
 
-async fn withdraw(control: &Control, snapshot: &Snapshot, target: &Target, now: Tally) {
+async fn withdraw(control: &Control, snapshot: &Snapshot, target: &Target, now: Counts) {
     let reason = format!("it turned bad in service: {} of {} rated poor", now.poor, now.rated);
     let words = vec![format!("withdraw {target}: {reason}")];
     let change = Change::Withdraw { target: target.clone(), reason };
--- a/src/vm/errand.rs
+++ b/src/vm/errand.rs
@@ -40,7 +40,7 @@
     /// Ask all VMs for a request's decision record.
     Explain(String, oneshot::Sender<Option<String>>),
     /// Tell others of contents under which servers crash.
-    Tell(poison::Word),
+    Tell(poison::Outgoing),
     /// Ask all VMs for their burn counts.
     Burn(oneshot::Sender<Vec<String>>),
 }
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -8,7 +8,9 @@
 
 use super::control::Control;
 use super::{Errand, Vm};
-use crate::decide::poison::{Broken, Life, News, Out, To, Turn, Ways, Word};
+use crate::decide::poison::{
+    Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition,
+};
 use crate::engine::check::{self, Found};
 use crate::peer::wire::Call;
 use crate::peer::{Member, ranked};
@@ -30,18 +32,18 @@
 const REMINDED: usize = 2;
 
 /// The life of a server that was seen to have ended at a date.
-fn life(server: &Server, date: Date) -> Life {
-    Life::new(server.as_str(), Some(date.0 / LIFE.0))
+fn life(server: &Server, date: Date) -> ServerIncarnation {
+    ServerIncarnation::new(server.as_str(), Some(date.0 / LIFE.0))
 }
 
 /// Whether requests with a content are not sent on.
 pub fn holds_back(vm: &Vm, content: &Digest) -> bool {
     let poison = vm.poison.lock().expect("no panic while held");
-    poison.held(content, vm.clock.now()).is_some()
+    poison.quarantine_crashes(content, vm.clock.now()).is_some()
 }
 
 /// A request's answer broke off at a server: finds out whether that has crashed.
-pub fn broke(vm: &Arc<Vm>, server: &Server, address: SocketAddr, request: Broken) {
+pub fn broke(vm: &Arc<Vm>, server: &Server, address: SocketAddr, request: OpenRequest) {
     let (vm, server) = (vm.clone(), server.clone());
     actix_web::rt::spawn(async move {
         let found = check::check(address).await;
@@ -50,7 +52,7 @@
             let life = life(&server, vm.clock.date());
             let now = vm.clock.now();
             let mut poison = vm.poison.lock().expect("no panic while held");
-            let out = poison.ended(life, &[request], Ways::Direct, now);
+            let out = poison.on_server_crash(life, &[request], Topology::Direct, now);
             drop(poison);
             act(&vm, out);
         }
@@ -60,38 +62,41 @@
 /// A request ran to a good end.
 pub fn ran_well(vm: &Vm, content: Digest) {
     let now = vm.clock.now();
-    let out = vm.poison.lock().expect("no panic while held").ran_well(content, now);
+    let out = vm.poison.lock().expect("no panic while held").on_success(content, now);
     act(vm, out);
 }
 
 /// Takes what another VM tells.
-pub fn hear(vm: &Vm, news: &News) {
+pub fn hear(vm: &Vm, news: &Message) {
     let now = vm.clock.now();
-    let out = vm.poison.lock().expect("no panic while held").hear(news, Ways::Direct, now);
+    let out =
+        vm.poison.lock().expect("no panic while held").on_message(news, Topology::Direct, now);
     act(vm, out);
 }
 
-fn act(vm: &Vm, out: Out) {
-    for turn in out.turns {
+fn act(vm: &Vm, out: Effects) {
+    for turn in out.transitions {
         match turn {
-            Turn::Held(content, ends) => {
+            Transition::Quarantined(content, ends) => {
                 log::warn!("{} content {content} is held back: {ends} ends", vm.settings.vm);
             }
-            Turn::Freed(content) => log::info!("{} content {content} is free", vm.settings.vm),
+            Transition::Released(content) => {
+                log::info!("{} content {content} is free", vm.settings.vm)
+            }
         }
     }
-    out.words.into_iter().for_each(|word| vm.errand(Errand::Tell(word)));
+    out.messages.into_iter().for_each(|word| vm.errand(Errand::Tell(word)));
 }
 
 /// Tells those whom a word is for.
-pub fn tell(control: &Control, word: Word) {
+pub fn tell(control: &Control, word: Outgoing) {
     let others = control.others();
     let to = match word.to {
-        To::All => others,
-        To::Gatherers(_) if others.len() <= ALL => others,
-        To::Gatherers(content) => gatherers(control, others, content),
+        Recipients::All => others,
+        Recipients::Aggregators(_) if others.len() <= ALL => others,
+        Recipients::Aggregators(content) => gatherers(control, others, content),
     };
-    to.into_iter().for_each(|member| send(control, member, word.news.clone()));
+    to.into_iter().for_each(|member| send(control, member, word.message.clone()));
 }
 
 fn gatherers(control: &Control, others: Vec<Member>, content: Digest) -> Vec<Member> {
@@ -102,7 +107,7 @@
     others.into_iter().filter(|member| chosen.contains(&member.vm)).collect()
 }
 
-fn send(control: &Control, to: Member, news: News) {
+fn send(control: &Control, to: Member, news: Message) {
     let control = control.clone();
     actix_web::rt::spawn(async move { control.call(to.address, Call::Poison(news)).await });
 }
@@ -115,14 +120,14 @@
         let held = {
             let mut poison = control.vm.poison.lock().expect("no panic while held");
             poison.expire(now);
-            poison.all_held(now)
+            poison.quarantined(now)
         };
         if held.is_empty() {
             continue;
         }
         let others = control.others();
         for member in others.choose_multiple(&mut rand::rng(), REMINDED) {
-            send(&control, member.clone(), News::Held(held.clone()));
+            send(&control, member.clone(), Message::Quarantined(held.clone()));
         }
     }
 }
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::control::Control;
-use crate::evidence::{Key, Tally};
+use crate::evidence::{Counts, Key};
 use crate::standin::rating::Sample;
 use crate::unit::{Date, RequestId, Span};
 
@@ -88,7 +88,7 @@
             let subject =
                 control.vm.waiting.lock().expect("no panic while held").take(&rating.request, date);
             let Some(subject) = subject else { continue };
-            let more = Tally { rated: 1, poor: u64::from(!rating.pass), ..Tally::default() };
+            let more = Counts { rated: 1, poor: u64::from(!rating.pass), ..Counts::default() };
             for key in subject.keys {
                 control.vm.learn(key, more);
             }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -14,7 +14,7 @@
 use crate::decide::limit::Bucket;
 use crate::decide::poison::Exchange;
 use crate::decide::retry::Budget;
-use crate::evidence::{Key, Origin, Tally};
+use crate::evidence::{Counts, Key, Origin};
 use crate::history::Sink;
 use crate::once::Reserved;
 use crate::peer::Gossip;
@@ -169,7 +169,7 @@
     }
 
     /// Adds to the VM's own evidence.
-    pub fn learn(&self, key: Key, more: Tally) {
+    pub fn learn(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
     }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -3,7 +3,7 @@
 use kitepulley::config::Repeat;
 use kitepulley::decide::backlog::Backlog;
 use kitepulley::decide::budget::Budget;
-use kitepulley::decide::canary::{self, Known, Step, Trial};
+use kitepulley::decide::canary::{self, Comparison, Inputs, Step};
 use kitepulley::decide::ends::{self, End, Last, Next};
 use kitepulley::decide::escalate;
 use kitepulley::decide::limit::even_part;
@@ -17,7 +17,7 @@
 use kitepulley::forward::event::Events;
 use kitepulley::forward::replica::Phase;
 use kitepulley::forward::trial::Source;
-use kitepulley::forward::trial::{Sample, Totals, Trials};
+use kitepulley::forward::trial::{RolloutTrial, Sample, Totals};
 use kitepulley::unit::{Moment, Span, Version};
 use quickcheck::{TestResult, quickcheck};
 
@@ -156,10 +156,10 @@
         let within = Span::secs(u64::from(seconds % 60 + 10));
         let (mut phase, mut exposed) = (None, 0.0);
         for ms in (0..within.0).step_by(10_000) {
-            let known = Known {
+            let known = Inputs {
                 phase, age: Span(ms), within, exposure, ready: 3, bad: false, seen: 100.0, evidence: 0.0,
             };
-            if let Step::Move(next) = canary::next(&known) {
+            if let Step::Move(next) = canary::next_step(&known) {
                 phase = Some(next);
             }
             exposed += match phase {
@@ -168,11 +168,11 @@
                 Some(Phase::RolledBack) | None => 0.0,
             } * 10_000.0;
         }
-        let bad = Known {
+        let bad = Inputs {
             phase, age: Span(0), within, exposure, ready: 3, bad: true, seen: 9.0, evidence: 9.0,
         };
         let goes_on = matches!(
-            canary::next(&bad), Step::Move(Phase::Running { .. } | Phase::Completed));
+            canary::next_step(&bad), Step::Move(Phase::Running { .. } | Phase::Completed));
         phase == Some(Phase::Completed) && exposed <= exposure * within.0 as f64 + (0.04 * within.0 as f64).max(700_000.0)
             && !goes_on
     }
@@ -193,28 +193,39 @@
     assert_eq!(soonest(&candidates, 17_000), Some(0));
 }
 
-fn doubtful(confidence: f64, pressure: f64) -> escalate::Known {
+fn doubtful(confidence: f64, pressure: f64) -> escalate::Inputs {
     let reads = Span::millis(400);
     let left = Span::secs(4);
-    escalate::Known { confidence, keep_from: 0.6, pressure, waits: Span(0), reads, left }
+    escalate::Inputs {
+        confidence,
+        keep_confidence: 0.6,
+        pressure,
+        queue_wait: Span(0),
+        prefill_time: reads,
+        time_left: left,
+    }
 }
 
 #[test]
 fn on_a_calm_day_doubt_decides_and_under_load_less_gives_way() {
-    assert!(escalate::gives_way(&doubtful(0.5, 0.0)));
-    assert!(!escalate::gives_way(&doubtful(0.7, 0.0)));
-    assert!(!escalate::gives_way(&doubtful(0.5, 0.15)), "requests wait a good part of their goal");
-    assert!(escalate::gives_way(&doubtful(0.1, 0.15)), "an answer that is likely poor");
-    assert!(!escalate::gives_way(&doubtful(0.0, 0.5)), "all would be late");
+    assert!(escalate::should_escalate(&doubtful(0.5, 0.0)));
+    assert!(!escalate::should_escalate(&doubtful(0.7, 0.0)));
+    assert!(
+        !escalate::should_escalate(&doubtful(0.5, 0.15)),
+        "requests wait a good part of their goal"
+    );
+    assert!(escalate::should_escalate(&doubtful(0.1, 0.15)), "an answer that is likely poor");
+    assert!(!escalate::should_escalate(&doubtful(0.0, 0.5)), "all would be late");
 }
 
 #[test]
 fn an_answer_that_would_come_late_replaces_a_poor_one_only() {
-    let late = |confidence| escalate::Known { waits: Span::secs(5), ..doubtful(confidence, 0.0) };
-    assert!(!escalate::gives_way(&late(0.4)));
-    assert!(escalate::gives_way(&late(0.1)));
-    let short = |confidence| escalate::Known { left: Span(0), ..doubtful(confidence, 0.0) };
-    assert!(!escalate::gives_way(&short(0.2)), "no time to read");
+    let late =
+        |confidence| escalate::Inputs { queue_wait: Span::secs(5), ..doubtful(confidence, 0.0) };
+    assert!(!escalate::should_escalate(&late(0.4)));
+    assert!(escalate::should_escalate(&late(0.1)));
+    let short = |confidence| escalate::Inputs { time_left: Span(0), ..doubtful(confidence, 0.0) };
+    assert!(!escalate::should_escalate(&short(0.2)), "no time to read");
 }
 
 quickcheck! {
@@ -222,17 +233,17 @@
     fn what_speaks_for_an_answer_never_drops_it(
         confidence: u8, pressure: u8, reads: u16, more: (u8, u8, u16)
     ) -> bool {
-        let known = |confidence: u32, pressure: u32, reads: u32| escalate::Known {
+        let known = |confidence: u32, pressure: u32, reads: u32| escalate::Inputs {
             confidence: f64::from(confidence) / 255.0,
-            keep_from: 0.6,
+            keep_confidence: 0.6,
             pressure: f64::from(pressure) / 255.0,
-            waits: Span(0),
-            reads: Span::millis(u64::from(reads)),
-            left: Span::secs(4),
+            queue_wait: Span(0),
+            prefill_time: Span::millis(u64::from(reads)),
+            time_left: Span::secs(4),
         };
         let (a, b, c) = (u32::from(confidence), u32::from(pressure), u32::from(reads));
         let (d, e, f) = (u32::from(more.0), u32::from(more.1), u32::from(more.2));
-        escalate::gives_way(&known(a, b, c)) || !escalate::gives_way(&known(a + d, b + e, c + f))
+        escalate::should_escalate(&known(a, b, c)) || !escalate::should_escalate(&known(a + d, b + e, c + f))
     }
 }
 
@@ -255,12 +266,12 @@
 #[test]
 fn a_version_that_fails_half_its_answers_is_found_within_a_dozen() {
     let old = Count::of(400, 2);
-    let bad = Trial { new: Count::of(12, 6), old };
-    let good = Trial { new: Count::of(12, 0), old };
+    let bad = Comparison { new: Count::of(12, 6), old };
+    let good = Comparison { new: Count::of(12, 0), old };
     assert!(bad.is_bad());
     assert!(!good.is_bad());
     // Failures that the old version has as well accuse nobody.
-    let usual = Trial { new: Count::of(40, 6), old: Count::of(400, 56) };
+    let usual = Comparison { new: Count::of(40, 6), old: Count::of(400, 56) };
     assert!(!usual.is_bad());
 }
 
@@ -390,7 +401,7 @@
         version,
         failed: false,
         time,
-        known_slow: 0,
+        reported_slow_levels: 0,
         expected: Some(Span::millis(40)),
     }
 }
@@ -400,12 +411,12 @@
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     // The old version holds most prompts and answers soon, now and then behind others.
     let beside_old = |new_millis: u64| {
-        let mut trials = Trials::default();
-        trials.follow(&new, Moment(1));
+        let mut trials = RolloutTrial::default();
+        trials.track_version(&new, Moment(1));
         for number in 0..200 {
-            trials.note(&sample(&old, if number % 10 == 0 { 300 } else { 30 }));
+            trials.record(&sample(&old, if number % 10 == 0 { 300 } else { 30 }));
         }
-        (0..12).for_each(|_| trials.note(&sample(&new, new_millis)));
+        (0..12).for_each(|_| trials.record(&sample(&new, new_millis)));
         trials.is_bad()
     };
     assert!(beside_old(400), "ten times as long as the whole prompt takes");
@@ -418,10 +429,11 @@
 fn a_slow_version_is_found_where_the_old_one_is_slow_from_its_load() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     let found = |slow_millis| {
-        let mut trials = Trials::default();
-        trials.follow(&new, Moment(1));
-        (0..200).for_each(|n| trials.note(&sample(&old, if n % 5 < 2 { 280 } else { 60 })));
-        (0..16).for_each(|n| trials.note(&sample(&new, if n % 2 == 0 { slow_millis } else { 60 })));
+        let mut trials = RolloutTrial::default();
+        trials.track_version(&new, Moment(1));
+        (0..200).for_each(|n| trials.record(&sample(&old, if n % 5 < 2 { 280 } else { 60 })));
+        (0..16)
+            .for_each(|n| trials.record(&sample(&new, if n % 2 == 0 { slow_millis } else { 60 })));
         trials.is_bad()
     };
     assert!(found(600));
@@ -432,12 +444,12 @@
 #[test]
 fn an_answer_counts_as_slow_while_it_is_awaited() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
-    let mut trials = Trials::default();
-    trials.follow(&new, Moment(1));
-    (0..200).for_each(|_| trials.note(&sample(&old, 30)));
+    let mut trials = RolloutTrial::default();
+    trials.track_version(&new, Moment(1));
+    (0..200).for_each(|_| trials.record(&sample(&old, 30)));
     for _ in 0..4 {
-        trials.note(&sample(&new, 200));
-        trials.note(&Sample { known_slow: 1, ..sample(&new, 500) });
+        trials.record(&sample(&new, 200));
+        trials.record(&Sample { reported_slow_levels: 1, ..sample(&new, 500) });
     }
     assert_eq!(trials.seen(), 4.0);
     assert!(trials.is_bad());
@@ -450,30 +462,39 @@
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     let of = |route, version, failed: bool| {
         let time = (!failed).then_some(Span::millis(30));
-        Sample { route, version, failed, time, known_slow: 0, expected: Some(Span::millis(40)) }
+        Sample {
+            route,
+            version,
+            failed,
+            time,
+            reported_slow_levels: 0,
+            expected: Some(Span::millis(40)),
+        }
     };
-    let mut all: Vec<Trials> = (0..3).map(|_| Trials::default()).collect();
+    let mut all: Vec<RolloutTrial> = (0..3).map(|_| RolloutTrial::default()).collect();
     for trials in &mut all {
-        trials.follow(&new, Moment(1));
-        (0..200).for_each(|_| trials.note(&of("sound", &old, false)));
-        (0..50).for_each(|_| trials.note(&of("broken", &old, false)));
-        (0..40).for_each(|_| trials.note(&of("sound", &new, false)));
-        (0..3).for_each(|number| trials.note(&of("broken", &new, number < 2)));
+        trials.track_version(&new, Moment(1));
+        (0..200).for_each(|_| trials.record(&of("sound", &old, false)));
+        (0..50).for_each(|_| trials.record(&of("broken", &old, false)));
+        (0..40).for_each(|_| trials.record(&of("sound", &new, false)));
+        (0..3).for_each(|number| trials.record(&of("broken", &new, number < 2)));
         assert!(!trials.is_bad(), "alone a VM has seen too little");
     }
-    let news: Vec<_> =
-        all.iter_mut().map(|trials| trials.news().expect("it saw answers")).collect();
+    let news: Vec<_> = all
+        .iter_mut()
+        .map(|trials| trials.take_changed_totals().expect("it saw answers"))
+        .collect();
     for (number, (version, routes)) in news.into_iter().enumerate().skip(1) {
-        all[0].hear(source(&format!("vm{number}")), &version, routes);
+        all[0].merge_totals(source(&format!("vm{number}")), &version, routes);
     }
     assert!(all[0].is_bad());
-    assert_eq!(all[0].news(), None, "what was told is not told again");
+    assert_eq!(all[0].take_changed_totals(), None, "what was told is not told again");
 }
 
 /// At the end of the time a version that is in doubt goes back: once it has taken over, it cannot.
 #[test]
 fn a_version_in_doubt_does_not_take_over() {
-    let known = |phase, evidence| Known {
+    let known = |phase, evidence| Inputs {
         phase: Some(phase),
         age: Span::millis(21_900),
         within: Span::secs(22),
@@ -485,8 +506,8 @@
     };
     for share in [0.06, 1.0] {
         let running = Phase::Running { share };
-        assert_eq!(canary::next(&known(running, 4.0)), Step::Move(Phase::RolledBack));
-        assert_ne!(canary::next(&known(running, 0.0)), Step::Move(Phase::RolledBack));
+        assert_eq!(canary::next_step(&known(running, 4.0)), Step::Move(Phase::RolledBack));
+        assert_ne!(canary::next_step(&known(running, 0.0)), Step::Move(Phase::RolledBack));
     }
 }
 
@@ -496,7 +517,7 @@
 #[test]
 fn a_roll_out_whose_order_is_heard_late_is_done_in_time() {
     let within = Span::secs(24);
-    let known = |phase, age| Known {
+    let known = |phase, age| Inputs {
         phase,
         age,
         within,
@@ -508,14 +529,14 @@
     };
     let (heard, looks) = (Span::millis(970), Span::millis(400));
     let written = |age: &Span| {
-        let step = canary::next(&known(Some(Phase::Running { share: 1.0 }), *age));
+        let step = canary::next_step(&known(Some(Phase::Running { share: 1.0 }), *age));
         step == Step::Move(Phase::Completed)
     };
     let age = (0..30_000).map(Span::millis).find(written).expect("it is done at some time");
     let late = Span(heard.0 + age.0 + looks.0);
     assert!(late <= within, "done {late} after the order");
     let goes_over = |age: &Span| {
-        let step = canary::next(&known(Some(Phase::Running { share: 0.06 }), *age));
+        let step = canary::next_step(&known(Some(Phase::Running { share: 0.06 }), *age));
         step == Step::Move(Phase::Running { share: 1.0 })
     };
     let over = (0..30_000).map(Span::millis).find(goes_over).expect("all go over at some time");
@@ -526,7 +547,7 @@
 /// yet. A version that is bad is accused of far fewer answers.
 #[test]
 fn many_answers_of_a_version_that_is_hardly_worse_do_not_accuse_it() {
-    let trial = |new: (u64, u64), old: (u64, u64)| Trial {
+    let trial = |new: (u64, u64), old: (u64, u64)| Comparison {
         new: Count::of(new.0, new.1),
         old: Count::of(old.0, old.1),
     };
@@ -548,20 +569,20 @@
 #[test]
 fn what_other_vms_saw_counts_for_this_version_only() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
-    let seen = |all, bad| Trial { new: Count::of(all, bad), old: Count::of(500, 2) };
+    let seen = |all, bad| Comparison { new: Count::of(all, bad), old: Count::of(500, 2) };
     let totals = vec![("r".to_owned(), Totals { failures: seen(4, 2), slow: [seen(4, 0); 3] })];
-    let mut trials = Trials::default();
-    trials.follow(&new, Moment(1));
+    let mut trials = RolloutTrial::default();
+    trials.track_version(&new, Moment(1));
     for number in 0..3 {
-        trials.hear(source(&format!("vm{number}")), &old, totals.clone());
+        trials.merge_totals(source(&format!("vm{number}")), &old, totals.clone());
     }
     assert!(!trials.is_bad());
     // No VM alone has seen enough, however often it says so; two together have.
-    (0..3).for_each(|_| trials.hear(source("vm1"), &new, totals.clone()));
+    (0..3).for_each(|_| trials.merge_totals(source("vm1"), &new, totals.clone()));
     assert!(!trials.is_bad());
-    trials.hear(source("vm2"), &new, totals);
+    trials.merge_totals(source("vm2"), &new, totals);
     assert!(trials.is_bad());
-    trials.follow(&"v3".parse().unwrap(), Moment(2));
+    trials.track_version(&"v3".parse().unwrap(), Moment(2));
     assert!(!trials.is_bad(), "another order begins anew");
 }
 
@@ -570,7 +591,7 @@
 fn the_first_sessions_try_a_version_when_all_vms_have_heard_of_it() {
     let first = |age, within| {
         let (age, within) = (Span::millis(age), Span::secs(within));
-        let known = Known {
+        let known = Inputs {
             phase: None,
             age,
             within,
@@ -580,9 +601,9 @@
             seen: 0.0,
             evidence: 0.0,
         };
-        canary::next(&known)
+        canary::next_step(&known)
     };
-    let begins = Step::Move(Phase::Running { share: canary::first(0.15) });
+    let begins = Step::Move(Phase::Running { share: canary::first_share(0.15) });
     assert_eq!((first(1150, 24), first(1250, 24)), (Step::Hold, begins));
     assert_eq!((first(250, 5), first(350, 5)), (Step::Hold, begins));
 }
@@ -591,7 +612,7 @@
 #[test]
 fn little_evidence_from_many_answers_is_chance() {
     let goes_back = |seen, evidence| {
-        let known = Known {
+        let known = Inputs {
             phase: Some(Phase::Running { share: 1.0 }),
             age: Span::millis(21_900),
             within: Span::secs(22),
@@ -601,7 +622,7 @@
             seen,
             evidence,
         };
-        canary::next(&known) == Step::Move(Phase::RolledBack)
+        canary::next_step(&known) == Step::Move(Phase::RolledBack)
     };
     assert!(!goes_back(558.0, 3.178) && !goes_back(119.0, 4.183), "good ones");
     assert!(goes_back(53.0, 4.236), "half of its answers of one kind were failures");
@@ -611,9 +632,13 @@
 /// old. A version that is slow for half of its requests stands out all the same.
 #[test]
 fn the_longer_queues_of_a_small_trial_are_no_fault_of_its_version() {
-    let trial = |slow| Trial { new: Count::of(256, slow), old: Count::of(2475, 342) };
+    let trial = |slow| Comparison { new: Count::of(256, slow), old: Count::of(2475, 342) };
     assert_eq!(trial(61).evidence_of_slowness(), 0.0);
-    assert!(trial(146).evidence_of_slowness() > canary::ACCUSED);
-    let young = Trial { new: Count::of(20, 12), old: Count::of(400, 56) };
-    assert!(young.evidence_of_slowness() > canary::ACCUSED, "{}", young.evidence_of_slowness());
+    assert!(trial(146).evidence_of_slowness() > canary::ROLLBACK_EVIDENCE);
+    let young = Comparison { new: Count::of(20, 12), old: Count::of(400, 56) };
+    assert!(
+        young.evidence_of_slowness() > canary::ROLLBACK_EVIDENCE,
+        "{}",
+        young.evidence_of_slowness()
+    );
 }
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -1,6 +1,6 @@
 //! Which contents are held back, decided without a network: ends and good runs in any order, bounds of what is remembered.
 
-use kitepulley::decide::poison::{Broken, Change, Evidence, Life};
+use kitepulley::decide::poison::{Change, Evidence, OpenRequest, ServerIncarnation};
 use kitepulley::unit::{Digest, Moment, Span, digest};
 use quickcheck::quickcheck;
 
@@ -10,23 +10,23 @@
     digest(&[&number.to_be_bytes()])
 }
 
-fn life(number: u64) -> Life {
-    Life::new(&format!("server{number}"), Some(number))
+fn life(number: u64) -> ServerIncarnation {
+    ServerIncarnation::new(&format!("server{number}"), Some(number))
 }
 
-fn fresh(number: u64) -> Broken {
-    Broken { content: content(number), ran: false }
+fn fresh(number: u64) -> OpenRequest {
+    OpenRequest { content: content(number), was_stable: false }
 }
 
-fn late(number: u64) -> Broken {
-    Broken { content: content(number), ran: true }
+fn late(number: u64) -> OpenRequest {
+    OpenRequest { content: content(number), was_stable: true }
 }
 
 /// Ends of so many lives under a request, a second apart, and the changes that they made.
-fn ends(evidence: &mut Evidence, request: Broken, lives: u64) -> Vec<Change> {
+fn ends(evidence: &mut Evidence, request: OpenRequest, lives: u64) -> Vec<Change> {
     let end = |number: u64| {
         let at = NOW + Span::secs(number);
-        evidence.ended(request, life(number), at, at)
+        evidence.on_crash(request, life(number), at, at)
     };
     (0..lives).map(end).collect()
 }
@@ -35,20 +35,20 @@
 fn three_lives_that_end_under_a_content_hold_it_back() {
     let mut evidence = Evidence::default();
     let changes = ends(&mut evidence, fresh(1), 4);
-    let expected = [Change::Suspected, Change::Suspected, Change::Held, Change::Suspected];
+    let expected = [Change::Suspected, Change::Suspected, Change::Quarantined, Change::Suspected];
     assert_eq!(changes, expected);
-    assert_eq!(evidence.held(&content(1), NOW + Span::secs(4)), Some(4));
-    assert_eq!(evidence.held(&content(2), NOW), None);
+    assert_eq!(evidence.quarantine_crashes(&content(1), NOW + Span::secs(4)), Some(4));
+    assert_eq!(evidence.quarantine_crashes(&content(2), NOW), None);
 }
 
 #[test]
 fn one_life_ends_once_however_many_say_so() {
     let mut evidence = Evidence::default();
     for _ in 0..10 {
-        evidence.ended(fresh(1), life(1), NOW, NOW);
+        evidence.on_crash(fresh(1), life(1), NOW, NOW);
     }
-    assert_eq!(evidence.held(&content(1), NOW), None);
-    let again = Life::new("server1", Some(2));
+    assert_eq!(evidence.quarantine_crashes(&content(1), NOW), None);
+    let again = ServerIncarnation::new("server1", Some(2));
     assert!(again != life(1), "a later life under the same id is another");
 }
 
@@ -56,7 +56,7 @@
 fn a_run_that_went_well_for_a_while_is_suspected_less() {
     let mut evidence = Evidence::default();
     let changes = ends(&mut evidence, late(1), 5);
-    assert_eq!(changes.iter().position(|change| *change == Change::Held), Some(4));
+    assert_eq!(changes.iter().position(|change| *change == Change::Quarantined), Some(4));
 }
 
 #[test]
@@ -64,29 +64,32 @@
     let mut evidence = Evidence::default();
     ends(&mut evidence, fresh(1), 3);
     let at = NOW + Span::secs(4);
-    assert_eq!(evidence.ran_well(content(1), at, at), Change::Cleared { was_held: true });
-    assert_eq!(evidence.held(&content(1), at), None);
+    assert_eq!(evidence.on_success(content(1), at, at), Change::Cleared { was_quarantined: true });
+    assert_eq!(evidence.quarantine_crashes(&content(1), at), None);
     // All servers that crash in the next seconds have it open, if many send it.
     for number in 10..20 {
-        assert_eq!(evidence.ended(fresh(1), life(number), at + Span::secs(9), at), Change::None);
+        assert_eq!(evidence.on_crash(fresh(1), life(number), at + Span::secs(9), at), Change::None);
     }
     // Others may not have heard of the good run yet.
-    assert_eq!(evidence.told(content(1), 3, NOW + Span::secs(3), at), Change::None);
+    assert_eq!(evidence.on_quarantine_report(content(1), 3, NOW + Span::secs(3), at), Change::None);
     // A good run does not speak for a content for ever.
     let later = at + Span::secs(40);
-    let held = (10..13).map(|number| evidence.ended(fresh(1), life(number), later, later));
-    assert_eq!(held.last(), Some(Change::Held));
+    let held = (10..13).map(|number| evidence.on_crash(fresh(1), life(number), later, later));
+    assert_eq!(held.last(), Some(Change::Quarantined));
 }
 
 #[test]
 fn a_belief_ends_by_itself() {
     let mut evidence = Evidence::default();
     ends(&mut evidence, fresh(1), 3);
-    assert!(evidence.held(&content(1), NOW + Span::secs(590)).is_some());
-    assert!(evidence.held(&content(1), NOW + Span::secs(610)).is_none());
+    assert!(evidence.quarantine_crashes(&content(1), NOW + Span::secs(590)).is_some());
+    assert!(evidence.quarantine_crashes(&content(1), NOW + Span::secs(610)).is_none());
     evidence.expire(NOW + Span::secs(610));
     assert!(evidence.is_empty());
-    assert_eq!(evidence.told(content(1), 3, NOW, NOW + Span::secs(610)), Change::None);
+    assert_eq!(
+        evidence.on_quarantine_report(content(1), 3, NOW, NOW + Span::secs(610)),
+        Change::None
+    );
 }
 
 #[test]
@@ -95,14 +98,14 @@
     ends(&mut evidence, fresh(0), 3);
     let now = NOW + Span::secs(5);
     for number in 1..200_000 {
-        evidence.ended(fresh(number), life(number % 600 + 10), now, now);
-        evidence.ran_well(content(number), now, now);
+        evidence.on_crash(fresh(number), life(number % 600 + 10), now, now);
+        evidence.on_success(content(number), now, now);
         if number % 3 == 0 {
-            evidence.ended(fresh(number + 1_000_000), life(9_999), now, now);
+            evidence.on_crash(fresh(number + 1_000_000), life(9_999), now, now);
         }
         assert!(evidence.len() <= 20_000, "{}", evidence.len());
     }
-    assert_eq!(evidence.held(&content(0), now), Some(3));
+    assert_eq!(evidence.quarantine_crashes(&content(0), now), Some(3));
 }
 
 #[test]
@@ -110,13 +113,19 @@
     let (mut one, mut other) = (Evidence::default(), Evidence::default());
     ends(&mut one, fresh(1), 3);
     let now = NOW + Span::secs(10);
-    let told = one.all_held(10, now);
-    assert_eq!((told.len(), told[0].ends, told[0].age), (1, 3, Span::secs(8)));
+    let told = one.quarantined(10, now);
+    assert_eq!((told.len(), told[0].crashes, told[0].age), (1, 3, Span::secs(8)));
     let last = Moment(now.0 - told[0].age.0);
-    assert_eq!(other.told(told[0].content, told[0].ends, last, now), Change::Held);
-    assert_eq!(other.told(told[0].content, told[0].ends, last, now), Change::None);
-    assert_eq!(other.held(&content(1), now), Some(3));
-    assert_eq!(other.held(&content(1), last + Span::secs(601)), None);
+    assert_eq!(
+        other.on_quarantine_report(told[0].content, told[0].crashes, last, now),
+        Change::Quarantined
+    );
+    assert_eq!(
+        other.on_quarantine_report(told[0].content, told[0].crashes, last, now),
+        Change::None
+    );
+    assert_eq!(other.quarantine_crashes(&content(1), now), Some(3));
+    assert_eq!(other.quarantine_crashes(&content(1), last + Span::secs(601)), None);
 }
 
 quickcheck! {
@@ -125,10 +134,10 @@
         let hear = |words: &mut dyn Iterator<Item = &(u8, u8, bool)>| {
             let mut evidence = Evidence::default();
             for (asked, server, ran) in words {
-                let request = Broken { content: content(u64::from(asked % 4)), ran: *ran };
-                evidence.ended(request, life(u64::from(server % 6)), NOW, NOW);
+                let request = OpenRequest { content: content(u64::from(asked % 4)), was_stable: *ran };
+                evidence.on_crash(request, life(u64::from(server % 6)), NOW, NOW);
             }
-            (0..4).map(|number| evidence.held(&content(number), NOW)).collect::<Vec<_>>()
+            (0..4).map(|number| evidence.quarantine_crashes(&content(number), NOW)).collect::<Vec<_>>()
         };
         let twice = words.iter().chain(&words);
         hear(&mut words.iter()) == hear(&mut words.iter().rev())
@@ -140,14 +149,14 @@
         let mut evidence = Evidence::default();
         let (before, after) = (u64::from(before % 8), u64::from(after % 8));
         (0..before).for_each(|number| {
-            evidence.ended(fresh(1), life(number), NOW, NOW);
+            evidence.on_crash(fresh(1), life(number), NOW, NOW);
         });
         let ran = NOW + Span::secs(1);
-        evidence.ran_well(content(1), ran, ran);
+        evidence.on_success(content(1), ran, ran);
         let later = ran + Span::secs(31);
         (0..after).for_each(|number| {
-            evidence.ended(fresh(1), life(100 + number), later, later);
+            evidence.on_crash(fresh(1), life(100 + number), later, later);
         });
-        evidence.held(&content(1), later).is_some() == (after >= 3)
+        evidence.quarantine_crashes(&content(1), later).is_some() == (after >= 3)
     }
 }
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use kitepulley::decide::reader::{Asked, Rank, is_stale, time_to_ask};
+use kitepulley::decide::reader::{Rank, SourceHistory, answer_timeout, is_stale};
 use kitepulley::forward::feed::{Feed, News, Origin, Place, Stand, Store};
 use kitepulley::forward::kind::Kind;
 use kitepulley::forward::known::Known;
@@ -103,8 +103,8 @@
         // Of each name one VM, some larger than others: the larger come first.
         let group: BTreeSet<u8> = names.into_iter().collect();
         let group: BTreeSet<Rank> = group.into_iter().map(|name| rank(&format!("vm{name}"), u32::from(name % 3))).collect();
-        let asked = Asked::default();
-        let next = |own: &Rank| asked.next(own, group.iter().filter(|one| *one != own), Moment(9)).cloned();
+        let asked = SourceHistory::default();
+        let next = |own: &Rank| asked.next_source(own, group.iter().filter(|one| *one != own), Moment(9)).cloned();
         let first = group.first();
         group.iter().all(|own| next(own).as_ref() == first.filter(|first| *first != own).map(|first| &first.vm))
     }
@@ -191,18 +191,26 @@
     let vm = |name: &str| name.parse::<Vm>().unwrap();
     let group = ["a", "b", "d"].map(|name| rank(name, 0));
     let own = rank("c", 0);
-    let mut asked = Asked::default();
-    assert_eq!(asked.next(&own, group.iter(), Moment(0)), Some(&vm("a")));
-    asked.silent(&vm("a"), Moment(0));
-    assert_eq!(asked.next(&own, group.iter(), Moment(1)), Some(&vm("b")));
-    asked.declined(&vm("b"), Moment(1));
-    assert_eq!(asked.next(&own, group.iter(), Moment(2)), None, "it reads for itself");
-    assert_eq!(asked.next(&own, group.iter(), Moment(1_600_000)), Some(&vm("b")), "it answered");
-    assert_eq!(asked.next(&own, group.iter(), Moment(3_000_000)), Some(&vm("a")));
-    asked.silent(&vm("a"), Moment(3_000_000));
-    assert_eq!(asked.next(&own, group.iter(), Moment(5_500_000)), Some(&vm("b")), "longer now");
-    asked.answered(&vm("a"));
-    assert_eq!(asked.next(&own, group.iter(), Moment(5_500_000)), Some(&vm("a")));
+    let mut asked = SourceHistory::default();
+    assert_eq!(asked.next_source(&own, group.iter(), Moment(0)), Some(&vm("a")));
+    asked.on_timeout(&vm("a"), Moment(0));
+    assert_eq!(asked.next_source(&own, group.iter(), Moment(1)), Some(&vm("b")));
+    asked.on_declined(&vm("b"), Moment(1));
+    assert_eq!(asked.next_source(&own, group.iter(), Moment(2)), None, "it reads for itself");
+    assert_eq!(
+        asked.next_source(&own, group.iter(), Moment(1_600_000)),
+        Some(&vm("b")),
+        "it answered"
+    );
+    assert_eq!(asked.next_source(&own, group.iter(), Moment(3_000_000)), Some(&vm("a")));
+    asked.on_timeout(&vm("a"), Moment(3_000_000));
+    assert_eq!(
+        asked.next_source(&own, group.iter(), Moment(5_500_000)),
+        Some(&vm("b")),
+        "longer now"
+    );
+    asked.on_update(&vm("a"));
+    assert_eq!(asked.next_source(&own, group.iter(), Moment(5_500_000)), Some(&vm("a")));
 }
 
 #[test]
@@ -214,7 +222,7 @@
     let known = Moment(10_000_000);
     let mut now = Moment(known.0 + oldest.0);
     let mut asked = 0;
-    while let Some(time) = time_to_ask(Some(known), leave_within, now) {
+    while let Some(time) = answer_timeout(Some(known), leave_within, now) {
         now = now + time;
         asked += 1;
         assert!(asked < 10, "each question takes time");
@@ -222,7 +230,10 @@
     let read = now.since(known);
     assert!(read <= Span::millis(1600), "{read} old when it reads for itself");
     assert!(oldest >= Span::millis(800), "a reader that asks every 0.6 s is never stale");
-    assert!(time_to_ask(None, leave_within, now).is_some(), "one that reads for itself has time");
+    assert!(
+        answer_timeout(None, leave_within, now).is_some(),
+        "one that reads for itself has time"
+    );
 }
 
 /// The store answers again: those that had lost it, or had no news, are asked at once, and those that say nothing still not.
@@ -230,10 +241,10 @@
 fn those_that_had_lost_the_store_are_asked_again_when_it_answers() {
     let (own, group) = (rank("c", 0), [rank("a", 0), rank("b", 0)]);
     let now = Moment(1_000_000);
-    let mut asked = Asked::default();
-    asked.silent(&group[0].vm, now);
-    asked.lost(&group[1].vm, now);
-    assert_eq!(asked.next(&own, group.iter(), now), None);
-    asked.forget_declined();
-    assert_eq!(asked.next(&own, group.iter(), now), Some(&group[1].vm));
+    let mut asked = SourceHistory::default();
+    asked.on_timeout(&group[0].vm, now);
+    asked.on_store_lost(&group[1].vm, now);
+    assert_eq!(asked.next_source(&own, group.iter(), now), None);
+    asked.clear_declined();
+    assert_eq!(asked.next_source(&own, group.iter(), now), Some(&group[1].vm));
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -26,9 +26,9 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::forward::Vm;
-use kitepulley::forward::kept::Draw;
 use kitepulley::forward::kind::Kind;
 use kitepulley::forward::learn::{self, Source};
+use kitepulley::forward::pinned::Draw;
 use kitepulley::platform::object::Object;
 use kitepulley::standin::platform::Switches;
 use kitepulley::standin::replica::{Act, Replica};
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -3,9 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use kitepulley::decide::reader::{Asked, Place, Rank, Without, may_be_taken, reads};
+use kitepulley::decide::reader::{
+    FollowerState, Place, Rank, SourceHistory, may_accept, should_read_store,
+};
 use kitepulley::forward::trial::Source;
-use kitepulley::forward::trial::{Sample, Trials, Verdict};
+use kitepulley::forward::trial::{RolloutTrial, Sample, Verdict};
 use kitepulley::unit::{Millicores, Moment, Span, Version, Vm};
 use quickcheck::quickcheck;
 
@@ -24,40 +26,40 @@
 }
 
 /// How a VM that hears nothing new stands, as it would find by itself.
-fn without(asked: &Asked, groups: &[Vec<Rank>], at: usize, own: &Rank) -> Without {
+fn without(asked: &SourceHistory, groups: &[Vec<Rank>], at: usize, own: &Rank) -> FollowerState {
     let now = Moment(1);
     let place = asked.place(own, groups[at].iter(), now);
     let others = groups.iter().enumerate().filter(|(group, _)| *group != at);
     let firsts: Vec<&Rank> =
-        others.filter_map(|(_, group)| asked.first(group.iter(), now)).collect();
+        others.filter_map(|(_, group)| asked.first_responsive(group.iter(), now)).collect();
     let next = match place {
-        Place::First => asked.next(own, firsts.iter().copied(), now),
-        Place::Next | Place::Behind => asked.next(own, groups[at].iter(), now),
+        Place::First => asked.next_source(own, firsts.iter().copied(), now),
+        Place::Next | Place::Behind => asked.next_source(own, groups[at].iter(), now),
     };
-    Without {
+    FollowerState {
         place,
-        others: !firsts.is_empty(),
-        may_ask: next.is_some(),
-        lost: asked.is_told_lost(own, groups[at].iter(), now),
-        knows: true,
-        is_young: false,
-        overdue: false,
+        has_other_groups: !firsts.is_empty(),
+        has_source: next.is_some(),
+        is_store_lost: asked.is_store_reported_lost(own, groups[at].iter(), now),
+        has_snapshot: true,
+        is_starting: false,
+        is_overdue: false,
     }
 }
 
 /// How many of a fleet read for themselves, if each remembers `met` of those that it may ask.
-fn readers(vms: usize, met: impl Fn(&mut Asked, &Vm)) -> usize {
+fn readers(vms: usize, met: impl Fn(&mut SourceHistory, &Vm)) -> usize {
     let groups = fleet(vms);
     let mut readers = 0;
     for (at, group) in groups.iter().enumerate() {
         for own in group {
-            let mut asked = Asked::default();
+            let mut asked = SourceHistory::default();
             groups
                 .iter()
                 .flatten()
                 .filter(|other| *other != own)
                 .for_each(|other| met(&mut asked, &other.vm));
-            readers += usize::from(reads(&without(&asked, &groups, at, own)));
+            readers += usize::from(should_read_store(&without(&asked, &groups, at, own)));
         }
     }
     readers
@@ -73,7 +75,7 @@
 #[test]
 fn while_the_store_is_lost_the_first_of_each_data_centre_tries() {
     for vms in [60, 300, 1000] {
-        let tried = readers(vms, |asked, vm| asked.lost(vm, Moment(0)));
+        let tried = readers(vms, |asked, vm| asked.on_store_lost(vm, Moment(0)));
         assert_eq!(tried, DATA_CENTRES, "of {vms}");
     }
 }
@@ -81,7 +83,7 @@
 #[test]
 fn when_all_decline_those_next_to_the_first_read_and_nobody_behind() {
     for vms in [60, 300, 1000] {
-        let read = readers(vms, |asked, vm| asked.declined(vm, Moment(0)));
+        let read = readers(vms, |asked, vm| asked.on_declined(vm, Moment(0)));
         assert_eq!(read, 3 * DATA_CENTRES, "of {vms}");
     }
 }
@@ -89,9 +91,9 @@
 #[test]
 fn a_vm_that_answers_nobody_is_passed_over() {
     let first = rank(0).vm;
-    let silent = |asked: &mut Asked, vm: &Vm| {
+    let silent = |asked: &mut SourceHistory, vm: &Vm| {
         if *vm == first {
-            asked.silent(vm, Moment(0));
+            asked.on_timeout(vm, Moment(0));
         }
     };
     // The first of all is still up and reads; the next in its data centre asks the first of the others, and of those
@@ -101,36 +103,48 @@
 
 #[test]
 fn what_is_too_old_is_read_unless_the_store_is_lost() {
-    let behind = Without {
+    let behind = FollowerState {
         place: Place::Behind,
-        others: true,
-        may_ask: true,
-        lost: false,
-        knows: true,
-        is_young: false,
-        overdue: true,
+        has_other_groups: true,
+        has_source: true,
+        is_store_lost: false,
+        has_snapshot: true,
+        is_starting: false,
+        is_overdue: true,
     };
-    assert!(reads(&behind), "servers that leave must not get work for longer than is granted");
-    assert!(!reads(&Without { lost: true, ..behind }), "those that try will tell");
-    let young = Without { knows: false, is_young: true, overdue: false, may_ask: false, ..behind };
-    assert!(!reads(&young), "its first news may come yet");
-    assert!(reads(&Without { is_young: false, ..young }), "they did not come");
+    assert!(
+        should_read_store(&behind),
+        "servers that leave must not get work for longer than is granted"
+    );
+    assert!(
+        !should_read_store(&FollowerState { is_store_lost: true, ..behind }),
+        "those that try will tell"
+    );
+    let young = FollowerState {
+        has_snapshot: false,
+        is_starting: true,
+        is_overdue: false,
+        has_source: false,
+        ..behind
+    };
+    assert!(!should_read_store(&young), "its first news may come yet");
+    assert!(should_read_store(&FollowerState { is_starting: false, ..young }), "they did not come");
 }
 
 #[test]
 fn what_a_vm_read_itself_is_no_news_to_it() {
     let (own, other) = (rank(1).vm, rank(2).vm);
-    assert!(!may_be_taken(&own, 1, &own));
-    assert!(may_be_taken(&other, 2, &own));
-    assert!(!may_be_taken(&other, 9, &own), "it went round");
+    assert!(!may_accept(&own, 1, &own));
+    assert!(may_accept(&other, 2, &own));
+    assert!(!may_accept(&other, 9, &own), "it went round");
 }
 
 /// What VMs saw of a version, told upwards again and again, after starts anew and by another first of the group.
 fn verdict_of(told: &[(u8, u8)]) -> (f64, f64) {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
-    let mut first = Trials::default();
-    first.follow(&new, Moment(0));
-    let mut vms: BTreeMap<u8, Trials> = BTreeMap::new();
+    let mut first = RolloutTrial::default();
+    first.track_version(&new, Moment(0));
+    let mut vms: BTreeMap<u8, RolloutTrial> = BTreeMap::new();
     let mut seen: BTreeMap<u8, f64> = BTreeMap::new();
     for (vm, act) in told {
         let name: Vm = format!("vm{}", vm % 7).parse().unwrap();
@@ -141,15 +155,21 @@
             seen.remove(&vm);
         }
         let trials = vms.entry(vm).or_default();
-        trials.follow(&new, Moment(0));
+        trials.track_version(&new, Moment(0));
         for version in [&old, &new] {
             let time = Some(Span::millis(20));
-            let sample =
-                Sample { route: "r", version, failed: false, time, known_slow: 0, expected: time };
-            trials.note(&sample);
+            let sample = Sample {
+                route: "r",
+                version,
+                failed: false,
+                time,
+                reported_slow_levels: 0,
+                expected: time,
+            };
+            trials.record(&sample);
         }
         *seen.entry(vm).or_default() += 1.0;
-        first.hear(Source::Vm(name), &new, trials.own().clone());
+        first.merge_totals(Source::Vm(name), &new, trials.own_totals().clone());
     }
     // Those that started anew and were not heard since still count as they were told; each was heard at its last step.
     (first.verdict().seen, seen.values().sum())
@@ -165,15 +185,15 @@
 #[test]
 fn of_two_verdicts_that_counts_which_rests_on_more_answers() {
     let new: Version = "v2".parse().unwrap();
-    let mut trials = Trials::default();
-    trials.follow(&new, Moment(0));
-    trials.hear_verdict(&new, Verdict { seen: 50.0, evidence: 0.5 });
+    let mut trials = RolloutTrial::default();
+    trials.track_version(&new, Moment(0));
+    trials.set_upstream_verdict(&new, Verdict { seen: 50.0, evidence: 0.5 });
     assert_eq!(trials.verdict(), Verdict { seen: 50.0, evidence: 0.5 });
-    trials.hear_verdict(&"v3".parse().unwrap(), Verdict { seen: 90.0, evidence: 9.0 });
+    trials.set_upstream_verdict(&"v3".parse().unwrap(), Verdict { seen: 90.0, evidence: 9.0 });
     assert_eq!(trials.verdict().seen, 50.0, "that is of another version");
-    trials.hear_verdict(&new, Verdict { seen: 60.0, evidence: 9.0 });
+    trials.set_upstream_verdict(&new, Verdict { seen: 60.0, evidence: 9.0 });
     assert!(trials.is_bad(), "the fleet found it bad");
-    trials.forget_verdict();
+    trials.clear_upstream_verdict();
     assert_eq!(trials.verdict().seen, 0.0);
 }
 
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use kitepulley::decide::bound::{Bound, Part, Turns};
-use kitepulley::decide::poison::{Broken, Exchange, Life, Ways};
+use kitepulley::decide::poison::{Exchange, OpenRequest, ServerIncarnation, Topology};
 use kitepulley::decide::reader::is_stale;
 use kitepulley::forward::{Vm, learn, wake};
 use kitepulley::unit::{Moment, Rate, Revision, Span, digest};
@@ -89,8 +89,13 @@
     let mut contents = Exchange::default();
     let content = digest(&[b"a question"]);
     for life in 0..3 {
-        let life = Life::new("server", Some(life));
-        contents.ended(life, &[Broken { content, ran: false }], Ways::Direct, before);
+        let life = ServerIncarnation::new("server", Some(life));
+        contents.on_server_crash(
+            life,
+            &[OpenRequest { content, was_stable: false }],
+            Topology::Direct,
+            before,
+        );
     }
     for (sleeps, stale, held) in [(1, false, true), (5, true, true), (600, true, false)] {
         AGES_AWAKE.fetch_add(1000, Ordering::SeqCst);
@@ -98,7 +103,11 @@
         let now = clock.now();
         assert_eq!(is_stale(now.since(before), Span::secs(2)), stale, "servers after {sleeps} s");
         assert_eq!(turns.next(&part, now), now.max(before + part.gap), "a turn after {sleeps} s");
-        assert_eq!(contents.held(&content, now).is_some(), held, "a belief after {sleeps} s");
+        assert_eq!(
+            contents.quarantine_crashes(&content, now).is_some(),
+            held,
+            "a belief after {sleeps} s"
+        );
     }
 }
 
