--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -14,7 +14,7 @@
 use super::{announce, crash, pool};
 use crate::config::Repeat;
 use crate::decide::outcome::AttemptOutcome;
-use crate::decide::poison::Broken;
+use crate::decide::poison;
 use crate::decide::server_limit;
 use crate::platform::header::{self, Extra};
 use crate::unit::{Model, Moment, Rate, Span};
@@ -119,7 +119,11 @@
     drop(waiting);
     note(job, replica, &outcome);
     if outcome.end == AttemptOutcome::Broken || is_lost {
-        crash::on_broken_response(vm, replica, Broken { content: job.content, ran: false });
+        crash::on_broken_response(
+            vm,
+            replica,
+            poison::OpenRequest { content: job.content, was_stable: false },
+        );
     }
     outcome
 }
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -9,7 +9,7 @@
 use super::poison;
 use super::replica::Replica;
 use super::selection::{self, Placement};
-use super::watched::Watched;
+use super::trial_attempt::TrialAttempt;
 use crate::config::Repeat;
 use crate::decide::escalate;
 use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
@@ -152,10 +152,10 @@
     let begun = vm.now();
     let named = model.or(job.call.model.as_ref());
     let (sent, waiting) = job.begin_attempt(place, model);
-    let mut trial = Watched::new(job, replica, begun, sent.expected_time);
+    let mut trial = TrialAttempt::new(job, replica, begun, sent.expected_time);
     let attempt = attempt::run(job, replica, model, job.call.last_event_id, waiting, until);
     let outcome = trial.wait(attempt).await;
-    trial.ended(outcome.end);
+    trial.on_end(outcome.end);
     if outcome.end == AttemptOutcome::Good {
         let took = vm.now().since(begun);
         vm.record_prefill(named, sent.uncached_tokens, took);
@@ -207,16 +207,16 @@
     let place = selection::select_server(&job.vm, &job.criteria(Some(&larger), &[]), now)?;
     let left = (job.arrived + job.route.goal).since(now);
     let pressure = job.vm.pressure(&job.service, now);
-    let known = escalate::Known {
+    let known = escalate::Inputs {
         confidence,
-        keep_from: job.vm.settings.keep_confidence / 100.0,
+        keep_confidence: job.vm.settings.keep_confidence / 100.0,
         pressure,
-        waits: Span(place.until_prefilled.0 - place.prefill_time.0),
-        reads: place.prefill_time,
-        left,
+        queue_wait: Span(place.until_prefilled.0 - place.prefill_time.0),
+        prefill_time: place.prefill_time,
+        time_left: left,
     };
     job.record.add_escalation_check(&known);
-    let may = escalate::gives_way(&known) && job.vm.spend_optional_retry(&job.service, now);
+    let may = escalate::should_escalate(&known) && job.vm.spend_optional_retry(&job.service, now);
     may.then_some(larger)
 }
 
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -11,13 +11,13 @@
 use super::pack::Change;
 use super::poll::{self, Response, STALL_THRESHOLD};
 use super::role::{Decline, Role};
-use super::tally::{self, Seen, Tally};
-use super::trial::Trials;
+use super::rollout_counts::{self, Observations, SentCounts};
+use super::trial::RolloutTrial;
 use super::vm::Vm;
 use super::{peer, poison};
 use crate::decide::reader::{
-    self as decide, ASK_EVERY, ASK_SOON, Asked, FIRST_ANSWER_WITHIN, Rank, SETTLED, Without,
-    YOUNG_FOR, may_be_taken, time_to_ask,
+    self as decide, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Rank,
+    STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, answer_timeout, may_accept,
 };
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
@@ -33,18 +33,18 @@
     let mut follower = Follower {
         vm,
         started,
-        asked: Asked::default(),
+        asked: SourceHistory::default(),
         cursors: HashMap::new(),
         servers_as_of: None,
         lost_since: None,
-        tally: Tally::default(),
+        tally: SentCounts::default(),
     };
     loop {
-        let pause = if follower.poll().await { ASK_EVERY } else { ASK_SOON };
+        let pause = if follower.poll().await { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let expected = follower.vm.now() + pause;
         let asked_again = follower.vm.reader_search.notified();
         if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
-            follower.asked.forget_declined();
+            follower.asked.clear_declined();
         }
         let now = follower.vm.now();
         if now.since(expected) >= STALL_THRESHOLD {
@@ -58,7 +58,7 @@
     vm: Rc<Vm>,
     /// When it began.
     started: Moment,
-    asked: Asked,
+    asked: SourceHistory,
     /// How far it has come with the update of each VM.
     cursors: HashMap<Name, Cursor>,
     /// Of when its knowledge of servers is; none while it reads for itself.
@@ -66,7 +66,7 @@
     /// Since when those that answer say that the store is lost.
     lost_since: Option<Moment>,
     /// What others were known of versions that are rolled out.
-    tally: Tally,
+    tally: SentCounts,
 }
 
 /// The VMs that one may ask.
@@ -83,7 +83,7 @@
     name: Name,
     asked: Moment,
     /// What was known with it.
-    seen: Vec<Seen>,
+    seen: Vec<Observations>,
     reply: Response,
 }
 
@@ -126,11 +126,15 @@
     fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.upstream_store_lost.get() || self.is_store_reported_down(candidates);
-        time_to_ask(self.servers_as_of.filter(|_| !lost), self.vm.settings.bounds.drain_within, now)
+        answer_timeout(
+            self.servers_as_of.filter(|_| !lost),
+            self.vm.settings.bounds.drain_within,
+            now,
+        )
     }
 
     fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
-        self.asked.is_told_lost(&candidates.own, candidates.group.iter(), self.vm.now())
+        self.asked.is_store_reported_lost(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
     /// Whether this VM has just started and had no update yet.
@@ -139,7 +143,7 @@
     }
 
     fn is_young(&self) -> bool {
-        self.vm.now().since(self.started) < YOUNG_FOR
+        self.vm.now().since(self.started) < STARTUP_WAIT
     }
 
     fn candidates(&self) -> Candidates {
@@ -149,7 +153,8 @@
         let peers = vm.peers.borrow();
         let (group, others) = peers.groups(&vm.settings.data_centre);
         let firsts = others.into_values();
-        let firsts = firsts.filter_map(|group| self.asked.first(group.iter(), now).cloned());
+        let firsts =
+            firsts.filter_map(|group| self.asked.first_responsive(group.iter(), now).cloned());
         let firsts = firsts.collect();
         Candidates { own, group, firsts }
     }
@@ -172,11 +177,11 @@
     fn next_target(&self, candidates: &Candidates) -> Option<Name> {
         let now = self.vm.now();
         let next = if self.place(candidates) != decide::Place::First {
-            self.asked.next(&candidates.own, candidates.group.iter(), now)
+            self.asked.next_source(&candidates.own, candidates.group.iter(), now)
         } else if self.vm.store_lost.get() || self.vm.store_suspect.get() {
-            self.asked.any(candidates.firsts.iter(), now)
+            self.asked.any_source(candidates.firsts.iter(), now)
         } else {
-            self.asked.next(&candidates.own, candidates.firsts.iter(), now)
+            self.asked.next_source(&candidates.own, candidates.firsts.iter(), now)
         };
         next.cloned()
     }
@@ -186,12 +191,12 @@
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
         let within = match self.is_starting() {
-            true => FIRST_ANSWER_WITHIN,
+            true => FIRST_ANSWER_TIMEOUT,
             false => self.time_to_ask(candidates)?,
         };
         let cursor = self.cursors.get(&name).copied().unwrap_or_default();
         let is_first = vm.first_in_group_since.get().is_some();
-        let seen = self.tally.news(vm, &name, is_first);
+        let seen = self.tally.unsent(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
             Some(address) => poll::request(vm, address, cursor, &seen, within).await,
@@ -206,14 +211,14 @@
         let now = self.vm.now();
         if !matches!(reply, Response::NoAnswer) {
             peer::on_contact(&self.vm, &name);
-            self.tally.note(&name, seen);
+            self.tally.record_sent(&name, seen);
         }
         match reply {
             Response::Update(update) => return self.apply_update(&name, asked, &update),
-            Response::Declined(Decline::KnowsTooLittle) => self.asked.unready(&name, now),
-            Response::Declined(_) => self.asked.declined(&name, now),
-            Response::NoAnswer if self.is_starting() => self.asked.unheard(&name, now),
-            Response::NoAnswer => self.asked.silent(&name, now),
+            Response::Declined(Decline::KnowsTooLittle) => self.asked.on_not_ready(&name, now),
+            Response::Declined(_) => self.asked.on_declined(&name, now),
+            Response::NoAnswer if self.is_starting() => self.asked.on_startup_timeout(&name, now),
+            Response::NoAnswer => self.asked.on_timeout(&name, now),
         }
         Gain::None
     }
@@ -222,36 +227,38 @@
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
         let is_lost = update.store == Reachability::Down;
-        if !may_be_taken(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
-            self.asked.declined(from, vm.now());
+        if !may_accept(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
+            self.asked.on_declined(from, vm.now());
             return Gain::None;
         }
         if is_lost {
             // Another may reach the store; this one is asked on, to hear of its return.
-            self.asked.lost(from, vm.now());
+            self.asked.on_store_lost(from, vm.now());
             let lost_since = *self.lost_since.get_or_insert(vm.now());
-            if *vm.role.borrow() == Role::Joins && vm.now().since(lost_since) < SETTLED {
+            if *vm.role.borrow() == Role::Joins
+                && vm.now().since(lost_since) < STORE_LOSS_CONFIRMED_AFTER
+            {
                 return Gain::Stale;
             }
         }
         let position = update.position();
         if position.era < vm.era.newest() {
             vm.log("news of an older era", &[("from", from.as_str().into())]);
-            self.asked.declined(from, vm.now());
+            self.asked.on_declined(from, vm.now());
             return Gain::None;
         }
         vm.enter_era_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
         let Some(changes) = update.changes.changes() else {
             let bytes = ("bytes", update.changes.size().into());
             vm.log("news not read", &[("from", from.as_str().into()), bytes]);
-            self.asked.declined(from, vm.now());
+            self.asked.on_declined(from, vm.now());
             return Gain::None;
         };
         self.cursors.insert(from.clone(), update.cursor);
         if !is_lost {
             vm.on_store_report(update.store, asked);
         }
-        tally::hear_verdicts(&vm, &update.verdicts);
+        rollout_counts::apply_verdicts(&vm, &update.verdicts);
         poison::on_quarantine_list(&vm, from.as_str(), &update.held, asked);
         apply_contents(&vm, asked, from, update, &changes);
         let disputed = update.restore.iter().flat_map(|restore| &restore.disputed);
@@ -265,7 +272,7 @@
             }
             return Gain::Stale;
         }
-        self.asked.answered(from);
+        self.asked.on_update(from);
         self.lost_since = None;
         become_follower(&vm, from, update);
         Gain::Fresh
@@ -280,21 +287,22 @@
         self.update_rank(candidates);
         let now = vm.now();
         let bound = vm.settings.bounds.drain_within;
-        let without = Without {
+        let without = FollowerState {
             place: self.place(candidates),
-            others: !candidates.firsts.is_empty(),
-            may_ask: self.next_target(candidates).is_some(),
-            lost: self.is_store_reported_down(candidates),
-            knows: self.servers_as_of.is_some(),
-            is_young: self.is_young(),
-            overdue: time_to_ask(self.servers_as_of, bound, now).is_none(),
+            has_other_groups: !candidates.firsts.is_empty(),
+            has_source: self.next_target(candidates).is_some(),
+            is_store_lost: self.is_store_reported_down(candidates),
+            has_snapshot: self.servers_as_of.is_some(),
+            is_starting: self.is_young(),
+            is_overdue: answer_timeout(self.servers_as_of, bound, now).is_none(),
         };
-        if decide::reads(&without) {
+        if decide::should_read_store(&without) {
             become_reader(vm, &without);
             self.servers_as_of = None;
             return true;
         }
-        is_reported_down && self.lost_since.is_some_and(|since| now.since(since) >= SETTLED)
+        is_reported_down
+            && self.lost_since.is_some_and(|since| now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
     }
 }
 
@@ -377,18 +385,18 @@
     vm.role.send_replace(role);
 }
 
-fn become_reader(vm: &Vm, without: &Without) {
+fn become_reader(vm: &Vm, without: &FollowerState) {
     let place = format!("{:?}", without.place);
     let fields = [
         ("place", place.as_str().into()),
-        ("told_lost", without.lost.into()),
-        ("overdue", without.overdue.into()),
+        ("told_lost", without.is_store_lost.into()),
+        ("overdue", without.is_overdue.into()),
     ];
     vm.log("reads the store itself", &fields);
     vm.upstream_store_lost.set(false);
-    vm.store_untested.set(without.lost);
+    vm.store_untested.set(without.is_store_lost);
     vm.proof_requested.notify_one();
     vm.origin.replace(None);
-    vm.trials.borrow_mut().values_mut().for_each(Trials::forget_verdict);
+    vm.trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
     vm.role.send_replace(Role::Reads);
 }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -15,7 +15,7 @@
 use super::role::Role;
 use super::trial::Source;
 use super::vm::Vm;
-use super::{kept, membership, poison, poll};
+use super::{membership, pinned, poison, poll};
 use crate::decide::reader::Rank;
 use crate::decide::server_limit;
 use crate::peer::wire::{decode, encode};
@@ -212,10 +212,10 @@
         }
         Message::TrialCounts { service, version, routes } => {
             let mut trials = vm.trials.borrow_mut();
-            trials.entry(service).or_default().hear(Source::Vm(from), &version, routes);
+            trials.entry(service).or_default().merge_totals(Source::Vm(from), &version, routes);
         }
         Message::PinnedSessions { service, version, draws } => {
-            kept::hear(vm, &service, &version, draws)
+            pinned::on_pinned(vm, &service, &version, draws)
         }
         Message::Poison(news) => poison::on_message(vm, from.as_str(), &news),
         Message::ServerDraining(life) => announce::on_drain(vm, from.as_str(), &life),
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -13,7 +13,7 @@
 use super::kind::Kind;
 use super::restore::Notice;
 use super::role::Decline;
-use super::tally::{self, Seen};
+use super::rollout_counts::{self, Observations};
 use super::vm::Vm;
 use super::{peer, poison};
 use crate::decide::reader::is_stale;
@@ -36,9 +36,9 @@
     /// How far it has come.
     cursor: Cursor,
     /// What it has seen of versions that are rolled out, as far as this is update.
-    seen: Vec<Seen>,
+    seen: Vec<Observations>,
     /// Contents that it holds back.
-    held: Vec<poison::Told>,
+    held: Vec<poison::QuarantinedContent>,
 }
 
 /// What came of a question.
@@ -56,7 +56,7 @@
     vm: &Vm,
     to: SocketAddr,
     cursor: Cursor,
-    seen: &[Seen],
+    seen: &[Observations],
     within: Span,
 ) -> Response {
     let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
@@ -78,7 +78,7 @@
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
     peer::on_contact(vm, &from);
-    tally::hear(vm, seen);
+    rollout_counts::merge_counts(vm, seen);
     poison::on_quarantine_list(vm, from.as_str(), &held, vm.now());
     let update = update(vm, cursor);
     log_decline(vm, update.as_ref().err().copied());
@@ -119,7 +119,7 @@
     }
     vm.follower_polled_at.set(Some(now));
     let proof_age = vm.proof_age(now);
-    let verdicts = tally::verdicts(vm);
+    let verdicts = rollout_counts::verdicts(vm);
     let store = availability(vm, check_ages(vm, proof_age))?;
     let held = poison::quarantined(vm);
     let configuration = vm.routes().map(|table| table.revision);
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -11,7 +11,7 @@
 use super::{attempt, crash, poison};
 use crate::config::Repeat;
 use crate::decide::outcome::AttemptOutcome;
-use crate::decide::poison::{Broken, RAN_FOR};
+use crate::decide::poison::{OpenRequest, STABLE_AFTER};
 use crate::unit::{Moment, Span};
 
 /// Pause until the budget of repeats is asked again.
@@ -130,8 +130,12 @@
                 server.availability.record(AttemptOutcome::Broken, usual, vm.now());
             }
         }
-        let ran = vm.now().since(self.begun.stream.started_at) >= RAN_FOR;
-        crash::on_broken_response(&vm, broken, Broken { content: self.job.content, ran });
+        let ran = vm.now().since(self.begun.stream.started_at) >= STABLE_AFTER;
+        crash::on_broken_response(
+            &vm,
+            broken,
+            OpenRequest { content: self.job.content, was_stable: ran },
+        );
         if self.job.route.repeat != Repeat::Resume {
             return Err(why);
         }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -8,9 +8,8 @@
 
 use super::kind::Kind;
 use super::settings::Settings;
-use super::store_watch;
 use super::vm::Vm;
-use super::{follower, kept, listener, peer, poison, proof, restore, steps, wake};
+use super::{follower, listener, peer, pinned, poison, proof, restore, steps, store_watch, wake};
 use crate::error::Error;
 use crate::platform;
 use crate::unit::Span;
@@ -52,7 +51,7 @@
     spawn(restore::broadcast_disputes(vm.clone()));
     spawn(store_watch::expire_servers(vm.clone()));
     spawn(steps::run(vm.clone()));
-    spawn(kept::run(vm.clone()));
+    spawn(pinned::run(vm.clone()));
     spawn(wake::run(vm.clone()));
     spawn(peer::run(vm.clone()));
     spawn(follower::run(vm.clone()));
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::canary;
 use crate::forward::call::Call;
-use crate::forward::kept::{self, Draw};
+use crate::forward::pinned::{self, Draw};
 use crate::forward::replica::Phase;
 use crate::forward::server::Server;
 use crate::forward::vm::Vm;
@@ -96,14 +96,14 @@
             let name = call.session.as_deref().unwrap_or(&call.id);
             let sessions = vm.sessions.borrow();
             let last = call.session.as_deref().and_then(|one| sessions.version(one, gap, now));
-            let is_young = kept::is_young(vm, rollout, now);
+            let is_young = pinned::is_pinning(vm, rollout, now);
             let draw = Draw::new(service, &rollout.version, name);
             let point = draw.point();
             let drawn = Reason::Drawn { point, share, known: last.is_some() };
             match last {
                 Some(last) if *last == rollout.version => (new, Reason::Kept),
                 Some(_) if is_young => (old, Reason::Kept),
-                None if is_young && vm.pinned_sessions.borrow().has(draw, gap, now) => {
+                None if is_young && vm.pinned_sessions.borrow().is_pinned(draw, gap, now) => {
                     (old, Reason::Heard)
                 }
                 _ if point < share => (new, drawn),
@@ -132,6 +132,6 @@
         .map(|id| (hash::stable(&[service.as_str(), id.as_str()]), id))
         .collect();
     ranked.sort();
-    ranked.truncate(canary::busy_servers(share, ranked.len()));
+    ranked.truncate(canary::trial_servers(share, ranked.len()));
     Some(ranked.into_iter().map(|(_, id)| id).collect())
 }
