--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a request is let towards a pool of back ends: concurrency that adapts to the pool, and
-//! fair shares among workspaces while the pool is full.
+//! Admission of requests to a pool of back ends: a concurrency limit that adapts to the pool, and
+//! fair shares among workspaces while the pool is nearly full.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,35 @@
 use super::limit::ConcurrencyLimit;
 use crate::unit::{Moment, Span, Workspace};
 
-/// Time between two looks at demand.
-const LOOK: Span = Span::millis(200);
+/// Time between two updates of demand and limit.
+const UPDATE_INTERVAL: Span = Span::millis(200);
 
-/// Weight of the latest look.
-const LATEST: f64 = 0.3;
+/// Weight of the latest sample in the moving averages.
+const SMOOTHING_FACTOR: f64 = 0.3;
 
-/// Concurrency at most, of one VM towards one pool.
-const MOST: f64 = 100_000.0;
+/// Upper bound of the concurrency limit of one VM for one pool.
+const MAX_CONCURRENCY: f64 = 100_000.0;
 
-/// Shares matter while more than this part of the limit is used.
-const NEARLY_FULL: f64 = 0.85;
+/// Fair shares are enforced while more than this fraction of the limit is in use.
+const CROWDED_THRESHOLD: f64 = 0.85;
 
-/// Every workspace may hold this many slots, however small its share.
-const LEAST: f64 = 2.0;
+/// Every workspace may hold this many slots, however small its fair share.
+const MIN_SHARE: f64 = 2.0;
 
-/// A request may take this many times as long as the mean.
-const SPREAD: f64 = 2.0;
+/// A request is assumed to take up to this many times the mean duration.
+const MAX_DURATION_FACTOR: f64 = 2.0;
 
-/// How a request that was let in ended.
+/// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// In time.
+    /// It succeeded in time.
     Good,
-    /// Late, or not at all.
+    /// It ended late or without a response.
     Bad,
     /// Every back end that was tried was full.
     Full,
-    /// It says nothing about the pool: the caller left, or the request was at fault.
+    /// The outcome says nothing about the pool: the caller disconnected, or the request was
+    /// invalid.
     Unrelated,
 }
 
@@ -47,50 +48,52 @@
     share: f64,
 }
 
-/// One VM's gate towards one pool.
+/// Admission of one VM's requests to one pool.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
     concurrency: ConcurrencyLimit,
     running: f64,
     ended: f64,
-    /// Requests let in that end in a second, and how many run at once, both of late.
+    /// Admitted requests that end per second, and that run at once, as moving averages.
     rate: f64,
-    held: f64,
-    time: f64,
-    looked: Moment,
+    mean_running: f64,
+    slot_time: f64,
+    updated_at: Moment,
     demands: BTreeMap<Workspace, Demand>,
 }
 
 impl AdmissionController {
-    /// A gate towards a pool of so many slots; it begins as if this VM were alone.
+    /// Creates a controller for a pool of `slots`. The initial limit assumes that this VM is the
+    /// only one.
     pub fn new(slots: f64) -> AdmissionController {
         AdmissionController {
-            concurrency: ConcurrencyLimit::new(slots, MOST),
+            concurrency: ConcurrencyLimit::new(slots, MAX_CONCURRENCY),
             running: 0.0,
             ended: 0.0,
             rate: 0.0,
-            held: 0.0,
-            time: 0.0,
-            looked: Moment(0),
+            mean_running: 0.0,
+            slot_time: 0.0,
+            updated_at: Moment(0),
             demands: BTreeMap::new(),
         }
     }
 
-    /// Lets a request in, or not; the share of its workspace goes by `weight`.
+    /// Returns true if the request is admitted. The share of its workspace is proportional to
+    /// `weight`.
     pub fn try_admit(&mut self, workspace: &Workspace, weight: f64, now: Moment) -> bool {
-        self.look(now);
-        let crowded = self.running >= NEARLY_FULL * self.concurrency.limit();
+        self.update(now);
+        let crowded = self.running >= CROWDED_THRESHOLD * self.concurrency.limit();
         let demand = match self.demands.get_mut(workspace) {
             Some(demand) => demand,
             None => self.demands.entry(workspace.clone()).or_default(),
         };
         demand.weight = weight;
         demand.offered += 1.0;
-        let fair = !crowded || demand.running < demand.share.max(LEAST);
-        // A workspace within its share goes in even if others filled the limit.
-        let owed = demand.running + 1.0 <= demand.share.max(LEAST);
-        let room = self.concurrency.admits(self.running);
-        if !fair || !(room || owed) {
+        let fair = !crowded || demand.running < demand.share.max(MIN_SHARE);
+        // A workspace within its share is admitted even if others have filled the limit.
+        let within_share = demand.running + 1.0 <= demand.share.max(MIN_SHARE);
+        let has_room = self.concurrency.admits(self.running);
+        if !fair || !(has_room || within_share) {
             return false;
         }
         demand.running += 1.0;
@@ -98,9 +101,9 @@
         true
     }
 
-    /// A request that was let in ended.
+    /// Records the outcome of an admitted request.
     pub fn on_end(&mut self, workspace: &Workspace, how: Outcome, now: Moment) {
-        self.look(now);
+        self.update(now);
         match how {
             Outcome::Good => self.concurrency.record_success(),
             Outcome::Bad | Outcome::Full => self.concurrency.record_overload(),
@@ -113,34 +116,34 @@
         }
     }
 
-    /// Whether a request that must end by `deadline` can be expected to.
+    /// Returns true if a request is expected to end before `deadline`.
     pub fn can_meet_deadline(&self, now: Moment, deadline: Moment) -> bool {
-        now + Span((self.time * SPREAD * 1e6) as u64) < deadline
+        now + Span((self.slot_time * MAX_DURATION_FACTOR * 1e6) as u64) < deadline
     }
 
-    /// The present limit of concurrency.
+    /// Returns the current concurrency limit.
     pub fn limit(&self) -> f64 {
         self.concurrency.limit()
     }
 
-    fn look(&mut self, now: Moment) {
-        let passed = now.since(self.looked);
-        if passed < LOOK {
+    fn update(&mut self, now: Moment) {
+        let elapsed = now.since(self.updated_at);
+        if elapsed < UPDATE_INTERVAL {
             return;
         }
-        self.looked = now;
+        self.updated_at = now;
         self.concurrency.adapt();
-        let seconds = passed.as_secs();
-        self.rate += LATEST * (self.ended / seconds - self.rate);
-        self.held += LATEST * (self.running - self.held);
+        let seconds = elapsed.as_secs();
+        self.rate += SMOOTHING_FACTOR * (self.ended / seconds - self.rate);
+        self.mean_running += SMOOTHING_FACTOR * (self.running - self.mean_running);
         self.ended = 0.0;
-        // By Little's law, the time that a request holds its slot.
-        self.time = if self.rate > 0.0 { self.held / self.rate } else { 0.0 };
+        // Little's law: mean time that a request holds its slot.
+        self.slot_time = if self.rate > 0.0 { self.mean_running / self.rate } else { 0.0 };
         let mut wanted = Vec::with_capacity(self.demands.len());
         for demand in self.demands.values_mut() {
-            demand.rate += LATEST * (demand.offered / seconds - demand.rate);
+            demand.rate += SMOOTHING_FACTOR * (demand.offered / seconds - demand.rate);
             demand.offered = 0.0;
-            wanted.push((demand.rate * self.time).max(demand.running));
+            wanted.push((demand.rate * self.slot_time).max(demand.running));
         }
         let weights: Vec<f64> = self.demands.values().map(|demand| demand.weight).collect();
         let shares = fair::shares(&wanted, &weights, self.concurrency.limit());
@@ -160,25 +163,26 @@
 
     #[test]
     fn an_idle_pool_lets_everyone_in() {
-        let mut gate = AdmissionController::new(64.0);
+        let mut controller = AdmissionController::new(64.0);
         for i in 0..1000u64 {
             let now = Moment(1_000_000 + i * 1000);
-            assert!(gate.try_admit(&name(0), 1.0, now));
-            gate.on_end(&name(0), Outcome::Good, now);
+            assert!(controller.try_admit(&name(0), 1.0, now));
+            controller.on_end(&name(0), Outcome::Good, now);
         }
     }
 
     #[test]
     fn a_full_pool_keeps_the_share_of_the_small() {
-        let mut gate = AdmissionController::new(64.0);
+        let mut controller = AdmissionController::new(64.0);
         let (mut small, mut small_in) = (0, 0);
         let mut running = std::collections::VecDeque::new();
-        // A large workspace offers 20 for each one of the small; 64 fit, each for 100 ms.
+        // The large workspace offers 20 requests for each one of the small; 64 fit, each for 100
+        // ms.
         for i in 0..200_000u64 {
             let now = Moment(1_000_000 + i * 100);
             while running.front().is_some_and(|(end, _)| *end <= now) {
                 let (_, who) = running.pop_front().unwrap();
-                gate.on_end(
+                controller.on_end(
                     &name(who),
                     if running.len() > 64 { Outcome::Full } else { Outcome::Good },
                     now,
@@ -186,7 +190,7 @@
             }
             let is_small = i % 21 == 0;
             let who = usize::from(is_small);
-            let admitted = gate.try_admit(&name(who), 1.0, now);
+            let admitted = controller.try_admit(&name(who), 1.0, now);
             if admitted {
                 running.push_back((now + Span::millis(100), who));
             }
--- a/src/decide/availability.rs
+++ b/src/decide/availability.rs
@@ -1,8 +1,9 @@
-//! Whether one life of a backend server takes requests, from all that is known of it: what its entry and the heads of its answers
-//! say, and how attempts there ended.
+//! Availability of one incarnation of a backend server, derived from its entry, the headers of its
+//! responses and the outcome of attempts.
 //!
-//! What a server says of itself binds whoever heard it, and nothing overrides it: it leaves, or wants rest. What a VM only
-//! concludes from failures may be wrong, and gives way where nothing else is left.
+//! What a server announces about itself (that it is draining, or asks for a backoff) binds every VM
+//! that received it and is never overridden. What a VM only infers from failures may be wrong, and
+//! is ignored where no other server is left.
 
 use std::fmt;
 
@@ -11,48 +12,50 @@
 use super::server_limit::Limit;
 use crate::unit::{Moment, Span};
 
-/// The longest rest that is believed. A server whose number is wrong is asked again after it; longer rests would be taken for an
-/// outage by operators, who take such a server away.
-const LONGEST_REST: Span = Span::secs(600);
+/// The longest backoff that is honoured. A server that sends a wrong number gets requests again
+/// after it; operators would take a longer backoff for an outage and remove the server.
+const MAX_BACKOFF: Span = Span::secs(600);
 
-/// Callers that are refused as all servers rest come back within so long after the first rest has ended, one after the other.
-const SPREAD: Span = Span::millis(500);
+/// Callers that are refused because all servers back off are spread over this time after the first
+/// backoff ends, so that they don't all return at once.
+const RETRY_SPREAD: Span = Span::millis(500);
 
-/// A server whose rest is over gets one request at a time until it takes one. One of which nothing is heard for so long is waited for no
-/// longer: heads of answers come within some ten milliseconds of a server that has room.
-const TRIED_FOR: Span = Span::millis(250);
+/// A server whose backoff is over gets one request at a time until it accepts one. A probe without
+/// a response counts for this long only: response headers of a server that has room arrive within
+/// some ten milliseconds.
+const PROBE_TIMEOUT: Span = Span::millis(250);
 
-/// What the head of one answer says of its server.
+/// What the headers of one response say about the state of its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Signal {
-    /// It leaves.
+    /// True if the server is draining and accepts no new requests.
     pub draining: bool,
-    /// It wants nothing for so long.
+    /// How long the server asks to get no requests, if it does.
     pub backoff: Option<Span>,
 }
 
-/// Why a server is to get nothing now.
+/// Why a server may not receive requests now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// It has said, or its entry, so long ago that it leaves.
+    /// It announced, or its entry did, this long ago that it is draining.
     Draining(Span),
-    /// Its entry went, or a later life of it began.
+    /// Its entry was removed, or a later incarnation started.
     Removed,
     /// Another server answered at its address.
     AddressReused,
-    /// An order empties its data centre.
+    /// An operator's order evacuates its data centre.
     Evacuated,
-    /// It wants nothing for so much longer.
+    /// It asked for a backoff, which lasts this much longer.
     BackingOff(Span),
-    /// Its rest is over, and a request that tries it is under way; the next may try it after so long.
+    /// Its backoff is over and a probe request is under way; the next may follow after this time.
     Probing(Span),
-    /// It failed of late, and is left out for so much longer.
+    /// It failed recently and stays ejected for this much longer.
     Ejected(Span),
 }
 
 impl Unavailable {
-    /// Whether it holds also where no other server is left. That another server has its address is only concluded, from a refusal that
-    /// has other reasons too.
+    /// Returns true if the reason holds even where no other server is left. That another server
+    /// uses its address is only inferred, from a refusal that can have other causes.
     pub fn is_hard(self) -> bool {
         !matches!(self, Unavailable::Ejected(_) | Unavailable::AddressReused)
     }
@@ -61,105 +64,115 @@
 impl fmt::Display for Unavailable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unavailable::Draining(since) => write!(f, "it said {since} ago that it leaves"),
-            Unavailable::Removed => write!(f, "its entry went"),
-            Unavailable::AddressReused => write!(f, "another server has its address"),
-            Unavailable::Evacuated => write!(f, "an order empties its data centre"),
-            Unavailable::BackingOff(left) => write!(f, "it wants rest for {left} more"),
+            Unavailable::Draining(since) => {
+                write!(f, "the server announced {since} ago that it is draining")
+            }
+            Unavailable::Removed => write!(f, "the server's entry was removed"),
+            Unavailable::AddressReused => write!(f, "another server has its address now"),
+            Unavailable::Evacuated => write!(f, "its data centre is being evacuated"),
+            Unavailable::BackingOff(left) => {
+                write!(f, "the server asked for a backoff, {left} left")
+            }
             Unavailable::Probing(left) => {
-                write!(f, "it is tried after a rest, the next may in {left}")
+                write!(f, "a probe after its backoff is under way, the next may follow in {left}")
+            }
+            Unavailable::Ejected(left) => {
+                write!(f, "the server is ejected after failures, {left} left")
             }
-            Unavailable::Ejected(left) => write!(f, "it is left out for {left} more"),
         }
     }
 }
 
-/// When a caller is to come back if no server takes it now, each for so much longer; `random` is from 0 to 1.
-pub fn retry_after(rests: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
-    rests.min().map(|left| Span(left.0 + SPREAD.part(random).0))
+/// Returns when a refused caller should retry, given how long each server stays unavailable;
+/// `random` is between 0 and 1.
+pub fn retry_after(backoffs: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
+    backoffs.min().map(|left| Span(left.0 + RETRY_SPREAD.part(random).0))
 }
 
-/// What is known of one life of a server. A new life begins with a new one.
+/// What is known about one incarnation of a server. A new incarnation starts with an empty state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Availability {
-    /// How much it takes from all VMs together.
+    /// Rate limit that the server advertises to all VMs together.
     pub limit: Limit,
-    record: OutlierDetector,
-    /// Since when its entry says that it leaves.
-    listed_leaving: Option<Moment>,
-    /// Since when it has said so itself.
-    said_leaving: Option<Moment>,
-    rests_until: Option<Moment>,
-    tried: Option<Moment>,
-    is_another: bool,
+    outliers: OutlierDetector,
+    /// Since when its entry in the store marks it as draining.
+    entry_draining_since: Option<Moment>,
+    /// Since when the server itself has announced that it is draining.
+    signalled_draining_since: Option<Moment>,
+    backoff_until: Option<Moment>,
+    probed_at: Option<Moment>,
+    address_reused: bool,
 }
 
 impl Availability {
-    /// Takes what its entry in the store says, which a later entry may take back. No entry takes back what the server said itself, since it may
-    /// be of before.
+    /// Applies its entry in the store, which a later entry may revert. No entry reverts what the
+    /// server itself announced, since the entry may be older.
     pub fn apply_entry(&mut self, ready: bool, now: Moment) {
-        self.listed_leaving = (!ready).then(|| self.listed_leaving.unwrap_or(now));
+        self.entry_draining_since = (!ready).then(|| self.entry_draining_since.unwrap_or(now));
     }
 
-    /// Takes what the head of an answer says. Whether that changes anything. Of two rests the one that ends later holds, since answers on
-    /// several connections overtake each other.
-    pub fn observe(&mut self, said: Signal, now: Moment) -> bool {
-        // What comes after a rest and asks for none ends it.
-        if said.backoff.is_none() && self.rests_until.is_some_and(|until| until <= now) {
-            (self.rests_until, self.tried) = (None, None);
+    /// Applies the headers of a response and returns true if they change anything. Of two backoffs
+    /// the later end holds, since responses on several connections overtake each other.
+    pub fn observe(&mut self, signal: Signal, now: Moment) -> bool {
+        // A response after the backoff that asks for no other one ends it.
+        if signal.backoff.is_none() && self.backoff_until.is_some_and(|until| until <= now) {
+            (self.backoff_until, self.probed_at) = (None, None);
         }
-        let before = (self.said_leaving, self.rests_until);
-        if said.draining {
-            self.said_leaving = self.said_leaving.or(Some(now));
+        let previous = (self.signalled_draining_since, self.backoff_until);
+        if signal.draining {
+            self.signalled_draining_since = self.signalled_draining_since.or(Some(now));
         }
-        if let Some(rest) = said.backoff {
-            let until = now + rest.min(LONGEST_REST);
-            self.rests_until = self.rests_until.max(Some(until));
-            self.tried = None;
+        if let Some(backoff) = signal.backoff {
+            let until = now + backoff.min(MAX_BACKOFF);
+            self.backoff_until = self.backoff_until.max(Some(until));
+            self.probed_at = None;
         }
-        before != (self.said_leaving, self.rests_until)
+        previous != (self.signalled_draining_since, self.backoff_until)
     }
 
-    /// A request is sent there.
+    /// Records that a request is sent to the server.
     pub fn on_send(&mut self, now: Moment) {
-        if self.rests_until.is_some() {
-            self.tried = Some(now);
+        if self.backoff_until.is_some() {
+            self.probed_at = Some(now);
         }
     }
 
-    /// Another server answered at its address.
+    /// Records that another server answered at its address.
     pub fn mark_address_reused(&mut self) {
-        self.is_another = true;
+        self.address_reused = true;
     }
 
-    /// Notes how an attempt ended; `usual` is the pool's share of failures. Whether the server is left out from now on.
-    pub fn record(&mut self, end: AttemptOutcome, usual: f64, now: Moment) -> bool {
-        self.record.record(end, usual, now)
+    /// Records the outcome of an attempt; `pool_failure_rate` is that of the whole pool. Returns
+    /// true if the server is ejected as a result.
+    pub fn record(&mut self, end: AttemptOutcome, pool_failure_rate: f64, now: Moment) -> bool {
+        self.outliers.record(end, pool_failure_rate, now)
     }
 
-    /// Share of its answers that were failures, of late.
+    /// Returns the recent share of its responses that were failures.
     pub fn failure_rate(&self) -> f64 {
-        self.record.failure_rate()
+        self.outliers.failure_rate()
     }
 
-    /// Whether it has said that it leaves, or its entry has.
+    /// Returns true if the server or its entry announced that it is draining.
     pub fn is_draining(&self) -> bool {
-        self.leaves_since().is_some()
+        self.draining_since().is_some()
     }
 
-    fn leaves_since(&self) -> Option<Moment> {
-        let told = [self.said_leaving, self.listed_leaving];
-        told.into_iter().flatten().min()
+    fn draining_since(&self) -> Option<Moment> {
+        let announced = [self.signalled_draining_since, self.entry_draining_since];
+        announced.into_iter().flatten().min()
     }
 
-    /// Why it is to get nothing now; what binds comes first.
+    /// Returns why the server may not receive requests now, hard reasons first.
     pub fn unavailable_reason(&self, now: Moment) -> Option<Unavailable> {
         let left = |until: Moment| Some(until.since(now)).filter(|left| *left > Span(0));
-        let leaves = || self.leaves_since().map(|since| Unavailable::Draining(now.since(since)));
-        let another = || self.is_another.then_some(Unavailable::AddressReused);
-        let rests = || self.rests_until.and_then(left).map(Unavailable::BackingOff);
-        let tried = || self.tried.and_then(|at| left(at + TRIED_FOR)).map(Unavailable::Probing);
-        let left_out = || self.record.ejected_until().and_then(left).map(Unavailable::Ejected);
-        leaves().or_else(another).or_else(rests).or_else(tried).or_else(left_out)
+        let draining =
+            || self.draining_since().map(|since| Unavailable::Draining(now.since(since)));
+        let reused = || self.address_reused.then_some(Unavailable::AddressReused);
+        let backing_off = || self.backoff_until.and_then(left).map(Unavailable::BackingOff);
+        let probing =
+            || self.probed_at.and_then(|at| left(at + PROBE_TIMEOUT)).map(Unavailable::Probing);
+        let ejected = || self.outliers.ejected_until().and_then(left).map(Unavailable::Ejected);
+        draining().or_else(reused).or_else(backing_off).or_else(probing).or_else(ejected)
     }
 }
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -1,83 +1,92 @@
-//! The budget of repeated sends: a share of the requests of a sliding window.
+//! Budget of repeated sends: a share of the requests in a sliding window.
 
 use std::collections::VecDeque;
 
 use crate::unit::{Moment, Span};
 
-/// Steps that a window is counted in.
-const STEPS: u64 = 20;
+/// Number of buckets that the window is counted in.
+const BUCKETS: u64 = 20;
 
-/// Share of the agreed ratio that is used; the rest is kept for windows that lie across the steps.
-const USED: f64 = 0.9;
+/// Fraction of the agreed ratio that is used; the rest is a margin for windows that are not aligned
+/// with the buckets.
+const USED_FRACTION: f64 = 0.9;
 
-/// Part of the budget that is kept for failures: a second run for a better answer must not leave a
-/// request without the send that would save it.
-const RESERVED: f64 = 0.25;
+/// Fraction of the budget that is reserved for failures: a second run for a better response must
+/// not leave a failed request without the retry that would save it.
+const RESERVED_FRACTION: f64 = 0.25;
 
 #[derive(Clone, Copy, Debug)]
-struct Step {
+struct Bucket {
     number: u64,
     firsts: u32,
     repeats: u32,
 }
 
-/// One VM's budget towards one service.
+/// One VM's retry budget for one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    step: Span,
+    bucket_length: Span,
     share: f64,
     extra: u32,
-    steps: VecDeque<Step>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl RetryBudget {
-    /// A budget of `share` of the requests in `window`, and one more until an extra is set.
+    /// Creates a budget of `share` of the requests in `window`, plus one retry until `set_extra` is
+    /// called.
     pub fn new(window: Span, share: f64) -> RetryBudget {
-        let step = Span((window.0 / STEPS).max(1));
-        RetryBudget { step, share: share * USED, extra: 1, steps: VecDeque::new() }
+        let bucket_length = Span((window.0 / BUCKETS).max(1));
+        RetryBudget {
+            bucket_length,
+            share: share * USED_FRACTION,
+            extra: 1,
+            buckets: VecDeque::new(),
+        }
     }
 
-    /// Sets the repeats beyond the share: this VM's part of what all may spend.
+    /// Sets the number of retries beyond the share: this VM's part of what all VMs together may
+    /// spend.
     pub fn set_extra(&mut self, extra: u32) {
         self.extra = extra;
     }
 
-    /// Counts a request that is sent for the first time.
+    /// Records that a request is sent for the first time.
     pub fn record_first(&mut self, now: Moment) {
-        self.at(now).firsts += 1;
+        self.bucket(now).firsts += 1;
     }
 
-    /// Takes a repeated send, if one is left.
+    /// Takes a repeated send from the budget and returns true, or returns false if none is left.
     pub fn try_spend(&mut self, now: Moment) -> bool {
-        self.spend_of(1.0, now)
+        self.spend_fraction(1.0, now)
     }
 
-    /// Takes a repeated send that serves no failure, if more are left than failures may need.
+    /// Takes a repeated send that does not follow a failure, if the budget beyond the reserved
+    /// fraction allows it.
     pub fn try_spend_optional(&mut self, now: Moment) -> bool {
-        self.spend_of(1.0 - RESERVED, now)
+        self.spend_fraction(1.0 - RESERVED_FRACTION, now)
     }
 
-    fn spend_of(&mut self, part: f64, now: Moment) -> bool {
-        self.at(now);
-        let firsts: u32 = self.steps.iter().map(|step| step.firsts).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
+    fn spend_fraction(&mut self, fraction: f64, now: Moment) -> bool {
+        self.bucket(now);
+        let firsts: u32 = self.buckets.iter().map(|bucket| bucket.firsts).sum();
+        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
         let all = f64::from(firsts) * self.share + f64::from(self.extra);
-        if f64::from(repeats) + 1.0 > all * part {
+        if f64::from(repeats) + 1.0 > all * fraction {
             return false;
         }
-        self.at(now).repeats += 1;
+        self.bucket(now).repeats += 1;
         true
     }
 
-    /// The present step; those that left the window are dropped.
-    fn at(&mut self, now: Moment) -> &mut Step {
-        let number = now.0 / self.step.0;
-        while self.steps.front().is_some_and(|step| step.number + STEPS < number) {
-            self.steps.pop_front();
+    /// Returns the current bucket and drops those that have left the window.
+    fn bucket(&mut self, now: Moment) -> &mut Bucket {
+        let number = now.0 / self.bucket_length.0;
+        while self.buckets.front().is_some_and(|bucket| bucket.number + BUCKETS < number) {
+            self.buckets.pop_front();
         }
-        if self.steps.back().is_none_or(|step| step.number != number) {
-            self.steps.push_back(Step { number, firsts: 0, repeats: 0 });
+        if self.buckets.back().is_none_or(|bucket| bucket.number != number) {
+            self.buckets.push_back(Bucket { number, firsts: 0, repeats: 0 });
         }
-        self.steps.back_mut().expect("it was just pushed")
+        self.buckets.back_mut().expect("it was just pushed")
     }
 }
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -1,15 +1,16 @@
-//! Backend servers that have just started: until its caches and pools are warm a server bears some requests a second.
+//! Rate limit of backend servers that have just started: until its caches and pools are
+//! warm, a server accepts only some requests per second.
 
 use super::server_limit;
 use crate::unit::{Rate, Span};
 
-/// The declared rate is kept over any such time.
+/// Window over which the declared rate is kept.
 const WINDOW: Span = Span::secs(1);
 
-/// What a service declares of its servers that start.
+/// Cold start limit that a service declares for its servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// Requests that a cold server bears, from all VMs together.
+    /// Requests per second that a cold server accepts from all VMs together.
     pub rate: Rate,
     /// How long a server is cold after its start.
     pub duration: Span,
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -1,17 +1,17 @@
-//! Fair shares of a capacity among workspaces, by weight.
+//! Weighted max-min fair shares of a capacity among workspaces.
 
-/// Rates granted: each demand in full if it fits its share, the rest shared by weight.
+/// Returns the granted rates: each demand in full if it fits its share, the rest divided by weight.
 ///
-/// `demands` and `weights` are of the same length; the result sums to at most `capacity`.
+/// `demands` and `weights` have the same length; the result sums to at most `capacity`.
 pub fn shares(demands: &[f64], weights: &[f64], capacity: f64) -> Vec<f64> {
     let mut granted = vec![0.0; demands.len()];
-    let mut open: Vec<usize> = (0..demands.len()).collect();
+    let mut unmet: Vec<usize> = (0..demands.len()).collect();
     let mut left = capacity;
-    while !open.is_empty() && left > 0.0 {
-        let weight: f64 = open.iter().map(|i| weights[*i]).sum();
+    while !unmet.is_empty() && left > 0.0 {
+        let weight: f64 = unmet.iter().map(|i| weights[*i]).sum();
         let level = left / weight.max(f64::MIN_POSITIVE);
         let (fit, rest): (Vec<usize>, Vec<usize>) =
-            open.iter().partition(|i| demands[**i] <= level * weights[**i]);
+            unmet.iter().partition(|i| demands[**i] <= level * weights[**i]);
         if fit.is_empty() {
             for i in rest {
                 granted[i] = level * weights[i];
@@ -22,7 +22,7 @@
             granted[i] = demands[i];
             left -= demands[i];
         }
-        open = rest;
+        unmet = rest;
     }
     granted
 }
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -1,15 +1,15 @@
-//! Rates of workspaces as shares of one limit, and concurrency that adapts to a pool.
+//! Rate limits of workspaces, divided among VMs, and a concurrency limit that adapts to a pool.
 
 use crate::unit::{Moment, Rate, Span};
 
-/// Seconds of its rate that a workspace may spend at once.
+/// Burst size of a workspace, in seconds of its rate.
 const BURST_SECS: f64 = 1.0;
 
-/// A VM's part of a limit never falls below this fraction of an even part, so that a workspace
-/// whose callers move to it is not refused while the news spreads.
-const LEAST: f64 = 0.2;
+/// A VM's share of a limit never falls below this fraction of an even share, so that a workspace
+/// whose callers move to it is not refused until the other VMs know of the new demand.
+const MIN_SHARE: f64 = 0.2;
 
-/// A workspace's part of its limit on one VM.
+/// Token bucket of one workspace on one VM.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     level: f64,
@@ -17,12 +17,12 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Moment) -> TokenBucket {
         TokenBucket { level: (rate.0 * BURST_SECS).max(1.0), at: now }
     }
 
-    /// Takes a request, or says how long to wait.
+    /// Takes one token, or returns how long to wait for it.
     pub fn take(&mut self, rate: Rate, now: Moment) -> Result<(), Span> {
         let gained = now.since(self.at).as_secs() * rate.0;
         self.level = (self.level + gained).min((rate.0 * BURST_SECS).max(1.0));
@@ -36,82 +36,85 @@
     }
 }
 
-/// This VM's part of a limit, from the demand it met and that of all VMs.
+/// Returns this VM's share of a limit, from its own demand and that of all VMs.
 pub fn local_share(limit: Rate, own: f64, all: f64, vms: usize) -> Rate {
     let even = 1.0 / vms.max(1) as f64;
     let share = if all > 0.0 { own / all } else { even };
-    let floor = LEAST * even;
-    // The floors of the others must fit too.
-    Rate(limit.0 * (floor + share * (1.0 - LEAST)))
+    let floor = MIN_SHARE * even;
+    // The minimum shares of all VMs are part of the limit, so that the shares sum to it.
+    Rate(limit.0 * (floor + share * (1.0 - MIN_SHARE)))
 }
 
-/// Part of a limit that VMs share out; the rest is for those that are not known yet.
-const SHARED_OUT: f64 = 0.85;
+/// Fraction of a limit that is divided among the known VMs; the rest is for VMs that are not known
+/// yet.
+const ALLOCATED_FRACTION: f64 = 0.85;
 
-/// One VM's even part of a limit on what many have open, at least one.
+/// Returns one VM's even share of a limit on concurrently open items, at least one.
 pub fn even_share(limit: u32, vms: u32) -> u32 {
-    ((f64::from(limit) * SHARED_OUT / f64::from(vms.max(1))) as u32).max(1)
+    ((f64::from(limit) * ALLOCATED_FRACTION / f64::from(vms.max(1))) as u32).max(1)
 }
 
-/// Rise of an adaptive limit at each look, while it is used and hardly anyone met a full pool.
-const RISE: f64 = 0.04;
+/// Relative increase of the concurrency limit at each update, while it is used up and hardly any
+/// request met a full pool.
+const INCREASE_FACTOR: f64 = 0.04;
 
-/// Share of requests that may find the pool full or end late before the limit falls: some must,
-/// or the limit would not be known to be near the pool's.
-const BORNE: f64 = 0.08;
+/// Fraction of requests that may find the pool full or end late before the limit decreases. It is
+/// not zero: without any such request nothing would show that the limit is near the pool's
+/// capacity.
+const TOLERATED_BAD_FRACTION: f64 = 0.08;
 
-/// How fast the limit falls with the share beyond that.
-const FALL: f64 = 0.25;
+/// Relative decrease of the limit per unit of the fraction beyond the tolerated one.
+const DECREASE_FACTOR: f64 = 0.25;
 
-/// Concurrency of one VM towards one pool, which adapts to late answers and refusals.
+/// Concurrency limit of one VM for one pool, which adapts to late responses and refusals.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    most: f64,
+    max: f64,
     good: f64,
     bad: f64,
     used: bool,
 }
 
 impl ConcurrencyLimit {
-    /// Begins at `limit` and never exceeds `most`.
-    pub fn new(limit: f64, most: f64) -> ConcurrencyLimit {
-        ConcurrencyLimit { limit: limit.clamp(1.0, most), most, good: 0.0, bad: 0.0, used: false }
+    /// Creates a limit that starts at `limit` and never exceeds `max`.
+    pub fn new(limit: f64, max: f64) -> ConcurrencyLimit {
+        ConcurrencyLimit { limit: limit.clamp(1.0, max), max, good: 0.0, bad: 0.0, used: false }
     }
 
-    /// The present limit.
+    /// Returns the current limit.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Whether one more fits.
+    /// Returns true if one more request fits, and records whether the limit was reached.
     pub fn admits(&mut self, running: f64) -> bool {
         let fits = running + 1.0 <= self.limit;
         self.used |= !fits;
         fits
     }
 
-    /// An answer came in time.
+    /// Records a response that arrived in time.
     pub fn record_success(&mut self) {
         self.good += 1.0;
     }
 
-    /// An answer came late, or no back end had room.
+    /// Records a late response, or that no back end had room.
     pub fn record_overload(&mut self) {
         self.bad += 1.0;
     }
 
-    /// Adapts to what was met since the last look.
+    /// Adjusts the limit to the outcomes since the last call.
     pub fn adapt(&mut self) {
         let all = self.good + self.bad;
         if all == 0.0 {
             return;
         }
-        let beyond = self.bad / all - BORNE;
-        if beyond > 0.0 {
-            self.limit = (self.limit * (1.0 - FALL * beyond)).max(1.0);
+        let excess = self.bad / all - TOLERATED_BAD_FRACTION;
+        if excess > 0.0 {
+            self.limit = (self.limit * (1.0 - DECREASE_FACTOR * excess)).max(1.0);
         } else if self.used {
-            self.limit = (self.limit * (1.0 + RISE)).max(self.limit + 0.5).min(self.most);
+            self.limit = (self.limit * (1.0 + INCREASE_FACTOR)).max(self.limit + 0.5).min(self.max);
         }
         self.good = 0.0;
         self.bad = 0.0;
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -1,52 +1,53 @@
-//! How many requests a backend server is thought to hold, by one VM that sends some of them.
+//! Estimated number of requests at a backend server, as seen by one VM that sends some of them.
 
 use crate::unit::{Moment, Span};
 
-/// A told number counts for this long; then only what this VM has open there does.
-const TOLD_FOR: Span = Span::secs(4);
+/// A reported number counts for this long; after that only this VM's own open requests do.
+const REPORT_TTL: Span = Span::secs(4);
 
-/// A number that a server told, and what this VM had open there when it heard it.
+/// Number of requests that a server reported, and what this VM had open there at that moment.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Report {
     held: u32,
     open: u32,
     at: Moment,
 }
 
-/// What one VM knows of the load of one server.
+/// Load of one server as known to one VM.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     open: u32,
-    told: Option<Told>,
+    report: Option<Report>,
 }
 
 impl Load {
-    /// Requests that this VM has open there.
+    /// Returns the number of requests that this VM has open there.
     pub fn open(&self) -> u32 {
         self.open
     }
 
-    /// One more is open.
+    /// Records that a request was opened.
     pub fn on_open(&mut self) {
         self.open += 1;
     }
 
-    /// One ended.
+    /// Records that a request ended.
     pub fn on_close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Notes how many requests the server said that it holds.
+    /// Records how many requests the server reported to hold.
     pub fn observe(&mut self, held: u32, now: Moment) {
-        self.told = Some(Told { held, open: self.open, at: now });
+        self.report = Some(Report { held, open: self.open, at: now });
     }
 
-    /// Requests that it is thought to hold: what was told, and what this VM sent since.
+    /// Returns the estimated number of requests at the server: the reported ones plus those that
+    /// this VM sent since.
     pub fn estimate(&self, now: Moment) -> f64 {
         let own = f64::from(self.open);
-        let Some(told) = self.told.filter(|told| now.since(told.at) < TOLD_FOR) else {
+        let Some(report) = self.report.filter(|report| now.since(report.at) < REPORT_TTL) else {
             return own;
         };
-        (f64::from(told.held) + own - f64::from(told.open)).max(own)
+        (f64::from(report.held) + own - f64::from(report.open)).max(own)
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions: pure functions of what is known and of the present time.
+//! Decisions of the router: pure functions of the known state and the current time.
 
 pub mod admission;
 pub mod availability;
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -1,45 +1,47 @@
-//! How an attempt ended, and what follows: the table of `docs/PLATFORM.md`.
+//! How an attempt at a server ended, and what follows: the table of `docs/PLATFORM.md`.
 
 use crate::config::Repeat;
 
 /// How an attempt at one server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// No connection opened, or no byte was sent.
+    /// No connection was established, or no byte was sent.
     NotSent,
-    /// It was kept back before a byte left: what was heard of the server since it was chosen forbids it.
+    /// The attempt was withheld before any byte was sent: what became known about the server since
+    /// it was chosen forbids it.
     Withheld,
-    /// The server's word that it did not run the request.
+    /// The server stated that it did not run the request.
     NotRun,
-    /// It broke, or gave something that is not the whole answer.
+    /// The connection broke, or the response was incomplete or invalid.
     Broken,
-    /// A failure that the server signed, whole.
+    /// A complete error response, signed by the server.
     Failed,
-    /// A whole answer, or the first event of a stream.
+    /// A complete response, or the first event of a stream.
     Good,
-    /// The time was up while the server had the request.
+    /// The deadline passed while the server had the request.
     Late,
 }
 
 impl AttemptOutcome {
-    /// Whether no byte of the request left for the server.
+    /// Returns true if no byte of the request was sent to the server.
     pub fn is_unsent(self) -> bool {
         matches!(self, AttemptOutcome::NotSent | AttemptOutcome::Withheld)
     }
 }
 
-/// What follows.
+/// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Another server, if attempts, budget and time allow it.
+    /// Another server is tried, if attempts, budget and time allow it.
     Retry,
-    /// The caller gets what the server gave.
+    /// The caller gets the server's response.
     Deliver,
     /// The caller is told that it may have run.
     Unknown,
 }
 
-/// What follows an end; what may run twice goes elsewhere, what may not is left as it is.
+/// Returns what follows an attempt. After a failed or broken attempt, a request that may run twice is
+/// retried; another one is not, since it may have run.
 pub fn next(end: AttemptOutcome, repeat: Repeat) -> Next {
     match (end, repeat) {
         (AttemptOutcome::Good, _) => Next::Deliver,
@@ -56,15 +58,16 @@
 /// What the caller gets when no other server may be tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// A refusal: it did not run and will not.
+    /// A refusal: the request did not run and will not.
     Refused,
-    /// The server's own failure.
+    /// The server's own error response.
     Delivered,
     /// It may have run.
     Unknown,
 }
 
-/// The last word after an attempt that ended so, if no attempt before it may have run.
+/// Returns the final response after the last attempt; `ran_before` is true if an earlier attempt
+/// may have run.
 pub fn final_response(end: AttemptOutcome, ran_before: bool) -> FinalResponse {
     match end {
         AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -1,127 +1,130 @@
-//! Whether a backend server is left out for a while, and when it is tried again.
+//! Outlier detection: ejects a backend server for a while after failures, and lets requests try it
+//! again.
 
 use super::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span};
 
-/// Failures to connect, or broken answers, in a row that leave a server out.
-const UNREACHABLE: u32 = 1;
-const BROKEN: u32 = 3;
+/// Consecutive failures to connect, or broken responses, after which a server is ejected.
+const UNREACHABLE_THRESHOLD: u32 = 1;
+const BROKEN_THRESHOLD: u32 = 3;
 
-/// Requests turned away in a row that leave a server out, and for how long. One that turns everything away runs nothing and looks the
-/// emptiest.
-const REFUSED: u32 = 3;
-const REFUSED_OUT: Span = Span::millis(300);
+/// Consecutive refusals after which a server is ejected, and for how long. A server that refuses
+/// everything runs nothing and so looks the least loaded.
+const REFUSAL_THRESHOLD: u32 = 3;
+const REFUSAL_EJECTION: Span = Span::millis(300);
 
-/// Weight of the latest answer in the share of failures.
-const LATEST: f64 = 0.15;
+/// Weight of the latest response in the failure rate.
+const SMOOTHING_FACTOR: f64 = 0.15;
 
-/// Answers before a share of failures says anything.
-const KNOWN: u32 = 8;
+/// Number of responses from which the failure rate is significant.
+const MIN_SAMPLES: u32 = 8;
 
-/// A server is left out if its share of failures exceeds twice the pool's and this.
-const WORSE: f64 = 0.25;
+/// A server is ejected if its failure rate exceeds twice the pool's rate plus this.
+const MIN_EXCESS_FAILURES: f64 = 0.25;
 
-/// First time out, and the longest; it doubles each time.
-const OUT: Span = Span::millis(600);
-const LONGEST_OUT: Span = Span::secs(6);
+/// First and longest ejection; the duration doubles each time.
+const BASE_EJECTION: Span = Span::millis(600);
+const MAX_EJECTION: Span = Span::secs(6);
 
-/// What one VM has met at one server.
+/// Outcomes of one VM's attempts at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
     unreachable: u32,
     broken: u32,
-    refused: u32,
-    share: f64,
-    answers: u32,
-    out_until: Option<Moment>,
-    times_out: u32,
+    refusals: u32,
+    failure_rate: f64,
+    samples: u32,
+    ejected_until: Option<Moment>,
+    ejections: u32,
 }
 
 impl OutlierDetector {
-    /// Share of answers that were failures, of late.
+    /// Returns the recent share of responses that were failures.
     pub fn failure_rate(&self) -> f64 {
-        self.share
+        self.failure_rate
     }
 
-    /// Until when requests should go elsewhere.
+    /// Returns when the last ejection ends.
     pub fn ejected_until(&self) -> Option<Moment> {
-        self.out_until
+        self.ejected_until
     }
 
-    /// Whether requests should go elsewhere.
+    /// Returns true if requests should go to other servers.
     pub fn is_ejected(&self, now: Moment) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Notes how an attempt ended; `usual` is the pool's share of failures. Whether the server
-    /// is left out from now on.
-    pub fn record(&mut self, end: AttemptOutcome, usual: f64, now: Moment) -> bool {
+    /// Records the outcome of an attempt; `pool_failure_rate` is that of the whole pool. Returns
+    /// true if the server is ejected as a result.
+    pub fn record(&mut self, end: AttemptOutcome, pool_failure_rate: f64, now: Moment) -> bool {
         match end {
             AttemptOutcome::NotSent => {
                 self.unreachable += 1;
             }
             AttemptOutcome::Broken | AttemptOutcome::Late => {
                 self.broken += 1;
-                self.count(1.0);
+                self.add_sample(1.0);
             }
             AttemptOutcome::Failed => {
-                self.answered();
-                self.count(1.0);
+                self.reset_streaks();
+                self.add_sample(1.0);
             }
             AttemptOutcome::Good => {
-                self.answered();
-                self.count(0.0);
+                self.reset_streaks();
+                self.add_sample(0.0);
             }
             AttemptOutcome::NotRun => {
                 self.unreachable = 0;
-                return self.turned_away(now);
+                return self.on_refusal(now);
             }
-            // Nothing was asked of it.
+            // The server never saw the attempt.
             AttemptOutcome::Withheld => return false,
         }
-        let worse = self.answers >= KNOWN && self.share > 2.0 * usual + WORSE;
-        if self.unreachable >= UNREACHABLE || self.broken >= BROKEN || worse {
-            self.leave_out(now);
+        let worse = self.samples >= MIN_SAMPLES
+            && self.failure_rate > 2.0 * pool_failure_rate + MIN_EXCESS_FAILURES;
+        if self.unreachable >= UNREACHABLE_THRESHOLD || self.broken >= BROKEN_THRESHOLD || worse {
+            self.eject(now);
             return true;
         }
         if end == AttemptOutcome::Good
-            && self.out_until.is_some_and(|until| now >= until + LONGEST_OUT)
+            && self.ejected_until.is_some_and(|until| now >= until + MAX_EJECTION)
         {
-            self.times_out = 0;
-            self.out_until = None;
+            self.ejections = 0;
+            self.ejected_until = None;
         }
         false
     }
 
-    /// A full server answers well and its load says the rest, unless it goes on so.
-    fn turned_away(&mut self, now: Moment) -> bool {
-        self.refused += 1;
-        if self.refused >= REFUSED {
-            self.out_until = self.out_until.max(Some(now + REFUSED_OUT));
+    /// A refusal by a full server is a proper response, and its load tells the rest; only a run of
+    /// refusals ejects it.
+    fn on_refusal(&mut self, now: Moment) -> bool {
+        self.refusals += 1;
+        if self.refusals >= REFUSAL_THRESHOLD {
+            self.ejected_until = self.ejected_until.max(Some(now + REFUSAL_EJECTION));
         }
-        self.refused == REFUSED
+        self.refusals == REFUSAL_THRESHOLD
     }
 
-    fn answered(&mut self) {
-        self.refused = 0;
+    fn reset_streaks(&mut self) {
+        self.refusals = 0;
         self.unreachable = 0;
         self.broken = 0;
     }
 
-    fn count(&mut self, failed: f64) {
-        self.answers = self.answers.saturating_add(1);
-        let weight = LATEST.max(1.0 / f64::from(self.answers));
-        self.share += weight * (failed - self.share);
+    fn add_sample(&mut self, failed: f64) {
+        self.samples = self.samples.saturating_add(1);
+        let weight = SMOOTHING_FACTOR.max(1.0 / f64::from(self.samples));
+        self.failure_rate += weight * (failed - self.failure_rate);
     }
 
-    fn leave_out(&mut self, now: Moment) {
-        let doubled = OUT.0.saturating_mul(1 << self.times_out.min(10));
-        self.out_until = Some(now + Span(doubled.min(LONGEST_OUT.0)));
-        self.times_out += 1;
-        // It comes back with a clean slate, but one more failure counts soon.
+    fn eject(&mut self, now: Moment) {
+        let doubled = BASE_EJECTION.0.saturating_mul(1 << self.ejections.min(10));
+        self.ejected_until = Some(now + Span(doubled.min(MAX_EJECTION.0)));
+        self.ejections += 1;
+        // The history is cleared, but one more broken response ejects the server again.
         self.unreachable = 0;
-        self.broken = BROKEN - 1;
-        self.answers = 0;
-        self.share = 0.0;
+        self.broken = BROKEN_THRESHOLD - 1;
+        self.samples = 0;
+        self.failure_rate = 0.0;
     }
 }
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -1,19 +1,20 @@
-//! How long requests wait at the backend servers of a service, measured by the answers of late.
+//! Queueing at the backend servers of a service, measured from recent responses.
 
 use crate::unit::{Moment, Span};
 
-/// Weight of an answer falls to a third in this time: long enough for some answers of one VM, short
-/// enough to follow a burst.
-const MEMORY: Span = Span::millis(800);
+/// The weight of a response falls to 1/e in this time: long enough to cover several responses of
+/// one VM, short enough to follow a burst.
+const DECAY_TIME: Span = Span::millis(800);
 
-/// Answers' worth of belief that nothing waits, before any was seen: little, so that what is believed
-/// does not depend on how many requests a VM serves.
-const PRIOR: f64 = 0.2;
+/// Weight, in responses, of the prior that nothing queues. It is small, so that the estimate does
+/// not depend on how many requests a VM serves.
+const PRIOR_WEIGHT: f64 = 0.2;
 
-/// A wait counts as at most this many goals, so that one stuck request does not speak for all.
-const LONGEST: f64 = 2.0;
+/// A queue time counts as at most this many latency goals, so that one stuck request does not
+/// dominate.
+const MAX_WAIT: f64 = 2.0;
 
-/// Waits of answers of late, as parts of their goals.
+/// Recent queue times relative to the latency goals of their requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure {
     waited: f64,
@@ -22,22 +23,23 @@
 }
 
 impl Pressure {
-    /// Notes that a request waited so long, beside its own reading.
+    /// Records how long a request queued, without its own prefill.
     pub fn record(&mut self, waited: Span, goal: Span, now: Moment) {
-        let kept = self.kept(now);
+        let decay = self.decay(now);
         let part = waited.0 as f64 / goal.0.max(1) as f64;
-        self.waited = self.waited * kept + part.min(LONGEST);
-        self.answers = self.answers * kept + 1.0;
+        self.waited = self.waited * decay + part.min(MAX_WAIT);
+        self.answers = self.answers * decay + 1.0;
         self.at = now;
     }
 
-    /// The mean wait as a part of the goal; it fades while nothing is heard.
+    /// Returns the mean queue time as a fraction of the latency goal; it decays while no responses
+    /// arrive.
     pub fn level(&self, now: Moment) -> f64 {
-        let kept = self.kept(now);
-        self.waited * kept / (self.answers * kept + PRIOR)
+        let decay = self.decay(now);
+        self.waited * decay / (self.answers * decay + PRIOR_WEIGHT)
     }
 
-    fn kept(&self, now: Moment) -> f64 {
-        (-(now.since(self.at).0 as f64) / MEMORY.0 as f64).exp()
+    fn decay(&self, now: Moment) -> f64 {
+        (-(now.since(self.at).0 as f64) / DECAY_TIME.0 as f64).exp()
     }
 }
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -1,58 +1,59 @@
-//! Which replica takes a request, from late reports and what this VM sent itself.
+//! Choice of the replica for a request, from delayed load reports and the requests that this VM
+//! sent itself.
 
 use crate::unit::hash::mix;
 use crate::unit::{Moment, Span};
 
-/// A report loses half of its weight in this time: other VMs have acted on it since.
-const HALF_LIFE: Span = Span::millis(400);
+/// Half-life of a report's weight: other VMs have acted on the report in the meantime.
+const REPORT_HALF_LIFE: Span = Span::millis(400);
 
-/// What a kept prefix is worth, in the same unit as `cost`.
-const AFFINITY: f64 = 0.6;
+/// Bonus of a replica that has the prefix cached, in the unit of `cost`.
+const AFFINITY_BONUS: f64 = 0.6;
 
-/// Load, in shares of the slots, from which a request may have to wait.
-const NEARLY_FULL: f64 = 0.94;
+/// Load, as a fraction of the slots, from which a request may have to queue.
+const QUEUEING_THRESHOLD: f64 = 0.94;
 
-/// Cost of load past that: waiting costs much, sharing a batch little.
-const WAITING: f64 = 6.0;
-const SHARING: f64 = 0.25;
+/// Cost per unit of load: queueing beyond the threshold costs much, sharing a batch little.
+const QUEUEING_COST: f64 = 6.0;
+const BATCHING_COST: f64 = 0.25;
 
-/// Replicas that a prefix may be spread over before it counts as anywhere.
-const HOMES: usize = 3;
+/// Number of replicas that a prefix may be cached on. Beyond them, all replicas are equal for it.
+const AFFINE_REPLICAS: usize = 3;
 
-/// What the next home of a prefix is worth, compared with the one before.
-const RANKED: f64 = 0.7;
+/// Bonus of each further affine replica relative to the one before.
+const AFFINITY_DECAY: f64 = 0.7;
 
-/// Replicas drawn beside a prefix's homes.
-const DRAWN: usize = 3;
+/// Number of random candidates compared with the affine replicas of a prefix.
+const RANDOM_CANDIDATES: usize = 3;
 
-/// A failing replica is left alone for this long.
-const BACK_OFF: Span = Span::millis(1500);
+/// A failing replica gets no requests for this long.
+const FAILURE_BACKOFF: Span = Span::millis(1500);
 
-/// What one VM knows of one replica.
+/// State of one replica as known to one VM.
 #[derive(Clone, Copy, Debug)]
 pub struct Replica {
-    /// Stable number, for the rendezvous of prefixes.
+    /// Stable number, used for the rendezvous hashing of prefixes.
     pub id: u64,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: f64,
-    /// Requests running and waiting by its last report.
+    /// Requests running and waiting according to its last report.
     pub reported: f64,
     /// When the report was made.
     pub reported_at: Moment,
-    /// This VM's own requests there now.
+    /// This VM's own open requests there now.
     pub own: f64,
-    /// This VM's own requests there when the report was made.
+    /// This VM's own open requests there when the report was made.
     pub own_at_report: f64,
-    /// Whether it may get new work.
+    /// True if it accepts new requests.
     pub accepting: bool,
     /// When a request last failed there without having run.
     pub failed_at: Option<Moment>,
-    /// One-way latency to it.
+    /// One-way network latency to it.
     pub latency: Span,
 }
 
 impl Replica {
-    /// An open replica of which nothing is reported yet.
+    /// Returns an accepting replica without any report yet.
     pub fn idle(id: u64, slots: f64) -> Replica {
         Replica {
             id,
@@ -67,29 +68,34 @@
         }
     }
 
-    /// Whether new work may go there now.
+    /// Returns true if new requests may be sent there now.
     pub fn usable(&self, now: Moment) -> bool {
-        self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= BACK_OFF)
+        self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= FAILURE_BACKOFF)
     }
 
-    /// Expected load in shares of its slots; `mean` is that of all.
+    /// Estimates its load as a fraction of its slots; `mean` is the mean load of all replicas.
     fn load(&self, mean: f64, now: Moment) -> f64 {
-        let age = now.since(self.reported_at).as_secs() / HALF_LIFE.as_secs();
-        let trust = 0.5f64.powf(age);
-        let since = (self.own - self.own_at_report).max(0.0);
-        let believed = trust * self.reported / self.slots + (1.0 - trust) * mean;
-        believed.max(self.own / self.slots) + since / self.slots
+        let age = now.since(self.reported_at).as_secs() / REPORT_HALF_LIFE.as_secs();
+        let weight = 0.5f64.powf(age);
+        let sent_since = (self.own - self.own_at_report).max(0.0);
+        let estimate = weight * self.reported / self.slots + (1.0 - weight) * mean;
+        estimate.max(self.own / self.slots) + sent_since / self.slots
     }
 }
 
-/// What a load costs its next request.
+/// Returns the cost of adding a request at this load.
 fn cost(load: f64) -> f64 {
-    load * SHARING + (load - NEARLY_FULL).max(0.0) * WAITING
+    load * BATCHING_COST + (load - QUEUEING_THRESHOLD).max(0.0) * QUEUEING_COST
 }
 
-/// The homes of a prefix: the highest of a rendezvous among usable replicas.
-fn homes(replicas: &[Replica], prefix: u64, now: Moment) -> [Option<usize>; HOMES] {
-    let mut best = [(0, None); HOMES];
+/// Returns the replicas that should hold a prefix: the highest by rendezvous hashing among the
+/// usable ones.
+fn affine_replicas(
+    replicas: &[Replica],
+    prefix: u64,
+    now: Moment,
+) -> [Option<usize>; AFFINE_REPLICAS] {
+    let mut best = [(0, None); AFFINE_REPLICAS];
     for (i, replica) in replicas.iter().enumerate() {
         if !replica.usable(now) {
             continue;
@@ -104,39 +110,39 @@
     best.map(|place| place.1)
 }
 
-/// The replica for a request; `prefix` is a digest of its prompt's beginning, if it has one, and
-/// `point` a random number of its own.
+/// Chooses the replica for a request; `prefix` is a digest of the beginning of its prompt, if it
+/// has one, and `point` a random number of its own.
 pub fn choose(replicas: &[Replica], prefix: Option<u64>, point: u64, now: Moment) -> Option<usize> {
     let mean = mean(replicas);
     let mut best: Option<(f64, usize)> = None;
-    let mut weigh = |i: usize, bonus: f64| {
+    let mut consider = |i: usize, bonus: f64| {
         let replica = &replicas[i];
-        let far = replica.latency.as_secs() * 10.0;
-        // A tie is broken by chance, or every VM would break it alike.
-        let chance = (mix(point, i as u64) >> 40) as f64 / (1u64 << 24) as f64 * 1e-3;
-        let score = cost(replica.load(mean, now)) + far + chance - bonus;
+        let latency_cost = replica.latency.as_secs() * 10.0;
+        // Random jitter breaks ties, or every VM would break them alike.
+        let jitter = (mix(point, i as u64) >> 40) as f64 / (1u64 << 24) as f64 * 1e-3;
+        let score = cost(replica.load(mean, now)) + latency_cost + jitter - bonus;
         if best.is_none_or(|(least, _)| score < least) {
             best = Some((score, i));
         }
     };
     if let Some(prefix) = prefix {
-        for (rank, home) in homes(replicas, prefix, now).into_iter().enumerate() {
+        for (rank, home) in affine_replicas(replicas, prefix, now).into_iter().enumerate() {
             if let Some(home) = home {
-                weigh(home, AFFINITY * RANKED.powi(rank as i32));
+                consider(home, AFFINITY_BONUS * AFFINITY_DECAY.powi(rank as i32));
             }
         }
     }
-    let mut drawn = 0;
+    let mut candidates = 0;
     let mut state = point;
-    // Unusable replicas may be drawn; the bound on tries keeps the cost even.
-    for _ in 0..DRAWN * 8 {
+    // Unusable replicas may be drawn; the bound on draws keeps the cost constant.
+    for _ in 0..RANDOM_CANDIDATES * 8 {
         state = mix(state, 1);
         let i = (state % replicas.len().max(1) as u64) as usize;
         if replicas.get(i).is_some_and(|replica| replica.usable(now)) {
-            weigh(i, 0.0);
-            drawn += 1;
+            consider(i, 0.0);
+            candidates += 1;
         }
-        if drawn == DRAWN {
+        if candidates == RANDOM_CANDIDATES {
             break;
         }
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,28 +1,28 @@
-//! Whether a request may be tried again, and the budget that bounds retries.
+//! Conditions under which a request may be retried, and the budget that limits retries.
 
 use crate::unit::{Moment, Span};
 
-/// Retries for each first attempt.
-const SHARE: f64 = 0.1;
+/// Retries allowed per first attempt.
+const RETRY_RATIO: f64 = 0.1;
 
-/// Retries saved up at most.
-const SAVED: f64 = 20.0;
+/// Maximum number of unused retries that are saved up.
+const MAX_SAVED: f64 = 20.0;
 
-/// Attempts of one request at most.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// How an attempt ended that gave no whole answer.
+/// How an attempt failed that returned no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The connection never opened, so nothing was sent.
+    /// The connection was never established, so nothing was sent.
     NotSent,
-    /// The back end's own word that it did not run.
+    /// The back end stated that it did not run the request.
     NotRun,
-    /// It broke after a byte may have left.
+    /// The connection broke after bytes may have been sent.
     Broken,
 }
 
-/// A budget of retries: a fraction of first attempts.
+/// Retry budget: a fraction of first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     level: f64,
@@ -30,17 +30,17 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { level: SAVED / 2.0 }
+        Budget { level: MAX_SAVED / 2.0 }
     }
 }
 
 impl Budget {
-    /// Counts a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn deposit(&mut self) {
-        self.level = (self.level + SHARE).min(SAVED);
+        self.level = (self.level + RETRY_RATIO).min(MAX_SAVED);
     }
 
-    /// Takes a retry, if one is left.
+    /// Takes a retry from the budget and returns true, or returns false if none is left.
     pub fn try_spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
@@ -50,17 +50,19 @@
     }
 }
 
-/// Whether an attempt may be followed by another, apart from the budget.
+/// Returns true if another attempt may follow, apart from the budget. An attempt that may have run
+/// is only followed by another if the request is `repeatable`; `min_time` is the least time left to
+/// the deadline for a retry to make sense.
 pub fn is_allowed(
     failure: Failure,
     repeatable: bool,
     attempts: u32,
     now: Moment,
     deadline: Moment,
-    least: Span,
+    min_time: Span,
 ) -> bool {
     let safe = repeatable || failure != Failure::Broken;
-    safe && attempts < ATTEMPTS && now + least < deadline
+    safe && attempts < MAX_ATTEMPTS && now + min_time < deadline
 }
 
 #[cfg(test)]
@@ -69,10 +71,10 @@
 
     #[test]
     fn what_may_not_be_repeated_is_tried_again_only_if_it_did_not_run() {
-        let ask = |failure| is_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
-        assert!(ask(Failure::NotSent));
-        assert!(ask(Failure::NotRun));
-        assert!(!ask(Failure::Broken));
+        let allowed = |failure| is_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
+        assert!(allowed(Failure::NotSent));
+        assert!(allowed(Failure::NotRun));
+        assert!(!allowed(Failure::Broken));
     }
 
     #[test]
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -1,277 +1,299 @@
-//! How fast one life of a backend server is sent requests, by all VMs together.
+//! Rate limits of backend servers: how fast all VMs together send requests to one incarnation of a
+//! server.
 //!
-//! A server that is cold, or names a limit, bears some requests a second and fails or slows down above that. Its short queue draws every
-//! VM at the same moment, and an even part for each of hundreds of VMs is less than one request, which all may send at once. So a few
-//! VMs, which all work out alike, may send to it, each in turns.
+//! A server that is cold, or names a limit in its response headers, fails or slows down above some
+//! requests per second. Its short queue makes every VM choose it at the same moment, and an even
+//! share among hundreds of VMs is less than one request, which all of them may still send at once.
+//! So only a few VMs, which each VM computes alike, may send to it, each at a fixed interval.
 
 use std::fmt;
 
 use crate::unit::hash::mix;
 use crate::unit::{Moment, Rate, Span};
 
-/// Turns of one VM are so much further apart than they need be: an answer, or a connection that opens slowly, moves the arrival of two
-/// requests by some milliseconds.
-const APART: f64 = 1.05;
+/// The interval of a VM is this factor longer than needed: the latency of responses and of new
+/// connections shifts the arrival of two requests by some milliseconds.
+const INTERVAL_MARGIN: f64 = 1.05;
 
-/// Limits are kept over any such time, as the users judge them.
+/// Window over which an advertised limit is kept, as users verify it.
 pub const LIMIT_WINDOW: Span = Span::secs(4);
 
-/// A server that names less, or nought, still gets a request in ten seconds, so that it can say when that is over.
-const LEAST: Rate = Rate(0.1);
+/// A server that names a lower rate, or zero, still gets one request in ten seconds, so that its
+/// response can end the limit.
+const MIN_RATE: Rate = Rate(0.1);
 
-/// A server that names more takes anything.
-const MOST: Rate = Rate(1e6);
+/// A server that names a higher rate counts as unlimited.
+const MAX_RATE: Rate = Rate(1e6);
 
-/// Part of what one sender would use that is given up for more of them.
-const FOR_MORE: f64 = 0.05;
+/// Fraction of the rate usable by a single sender that is given up to have more senders.
+const MAX_UNUSED: f64 = 0.05;
 
-/// A limit of which nothing was heard for so long holds no longer: the word that it is over may have been lost.
-const HOLDS: Span = Span::secs(40);
+/// A limit that was not renewed for this long expires: the message that it ended may have been
+/// lost.
+const LIMIT_TTL: Span = Span::secs(40);
 
-/// A limit is told to all again after so long, so that it holds at VMs that send nothing there.
-const TOLD_EVERY: Span = Span::secs(15);
+/// A limit is announced to all VMs again after this time, so that it stays in force at VMs that
+/// send no requests to the server.
+const REANNOUNCE_INTERVAL: Span = Span::secs(15);
 
-/// A change of the rate is told if it is by more than this part of it: a fall at once, since others may be sending too much, a rise no sooner after
-/// the last word than this.
-const CHANGE: f64 = 0.1;
-const RISES_APART: Span = Span::millis(500);
+/// A rate is announced if it changed by more than this fraction. A decrease is announced at once,
+/// since other VMs may be sending too much; an increase waits until `MIN_INCREASE_INTERVAL` after
+/// the last announcement.
+const MIN_CHANGE: f64 = 0.1;
+const MIN_INCREASE_INTERVAL: Span = Span::millis(500);
 
-/// Requests that a server bears, from all VMs together.
+/// Requests that a server accepts from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// In the long run.
+    /// Sustained rate.
     pub rate: Rate,
-    /// Any such time holds no more than the rate allows for it, or one.
+    /// Any window of this length holds at most `rate` times its length, or one request.
     pub window: Span,
 }
 
 impl RateLimit {
-    /// The bound of a server that names a limit.
+    /// Returns the limit of a server that advertises `rate` in its response headers.
     pub fn advertised(rate: Rate) -> RateLimit {
-        RateLimit { rate: Rate(rate.0.clamp(LEAST.0, MOST.0)), window: LIMIT_WINDOW }
+        RateLimit { rate: Rate(rate.0.clamp(MIN_RATE.0, MAX_RATE.0)), window: LIMIT_WINDOW }
     }
 
-    /// What keeps both.
+    /// Returns the limit that satisfies both.
     pub fn strictest(self, other: RateLimit) -> RateLimit {
         let rate = Rate(self.rate.0.min(other.rate.0));
         RateLimit { rate, window: self.window.min(other.window) }
     }
 }
 
-/// How a bound is parted among VMs.
+/// Share of a rate limit that each sender gets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// VMs that send to the server.
+    /// Number of VMs that may send to the server.
     pub senders: usize,
-    /// Time between two requests of one of them.
+    /// Time between two requests of one sender.
     pub interval: Span,
 }
 
 impl Share {
-    /// The parts of so many VMs. In any window the senders together reach at most what the bound allows, or one request. The largest
-    /// number of senders that uses most of it is taken, so that few VMs have no part for their callers.
-    pub fn new(bound: &RateLimit, vms: usize) -> Share {
-        let rate = bound.rate.0.clamp(LEAST.0, MOST.0);
-        let window = bound.window.as_secs();
+    /// Divides `limit` among `vms`. In any window the senders together send at most what the limit
+    /// allows, or one request. The largest number of senders that uses nearly all of the limit is
+    /// chosen, so that few VMs are left without a share for their callers.
+    pub fn new(limit: &RateLimit, vms: usize) -> Share {
+        let rate = limit.rate.0.clamp(MIN_RATE.0, MAX_RATE.0);
+        let window = limit.window.as_secs();
         let whole = ((rate * window) as usize).max(1);
         let used = |senders: usize| (whole / senders * senders) as f64;
-        let enough = |senders: &usize| used(*senders) >= whole as f64 * (1.0 - FOR_MORE);
+        let enough = |senders: &usize| used(*senders) >= whole as f64 * (1.0 - MAX_UNUSED);
         let senders = (1..=vms.clamp(1, whole)).rev().find(enough).unwrap_or(1);
         let each = (whole / senders) as f64;
-        let gap = (APART * window / each).max(senders as f64 / rate);
-        Share { senders, interval: Span((gap * 1e6) as u64) }
+        let interval = (INTERVAL_MARGIN * window / each).max(senders as f64 / rate);
+        Share { senders, interval: Span((interval * 1e6) as u64) }
     }
 }
 
-/// Whether a VM is among the senders to a server, given the hashes of their names: those with the highest weights for
-/// that server. VMs that do not know of each other differ in few servers.
-pub fn is_sender(part: &Share, server: u64, own: u64, others: &[u64]) -> bool {
+/// Returns true if this VM may send to a server, given the hashes of the VMs' names: the senders
+/// are the VMs with the highest rendezvous weights for that server. VMs with different membership
+/// views disagree about few servers.
+pub fn is_sender(share: &Share, server: u64, own: u64, others: &[u64]) -> bool {
     let own = mix(server, own);
-    let before = others.iter().filter(|other| mix(server, **other) > own);
-    before.take(part.senders).count() < part.senders
+    let higher = others.iter().filter(|other| mix(server, **other) > own);
+    higher.take(share.senders).count() < share.senders
 }
 
-/// A turn that was taken, with what gives it back.
+/// A reserved send slot, with the state that releasing it restores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// When the turn is.
+    /// Time of the slot.
     pub at: Moment,
-    before: Option<Moment>,
+    previous: Option<Moment>,
 }
 
-/// One VM's turns at one server.
+/// Send slots of one VM at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
     last: Option<Moment>,
 }
 
 impl Pacer {
-    /// When the next turn is.
-    pub fn next_send(&self, part: &Share, now: Moment) -> Moment {
-        self.last.map_or(now, |last| now.max(last + part.interval))
+    /// Returns the time of the next free slot.
+    pub fn next_send(&self, share: &Share, now: Moment) -> Moment {
+        self.last.map_or(now, |last| now.max(last + share.interval))
     }
 
-    /// Takes the next turn.
-    pub fn reserve(&mut self, part: &Share, now: Moment) -> Reservation {
-        let ticket = Reservation { at: self.next_send(part, now), before: self.last };
-        self.last = Some(ticket.at);
-        ticket
+    /// Reserves the next free slot.
+    pub fn reserve(&mut self, share: &Share, now: Moment) -> Reservation {
+        let reservation = Reservation { at: self.next_send(share, now), previous: self.last };
+        self.last = Some(reservation.at);
+        reservation
     }
 
-    /// A request leaves on its turn: the next one counts from then, as a connection may have taken a while to open.
+    /// Records that a request was sent in its slot. The next slot counts from this time, as opening
+    /// a connection may have delayed the request.
     pub fn on_send(&mut self, now: Moment) {
         self.last = self.last.max(Some(now));
     }
 
-    /// Nothing was sent on a turn. If others were taken since, it is lost.
-    pub fn release(&mut self, ticket: Reservation) {
-        if self.last == Some(ticket.at) {
-            self.last = ticket.before;
+    /// Releases a slot in which nothing was sent. The slot is lost if a later one is already
+    /// reserved.
+    pub fn release(&mut self, reservation: Reservation) {
+        if self.last == Some(reservation.at) {
+            self.last = reservation.previous;
         }
     }
 }
 
-/// What the head of one answer says of a limit.
+/// The rate limit in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitHeader {
-    /// Nothing.
+    /// The header is missing.
     #[default]
     Absent,
-    /// Something that is no rate.
+    /// The value is not a rate.
     Invalid,
-    /// Requests a second from all VMs together.
+    /// Requests per second from all VMs together.
     Present(Rate),
 }
 
-/// What is known of a limit at a moment.
+/// State of a server's rate limit at one moment, as VMs send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Update {
-    /// The limit, if there is one.
+    /// The limit, or none if it ended.
     pub rate: Option<Rate>,
-    /// When that was heard; of the end of a limit, when the request was sent whose answer told it.
+    /// When the limit was observed. For the end of a limit, when the request was sent whose
+    /// response showed it.
     pub as_of: Moment,
 }
 
-/// Who is to be told.
+/// VMs that an update is sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Recipients {
-    /// All VMs, each of which passes it on.
+    /// All VMs, each of which forwards it.
     All,
-    /// The senders to a server that named the one rate and names the other: nothing changes for VMs that have no part of either.
+    /// The senders to a server at either rate, the previous and the new one: other VMs have no
+    /// share at either, so nothing changes for them.
     Senders([Rate; 2]),
 }
 
-/// How many VMs of so many have a part of a limit of either rate. Less may have more senders.
+/// Returns how many of `vms` may be senders at either of two rates. A lower rate may have more
+/// senders.
 pub fn max_senders(rates: [Rate; 2], vms: usize) -> usize {
     let senders = rates.map(|rate| Share::new(&RateLimit::advertised(rate), vms).senders);
     senders[0].max(senders[1])
 }
 
-/// What other VMs were told last.
+/// What was last announced to other VMs.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Announcement {
     rate: Option<Rate>,
-    /// When that was, and when all were told something.
+    /// Time of the last announcement, and of the last one to all VMs.
     at: Moment,
-    all_at: Moment,
+    to_all_at: Moment,
 }
 
-/// What one VM knows of the limit of one life of a server.
+/// What one VM knows of the rate limit of one incarnation of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Limit {
     known: Option<Update>,
-    /// Since when a limit is known without a break.
+    /// Since when a limit has been known without interruption.
     since: Option<Moment>,
-    /// What the other VMs know, as far as this one told them or heard it from them.
-    told: Option<Told>,
+    /// What other VMs know, as far as this VM announced it to them or received it from them.
+    announced: Option<Announcement>,
 }
 
 impl Limit {
-    /// Takes what the head of an answer says to a request that was sent at `asked`. Whether that changes the limit. An answer without one ends
-    /// it only if its request was sent after the limit was heard: answers overtake each other.
-    pub fn observe(&mut self, word: LimitHeader, asked: Moment, now: Moment) -> bool {
-        match (word, self.known) {
+    /// Applies the header of a response to a request that was sent at `sent_at`. Returns true if
+    /// that changes the limit. A response without the header ends the limit only if its request was
+    /// sent after the limit was observed, since responses overtake each other.
+    pub fn observe(&mut self, header: LimitHeader, sent_at: Moment, now: Moment) -> bool {
+        match (header, self.known) {
             (LimitHeader::Present(rate), _) => {
-                self.learn(Update { rate: Some(rate), as_of: now }, now)
+                self.apply(Update { rate: Some(rate), as_of: now }, now)
             }
-            (LimitHeader::Absent, Some(known)) if asked > known.as_of => {
-                self.learn(Update { rate: None, as_of: asked }, now)
+            (LimitHeader::Absent, Some(known)) if sent_at > known.as_of => {
+                self.apply(Update { rate: None, as_of: sent_at }, now)
             }
             (LimitHeader::Absent | LimitHeader::Invalid, _) => false,
         }
     }
 
-    /// Takes what another VM says, if that is newer than what is known. Whether it is news to pass on to all: what all were told a while ago is,
-    /// since each VM counts that time a little differently.
-    pub fn merge(&mut self, news: Update, now: Moment) -> bool {
-        if self.known.is_some_and(|known| known.as_of >= news.as_of) {
+    /// Applies an update from another VM if it is newer than what is known. Returns true if it is
+    /// to be forwarded to all VMs. A start or end of the limit is; otherwise it is forwarded only
+    /// if half of `REANNOUNCE_INTERVAL` has passed since the last announcement to all: half, since
+    /// VMs measure that time slightly differently.
+    pub fn merge(&mut self, update: Update, now: Moment) -> bool {
+        if self.known.is_some_and(|known| known.as_of >= update.as_of) {
             return false;
         }
-        self.learn(news, now);
-        let passes_on = self.audience(TOLD_EVERY.half(), now) == Some(Recipients::All);
-        self.note_told(passes_on, now);
-        passes_on
+        self.apply(update, now);
+        let forwards = self.recipients(REANNOUNCE_INTERVAL.half(), now) == Some(Recipients::All);
+        self.record_announcement(forwards, now);
+        forwards
     }
 
-    fn learn(&mut self, news: Update, now: Moment) -> bool {
-        let before = self.rate(now);
-        self.known = Some(news);
-        let goes_on = before.is_some() && news.rate.is_some();
-        if !goes_on {
-            self.since = news.rate.map(|_| now);
+    fn apply(&mut self, update: Update, now: Moment) -> bool {
+        let previous = self.rate(now);
+        self.known = Some(update);
+        let continues = previous.is_some() && update.rate.is_some();
+        if !continues {
+            self.since = update.rate.map(|_| now);
         }
-        before != self.rate(now)
+        previous != self.rate(now)
     }
 
-    /// What other VMs are to be told now, if anything, and who; they then know it.
+    /// Returns the update to announce now and its recipients, if any, and records it as announced.
     pub fn next_announcement(&mut self, now: Moment) -> Option<(Update, Recipients)> {
-        let audience = self.audience(TOLD_EVERY, now)?;
-        self.note_told(audience == Recipients::All, now);
-        Some((self.known?, audience))
+        let recipients = self.recipients(REANNOUNCE_INTERVAL, now)?;
+        self.record_announcement(recipients == Recipients::All, now);
+        Some((self.known?, recipients))
     }
 
-    fn note_told(&mut self, all: bool, now: Moment) {
+    fn record_announcement(&mut self, all: bool, now: Moment) {
         let rate = self.known.and_then(|known| known.rate);
-        let before = self.told.filter(|_| !all);
-        let all_at = before.map_or(now, |told| told.all_at);
-        self.told = Some(Told { rate, at: now, all_at });
+        let previous = self.announced.filter(|_| !all);
+        let to_all_at = previous.map_or(now, |announced| announced.to_all_at);
+        self.announced = Some(Announcement { rate, at: now, to_all_at });
     }
 
-    /// Who knows something else, or may soon forget: all, if they were told nothing for `every`.
-    fn audience(&self, every: Span, now: Moment) -> Option<Recipients> {
+    /// Returns the VMs whose information is outdated or about to expire: all VMs, if none was sent
+    /// to all of them for `every`.
+    fn recipients(&self, every: Span, now: Moment) -> Option<Recipients> {
         let known = self.known?.rate;
-        let Some(told) = self.told else { return known.map(|_| Recipients::All) };
-        let (known, before) = match (known, told.rate) {
+        let Some(announced) = self.announced else { return known.map(|_| Recipients::All) };
+        let (known, previous) = match (known, announced.rate) {
             (None, None) => return None,
-            (Some(known), Some(before)) => (known, before),
+            (Some(known), Some(previous)) => (known, previous),
             (Some(_), None) | (None, Some(_)) => return Some(Recipients::All),
         };
-        if now.since(told.all_at) >= every {
+        if now.since(announced.to_all_at) >= every {
             return Some(Recipients::All);
         }
-        let fell = known.0 < before.0 * (1.0 - CHANGE);
-        let rose = known.0 > before.0 * (1.0 + CHANGE) && now.since(told.at) >= RISES_APART;
-        (fell || rose).then_some(Recipients::Senders([before, known]))
+        let fell = known.0 < previous.0 * (1.0 - MIN_CHANGE);
+        let rose = known.0 > previous.0 * (1.0 + MIN_CHANGE)
+            && now.since(announced.at) >= MIN_INCREASE_INTERVAL;
+        (fell || rose).then_some(Recipients::Senders([previous, known]))
     }
 
-    /// The limit, if there is one.
+    /// Returns the limit, or none if there is none or it expired.
     pub fn rate(&self, now: Moment) -> Option<Rate> {
-        let known = self.known.filter(|known| now.since(known.as_of) < HOLDS)?;
+        let known = self.known.filter(|known| now.since(known.as_of) < LIMIT_TTL)?;
         known.rate
     }
 
-    /// How long ago it was named first.
+    /// Returns how long a limit has been known without interruption.
     pub fn age(&self, now: Moment) -> Option<Span> {
         self.since.map(|since| now.since(since))
     }
 }
 
-/// Why a request that was to leave for a server may not.
+/// Reason for withholding a request: this VM has no send slot at the rate-limited server now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Throttled(pub RateLimit);
 
 impl fmt::Display for Throttled {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "it bears {} from all VMs, and it is not this one's turn", self.0.rate)
+        write!(
+            f,
+            "the server is limited to {} from all VMs, and this VM has no send slot now",
+            self.0.rate
+        )
     }
 }
--- a/src/forward/bounded.rs
+++ b/src/forward/bounded.rs
@@ -141,7 +141,7 @@
     /// Its request is about to leave.
     ///
     /// # Errors
-    /// `NoTurn` if it may not: what the server bears was heard after the request had been meant for it, and it is not this VM's turn.
+    /// `Throttled` if it may not: what the server bears was heard after the request had been meant for it, and it is not this VM's turn.
     pub fn spend(&self, now: Moment) -> Result<(), Throttled> {
         let mut fleet = self.vm.fleet.borrow_mut();
         let Some(server) = fleet.life_mut(&self.replica) else { return Ok(()) };
