--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -83,8 +83,9 @@
     });
 }
 
-/// The question of one choice among the servers of a service, asked of each of 20, 100 and 600: 0.21, 0.87 and 6.2 microseconds. With the readiness of
-/// entries and the record of failures alone, as two filters, it took 0.10, 0.54 and 3.5.
+/// Filters the servers of a service for one choice, among 20, 100 and 600: 0.21, 0.87 and 6.2
+/// microseconds. With only the readiness of entries and the failure record, as two filters, it took
+/// 0.10, 0.54 and 3.5.
 fn standing(bench: &mut Criterion) {
     let mut group = bench.benchmark_group("standing");
     let now = Moment(10_000_000);
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Properties of the decisions that `forward` takes: budgets, ends, roll-outs, placing, events.
+//! Tests of the decisions that `forward` takes: budgets, outcomes, roll-outs, placement, events.
 
 use kitepulley::config::Repeat;
 use kitepulley::decide::availability::{Availability, Unavailable};
@@ -21,7 +21,7 @@
 use kitepulley::unit::{Moment, Span, Version};
 use quickcheck::{TestResult, quickcheck};
 
-const ENDS: [AttemptOutcome; 7] = [
+const OUTCOMES: [AttemptOutcome; 7] = [
     AttemptOutcome::NotSent,
     AttemptOutcome::Withheld,
     AttemptOutcome::NotRun,
@@ -33,7 +33,7 @@
 
 #[test]
 fn what_may_have_run_goes_elsewhere_only_if_it_may_run_twice() {
-    for end in ENDS {
+    for end in OUTCOMES {
         let may_have_run = matches!(
             end,
             AttemptOutcome::Broken
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_refusal_is_the_last_word_only_if_nothing_can_have_run() {
-    for end in ENDS {
+    for end in OUTCOMES {
         for ran_before in [false, true] {
             if outcome::final_response(end, ran_before) == FinalResponse::Refused {
                 assert!(
@@ -64,7 +64,8 @@
 }
 
 quickcheck! {
-    /// Over any window the repeats stay within the share of that window's requests, and the extra.
+    /// In any window the repeated sends stay within the share of that window's requests plus the
+    /// extra.
     fn repeats_stay_within_the_budget(steps: Vec<(u8, bool)>) -> bool {
         const WINDOW: u64 = 10_000_000;
         let mut budget = RetryBudget::new(Span(WINDOW), 0.9);
@@ -84,14 +85,14 @@
         events.iter().all(|(end, _)| {
             let within = |(at, _): &&(u64, bool)| *at <= *end && *at + WINDOW > *end;
             let repeats = events.iter().filter(within).filter(|(_, repeat)| *repeat).count();
-            // The rule looks at the requests of the window, or of the one before it.
+            // The budget counts the requests of the window or of the one before it.
             let lately = |(at, _): &&(u64, bool)| *at <= *end && *at + 2 * WINDOW > *end;
             let firsts = events.iter().filter(lately).filter(|(_, repeat)| !*repeat).count();
             repeats as f64 <= firsts as f64 * 0.9 + 3.0
         })
     }
 
-    /// Second runs for a better answer never take what is kept for failures.
+    /// Second runs for a better response never use up what is reserved for failures.
     fn failures_find_a_repeat_left_whatever_second_runs_took(firsts: u8) -> bool {
         let mut budget = RetryBudget::new(Span::secs(10), 0.9);
         budget.set_extra(8);
@@ -100,13 +101,14 @@
         budget.try_spend(Moment(1))
     }
 
-    /// Even parts of all VMs stay within the limit, but for the one that each may always have.
+    /// The even shares of all VMs stay within the limit, apart from the one that each VM may always
+    /// have.
     fn parts_of_all_vms_fit(limit: u16, vms: u8) -> bool {
         let (limit, vms) = (u32::from(limit), u32::from(vms.max(1)));
         even_share(limit, vms) * vms <= limit.max(vms)
     }
 
-    /// Work shrinks with time and never below nothing.
+    /// A backlog shrinks with time and never below zero.
     fn a_backlog_shrinks(work: u32, passed: u32) -> bool {
         let mut backlog = Backlog::default();
         backlog.add(Span(u64::from(work)), Moment(5));
@@ -114,7 +116,7 @@
         left.0 == u64::from(work).saturating_sub(u64::from(passed))
     }
 
-    /// A server that is no fuller and reads a prompt sooner is never passed over for another.
+    /// A server that is less loaded and reads the prompt sooner is never skipped for another one.
     fn a_better_server_wins(loads: Vec<(u8, u16, bool)>) -> TestResult {
         let candidate = |(load, micros, near): &(u8, u16, bool)| Candidate {
             load: f64::from(*load),
@@ -144,7 +146,7 @@
         }
     }
 
-    /// However a stream is cut into pieces, the same whole events come out in order.
+    /// However a stream is split into chunks, the same complete events come out in order.
     fn events_do_not_depend_on_the_pieces(cuts: Vec<u8>, count: u8) -> bool {
         let text: String = (1..=u64::from(count)).map(|id| format!("id: {id}\ndata: x\n\n")).collect();
         let (mut events, mut out, mut last) = (Events::default(), Vec::new(), 0);
@@ -165,8 +167,8 @@
         out == text.as_bytes() && !events.has_part()
     }
 
-    /// Whatever is seen, a roll-out never goes on with a version that was found bad, and a version
-    /// that nobody finds bad has had less than its share when the time is up.
+    /// A roll-out never continues with a version that was found bad, whatever the inputs; and a
+    /// version not found bad has had less than its share of requests when the time is up.
     fn exposure_stays_within_the_bound(exposure: u8, seconds: u8) -> bool {
         let exposure = f64::from(exposure % 50 + 1) / 100.0;
         let within = Span::secs(u64::from(seconds % 60 + 10));
@@ -194,7 +196,8 @@
     }
 }
 
-/// A prompt stays in its data centre unless another saves more than its bytes are worth.
+/// A prompt stays in its data centre unless another one saves more time than the transfer of its
+/// bytes costs.
 #[test]
 fn a_large_prompt_crosses_for_more_time_than_a_small_one() {
     let at = |near, millis| Candidate {
@@ -234,7 +237,8 @@
 }
 
 quickcheck! {
-    /// More confidence, longer waits or a longer reading never make an answer give way that was kept.
+    /// More confidence, longer queues or a longer prefill never discard a response that was kept
+    /// before.
     fn what_speaks_for_an_answer_never_drops_it(
         confidence: u8, pressure: u8, reads: u16, more: (u8, u8, u16)
     ) -> bool {
@@ -275,109 +279,110 @@
     let good = Trial { new: Count::of(12, 0), old };
     assert!(bad.is_bad());
     assert!(!good.is_bad());
-    // Failures that the old version has as well accuse nobody.
+    // Failures that the old version has as well are no evidence against the new one.
     let usual = Trial { new: Count::of(40, 6), old: Count::of(400, 56) };
     assert!(!usual.is_bad());
 }
 
 #[test]
 fn a_server_that_cannot_be_reached_is_left_out_and_comes_back() {
-    let mut record = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     let now = Moment(1_000_000);
-    assert!(record.record(AttemptOutcome::NotSent, 0.0, now));
-    assert!(record.is_ejected(now + Span::millis(500)));
-    assert!(!record.is_ejected(now + Span::millis(700)));
-    // Again and again: longer each time, but never for long.
+    assert!(detector.record(AttemptOutcome::NotSent, 0.0, now));
+    assert!(detector.is_ejected(now + Span::millis(500)));
+    assert!(!detector.is_ejected(now + Span::millis(700)));
+    // The ejection grows with each repetition up to a maximum.
     let mut at = now;
     for _ in 0..20 {
         at = at + Span::secs(10);
-        record.record(AttemptOutcome::NotSent, 0.0, at);
+        detector.record(AttemptOutcome::NotSent, 0.0, at);
     }
-    assert!(record.is_ejected(at + Span::millis(5900)));
-    assert!(!record.is_ejected(at + Span::secs(7)));
+    assert!(detector.is_ejected(at + Span::millis(5900)));
+    assert!(!detector.is_ejected(at + Span::secs(7)));
 }
 
 #[test]
 fn a_server_that_turns_everything_away_is_left_out_for_a_moment() {
-    let mut record = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     let at = |ms: u64| Moment(1_000_000) + Span::millis(ms);
     for ms in [0, 1, 2, 3, 4] {
-        record.record(AttemptOutcome::NotRun, 0.0, at(2 * ms));
-        // One that takes some is full at times, which its load says.
-        record.record(AttemptOutcome::Good, 0.0, at(2 * ms + 1));
+        detector.record(AttemptOutcome::NotRun, 0.0, at(2 * ms));
+        // A server that accepts some requests is only full at times, which its load shows.
+        detector.record(AttemptOutcome::Good, 0.0, at(2 * ms + 1));
     }
-    assert!(!record.is_ejected(at(11)));
-    assert!(!record.record(AttemptOutcome::NotRun, 0.0, at(20)));
-    assert!(!record.record(AttemptOutcome::NotRun, 0.0, at(21)));
-    assert!(record.record(AttemptOutcome::NotRun, 0.0, at(22)));
-    assert!(record.is_ejected(at(300)) && !record.is_ejected(at(330)));
+    assert!(!detector.is_ejected(at(11)));
+    assert!(!detector.record(AttemptOutcome::NotRun, 0.0, at(20)));
+    assert!(!detector.record(AttemptOutcome::NotRun, 0.0, at(21)));
+    assert!(detector.record(AttemptOutcome::NotRun, 0.0, at(22)));
+    assert!(detector.is_ejected(at(300)) && !detector.is_ejected(at(330)));
 }
 
 #[test]
 fn a_server_whose_address_another_has_is_never_used_again() {
-    let mut standing = Availability::default();
-    standing.record(AttemptOutcome::NotRun, 0.0, Moment(1));
-    assert_eq!(standing.unavailable_reason(Moment(2)), None);
-    standing.mark_address_reused();
+    let mut availability = Availability::default();
+    availability.record(AttemptOutcome::NotRun, 0.0, Moment(1));
+    assert_eq!(availability.unavailable_reason(Moment(2)), None);
+    availability.mark_address_reused();
     assert_eq!(
-        standing.unavailable_reason(Moment(3_600_000_000)),
+        availability.unavailable_reason(Moment(3_600_000_000)),
         Some(Unavailable::AddressReused)
     );
 }
 
 #[test]
 fn a_server_that_fails_as_often_as_all_is_not_left_out() {
-    let mut record = OutlierDetector::default();
+    let mut detector = OutlierDetector::default();
     for number in 0..200u64 {
         let end = if number % 7 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Good };
-        assert!(!record.record(end, 1.0 / 7.0, Moment(number * 10_000)), "{number}");
+        assert!(!detector.record(end, 1.0 / 7.0, Moment(number * 10_000)), "{number}");
     }
-    let mut grey = OutlierDetector::default();
+    let mut intermittent = OutlierDetector::default();
     let left_out = (0..60u64).any(|number| {
         let end = if number % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Good };
-        grey.record(end, 0.02, Moment(number * 10_000))
+        intermittent.record(end, 0.02, Moment(number * 10_000))
     });
     assert!(left_out);
 }
 
 #[test]
 fn a_pace_follows_short_times_and_hardly_long_ones() {
-    let mut pace = PrefillEstimator::default();
+    let mut estimator = PrefillEstimator::default();
     for _ in 0..50 {
-        pace.record(1000, Span::millis(5));
-        pace.record(1000, Span::millis(200));
+        estimator.record(1000, Span::millis(5));
+        estimator.record(1000, Span::millis(200));
     }
-    let time = pace.time_to_first_event(1000);
+    let time = estimator.time_to_first_event(1000);
     assert!(time >= Span::millis(5) && time <= Span::millis(40), "{time}");
 }
 
-/// A busy server: 40 ms for the first step, 9 us a token, and two of five prompts wait long.
+/// A busy server: 40 ms to the first step, 9 us per token, and two of five prompts queue for long.
 #[test]
 fn a_pace_is_that_of_reading_however_long_prompts_wait() {
-    let mut pace = PrefillEstimator::default();
+    let mut estimator = PrefillEstimator::default();
     for number in 0..500u64 {
         let tokens = 200 + (number * 7919) % 20_000;
         let waits = if number % 5 < 2 { 400_000 + (number % 7) * 300_000 } else { 0 };
-        pace.record(tokens, Span(40_000 + 9 * tokens + waits));
+        estimator.record(tokens, Span(40_000 + 9 * tokens + waits));
     }
-    let reads = pace.prefill_time(16_000);
+    let reads = estimator.prefill_time(16_000);
     assert!(reads >= Span::millis(100) && reads <= Span::millis(220), "{reads}");
-    let first = pace.time_to_first_event(500);
+    let first = estimator.time_to_first_event(500);
     assert!(first >= Span::millis(40) && first <= Span::millis(60), "{first}");
 }
 
 #[test]
 fn a_vm_that_starts_under_load_does_not_believe_its_first_answers_alone() {
-    let mut pace = PrefillEstimator::default();
-    let before = pace.prefill_time(1000);
-    pace.record(1000, Span::secs(6));
-    assert!(pace.prefill_time(1000) <= before, "{}", pace.prefill_time(1000));
-    pace.record(2000, Span(40_000 + 2000 * 9));
-    assert!(pace.prefill_time(1000) <= before, "{}", pace.prefill_time(1000));
+    let mut estimator = PrefillEstimator::default();
+    let before = estimator.prefill_time(1000);
+    estimator.record(1000, Span::secs(6));
+    assert!(estimator.prefill_time(1000) <= before, "{}", estimator.prefill_time(1000));
+    estimator.record(2000, Span(40_000 + 2000 * 9));
+    assert!(estimator.prefill_time(1000) <= before, "{}", estimator.prefill_time(1000));
 }
 
 quickcheck! {
-    /// Of two prompts that a server holds nothing of, the shorter never ranks behind.
+    /// Of two prompts of which a server has nothing cached, the shorter one never gets a lower
+    /// priority.
     fn a_shorter_prompt_ranks_no_lower(workspace: u8, a: u32, b: u32, left: u32) -> bool {
         let rank = |reads| priority::prompt_priority(u32::from(workspace), Span(u64::from(reads)), Span(u64::from(left)));
         rank(a.min(b)) <= rank(a.max(b)) && rank(a) <= 9
@@ -391,7 +396,7 @@
     assert_eq!(
         priority::prompt_priority(0, Span::millis(1), Span(0)),
         2,
-        "late already, it gives way"
+        "a prompt that is late already gets the lowest class"
     );
 }
 
@@ -405,7 +410,7 @@
     assert_eq!(backlog.remaining(Moment(5_000_000)), Span(0));
 }
 
-/// An answer of a prompt whose reading should take 40 ms at most.
+/// A response to a prompt whose prefill should take at most 40 ms.
 fn sample(version: &Version, millis: u64) -> Sample<'_> {
     let time = Some(Span::millis(millis));
     Sample {
@@ -421,7 +426,7 @@
 #[test]
 fn a_slow_version_is_found_and_one_that_holds_no_prompt_yet_is_not_accused() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
-    // The old version holds most prompts and answers soon, now and then behind others.
+    // The old version has most prompts cached and responds fast, sometimes after queueing.
     let beside_old = |new_millis: u64| {
         let mut trials = Trials::default();
         trials.follow(&new, Moment(1));
@@ -435,8 +440,8 @@
     assert!(!beside_old(65), "it reads the whole prompt, as a new server must");
 }
 
-/// Servers are overloaded: of the old version's answers two in five take four times as long as they
-/// should, so a slow version shows by those that take ten times as long.
+/// The servers are overloaded: two of five responses of the old version take four times as long as
+/// they should, so only responses that take ten times as long show that a version is slow.
 #[test]
 fn a_slow_version_is_found_where_the_old_one_is_slow_from_its_load() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
@@ -451,7 +456,7 @@
     assert!(!found(280));
 }
 
-/// An answer that is awaited counts once, and as slow in each degree when it reaches it.
+/// A pending response is counted once, and as slow at each level when it reaches that level.
 #[test]
 fn an_answer_counts_as_slow_while_it_is_awaited() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
@@ -466,8 +471,8 @@
     assert!(trials.is_bad());
 }
 
-/// A version may be bad on one route alone: three VMs saw one failure each among nine answers there, and
-/// many good ones elsewhere.
+/// A version may be bad on one route only: three VMs saw two failures each among three responses
+/// there, and many good responses on another route.
 #[test]
 fn a_version_that_is_bad_on_one_route_is_found_from_what_all_vms_saw_of_it() {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
@@ -493,7 +498,8 @@
     assert_eq!(all[0].news(), None, "what was told is not told again");
 }
 
-/// At the end of the time a version that is in doubt goes back: once it has taken over, it cannot.
+/// A version still in doubt at the end of the time is rolled back: once it has completed, it can't
+/// be.
 #[test]
 fn a_version_in_doubt_does_not_take_over() {
     let known = |phase, evidence| Known {
@@ -513,9 +519,10 @@
     }
 }
 
-/// A store tells of an order up to 0.8 s late, and a VM that had just been told of another change asks 0.25 s later; it
-/// looks for steps every 0.2 s and waits up to 0.2 s before it writes. The roll-out of 24 s of the users' large site
-/// was done 0.21 s late, its order was heard of after 0.97 s.
+/// Guards against a roll-out that completes after its deadline because its order arrives late. The
+/// store delivers an order up to 0.8 s late, and a VM that has just received another change polls
+/// 0.25 s later; it checks for steps every 0.2 s and waits up to 0.2 s before it writes. A roll-out
+/// of 24 s on the users' large site was done 0.21 s late; its order had arrived after 0.97 s.
 #[test]
 fn a_roll_out_whose_order_is_heard_late_is_done_in_time() {
     let within = Span::secs(24);
@@ -545,8 +552,8 @@
     assert!(age.0 - over.0 >= 400_000, "sessions have {over} to {age} to go over");
 }
 
-/// What hundreds of VMs saw together of a good version: a little more of it is slow, since its servers hold no prompts
-/// yet. A version that is bad is accused of far fewer answers.
+/// Totals of hundreds of VMs for a good version: slightly more of its responses are slow, since its
+/// servers have no prompts cached yet. A bad version is found from far fewer responses.
 #[test]
 fn many_answers_of_a_version_that_is_hardly_worse_do_not_accuse_it() {
     let trial = |new: (u64, u64), old: (u64, u64)| Trial {
@@ -579,7 +586,7 @@
         trials.hear(source(&format!("vm{number}")), &old, totals.clone());
     }
     assert!(!trials.is_bad());
-    // No VM alone has seen enough, however often it says so; two together have.
+    // One VM has not seen enough, however often it reports it; two together have.
     (0..3).for_each(|_| trials.hear(source("vm1"), &new, totals.clone()));
     assert!(!trials.is_bad());
     trials.hear(source("vm2"), &new, totals);
@@ -588,7 +595,8 @@
     assert!(!trials.is_bad(), "another order begins anew");
 }
 
-/// VMs hear of an order and of each other's sessions first; a short order does not wait as long.
+/// All VMs must have received an order, and each other's sessions, before the first sessions try
+/// the version; a short order does not wait as long.
 #[test]
 fn the_first_sessions_try_a_version_when_all_vms_have_heard_of_it() {
     let first = |age, within| {
@@ -610,7 +618,8 @@
     assert_eq!((first(250, 5), first(350, 5)), (Step::Hold, begins));
 }
 
-/// What was seen at the end of roll-outs on the users' sites: good versions stay, one that fails one kind of request goes.
+/// Evidence at the end of roll-outs on the users' sites: good versions stay, and one that fails one
+/// kind of request is rolled back.
 #[test]
 fn little_evidence_from_many_answers_is_chance() {
     let goes_back = |seen, evidence| {
@@ -630,8 +639,9 @@
     assert!(goes_back(53.0, 4.236), "half of its answers of one kind were failures");
 }
 
-/// What 84 VMs saw of one kind of request on a calm day: six servers of a good version had longer queues than 134 of the
-/// old. A version that is slow for half of its requests stands out all the same.
+/// Totals of 84 VMs for one kind of request on a calm day: six servers of a good version had longer
+/// queues than 134 of the old one. A version that is slow for half of its requests must still stand
+/// out.
 #[test]
 fn the_longer_queues_of_a_small_trial_are_no_fault_of_its_version() {
     let trial = |slow| Trial { new: Count::of(256, slow), old: Count::of(2475, 342) };
