--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -1,9 +1,10 @@
-//! The next step of a roll-out that has a time limit: a small share while the new version does no
-//! worse than the old, and all at the very end; or back at once.
+//! Decides the next step of a roll-out that has a time limit: a small share of sessions while the
+//! new version does no worse than the old, all sessions at the very end, and a rollback as soon as
+//! it does worse.
 //!
-//! Some versions are bad under a load or at a time that the trial does not meet. So all sessions
-//! go over as late as the time limit allows: even a version that nobody finds bad has then had
-//! less than its bounded share of the requests.
+//! Some versions fail only under a load or at a time that the trial does not meet. So all sessions
+//! move as late as the time limit allows, and even a bad version that no test detects has then
+//! received less than its bounded share of the requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,90 +12,95 @@
 use crate::forward::replica::Phase;
 use crate::unit::Span;
 
-/// Share of sessions that try the new version, as a part of the bound on exposure, and at most. Less leaves
-/// a short trial too few answers of each kind of request.
+/// Share of sessions that try the new version first, as a fraction of the exposure bound, and its
+/// maximum. With a smaller share a short trial gets too few answers of each kind of request.
 const FIRST_SHARE_PER_EXPOSURE: f64 = 0.4;
 const MAX_FIRST_SHARE: f64 = 0.1;
 
-/// All sessions go over for the last part of the time, as a part of the bound on exposure: with
-/// the first share and what operators tolerate beside it, the bound is kept.
+/// Part of the time limit for which all sessions use the new version, as a fraction of the exposure
+/// bound. Together with the first share and the harm that operators tolerate it keeps the bound.
 const FULL_SHARE_TIME_PER_EXPOSURE: f64 = 0.3;
 
-/// Time kept at the end for writing that it is done, as a part of the whole, and at least: VMs look
-/// a few times a second, and a write may be lost once.
+/// Time reserved at the end for writing the completion, as a fraction of the time limit, and its
+/// minimum. VMs check a few times a second, and a write may be lost once.
 const COMPLETION_MARGIN_FRACTION: f64 = 0.04;
 const MIN_COMPLETION_MARGIN: Span = Span::millis(700);
 
-/// VMs count the time from when they hear of an order, which may be so late: a store tells of changes after up to 0.8 s,
-/// and the next watch begins up to 0.25 s after the last. So it is done earlier by this, and by this part of the time in
-/// which all sessions go over at most. Without it a roll-out of 24 s that was heard of 0.97 s late was done 0.21 s
-/// after its time.
+/// Maximum delay until a VM sees an order, also as a fraction of the time at full share. VMs count
+/// from when they see the order: a store reports changes after up to 0.8 s, and the next watch
+/// begins up to 0.25 s after the last. The completion is written earlier by this delay; without it
+/// a roll-out of 24 s that was seen 0.97 s late completed 0.21 s after its limit.
 const MAX_ORDER_DELAY: Span = Span::secs(1);
 const MAX_ORDER_DELAY_FRACTION: f64 = 0.6;
 
-/// The first sessions go to the new version so long after the order, and at most after this part of its time: VMs hear of
-/// an order within 0.8 s and then tell one another which sessions keep the old version.
+/// Delay of the first sessions on the new version, and its maximum as a fraction of the time limit.
+/// VMs see an order within 0.8 s and then tell each other which sessions are pinned to the old
+/// version.
 const FIRST_SESSIONS_DELAY: Span = Span::millis(1200);
 const MAX_FIRST_SESSIONS_DELAY_FRACTION: f64 = 0.06;
 
-/// Answers of the new version that must have been seen before the share rises.
+/// Answers of the new version needed before the share rises.
 const MIN_ANSWERS: f64 = 8.0;
 
-/// Evidence against a version, as in [`ROLLBACK_EVIDENCE`], at which it does not take over: of a version that
-/// takes over there is no way back, and one that waits for another order costs little. Many VMs look,
-/// each at what its neighbours saw: at 1.1 one of 91 doubted a good version.
+/// Evidence against a version, on the scale of [`ROLLBACK_EVIDENCE`], at which it is not promoted.
+/// After the promotion there is no way back, while a version that must wait for another order costs
+/// little. Many VMs check, each on what its neighbours saw: at 1.1 one of 91 VMs doubted a good
+/// version.
 const DOUBT_EVIDENCE: f64 = 3.0;
 
-/// The same for each answer that was seen: a version that fails half of the answers of one of three routes has ten times
-/// that after as many, so a little evidence from many answers is chance, of which there are sixteen tests. Of twelve good
-/// versions one went back at 4.2 of 119 answers, and one of a calm day at 3.2 of 558; of 48 bad ones one was found by
-/// doubt, at 4.2 of 53.
+/// The same per answer seen. A version that fails half of the answers on one of three routes has
+/// ten times this after as many answers, so little evidence from many answers is chance, given
+/// sixteen tests. Of twelve good versions one was rolled back at 4.2 of 119 answers, and one on a
+/// calm day at 3.2 of 558; of 48 bad ones one was found by this limit, at 4.2 of 53.
 const DOUBT_EVIDENCE_PER_ANSWER: f64 = 0.04;
 
-/// Evidence at which a version is accused: the logarithm of the inverse of the chance to accuse a good
-/// one, a thousandth, of one test however often it is looked at.
+/// Evidence at which a version is rolled back: the log of the inverse of the false positive rate, a
+/// thousandth for one test however often it is looked at.
 pub const ROLLBACK_EVIDENCE: f64 = 6.9;
 
-/// A share of bad answers that is always borne.
+/// Share of bad answers that is always tolerated.
 const BASELINE_BAD_SHARE: f64 = 0.03;
 
-/// A version whose share of bad answers lies above the old one's by less than this, or by less than this part of the old
-/// one's, does no harm that matters, however sure that is: its servers hold no prompts at first. Of 944 answers that 295
-/// VMs had seen together of a good version, evidence against it was 2.8, and above 3.0 it went back.
+/// Minimum excess of the share of bad answers over the old version's, absolute and relative to the
+/// old share. A smaller excess does no harm that matters however certain it is, since the servers
+/// of a new version hold no prompts at first. Of 944 answers of a good version that 295 VMs had
+/// seen together the evidence against it was 2.8, and above 3.0 it is rolled back.
 const MIN_HARM: f64 = 0.05;
 const MIN_HARM_FRACTION: f64 = 0.25;
 
-/// The same for slow answers. The few servers of a version under trial have longer queues than the many of the old, among
-/// which a prompt finds an idle one: on a calm day of 84 VMs with 6 servers of 140 in the trial, 24 in 100 answers of a
-/// good version were slow in the first degree and 14 of the old, and it was accused (evidence 7.3 of 256 answers). Of a
-/// version that is slow for half of its requests half are.
+/// The same minimum for slow answers. The few servers of a version under trial have longer queues
+/// than the many of the old one, among which a prompt finds an idle server: on a calm day of 84 VMs
+/// with 6 of 140 servers in the trial, 24 in 100 answers of a good version were slow at the first
+/// level and 14 of the old one's, and it was rejected (evidence 7.3 of 256 answers). Of a version
+/// that is slow for half of its requests, half are.
 const MIN_SLOWNESS_HARM: f64 = 0.15;
 
-/// Bad answers before a version is accused.
+/// Bad answers needed before there is any evidence against a version.
 const MIN_BAD_ANSWERS: f64 = 3.0;
 
-/// Answers of a version, by one of the ways to be bad.
+/// Answers of the new and the old version, counted by one way of being bad.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// Of the new version.
+    /// Answers of the new version.
     pub new: Count,
-    /// Of the old, over the same time.
+    /// Answers of the old version over the same time.
     pub old: Count,
 }
 
 impl Comparison {
-    /// Both trials together.
+    /// Returns the sum of both comparisons.
     pub fn plus(self, other: Comparison) -> Comparison {
         Comparison { new: self.new.plus(other.new), old: self.old.plus(other.old) }
     }
 
-    /// Evidence that the new version is worse: the logarithm of a likelihood ratio. None before a
-    /// few bad answers were seen.
+    /// Returns the evidence that the new version is worse, as a log likelihood ratio; zero below
+    /// [`MIN_BAD_ANSWERS`] or [`MIN_HARM`].
     pub fn evidence(&self) -> f64 {
         self.evidence_beyond(MIN_HARM)
     }
 
-    /// The same if the bad answers are slow ones.
+    /// Returns the evidence if the bad answers are slow ones, for which the minimum excess is
+    /// larger.
     pub fn evidence_of_slowness(&self) -> f64 {
         self.evidence_beyond(MIN_SLOWNESS_HARM)
     }
@@ -108,43 +114,43 @@
         evidence(self.new, old.max(BASELINE_BAD_SHARE))
     }
 
-    /// Whether the new version is worse beyond chance.
+    /// Returns true if the new version is worse beyond chance.
     pub fn is_bad(&self) -> bool {
         self.evidence() > ROLLBACK_EVIDENCE
     }
 }
 
-/// What is to be written next.
+/// Next status to write to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing yet.
+    /// Nothing to write yet.
     Hold,
-    /// This phase.
+    /// Write this phase.
     Move(Phase),
 }
 
 /// What one VM knows of a roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
-    /// How far it has come.
+    /// Present phase; none before the first step.
     pub phase: Option<Phase>,
     /// Time since this VM saw the order.
     pub age: Span,
-    /// Time in which it is to be done.
+    /// Time limit of the roll-out.
     pub within: Span,
-    /// Share of requests that a bad version may get.
+    /// Exposure bound: share of requests that a bad version may get.
     pub exposure: f64,
     /// Servers of the new version that are ready.
     pub ready: usize,
-    /// Whether any trial found it bad.
+    /// True once the trial has found the version bad.
     pub bad: bool,
     /// Answers of the new version that were seen.
     pub seen: f64,
-    /// Evidence against it, as in [`ROLLBACK_EVIDENCE`].
+    /// Evidence against it, on the scale of [`ROLLBACK_EVIDENCE`].
     pub evidence: f64,
 }
 
-/// The next step.
+/// Returns the next step of a roll-out.
 pub fn next_step(inputs: &Inputs) -> Step {
     let completion_margin =
         (inputs.within.0 as f64 * COMPLETION_MARGIN_FRACTION).max(MIN_COMPLETION_MARGIN.0 as f64);
@@ -174,24 +180,24 @@
     }
 }
 
-/// Time until all VMs have heard of an order, and of each other's sessions.
+/// Returns the time until all VMs have seen an order and each other's pinned sessions.
 fn first_sessions_delay(within: Span) -> Span {
     FIRST_SESSIONS_DELAY.min(within.part(MAX_FIRST_SESSIONS_DELAY_FRACTION))
 }
 
-/// A step towards the new version, or back if it is in doubt.
+/// Returns a step towards the new version, or a rollback if the evidence against it is too strong.
 fn advance_unless_doubted(inputs: &Inputs, phase: Phase) -> Step {
     let is_doubted = inputs.evidence > DOUBT_EVIDENCE.max(inputs.seen * DOUBT_EVIDENCE_PER_ANSWER);
     Step::Move(if is_doubted { Phase::RolledBack } else { phase })
 }
 
-/// Servers of the new version that share its requests: so few that each is about as busy as one of
-/// the old, since some versions are bad under load only.
+/// Returns how many servers of the new version get its requests: few enough that each is about as
+/// busy as a server of the old version, since some versions fail only under load.
 pub fn trial_servers(share: f64, servers: usize) -> usize {
     ((share * servers as f64).ceil() as usize).clamp(1, servers.max(1))
 }
 
-/// The share that tries the new version first.
+/// Returns the share of sessions that try the new version first.
 pub fn first_share(exposure: f64) -> f64 {
     (exposure * FIRST_SHARE_PER_EXPOSURE).min(MAX_FIRST_SHARE)
 }
--- a/src/decide/cascade/expect.rs
+++ b/src/decide/cascade/expect.rs
@@ -1,9 +1,10 @@
-//! What is expected of each kind of work: ratings smoothed, with the errors that remain.
+//! Estimates the quality of each rung for each kind of work: smoothed ratings and their standard
+//! errors.
 
 use super::rating::explore;
 use super::{BINS, Belief, PRIOR_RATINGS, Ratings, Rungs};
 
-/// What is expected of one kind, smoothed.
+/// Smoothed estimates for one kind of work.
 #[derive(Clone, Debug)]
 pub(super) struct Expected {
     pub(super) explore: f64,
@@ -24,7 +25,7 @@
     beliefs.iter().map(|belief| expect_kind(belief, &pooled, strong, rungs, total)).collect()
 }
 
-/// All ratings of strong answers.
+/// Returns the sum of all ratings of strong answers.
 fn strong_ratings_of(beliefs: &[Belief]) -> Ratings {
     let cells = beliefs.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
     cells.fold(Ratings::default(), |sum, cell| Ratings {
@@ -33,10 +34,11 @@
     })
 }
 
-/// A strong rung is much alike over kinds: others' ratings count as at most so many.
+/// Maximum weight, in ratings, of the other kinds in the estimate of the strong rung, which differs
+/// little between kinds.
 const MAX_POOLED_RATINGS: f64 = 80.0;
 
-/// The pass share of each bin over all kinds: the shape of a kind of which little is known.
+/// Returns the pass rate of each bin over all kinds, the prior curve of a kind with few ratings.
 fn pool(beliefs: &[Belief], rungs: &Rungs) -> [f64; BINS] {
     let mut pooled = [0.0; BINS];
     let mut weights = [0.0; BINS];
@@ -46,7 +48,8 @@
             cell.all += belief.cheap[i].all;
             cell.pass += belief.cheap[i].pass;
         }
-        // Confidence is trusted a little before any rating has come.
+        // The prior gives confidence half the weight, so that it is trusted a little before any
+        // rating.
         let middle = (i as f64 + 0.5) / BINS as f64;
         let prior = (rungs.cheap_quality * 0.5 + middle * 0.5).min(rungs.cheap_quality);
         *share = cell.smoothed_rate(prior);
@@ -56,7 +59,8 @@
     smooth(&pooled)
 }
 
-/// Each bin with its neighbours: steps that a rising fit leaves are chance, not shape.
+/// Averages each bin with its neighbours: the steps that an isotonic fit leaves are chance, not
+/// part of the curve.
 fn smooth(values: &[f64; BINS]) -> [f64; BINS] {
     let mut smoothed = *values;
     for i in 1..BINS - 1 {
@@ -65,13 +69,13 @@
     smoothed
 }
 
-/// Ratings' worth of trust that a kind is at the level of all kinds.
+/// Weight, in ratings, of the prior that a kind has the level of all kinds.
 const LEVEL_PRIOR_RATINGS: f64 = 4.0;
 
-/// Newton steps towards a kind's level.
+/// Newton iterations for a kind's level.
 const NEWTON_STEPS: usize = 6;
 
-/// The shape over all kinds, moved in log-odds to the level that a kind's own ratings show.
+/// Shifts the curve over all kinds, in log-odds, to the level of a kind's own ratings.
 fn shift_to_level(pooled: &[f64; BINS], cells: &[Ratings; BINS]) -> [f64; BINS] {
     let log_odds = pooled.map(|p| {
         let p = p.clamp(0.01, 0.99);
@@ -142,7 +146,8 @@
     }
 }
 
-/// The nearest rising sequence: a more confident answer is not likelier to be poor.
+/// Isotonic regression by pooling adjacent violators: a more confident answer is not likelier to be
+/// poor.
 fn monotone(values: &mut [f64; BINS], weights: &[f64; BINS]) {
     let mut blocks: [(f64, f64, usize); BINS] = [(0.0, 0.0, 0); BINS];
     let mut count = 0;
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -1,8 +1,9 @@
-//! Where a cascade starts and whether it climbs: least cost at the quality target.
+//! Decides with which rung a cascade begins and whether it escalates: least cost at the quality
+//! target.
 //!
-//! One multiplier prices quality in money. At that price, each answer is kept or climbed from by
-//! comparing what is expected of both; the multiplier is the least one whose expected quality,
-//! less a bound on what is not known, meets the target.
+//! A Lagrange multiplier prices quality in money. At that price each answer is kept or escalated by
+//! comparing the expected cost and quality of both. The solver finds the least multiplier whose
+//! expected quality, less a bound on the uncertainty, meets the target.
 
 mod expect;
 mod rating;
@@ -11,30 +12,31 @@
 
 pub use rating::{Answer, Credit, DriftDetector, rating_value};
 
-/// Bins of an engine's confidence.
+/// Number of bins of an engine's confidence.
 pub const BINS: usize = 16;
 
-/// Weight of the prior in each bin, in ratings: the shape over all kinds, at the kind's level.
+/// Weight, in ratings, of the prior in each bin: the curve over all kinds, shifted to the level of
+/// the kind.
 const PRIOR_RATINGS: f64 = 10.0;
 
-/// Standard errors kept between the expected quality and the target.
+/// Margin, in standard errors, between the expected quality and the target.
 const CAUTION_ERRORS: f64 = 0.6;
 
-/// Kept between the expected quality and the target whatever is known.
+/// Minimum margin between the expected quality and the target.
 const QUALITY_SLACK: f64 = 0.001;
 
-/// Halvings of the interval in which the multiplier is searched.
+/// Maximum number of bisections in the search for the multiplier.
 const MAX_BISECTIONS: usize = 40;
 
-/// The largest multiplier, in costs of the strongest rung.
+/// Maximum multiplier, in costs of a strong answer.
 const MAX_PRICE_FACTOR: f64 = 1e4;
 
-/// Ratings, decayed with age.
+/// Number of ratings and of those that passed, decayed with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ratings {
     /// Ratings.
     pub all: f64,
-    /// Those that passed.
+    /// Ratings that passed.
     pub pass: f64,
 }
 
@@ -55,28 +57,28 @@
     }
 }
 
-/// The bin of a confidence from 0 to 1.
+/// Returns the bin of a confidence from 0 to 1.
 pub fn bin(confidence: f64) -> usize {
     ((confidence * BINS as f64) as usize).min(BINS - 1)
 }
 
-/// What is believed of one kind of work in one workspace, for a cheap and a strong rung.
+/// Observations of one kind of work in one workspace, for a cheap and a strong rung.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Belief {
     /// Requests of this kind.
     pub requests: f64,
-    /// How often the cheap rung showed each confidence.
+    /// Answers of the cheap rung by bin of confidence.
     pub confidence_counts: [f64; BINS],
-    /// Ratings of cheap answers, by confidence.
+    /// Ratings of cheap answers by bin of confidence.
     pub cheap: [Ratings; BINS],
-    /// Ratings of strong answers, by the confidence of the cheap one before.
+    /// Ratings of strong answers by the confidence of the cheap answer before.
     pub strong: [Ratings; BINS],
-    /// Ratings of strong answers that began there.
+    /// Ratings of strong answers of requests that began with the strong rung.
     pub direct: Ratings,
 }
 
 impl Belief {
-    /// Forgets a part of everything; `kept` of it remains.
+    /// Decays all observations to the part `kept`.
     pub fn decay(&mut self, kept: f64) {
         self.requests *= kept;
         self.confidence_counts.iter_mut().for_each(|seen| *seen *= kept);
@@ -85,7 +87,7 @@
         self.direct.decay(kept);
     }
 
-    /// Forgets most ratings, since they no longer agree with what is met.
+    /// Discounts most ratings, since recent ones no longer agree with them.
     pub fn discount(&mut self) {
         self.cheap.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
         self.strong.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
@@ -93,13 +95,13 @@
     }
 }
 
-/// Ratings fade by this with each further rating of their kind.
+/// Decay of the ratings of a kind with each further rating.
 pub const RATING_DECAY: f64 = 0.9995;
 
-/// What remains of ratings after an alarm: little, so that caution returns at once.
+/// Part of the ratings that is kept after an alarm; little, so that caution returns at once.
 const KEPT_AFTER_ALARM: f64 = 0.08;
 
-/// The price and declared quality of the rungs.
+/// Cost and declared quality of the rungs.
 #[derive(Clone, Copy, Debug)]
 pub struct Rungs {
     /// Cost of a cheap answer.
@@ -112,22 +114,22 @@
     pub strong_quality: f64,
 }
 
-/// What to do for one kind of work.
+/// Rule for one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Chance to begin with the strong rung.
+    /// Probability of beginning with the strong rung.
     pub direct: f64,
-    /// Chance to keep a cheap answer of that confidence.
+    /// Probability of keeping a cheap answer, by bin of confidence.
     pub keep: [f64; BINS],
     /// Expected share of answers that pass.
     pub quality: f64,
-    /// Chance to try the cheap rung though the rule begins with the strong one.
+    /// Probability of trying the cheap rung though the rule begins with the strong one.
     pub explore: f64,
-    /// Expected pass share of a cheap answer by confidence.
+    /// Expected share of cheap answers that pass, by bin of confidence.
     pub cheap: [f64; BINS],
 }
 
-/// The rule before anything is known: strong.
+/// The rule without any observations: begin with the strong rung.
 impl Default for Rule {
     fn default() -> Rule {
         Rule {
@@ -140,7 +142,7 @@
     }
 }
 
-/// Solves for the rules of all kinds that share one target.
+/// Returns the rules of all kinds, which share one quality target.
 pub fn solve(beliefs: &[Belief], rungs: &Rungs, target: f64) -> Vec<Rule> {
     let expected = expect(beliefs, rungs);
     let meets = |price: f64| {
@@ -169,7 +171,8 @@
     expected.iter().map(mixed).collect()
 }
 
-/// The share of the dearer price: the two together just meet the target.
+/// Returns the share of the higher price with which the mixture of both rules just meets the
+/// target.
 fn mixing_share(expected: &[Expected], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
     let sure = |price| {
         let (quality, error) = expected_quality(expected, rungs, price);
@@ -183,12 +186,13 @@
 }
 
 impl Rule {
-    /// Whether to begin with the strong rung; `point` is the request's own from 0 to 1.
+    /// Returns true if the request begins with the strong rung; `point` is the request's own,
+    /// uniform from 0 to 1.
     pub fn begins_strong(&self, point: f64) -> bool {
         point < self.direct
     }
 
-    /// Whether to keep a cheap answer; `point` is the request's own from 0 to 1.
+    /// Returns true if a cheap answer is kept; `point` is the request's own, uniform from 0 to 1.
     pub fn keeps(&self, bin: usize, point: f64) -> bool {
         point < self.keep[bin]
     }
@@ -231,7 +235,7 @@
     }
 }
 
-/// Expected quality over all kinds, and its standard error.
+/// Returns the expected quality over all kinds and its standard error.
 fn expected_quality(expected: &[Expected], rungs: &Rungs, price: f64) -> (f64, f64) {
     let mut quality = 0.0;
     let mut variance = 0.0;
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -1,38 +1,41 @@
-//! Where ratings tell most, and whether they still agree with what was expected.
+//! Chooses which answers to have rated, and detects when ratings no longer agree with the
+//! estimates.
 
 use super::{BINS, Belief, Rule};
 use crate::decide::sequential::{Count, evidence};
 
-/// Ratings of cheap answers after which a kind counts as known.
+/// Ratings of cheap answers from which a kind counts as known.
 const KNOWN_FROM_RATINGS: f64 = 120.0;
 
-/// Share of requests that try the cheap rung against the rule, while a kind is not known and after.
+/// Share of requests that try the cheap rung against the rule, while a kind is not yet known and
+/// once it is.
 pub(super) const EXPLORE_UNKNOWN: f64 = 0.4;
 
 const EXPLORE_KNOWN: f64 = 0.02;
 
-/// The chance to try the cheap rung though the rule begins with the strong one. The caller gets
-/// the strong answer all the same, so this costs money and never quality.
+/// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
+/// caller still gets the strong answer, so exploration costs money and never quality.
 pub(super) fn explore(belief: &Belief) -> f64 {
     let known: f64 = belief.cheap.iter().map(|cell| cell.all).sum();
     if known < KNOWN_FROM_RATINGS { EXPLORE_UNKNOWN } else { EXPLORE_KNOWN }
 }
 
-/// Which answer may be rated.
+/// An answer that may be rated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A cheap one of that bin of confidence.
+    /// A cheap answer in this bin of confidence.
     Cheap(usize),
-    /// A strong one that was climbed to.
+    /// A strong answer after a cheap one was escalated.
     Climbed,
-    /// A strong one that the cascade began with.
+    /// A strong answer that the cascade began with.
     Direct,
 }
 
-/// Bins on either side of a change between keeping and climbing whose ratings tell most.
+/// Bins on either side of a change between keeping and escalating whose ratings are the most
+/// informative.
 const NEAR_BINS: usize = 2;
 
-/// How much a rating of an answer tells, compared with others.
+/// Returns how informative a rating of an answer is, relative to others.
 pub fn rating_value(rule: &Rule, answer: Answer) -> f64 {
     let Answer::Cheap(bin) = answer else {
         return if answer == Answer::Climbed { 0.8 } else { 0.3 };
@@ -42,22 +45,24 @@
     if decides { 2.0 } else { 0.7 }
 }
 
-/// Ratings that may be saved up, and the credit at which an answer of usual worth is rated.
+/// Maximum credit, in ratings, and the credit at which an answer of value 1 is certainly rated.
 const MAX_CREDIT: f64 = 40.0;
 
 const FULL_CREDIT: f64 = 8.0;
 
-/// Spends a share of ratings where they tell most, and no more than that share.
+/// Rating budget: spends a share of ratings on the most informative answers, and no more than that
+/// share.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Credit(f64);
 
 impl Credit {
-    /// Counts a request; `share` is that of ratings to requests.
+    /// Adds the credit of a request; `share` is the ratio of ratings to requests.
     pub fn earn(&mut self, share: f64) {
         self.0 = (self.0 + share).min(MAX_CREDIT);
     }
 
-    /// Whether to have an answer of that worth rated; `point` is a random number from 0 to 1.
+    /// Returns true, and spends credit, if an answer of this value is to be rated; `point` is
+    /// uniform from 0 to 1.
     pub fn spend(&mut self, worth: f64, point: f64) -> bool {
         let rated = self.0 >= 1.0 && point < worth * self.0 / FULL_CREDIT;
         if rated {
@@ -67,13 +72,13 @@
     }
 }
 
-/// Ratings that the watch looks back on.
+/// Effective number of ratings in the window of the drift detector.
 const WINDOW_RATINGS: f64 = 120.0;
 
-/// Evidence, as a chance, on which what is believed is doubted.
+/// False positive rate of the drift alarm.
 const ALARM_CHANCE: f64 = 1e-4;
 
-/// Watches whether ratings still agree with what was expected of the answers.
+/// Detects when ratings no longer agree with the expected quality of the answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DriftDetector {
     observed: Count,
@@ -81,8 +86,8 @@
 }
 
 impl DriftDetector {
-    /// Notes a rating of an answer that was expected to pass with that chance; whether ratings
-    /// prove that answers have become worse.
+    /// Records a rating of an answer that was expected to pass with probability `expected`. Returns
+    /// true, and resets, if ratings prove that answers have become worse.
     pub fn record(&mut self, expected: f64, pass: bool) -> bool {
         let kept = 1.0 - 1.0 / WINDOW_RATINGS;
         self.observed.all = self.observed.all * kept + 1.0;
--- a/src/decide/escalate.rs
+++ b/src/decide/escalate.rs
@@ -1,47 +1,49 @@
-//! Whether a small model's answer, which nobody has seen yet, gives way to one of a larger model.
+//! Decides whether an answer of a small model, which no caller has seen yet, is discarded for one
+//! of a larger model.
 //!
-//! A second run buys quality with the time of an engine. While servers are idle that time is cheap, and
-//! doubt decides. The longer requests wait, the more each second run delays others, and the longer its
-//! own reading takes of the time to the goal, the surer it must be of a gain.
+//! A second run buys quality with engine time. While servers are idle that time is cheap, and the
+//! answer's confidence decides. The longer requests wait, the more each second run delays others;
+//! and the more of the time left to the latency goal its own prefill takes, the lower the
+//! confidence must be to justify it.
 
 use crate::unit::Span;
 
-/// An answer is kept from this confidence on, in hundredths, unless a flag says otherwise.
+/// Default confidence, in hundredths, from which an answer is always kept; a flag overrides it.
 pub const KEEP_CONFIDENCE: f64 = 60.0;
 
-/// Mean wait, as a part of the goal, at which no answer gives way any more.
+/// Mean queue wait, as a fraction of the latency goal, from which no answer is escalated.
 const MAX_PRESSURE: f64 = 0.4;
 
-/// A reading that takes all of the time to the goal takes this off the confidence below which an answer
-/// gives way.
+/// Reduction of the confidence threshold if prefill takes all of the time left to the goal;
+/// proportionally less for a shorter prefill.
 const PREFILL_PENALTY: f64 = 0.5;
 
-/// An answer that comes late is worth about this part of one in time.
+/// Worth of a late answer, as a fraction of one in time.
 const LATE_ANSWER_WORTH: f64 = 0.3;
 
-/// What is known when a small model's answer is there.
+/// Inputs of the decision, taken when the small model's answer is complete.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
-    /// The small model's confidence, 0 to 1.
+    /// Confidence of the small model, from 0 to 1.
     pub confidence: f64,
-    /// The confidence from which on its answer is kept however idle servers are, 0 to 1.
+    /// Confidence from which the answer is kept even if all servers are idle, from 0 to 1.
     pub keep_confidence: f64,
-    /// Mean wait at the servers of late, as a part of the goal.
+    /// Recent mean wait at the servers, as a fraction of the latency goal.
     pub pressure: f64,
-    /// Time that its prompt would wait at the larger model's server.
+    /// Expected queue wait at the larger model's server.
     pub queue_wait: Span,
-    /// Time that reading it there would take.
+    /// Expected prefill time there.
     pub prefill_time: Span,
-    /// Time left to the goal.
+    /// Time left to the latency goal.
     pub time_left: Span,
 }
 
-/// Whether the answer gives way.
+/// Returns true if the answer is discarded and the request is sent to the larger model.
 pub fn should_escalate(inputs: &Inputs) -> bool {
     inputs.confidence < threshold(inputs)
 }
 
-/// The confidence below which it does.
+/// Returns the confidence below which an answer is escalated.
 fn threshold(inputs: &Inputs) -> f64 {
     let time_left = inputs.time_left.0.max(1) as f64;
     let prefill_share = inputs.prefill_time.0 as f64 / time_left;
--- a/src/decide/poison/evidence.rs
+++ b/src/decide/poison/evidence.rs
@@ -1,4 +1,5 @@
-//! What a VM knows of contents under which servers ended, and of those that ran well.
+//! Evidence of one VM against request contents under which servers crashed, and of contents that
+//! completed.
 
 use std::collections::HashMap;
 
@@ -6,39 +7,45 @@
 
 use crate::unit::{Digest, Moment, Span, hash};
 
-/// Weight of an end.
+/// Weight of a crash.
 const CRASH_WEIGHT: u32 = 5;
 
-/// Weight of ends from which a content is held back. The users grant three servers, and three retries after them.
+/// Weight of crashes from which a content is quarantined. The users accept three crashed servers,
+/// and three retries after them.
 const QUARANTINE_WEIGHT: u32 = 3 * CRASH_WEIGHT;
 
-/// Weight of an end under a run that had given events for [`STABLE_AFTER`] before: five such ends hold a content back, two after the
-/// third, which the users grant. Streams that go on elsewhere meet the next crash of the same content: of twelve servers each
-/// has one chance in a hundred to meet three in a row, so that one stream of a hundred would be held back for another's fault.
+/// Weight of a crash under a request that had produced events for [`STABLE_AFTER`] before: five
+/// such crashes quarantine a content, two more than the three that the users accept. A stream that
+/// is resumed elsewhere meets the next crash caused by the same content: of twelve servers each has
+/// one chance in a hundred to meet three in a row, so with the full weight one stream in a hundred
+/// would be quarantined for another's fault.
 const STABLE_CRASH_WEIGHT: u32 = 3;
 
-/// A run that has given events for so long is not likely to be why its server crashes just then.
+/// Time after which a request that produces events is unlikely to be the cause if its server
+/// crashes.
 pub const STABLE_AFTER: Span = Span::secs(1);
 
-/// A content that ran to a good end is not suspected for ends before this is over. A prompt that many send is open at
-/// every server that crashes; it also runs well many times a second.
+/// Time for which a completed request clears its content of crashes. A prompt that many callers
+/// send is open at every server that crashes, but it also completes many times a second.
 const SUCCESS_TTL: Span = Span::secs(30);
 
-/// What is believed of a content ends by itself when nothing has ended under it for so long.
+/// Suspicions and quarantines expire when no server has crashed under the content for this long.
 const SUSPICION_TTL: Span = Span::secs(600);
 
-/// Contents that are remembered; 64 requests are open at a server that crashes. Of more, those with the least weight go.
+/// Maximum number of suspects; 64 requests are open at a server that crashes. Beyond it those with
+/// the least weight are evicted.
 const MAX_SUSPECTS: usize = 20_000;
 
-/// Contents of which it is remembered that they ran well. They are no suspects, and push none out.
+/// Maximum number of remembered successes. They are kept apart from suspects and evict none.
 const MAX_SUCCESSES: usize = 4_000;
 
-/// One life of a backend server, by its id and its start.
+/// One incarnation of a backend server, identified by a hash of its id and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServerIncarnation(u64);
 
 impl ServerIncarnation {
-    /// The life of the server `id` that began at `born`, if it says so.
+    /// Creates the incarnation of the server `id` that started at `born`, if the server reports
+    /// that.
     pub fn new(id: &str, born: Option<u64>) -> ServerIncarnation {
         ServerIncarnation(hash::stable(&[
             id,
@@ -47,12 +54,12 @@
     }
 }
 
-/// A request that was open at a life of a server when that ended.
+/// A request that was open at a server incarnation when it crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
-    /// What it asked.
+    /// Digest of the request's content.
     pub content: Digest,
-    /// Whether it had given events there for [`STABLE_AFTER`].
+    /// True if it had produced events there for [`STABLE_AFTER`].
     pub was_stable: bool,
 }
 
@@ -62,7 +69,7 @@
     }
 }
 
-/// A life that ended under a content.
+/// A crash of a server incarnation under a content.
 #[derive(Clone, Copy, Debug)]
 struct Crash {
     incarnation: ServerIncarnation,
@@ -70,29 +77,29 @@
     weight: u32,
 }
 
-/// That a content is held back, as one VM tells another.
+/// A quarantined content in a message between VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedContent {
     /// The content.
     pub content: Digest,
-    /// Lives that ended under it.
+    /// Server incarnations that crashed under it.
     pub crashes: u32,
-    /// How long ago the last of them did.
+    /// Age of the last crash.
     pub age: Span,
 }
 
-/// That a content is held back, as this VM knows it.
+/// Quarantine of a content, as this VM knows it.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
     crashes: u32,
     last_crash: Moment,
 }
 
-/// What is known of a content under which a server ended.
+/// Evidence against a content.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
-    /// What other VMs found.
+    /// Quarantine reported by other VMs.
     reported: Option<Quarantine>,
 }
 
@@ -119,7 +126,7 @@
         }
     }
 
-    /// Drops what is of `before` or earlier. Whether anything is left.
+    /// Drops evidence dated `before` or earlier. Returns true if any is left.
     fn forget_until(&mut self, before: Moment) -> bool {
         self.crashes.retain(|crash| crash.at > before);
         self.reported = self.reported.filter(|reported| reported.last_crash > before);
@@ -127,23 +134,24 @@
     }
 }
 
-/// What came of a word about a content.
+/// Change of a content's state that an event caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that was not known.
+    /// Nothing new.
     None,
-    /// It is suspected, or of more.
+    /// The content became a suspect, or the evidence against it grew.
     Suspected,
-    /// It is held back from now on.
+    /// The content is quarantined from now on.
     Quarantined,
-    /// It was suspected, or held back, and is no longer.
+    /// The content was a suspect or quarantined and no longer is.
     Cleared {
-        /// Whether it was held back.
+        /// True if it was quarantined.
         was_quarantined: bool,
     },
 }
 
-/// Contents that ran to a good end of late, and when. The older half is dropped when the younger one is full or old.
+/// Contents that completed recently, with the time. The older half is dropped when the younger one
+/// is full or old.
 #[derive(Clone, Debug, Default)]
 struct Successes {
     younger: HashMap<Digest, Moment>,
@@ -166,7 +174,7 @@
     }
 }
 
-/// What a VM knows of contents under which servers ended, and of those that ran well.
+/// Evidence of one VM about request contents: suspects and recent successes.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     suspects: HashMap<Digest, Suspect>,
@@ -174,13 +182,14 @@
 }
 
 impl Evidence {
-    /// How many lives ended under a content, if it is held back.
+    /// Returns the number of server incarnations that crashed under a content if it is quarantined.
     pub fn quarantine_crashes(&self, content: &Digest, now: Moment) -> Option<u32> {
         let quarantine = self.suspects.get(content)?.quarantine()?;
         (now.since(quarantine.last_crash) < SUSPICION_TTL).then_some(quarantine.crashes)
     }
 
-    /// A life of a server ended at the moment `at` under a request.
+    /// Records that a server incarnation crashed under a request at the moment `at`. Repeated
+    /// reports of one crash count once.
     pub fn on_crash(
         &mut self,
         request: OpenRequest,
@@ -208,7 +217,7 @@
         }
     }
 
-    /// Another VM holds a content back, for an end at the moment `last`.
+    /// Records that another VM has quarantined a content, with the time of the last crash under it.
     pub fn on_quarantine_report(
         &mut self,
         content: Digest,
@@ -231,7 +240,8 @@
         if was_quarantined { Change::None } else { Change::Quarantined }
     }
 
-    /// A request of a content ran to a good end at the moment `at`, here or at another VM.
+    /// Records that a request with this content completed at the moment `at`, here or at another
+    /// VM.
     pub fn on_success(&mut self, content: Digest, at: Moment, now: Moment) -> Change {
         self.successes.record(content, at, now);
         let Some(suspect) = self.suspects.get_mut(&content) else { return Change::None };
@@ -243,18 +253,18 @@
         Change::Cleared { was_quarantined }
     }
 
-    /// How long ago a content ran to a good end, if that still speaks for it.
+    /// Returns the age of the last success of a content if it still clears the content.
     pub fn success_age(&self, content: &Digest, now: Moment) -> Option<Span> {
         let age = now.since(self.successes.last_success(content)?);
         (age < SUCCESS_TTL).then_some(age)
     }
 
-    /// Whether an end at the moment `at` says nothing against a content.
+    /// Returns true if a recent success clears a content of a crash at the moment `at`.
     fn has_recent_success(&self, content: &Digest, at: Moment) -> bool {
         self.successes.last_success(content).is_some_and(|last| at <= last + SUCCESS_TTL)
     }
 
-    /// Contents that are held back, as they are told: the newest first, no more than `most`.
+    /// Returns the quarantined contents, the most recent first and no more than `limit`.
     pub fn quarantined(&self, limit: usize, now: Moment) -> Vec<QuarantinedContent> {
         let quarantine = |(content, suspect): (&Digest, &Suspect)| {
             let Quarantine { crashes, last_crash } = suspect.quarantine()?;
@@ -268,22 +278,23 @@
         all
     }
 
-    /// How many contents are suspected, or held back.
+    /// Number of contents that are suspects or quarantined.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether nothing is suspected.
+    /// Returns true if there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Drops what is too old.
+    /// Drops expired evidence.
     pub fn expire(&mut self, now: Moment) {
         self.suspects.retain(|_, suspect| suspect.forget_until(expiry_cutoff(now)));
     }
 
-    /// Makes room for one more: of too many, the half with the least weight goes.
+    /// Makes room for one more suspect: if there are too many, evicts the half with the least
+    /// weight. Quarantined contents are evicted last.
     fn evict_if_full(&mut self, now: Moment) {
         if self.suspects.len() >= MAX_SUSPECTS {
             self.expire(now);
@@ -302,7 +313,7 @@
     }
 }
 
-/// What ended at this moment or before is believed no longer.
+/// Returns the time up to which evidence has expired.
 fn expiry_cutoff(now: Moment) -> Moment {
     Moment(now.0.saturating_sub(SUSPICION_TTL.0))
 }
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -1,73 +1,75 @@
-//! What VMs tell one another of contents under which servers crash.
+//! Messages between VMs about contents under which servers crash.
 //!
-//! Each VM tells which contents were open at a server when it crashed. Few VMs tell all others. Of many, a few gather what is known of
-//! a content, the same for all VMs, so that a crash costs some messages and not one for each pair of VMs. Whoever finds that a
-//! content is to be held back tells all.
+//! Each VM reports which contents were open at a server when it crashed. In a small fleet it
+//! reports to all others. In a large one a few aggregators, the same for all VMs, collect the
+//! reports about a content, so that a crash costs a few messages and not one for each pair of VMs.
+//! The VM that finds that a content must be quarantined informs all.
 
 use serde::{Deserialize, Serialize};
 
 use super::evidence::{Change, Evidence, OpenRequest, QuarantinedContent, ServerIncarnation};
 use crate::unit::{Digest, Moment, Span};
 
-/// Contents that are told at once, the newest; each is some 24 bytes.
+/// Maximum number of quarantined contents in a message, the most recent first; each takes some 24
+/// bytes.
 const MAX_QUARANTINED_PER_MESSAGE: usize = 100;
 
-/// What one VM tells another.
+/// A message from one VM to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A life of a server ended so long ago with these open.
+    /// A server incarnation crashed with these requests open.
     ServerCrashed {
-        /// The life.
+        /// The server incarnation.
         incarnation: ServerIncarnation,
-        /// Its requests.
+        /// Requests of the sender that were open there.
         requests: Vec<OpenRequest>,
-        /// How long ago.
+        /// Time since then.
         age: Span,
     },
-    /// These are held back.
+    /// These contents are quarantined.
     Quarantined(Vec<QuarantinedContent>),
-    /// One that others suspect ran to a good end so long ago.
+    /// A request whose content others suspect completed.
     Succeeded {
         /// The content.
         content: Digest,
-        /// How long ago.
+        /// Time since then.
         age: Span,
     },
 }
 
-/// Whom news are for.
+/// Recipients of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipients {
-    /// All VMs, or of many the neighbours, which pass it on.
+    /// All VMs; in a large fleet the neighbours, which forward it.
     All,
-    /// The VMs that gather what is known of this content; of few, all.
+    /// The VMs that aggregate reports about this content; in a small fleet all VMs.
     Aggregators(Digest),
 }
 
-/// News to be sent.
+/// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// To these.
+    /// Its recipients.
     pub to: Recipients,
-    /// What is told.
+    /// The message.
     pub message: Message,
 }
 
-/// What a VM believes from now on.
+/// Change of a content's quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A content is held back, for so many lives that ended under it.
+    /// A content is quarantined after this number of crashes.
     Quarantined(Digest, u32),
-    /// It is no longer.
+    /// The content is no longer quarantined.
     Released(Digest),
 }
 
-/// What follows from something that was seen or heard.
+/// Effects of an event: messages to send and quarantine changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// News for others.
+    /// Messages to other VMs.
     pub messages: Vec<Outgoing>,
-    /// Changes of what is believed.
+    /// Quarantine changes at this VM.
     pub transitions: Vec<Transition>,
 }
 
@@ -77,43 +79,43 @@
     }
 }
 
-/// How news go round.
+/// How messages are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// Each VM tells each other at once.
+    /// Full mesh: each VM sends to each other.
     Direct,
-    /// Each VM tells its neighbours, and passes on what is news to it.
+    /// Each VM sends to its neighbours and forwards what is new to it.
     Gossip,
 }
 
-/// One VM's part in it.
+/// Exchange of evidence at one VM.
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
     evidence: Evidence,
 }
 
 impl Exchange {
-    /// How many lives ended under a content, if it is held back.
+    /// Returns the number of server incarnations that crashed under a content if it is quarantined.
     pub fn quarantine_crashes(&self, content: &Digest, now: Moment) -> Option<u32> {
         self.evidence.quarantine_crashes(content, now)
     }
 
-    /// Contents that are held back, as they are told: the newest, and not more than fit.
+    /// Returns the quarantined contents, the most recent first and no more than fit into a message.
     pub fn quarantined(&self, now: Moment) -> Vec<QuarantinedContent> {
         self.evidence.quarantined(MAX_QUARANTINED_PER_MESSAGE, now)
     }
 
-    /// How many contents are suspected, those that are held back among them.
+    /// Number of suspects, the quarantined contents included.
     pub fn suspect_count(&self) -> usize {
         self.evidence.len()
     }
 
-    /// Drops what is too old.
+    /// Drops expired evidence.
     pub fn expire(&mut self, now: Moment) {
         self.evidence.expire(now);
     }
 
-    /// A life of a server has ended with these requests of this VM open.
+    /// Handles the crash of a server incarnation with these requests of this VM open.
     pub fn on_server_crash(
         &mut self,
         incarnation: ServerIncarnation,
@@ -134,7 +136,7 @@
         effects
     }
 
-    /// A request ran to a good end, whole.
+    /// Handles the completion of a request of this VM.
     pub fn on_success(&mut self, content: Digest, now: Moment) -> Effects {
         let mut effects = Effects::default();
         if let Change::Cleared { was_quarantined } = self.evidence.on_success(content, now, now) {
@@ -146,7 +148,7 @@
         effects
     }
 
-    /// Takes what another VM tells.
+    /// Handles a message from another VM.
     pub fn on_message(&mut self, message: &Message, topology: Topology, now: Moment) -> Effects {
         match message {
             Message::ServerCrashed { incarnation, requests, age } => {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Takes contents that another VM holds back, as old as they were at the moment `told_at`.
+    /// Handles a list of quarantined contents from another VM, whose ages count from the moment
+    /// `reported_at`.
     pub fn on_quarantine_report(
         &mut self,
         reports: &[QuarantinedContent],
@@ -233,7 +236,7 @@
         effects
     }
 
-    /// Says that a content which others suspect ran well here, if it did so of late.
+    /// Reports a recent success of a content that others suspect.
     fn report_success(&self, content: Digest, to: Recipients, now: Moment, effects: &mut Effects) {
         if let Some(age) = self.evidence.success_age(&content, now) {
             effects.send(to, Message::Succeeded { content, age });
--- a/src/decide/poison/mod.rs
+++ b/src/decide/poison/mod.rs
@@ -1,11 +1,13 @@
-//! Which contents of requests are held back, since backend servers crash that run them.
+//! Quarantines request contents that crash backend servers.
 //!
-//! A server that crashes says nothing of why. All contents that were open at it are suspected; as they come again, innocent ones run
-//! to a good end, and one that crashes servers never does. A content is held back once so many lives of servers have ended under it
-//! that chance is no longer a likely cause.
+//! A server that crashes does not tell the cause, so all contents that were open at it become
+//! suspects. When they are sent again, innocent ones complete, and one that crashes servers never
+//! does. A content is quarantined once so many server incarnations have crashed under it that
+//! chance is no longer a likely cause.
 //!
-//! Load that this answers: a request that crashes each server 20 to 180 ms after it begins to run it, sent by a caller three times a second
-//! to seven VMs, each of which tried three servers, ended the twelve servers of a service within two seconds, nine times in 80 s.
+//! This bounds the damage of a request that crashes each server 20 to 180 ms after it begins to
+//! run. Sent by a caller three times a second to seven VMs, each of which tried three servers, it
+//! crashed the twelve servers of a service within two seconds, nine times in 80 s.
 
 mod evidence;
 mod exchange;
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -1,11 +1,13 @@
-//! Which VM reads the platform's store for the others, and whom a VM asks for what is known.
+//! Decides which VM reads the platform's store and which VM the others ask for updates.
 //!
-//! VMs have an order: larger ones first, then by name. A VM asks those before it in its group; the first of a group
-//! asks the first of the other groups that come before it. So with all well one VM of a fleet reads, the first of
-//! each group asks that one, and the others ask the first of theirs. Nobody is elected, and two readers do no harm.
+//! VMs are ranked by CPU, largest first, then by name. A VM asks higher-ranked VMs of its group;
+//! the first of a group asks the firsts of the other groups that rank higher. In the normal case a
+//! single VM of the fleet reads the store, the first of each group asks that VM, and the others ask
+//! the first of their group. There is no election, and two readers do no harm.
 //!
-//! Load that this answers: hundreds of VMs that get no news at the same moment, at a start or while the store is away. A VM goes on asking
-//! those before it; only the first of a group, or those who stand next to it, try the store.
+//! This bounds the load on the store when hundreds of VMs lack updates at the same moment, at a
+//! start or while the store is away: VMs keep asking higher-ranked ones, and only the first of each
+//! group, or those next to it, try the store.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,104 +16,113 @@
 
 use crate::unit::{Millicores, Moment, Span, Vm};
 
-/// Time between two questions.
+/// Time between two polls of a source.
 pub const POLL_INTERVAL: Span = Span::millis(350);
 
-/// The same while nobody has news: another VM may have some in a moment.
+/// Poll interval while no source has an update; another VM may have one in a moment.
 pub const FAST_POLL_INTERVAL: Span = Span::millis(100);
 
-/// While the store is lost for a shorter time than this, those that try it may yet find that it is not: they are asked
-/// soon again, and one that has just started waits for what they find.
+/// A store loss counts as confirmed after this time. Until then the VMs that try the store may
+/// still reach it, so they are polled at the fast interval, and a VM that has just started waits
+/// for their result.
 pub const STORE_LOSS_CONFIRMED_AFTER: Span = Span::millis(1500);
 
-/// A VM that has just started waits so long for its first news before it reads for itself. When hundreds start at
-/// once, the first of a group needs some tenths of a second to know all.
+/// Time that a VM which has just started waits for its first update before it reads the store
+/// itself. When hundreds of VMs start at once, the first of a group needs some tenths of a second
+/// for a full read.
 pub const STARTUP_WAIT: Span = Span::millis(2000);
 
-/// VMs of a group that a VM asks, those that do not answer apart: the first, and two that stand next to it. Those
-/// behind never need to be asked, since any of the three has what the first had.
+/// Maximum number of sources of a group, not counting unresponsive ones: the first and the two next
+/// to it. VMs of lower rank never need to be asked, since any of these three has what the first
+/// had.
 const MAX_SOURCES: usize = 3;
 
-/// A VM that did not answer is not asked again for this long; it doubles with each time in a row, up to
-/// the longest.
+/// Backoff after a source did not answer; it doubles with each consecutive timeout up to the
+/// maximum.
 const SILENT_BACKOFF: Span = Span::secs(2);
 const MAX_SILENT_BACKOFF: Span = Span::secs(30);
 
-/// One that has no news for now is asked again after this; it may soon have some.
+/// Backoff after a source had no update; it may have one soon.
 const DECLINED_BACKOFF: Span = Span::millis(1500);
 
-/// That the store is lost counts for so long after the time when the VM that said so may be asked again.
+/// A report that the store is lost stays valid for this long after the backoff of the VM that sent
+/// it has ended.
 const STORE_LOST_GRACE: Span = Span::secs(1);
 
-/// One that does not know all yet, since it began a moment ago, is asked again after this.
+/// Backoff after a source that has just started did not have a full snapshot yet.
 const NOT_READY_BACKOFF: Span = Span::millis(80);
 
-/// One that does not answer a VM that has just started may have started too, and is asked again after this.
+/// Backoff after a source did not answer a VM that has just started; the source may have just
+/// started too.
 const STARTUP_SILENT_BACKOFF: Span = Span::millis(300);
 
-/// Time for an answer.
+/// Timeout of a poll.
 pub const ANSWER_TIMEOUT: Span = Span::millis(450);
 
-/// The same for a VM that knows nothing yet: when all start again it waits for some that are not there yet.
+/// Timeout of a poll while this VM has no snapshot yet. When all VMs restart, some sources are not
+/// up yet.
 pub const FIRST_ANSWER_TIMEOUT: Span = Span::millis(250);
 
-/// Knowledge of servers that is older than this part of the time in which one that leaves may still get work is not
-/// passed on. A smaller part makes most VMs read for themselves where the store keeps a question for a second. A follower is not held to it:
-/// [`READ_STORE_AGE`] bounds what it knows.
+/// Maximum age of server data that is forwarded, as a fraction of the time in which a draining
+/// server may still get work. With a smaller fraction most VMs read the store themselves when the
+/// store delays a request for a second. Followers don't apply it to their own data, which
+/// [`READ_STORE_AGE`] bounds.
 const FORWARDED_AGE_LIMIT: f64 = 0.65;
 
-/// A follower whose knowledge of servers reaches this part of that time reads for itself, whoever may answer yet:
-/// its own list takes some milliseconds. A look, two answers that do not come and the oldest knowledge that is passed on would add up to more
-/// than the whole.
+/// Age of its server data, as a fraction of the same time, at which a follower reads the store
+/// itself, even if a source may still answer: its own read takes some milliseconds. One poll
+/// interval, two timeouts and the oldest data that is forwarded would add up to more than the whole
+/// time.
 const READ_STORE_AGE: f64 = 0.8;
 
-/// News that were passed on by more VMs than this are not taken: two are needed, and a third where a first of a
-/// group is passed over.
+/// Updates that were forwarded by more VMs than this are rejected. Two hops are usual, and three
+/// where the first of a group is skipped.
 const MAX_HOPS: u8 = 4;
 
-/// The place of a VM in the order: larger ones first, since the first of a group bears its questions.
+/// Rank of a VM. Larger VMs come first, since the first of a group answers the polls of its group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
     cpu: Reverse<Millicores>,
-    /// The VM.
+    /// Name of the VM, which breaks ties.
     pub vm: Vm,
 }
 
 impl Rank {
-    /// The rank of a VM that has so much of a core.
+    /// Creates the rank of a VM with this CPU quota.
     pub fn new(cpu: Millicores, vm: Vm) -> Rank {
         Rank { cpu: Reverse(cpu), vm }
     }
 }
 
-/// Whether what a VM knows of servers is too old to be passed on. `leave_within` is the time in which a server that
-/// leaves may still get work.
+/// Returns true if server data of this age is too old to be forwarded. `leave_within` is the time
+/// in which a draining server may still get work.
 pub fn is_stale(servers_age: Span, leave_within: Span) -> bool {
     servers_age > leave_within.part(FORWARDED_AGE_LIMIT)
 }
 
-/// Whether news that came this way may be taken by a VM: what it read itself, and what was passed on too often, tells
-/// it nothing.
+/// Returns true if the VM `by` may accept an update that `reader` read from the store and that took
+/// `hops` hops. Its own reads and updates that were forwarded too often tell it nothing new.
 pub fn may_accept(reader: &Vm, hops: u8, by: &Vm) -> bool {
     reader != by && hops <= MAX_HOPS
 }
 
-/// Time that a VM has for a question, if any. What a follower knows of servers dates from `known`; one that reads for
-/// itself has none, and all the time.
+/// Returns the timeout of the next poll, or none if it is time to read the store. `known` is the
+/// date of a follower's server data; a VM that reads the store itself passes none and always gets
+/// the full timeout.
 pub fn answer_timeout(known: Option<Moment>, leave_within: Span, now: Moment) -> Option<Span> {
     let Some(known) = known else { return Some(ANSWER_TIMEOUT) };
     let left = (known + leave_within.part(READ_STORE_AGE)).since(now);
     (left > Span::default()).then(|| left.min(ANSWER_TIMEOUT))
 }
 
-/// Why a VM is not asked for now.
+/// Reason why a source is not polled for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reason {
-    /// It did not answer so many times in a row.
+    /// Consecutive timeouts.
     Silent(u32),
-    /// It had no news.
+    /// The source had no update.
     Declined,
-    /// It said that the store is lost.
+    /// The source reported that the store is lost.
     StoreLost,
 }
 
@@ -121,35 +132,37 @@
     until: Moment,
 }
 
-/// What a VM remembers of those that it asked.
+/// Backoff state of the sources that a VM has polled.
 #[derive(Clone, Debug, Default)]
 pub struct SourceHistory {
     backoff: BTreeMap<Vm, Backoff>,
 }
 
 impl SourceHistory {
-    /// A VM gave news.
+    /// Clears the backoff of a source that sent an update.
     pub fn on_update(&mut self, vm: &Vm) {
         self.backoff.remove(vm);
     }
 
-    /// A VM answered that it has no news.
+    /// Backs off from a source that had no update.
     pub fn on_declined(&mut self, vm: &Vm, now: Moment) {
         self.set_backoff(vm, Reason::Declined, now + DECLINED_BACKOFF);
     }
 
-    /// A VM answered that the store is lost.
+    /// Backs off from a source that reported the store as lost.
     pub fn on_store_lost(&mut self, vm: &Vm, now: Moment) {
         self.set_backoff(vm, Reason::StoreLost, now + DECLINED_BACKOFF);
     }
 
-    /// VMs that had no news, or lost the store, may have some: the store answers again.
+    /// Clears the backoff of all sources that declined or reported a lost store. Called when the
+    /// store answers again.
     pub fn clear_declined(&mut self) {
         self.backoff.retain(|_, backoff| matches!(backoff.reason, Reason::Silent(_)));
     }
 
-    /// Whether any before `own` said last that the store is lost. Those that only decline say nothing of it: while the
-    /// store is away the first of a group may stop or be held up, and those behind it go on waiting.
+    /// Returns true if the last answer of any source of `own` was that the store is lost. A source
+    /// that only declines is no sign of it: during an outage the first of a group may stop or
+    /// stall, and the VMs behind it must keep waiting.
     pub fn is_store_reported_lost<'a>(
         &'a self,
         own: &'a Rank,
@@ -165,12 +178,13 @@
         self.sources_before(own, group, now).iter().any(reports_lost)
     }
 
-    /// A VM answered that it will have news in a moment.
+    /// Backs off briefly from a source that does not have a full snapshot yet.
     pub fn on_not_ready(&mut self, vm: &Vm, now: Moment) {
         self.set_backoff(vm, Reason::Declined, now + NOT_READY_BACKOFF);
     }
 
-    /// A VM did not answer.
+    /// Backs off from a source that did not answer, doubling the time with each consecutive
+    /// timeout.
     pub fn on_timeout(&mut self, vm: &Vm, now: Moment) {
         let timeouts_before = match self.backoff.get(vm) {
             Some(Backoff { reason: Reason::Silent(timeouts), .. }) => *timeouts,
@@ -180,7 +194,7 @@
         self.set_backoff(vm, Reason::Silent(timeouts_before + 1), now + doubled);
     }
 
-    /// A VM did not answer this one, which has just started.
+    /// Backs off briefly from a source that did not answer a VM which has just started.
     pub fn on_startup_timeout(&mut self, vm: &Vm, now: Moment) {
         self.set_backoff(vm, Reason::Silent(0), now + STARTUP_SILENT_BACKOFF);
     }
@@ -198,7 +212,8 @@
         matches!(self.backoff(vm, now), Some(Reason::Silent(_)))
     }
 
-    /// The VMs before `own` that it may ask, the first first; those that do not answer are passed over.
+    /// Returns the responsive sources of higher rank than `own`, the highest first, at most
+    /// [`MAX_SOURCES`].
     fn sources_before<'a>(
         &'a self,
         own: &'a Rank,
@@ -212,7 +227,8 @@
         sources_before
     }
 
-    /// The VM of a group to ask next; none if this one is the first that answers, or none before it has news.
+    /// Returns the source of a group to poll next. None if `own` is the first responsive VM, or if
+    /// all of its sources are backing off.
     pub fn next_source<'a>(
         &'a self,
         own: &'a Rank,
@@ -223,7 +239,7 @@
         sources_before.into_iter().map(|rank| &rank.vm).find(|vm| self.backoff(vm, now).is_none())
     }
 
-    /// Any VM to ask next, whatever its place: for one that has lost the store.
+    /// Returns any VM to poll next, whatever its rank. Used by a VM that has lost the store.
     pub fn any_source<'a>(
         &'a self,
         group: impl Iterator<Item = &'a Rank>,
@@ -232,7 +248,7 @@
         group.filter(|rank| self.backoff(&rank.vm, now).is_none()).min().map(|rank| &rank.vm)
     }
 
-    /// The first of a group; those that do not answer are passed over.
+    /// Returns the highest-ranked VM of a group that is not known as unresponsive.
     pub fn first_responsive<'a>(
         &'a self,
         group: impl Iterator<Item = &'a Rank>,
@@ -241,7 +257,7 @@
         group.filter(|rank| !self.is_silent(&rank.vm, now)).min()
     }
 
-    /// The place of a VM in its group.
+    /// Returns the place of a VM in its group.
     pub fn place<'a>(
         &'a self,
         own: &'a Rank,
@@ -256,37 +272,37 @@
     }
 }
 
-/// The place of a VM in its group.
+/// Place of a VM in its group, by the number of responsive VMs of higher rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// None before it answers.
+    /// No VM of higher rank in the group answers.
     First,
-    /// Next to the first.
+    /// One of those next to the first.
     Next,
-    /// Behind those.
+    /// Any lower place.
     Behind,
 }
 
-/// How a VM stands that got no news of those it may ask.
+/// State of a VM that got no update from its sources.
 #[derive(Clone, Copy, Debug)]
 pub struct FollowerState {
-    /// Its place in its group.
+    /// Place in its group.
     pub place: Place,
-    /// Whether there are other groups, which the first of this one asks.
+    /// True if there are other groups, which the first of this one polls.
     pub has_other_groups: bool,
-    /// Whether there is a VM that it may ask next.
+    /// True if there is a source to poll next.
     pub has_source: bool,
-    /// Whether one that it may ask says that the store is lost, and none has news.
+    /// True if a source reported the store as lost and none has an update.
     pub is_store_lost: bool,
-    /// Whether it has had news before.
+    /// True if the VM has received a snapshot before.
     pub has_snapshot: bool,
-    /// Whether it began so short a time ago that it may wait for its first news.
+    /// True while the VM started so recently that it may wait for its first update.
     pub is_starting: bool,
-    /// Whether what it knows is too old.
+    /// True if the VM's server data is too old.
     pub is_overdue: bool,
 }
 
-/// Whether a VM without news reads the store for itself.
+/// Returns true if a VM without an update reads the store itself.
 pub fn should_read_store(state: &FollowerState) -> bool {
     if state.is_store_lost {
         return should_try_lost_store(state);
@@ -300,14 +316,15 @@
     match state.place {
         Place::First => true,
         Place::Next => state.has_snapshot || !state.is_starting,
-        // Of those before it one will have news soon.
+        // One of its sources will have an update soon.
         Place::Behind => !state.has_snapshot && !state.is_starting,
     }
 }
 
-/// Whether a VM that is told that the store is lost tries it. The first of a group always does; of one group alone those
-/// next to it too. A store may turn away just those that try and serve the others: of three in a row one day in
-/// twenty, where it turns a third away. So once what they know is too old, more try, but of many VMs none of those behind.
+/// Returns true if a VM tries a store that a source reported as lost. The first of a group always
+/// does, and in a fleet of one group also those next to it: a store that refuses a third of the VMs
+/// and serves the rest refuses three given VMs at once on one day in twenty. Once their data is too
+/// old more VMs try, but in a fleet of several groups none of those behind.
 fn should_try_lost_store(state: &FollowerState) -> bool {
     match state.place {
         Place::First => true,
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -1,31 +1,32 @@
-//! The next step of a roll-out: as fast as evidence rules out harm, and back at once on proof.
+//! Decides the next step of a roll-out: grows as fast as the evidence rules out harm, and withdraws
+//! at once on proof.
 
 use super::sequential::{Count, Difference, evidence};
 use crate::unit::{Parts, Span};
 
-/// What bounds a roll-out.
+/// Limits of a roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Chance of withdrawing a version that does no harm.
+    /// False positive rate: probability of withdrawing a version that does no harm.
     pub alpha: f64,
-    /// Harm, in share of bad answers, that operators put up with.
+    /// Harm, as an increase of the share of bad answers, that operators tolerate.
     pub tolerance: f64,
-    /// Harm that must be unlikely before all traffic moves.
+    /// Harm that must be unlikely before all traffic moves, as an increase of the share of bad
+    /// answers.
     pub margin: f64,
-    /// Chance of harm beyond the margin with which all traffic may move.
+    /// Maximum probability of harm beyond the margin with which all traffic may move.
     pub max_risk: f64,
-    /// Bad answers beyond the usual, as expected, that may be under way before their ratings are
-    /// back.
+    /// Maximum expected number of additional bad answers whose ratings are still outstanding.
     pub max_unrated_harm: f64,
-    /// The share begun with, if the traffic is not known.
+    /// First share if the request rate is not known.
     pub default_first_share: Parts,
-    /// Requests that may be exposed before the first ratings are back.
+    /// Requests that may be exposed before the first ratings arrive.
     pub first_requests: f64,
-    /// Expected harm above which no session begins on the version.
+    /// Maximum expected harm at which sessions may begin on the version.
     pub max_session_harm: f64,
-    /// The share at most doubles in this time.
+    /// Minimum time for the share to double.
     pub doubling: Span,
-    /// Ratings count as stopped after this many times their usual lag.
+    /// Multiple of the usual rating lag without any rating after which ratings count as stopped.
     pub patience: f64,
 }
 
@@ -46,84 +47,85 @@
     }
 }
 
-/// What is known of one version since the roll-out began.
+/// Counts of one version since the roll-out began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arm {
-    /// Requests that ended, and those that failed.
+    /// Requests that ended; the failed ones are bad.
     pub errors: Count,
-    /// Requests that ended, and those whose first token came late.
+    /// Requests that ended; those with a late first token are bad.
     pub slow: Count,
-    /// Ratings, and those that did not pass.
+    /// Ratings; those that did not pass are bad.
     pub poor: Count,
 }
 
-/// What a decision stands on.
+/// Inputs of the decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
-    /// The version rolled out.
+    /// Counts of the new version.
     pub new: Arm,
-    /// The version in service, over the same time.
+    /// Counts of the version in service, over the same time.
     pub old: Arm,
     /// Ratings of the version in service before the roll-out began.
     pub earlier: Count,
-    /// The present share.
+    /// Present share of the traffic that the new version gets.
     pub share: Parts,
-    /// Whether the roll-out is held.
+    /// True while the roll-out is held because ratings stopped.
     pub held: bool,
     /// Time at the present share.
     pub at_share: Span,
-    /// Requests a second for the model, over all VMs.
+    /// Requests per second for the model over all VMs.
     pub rate: f64,
-    /// The usual time from an answer to its rating and to this decision.
+    /// Usual time from an answer until its rating is available to this decision.
     pub lag: Span,
-    /// Time since the latest rating of any of the two.
+    /// Time since the latest rating of either version.
     pub since_rating: Span,
     /// Declared share of bad answers of the version in service.
     pub prior: f64,
 }
 
-/// The next step.
+/// Next step of a roll-out, with the new share where it changes and the reason for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Nothing changes.
+    /// No change.
     Stay,
-    /// More traffic.
+    /// Increases the share.
     Grow(Parts, String),
-    /// Less traffic, since harm is likely but not proved.
+    /// Reduces the share, since harm is likely but not proved.
     Shrink(Parts, String),
-    /// No more growth, since ratings stopped.
+    /// Stops growth, since ratings stopped.
     Hold(Parts, String),
-    /// Ratings are back.
+    /// Resumes growth, since ratings arrive again.
     Resume(String),
-    /// All traffic.
+    /// Moves all traffic to the new version.
     Complete(String),
-    /// No new work, for good.
+    /// Withdraws the version for good; it gets no new work.
     Withdraw(String),
 }
 
-/// Evidence, as a chance, on which the share is stepped back.
+/// False positive rate at which the share is reduced.
 const SHRINK_CHANCE: f64 = 0.08;
 
-/// The largest share before all traffic: the two are compared best at halves.
+/// Maximum share before all traffic moves; two versions are compared best at equal shares.
 const MAX_PARTIAL_SHARE: Parts = Parts(500_000);
 
-/// Growth of less than this factor is not worth a change of configuration.
+/// Minimum factor of growth; less is not worth a change of configuration.
 const MIN_GROWTH_FACTOR: f64 = 1.4;
 
-/// Fewest ratings before the share grows at all.
+/// Ratings of the new version needed before the share grows beyond the first.
 const MIN_RATINGS: f64 = 30.0;
 
-/// How far the share is stepped back in doubt.
+/// Factor by which the share is reduced when harm is likely.
 const SHRINK_FACTOR: f64 = 0.25;
 
-/// Ratings from before the roll-out count as at most so many.
+/// Maximum weight, in ratings, of the time before the roll-out.
 const MAX_EARLIER_RATINGS: f64 = 800.0;
 
-/// Standard errors by which the usual share may have moved since; past it, only ratings of the
-/// same time count.
+/// Maximum drift, in standard errors, of the baseline since before the roll-out. If it has moved
+/// further, only ratings of the same time count.
 const MAX_DRIFT_ERRORS: f64 = 3.0;
 
-/// What the version in service does: over the same time, and before if that agrees.
+/// Returns the baseline: ratings of the version in service over the same time, plus earlier ones if
+/// they agree.
 fn baseline(inputs: &Inputs) -> Count {
     let (now, before) = (inputs.old.poor, inputs.earlier.capped(MAX_EARLIER_RATINGS));
     let difference = Difference::between(now, before, inputs.prior);
@@ -133,7 +135,7 @@
     now.plus(before)
 }
 
-/// A sign of harm: what it is called, and its evidence.
+/// Returns the names of the signals of harm and the evidence of each.
 fn harm_signals(policy: &Policy, inputs: &Inputs) -> [(&'static str, f64); 3] {
     let limit = |old: Count, prior: f64| {
         let rate = old.rate(prior);
@@ -147,18 +149,20 @@
     ]
 }
 
-/// How much worse the version may be, in share of poor answers.
+/// Estimates how much larger the new version's share of poor answers is.
 pub fn difference(inputs: &Inputs) -> Difference {
     Difference::between(inputs.new.poor, baseline(inputs), inputs.prior)
 }
 
-/// Whether sessions may begin on the version: they keep it, so they wait for more evidence.
+/// Returns true if sessions may begin on the version. They stay on it, so they wait for more
+/// evidence than single requests.
 pub fn takes_sessions(policy: &Policy, inputs: &Inputs) -> bool {
     inputs.new.poor.all >= MIN_RATINGS
         && difference(inputs).expected_harm(policy.tolerance) <= policy.max_session_harm
 }
 
-/// The share that a roll-out begins with: few enough requests before the first ratings are back.
+/// Returns the first share: small enough that few requests are exposed before the first ratings
+/// arrive.
 pub fn first_share(policy: &Policy, rate: f64, lag: Span) -> Parts {
     if rate <= 0.0 {
         return policy.default_first_share;
@@ -235,16 +239,17 @@
     Action::Stay
 }
 
-/// Share of the ratings that the version rolled out gets while little is known of it.
+/// Share of the ratings that the new version gets until it has [`BALANCED_FROM_RATINGS`].
 const EARLY_RATING_SHARE: f64 = 0.7;
 
-/// Ratings after which both versions get as many: the difference is known best then.
+/// Ratings of the new version from which both versions get equally many, which gives the most
+/// precise difference.
 const BALANCED_FROM_RATINGS: f64 = 500.0;
 
-/// Which share of the answers of each version to have rated, out of `budget` ratings a second,
-/// when `rated` answers of the version rolled out were rated before.
+/// Returns the shares of the answers of the new and the old version to have rated, within `budget`
+/// ratings per second, after `rated` answers of the new version were rated.
 ///
-/// The version rolled out comes first: each of its ratings ends exposure sooner.
+/// The new version comes first, since each of its ratings shortens the exposure.
 pub fn rating_shares(share: Parts, rate: f64, budget: f64, rated: f64) -> (f64, f64) {
     let new_rate = rate * share.fraction();
     let old_rate = rate - new_rate;
--- a/src/decide/sequential.rs
+++ b/src/decide/sequential.rs
@@ -1,63 +1,65 @@
-//! Always-valid evidence from counts: it may be looked at after every event.
+//! Sequential test on counts that stays valid at every look (anytime-valid).
 //!
-//! The counts are sufficient, so evidence merged from many VMs is tested as one.
+//! The counts are sufficient statistics, so counts merged from many VMs can be tested as one.
 
 use serde::{Deserialize, Serialize};
 
-/// Alternatives that the test against harm is a mixture of, in share of bad events, and their
-/// weights: harm that is worth finding fast weighs most.
+/// Alternatives of the mixture test, as increases of the share of bad events, and their weights.
+/// Harm that is worth finding fast weighs most.
 const HARM_ALTERNATIVES: [(f64, f64); 6] =
     [(0.03, 0.13), (0.06, 0.22), (0.12, 0.27), (0.24, 0.18), (0.48, 0.1), (0.9, 0.1)];
 
-/// Weight of the prior that keeps rates of few events off 0 and 1.
+/// Weight of the prior, in events; keeps rates of few events off 0 and 1.
 const PRIOR_EVENTS: f64 = 2.0;
 
-/// Shares are kept this far from 0 and 1.
+/// Shares are clamped this far from 0 and 1, so that logarithms stay finite.
 const MIN_SHARE: f64 = 1e-4;
 
-/// Bad events among all events.
+/// Number of events and of bad events among them. Fractional, since counts may be decayed or
+/// scaled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Count {
-    /// All events.
+    /// All events, the bad ones included.
     pub all: f64,
-    /// Bad ones.
+    /// Bad events.
     pub bad: f64,
 }
 
 impl Count {
-    /// A count of whole events.
+    /// Creates a count from whole numbers of events.
     pub fn of(all: u64, bad: u64) -> Count {
         Count { all: all as f64, bad: bad as f64 }
     }
 
-    /// The share of bad events, drawn towards `prior` while there are few.
+    /// Returns the share of bad events, shrunk towards `prior` while there are few events.
     pub fn rate(self, prior: f64) -> f64 {
         (self.bad + PRIOR_EVENTS * prior) / (self.all + PRIOR_EVENTS)
     }
 
-    /// Both counts together.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: Count) -> Count {
         Count { all: self.all + other.all, bad: self.bad + other.bad }
     }
 
-    /// The same share, as if of at most `most` events.
+    /// Scales the count down to at most `most` events with the same share of bad ones.
     pub fn capped(self, most: f64) -> Count {
         let kept = (most / self.all.max(1.0)).min(1.0);
         Count { all: self.all * kept, bad: self.bad * kept }
     }
 }
 
-/// How much larger a share of bad events may be than another: normal, as counts grow.
+/// Difference of two shares of bad events, as a normal distribution, which holds for large counts.
 #[derive(Clone, Copy, Debug)]
 pub struct Difference {
-    /// Its best estimate.
+    /// Estimated difference.
     pub mean: f64,
-    /// Its standard error.
+    /// Standard error of the estimate.
     pub error: f64,
 }
 
 impl Difference {
-    /// The difference of `new` from `old`.
+    /// Estimates how much larger the share of `new` is than that of `old`, both shrunk towards
+    /// `prior`.
     pub fn between(new: Count, old: Count, prior: f64) -> Difference {
         let (a, b) = (new.rate(prior), old.rate(prior));
         let spread = |p: f64, n: f64| p.max(0.01) * (1.0 - p.min(0.99)) / (n + PRIOR_EVENTS);
@@ -65,12 +67,12 @@
         Difference { mean: a - b, error }
     }
 
-    /// Chance that it exceeds `margin`.
+    /// Returns the probability that the difference exceeds `margin`.
     pub fn chance_above(self, margin: f64) -> f64 {
         normal_cdf((self.mean - margin) / self.error)
     }
 
-    /// Its expectation beyond `tolerance`, counted as nothing where it is less.
+    /// Returns the expected excess over `tolerance`; differences below it count as zero.
     pub fn expected_harm(self, tolerance: f64) -> f64 {
         let mean = self.mean - tolerance;
         let z = mean / self.error;
@@ -79,15 +81,16 @@
     }
 }
 
-/// Chance that a standard normal lies below `z`.
+/// Cumulative distribution function of the standard normal distribution.
 fn normal_cdf(z: f64) -> f64 {
     0.5 * libm::erfc(-z / std::f64::consts::SQRT_2)
 }
 
-/// Logarithm of the evidence that the share of bad events lies above `usual`.
+/// Returns the log evidence (log of a mixture likelihood ratio) that the share of bad events
+/// exceeds `usual`.
 ///
-/// The mixture's expectation is at most 1 at every look if the share is at most `usual`, so
-/// evidence of `ln(1 / alpha)` is reached with a chance of at most `alpha`.
+/// If the share is at most `usual`, the expectation of the mixture is at most 1 at every look, so
+/// evidence of `ln(1 / alpha)` is ever reached with probability at most `alpha`.
 pub fn evidence(count: Count, usual: f64) -> f64 {
     let usual = usual.clamp(MIN_SHARE, 1.0 - MIN_SHARE);
     let good = count.all - count.bad;
