--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -215,16 +215,16 @@
 
 fn rule(kind: &Expected, rungs: &Rungs, price: f64) -> Rule {
     let mut keep = [0.0; BINS];
-    let mut worth = rungs.cheap_cost;
+    let mut cheap_first_cost = rungs.cheap_cost;
     let mut quality = 0.0;
     for (i, keep) in keep.iter_mut().enumerate() {
-        let kept = -price * kind.cheap[i];
-        let climbed = rungs.strong_cost - price * kind.strong[i];
-        *keep = f64::from(u8::from(kept <= climbed));
-        worth += kind.seen[i] * kept.min(climbed);
+        let keep_cost = -price * kind.cheap[i];
+        let escalate_cost = rungs.strong_cost - price * kind.strong[i];
+        *keep = f64::from(u8::from(keep_cost <= escalate_cost));
+        cheap_first_cost += kind.seen[i] * keep_cost.min(escalate_cost);
         quality += kind.seen[i] * if *keep > 0.0 { kind.cheap[i] } else { kind.strong[i] };
     }
-    let direct = rungs.strong_cost - price * kind.direct < worth;
+    let direct = rungs.strong_cost - price * kind.direct < cheap_first_cost;
     let quality = if direct { kind.direct } else { quality };
     Rule {
         direct: f64::from(u8::from(direct)),
@@ -246,15 +246,15 @@
             variance += (kind.weight * kind.direct_error).powi(2);
             continue;
         }
-        let mut climbed = 0.0;
+        let mut escalated_error = 0.0;
         for i in 0..BINS {
             if rule.keep[i] > 0.0 {
                 variance += (kind.weight * kind.seen[i] * kind.cheap_error[i]).powi(2);
             } else {
-                climbed += kind.seen[i] * kind.strong_error[i];
+                escalated_error += kind.seen[i] * kind.strong_error[i];
             }
         }
-        variance += (kind.weight * climbed).powi(2);
+        variance += (kind.weight * escalated_error).powi(2);
     }
     (quality, variance.sqrt())
 }
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -7,10 +7,10 @@
 /// Ratings of cheap answers from which a kind counts as known.
 const KNOWN_FROM_RATINGS: f64 = 120.0;
 
-/// Share of requests that try the cheap rung against the rule, while a kind is not yet known and
-/// once it is.
+/// Share of requests that try the cheap rung against the rule while a kind is not yet known.
 pub(super) const EXPLORE_UNKNOWN: f64 = 0.4;
 
+/// The same once a kind is known.
 const EXPLORE_KNOWN: f64 = 0.02;
 
 /// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
@@ -45,9 +45,10 @@
     if decides { 2.0 } else { 0.7 }
 }
 
-/// Maximum credit, in ratings, and the credit at which an answer of value 1 is certainly rated.
+/// Maximum credit, in ratings.
 const MAX_CREDIT: f64 = 40.0;
 
+/// Credit, in ratings, from which an answer of value 1 is certainly rated.
 const FULL_CREDIT: f64 = 8.0;
 
 /// Rating budget: spends a share of ratings on the most informative answers, and no more than that
@@ -63,8 +64,8 @@
 
     /// Returns true, and spends credit, if an answer of this value is to be rated; `point` is
     /// uniform from 0 to 1.
-    pub fn spend(&mut self, worth: f64, point: f64) -> bool {
-        let rated = self.0 >= 1.0 && point < worth * self.0 / FULL_CREDIT;
+    pub fn spend(&mut self, value: f64, point: f64) -> bool {
+        let rated = self.0 >= 1.0 && point < value * self.0 / FULL_CREDIT;
         if rated {
             self.0 -= 1.0;
         }
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -174,11 +174,11 @@
 pub fn decide(policy: &Policy, inputs: &Inputs) -> Action {
     let proof = (3.0 / policy.alpha).ln();
     let harm_signals = harm_signals(policy, inputs);
-    let (sign, worst) =
+    let (signal, worst) =
         harm_signals.iter().copied().fold(("", f64::MIN), |a, b| if b.1 > a.1 { b } else { a });
     if worst >= proof {
         return Action::Withdraw(format!(
-            "{sign} prove harm: {:.0} bad of {:.0} rated against {:.0} of {:.0}",
+            "{signal} prove harm: {:.0} bad of {:.0} rated against {:.0} of {:.0}",
             inputs.new.poor.bad, inputs.new.poor.all, inputs.old.poor.bad, inputs.old.poor.all
         ));
     }
@@ -186,7 +186,7 @@
     if worst >= (1.0 / SHRINK_CHANCE).ln() && inputs.share > first {
         let back = Parts::of(inputs.share.fraction() * SHRINK_FACTOR).max(first);
         if inputs.at_share >= inputs.lag {
-            return Action::Shrink(back, format!("{sign} make harm likely but do not prove it"));
+            return Action::Shrink(back, format!("{signal} make harm likely but do not prove it"));
         }
         return Action::Stay;
     }
@@ -209,8 +209,12 @@
 
 fn grow(policy: &Policy, inputs: &Inputs, first: Parts) -> Action {
     if inputs.new.poor.all < MIN_RATINGS {
-        let begun = inputs.share >= first;
-        return if begun { Action::Stay } else { Action::Grow(first, "first requests".to_owned()) };
+        let has_started = inputs.share >= first;
+        return if has_started {
+            Action::Stay
+        } else {
+            Action::Grow(first, "first requests".to_owned())
+        };
     }
     let difference = difference(inputs);
     let harm = difference.expected_harm(policy.tolerance);
@@ -307,13 +311,13 @@
     #[test]
     fn silence_holds_and_ratings_resume() {
         let policy = Policy::default();
-        let mut is_silent = inputs(Count::of(1000, 100), Count::of(1000, 100), 0.2);
-        is_silent.since_rating = Span::secs(1000);
-        assert!(matches!(decide(&policy, &is_silent), Action::Hold(..)));
-        is_silent.held = true;
-        assert_eq!(decide(&policy, &is_silent), Action::Stay);
-        is_silent.since_rating = Span::secs(1);
-        assert!(matches!(decide(&policy, &is_silent), Action::Resume(_)));
+        let mut silent = inputs(Count::of(1000, 100), Count::of(1000, 100), 0.2);
+        silent.since_rating = Span::secs(1000);
+        assert!(matches!(decide(&policy, &silent), Action::Hold(..)));
+        silent.held = true;
+        assert_eq!(decide(&policy, &silent), Action::Stay);
+        silent.since_rating = Span::secs(1);
+        assert!(matches!(decide(&policy, &silent), Action::Resume(_)));
     }
 
     #[test]
--- a/src/evidence/mod.rs
+++ b/src/evidence/mod.rs
@@ -1,4 +1,4 @@
-//! Evidence: counters that only grow, one row for each origin, merged between VMs.
+//! Evidence: grow-only counters, one row per origin, merged between VMs.
 
 mod table;
 
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -1,7 +1,7 @@
-//! The table of counters and its merge.
+//! Table of grow-only counters (a CRDT) and its merge.
 //!
-//! A row belongs to one incarnation of one VM, which alone adds to it; everyone else takes the
-//! greater of what it has and what it is told. So order, repetition and loss of messages do not
+//! A row belongs to one incarnation of one VM, which alone adds to it. All others keep the maximum
+//! of what they have and what they receive, so order, repetition and loss of messages do not
 //! matter.
 
 use std::collections::BTreeMap;
@@ -10,19 +10,19 @@
 
 use crate::unit::{Incarnation, Kind, Target, Vm, Workspace};
 
-/// One life of a VM, which alone adds to its row.
+/// One incarnation of a VM, the only writer of its row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
     /// The VM.
     pub vm: Vm,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What a counter is about.
+/// Subject of a counter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// A version during the trial that began at that date: a roll-out or a watch window.
+    /// A version during the trial (a roll-out or a watch window) that began at this date.
     Trial {
         /// The version.
         target: Target,
@@ -35,16 +35,16 @@
         workspace: Workspace,
         /// The kind of work.
         kind: Kind,
-        /// The confidence's bin.
+        /// Bin of the confidence.
         bin: u8,
     },
-    /// Ratings of strong answers of a cascade, by the cheap answer's confidence before.
+    /// Ratings of strong answers of a cascade, by the confidence of the cheap answer before.
     Strong {
         /// The workspace.
         workspace: Workspace,
         /// The kind of work.
         kind: Kind,
-        /// The confidence's bin; one past the last if it began with the strong rung.
+        /// Bin of the confidence; one past the last if it began with the strong rung.
         bin: u8,
     },
     /// Requests offered by a workspace's callers.
@@ -54,7 +54,7 @@
     },
 }
 
-/// Counts about one key; each only grows.
+/// Counts for one key; each only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests that ended.
@@ -70,7 +70,7 @@
 }
 
 impl Counts {
-    /// The greater of each count.
+    /// Returns the maximum of each count.
     pub fn join(self, other: Counts) -> Counts {
         Counts {
             ended: self.ended.max(other.ended),
@@ -92,28 +92,30 @@
     }
 }
 
-/// One counter as it travels.
+/// One counter in a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cell {
-    /// What it is about.
+    /// Its subject.
     pub key: Key,
     /// The counts.
     pub counts: Counts,
 }
 
-/// Counters of one origin as they travel.
+/// Counters of one origin in a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Whose.
+    /// Origin of the counters.
     pub origin: Origin,
-    /// Those that changed.
+    /// The counters that changed.
     pub cells: Vec<Cell>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     counts: Counts,
+    /// Number of its last change.
     changed: u64,
+    /// The peer that sent that change; none for the VM's own.
     from: Option<Vm>,
 }
 
@@ -125,7 +127,7 @@
 }
 
 impl Table {
-    /// Adds to the VM's own row.
+    /// Adds to a counter of the VM's own row.
     pub fn add(&mut self, own: &Origin, key: Key, more: Counts) {
         self.counter += 1;
         let changed = self.counter;
@@ -139,12 +141,12 @@
         entry.changed = changed;
     }
 
-    /// Takes rows that a peer sent.
+    /// Merges rows that a peer sent.
     pub fn merge(&mut self, from: &Vm, rows: Vec<Row>) {
         for row in rows {
-            let held_row = self.rows.entry(row.origin).or_default();
+            let stored_row = self.rows.entry(row.origin).or_default();
             for cell in row.cells {
-                let before = held_row.get(&cell.key).map(|entry| entry.counts);
+                let before = stored_row.get(&cell.key).map(|entry| entry.counts);
                 let joined = before.unwrap_or_default().join(cell.counts);
                 if before == Some(joined) {
                     continue;
@@ -152,18 +154,18 @@
                 self.counter += 1;
                 let entry =
                     Entry { counts: joined, changed: self.counter, from: Some(from.clone()) };
-                held_row.insert(cell.key, entry);
+                stored_row.insert(cell.key, entry);
             }
         }
     }
 
-    /// The present place in the sequence of changes.
+    /// Number of the latest change, a cursor for [`Table::delta`].
     pub fn counter(&self) -> u64 {
         self.counter
     }
 
-    /// What changed after `since` and did not come from `to`, at most `most` cells, and the place
-    /// up to which that is all.
+    /// Returns the counters that changed after the cursor `since` and did not come from `to`, at
+    /// most `max_cells`, and the cursor up to which they are complete.
     pub fn delta(&self, to: &Vm, since: u64, max_cells: usize) -> (Vec<Row>, u64) {
         if self.counter == since {
             return (Vec::new(), since);
@@ -190,19 +192,19 @@
         (rows.collect(), up_to)
     }
 
-    /// The sum over all origins for one key.
+    /// Returns the sum over all origins for one key.
     pub fn sum(&self, key: &Key) -> Counts {
         let entry = self.rows.values().filter_map(|row| row.get(key));
         entry.fold(Counts::default(), |sum, entry| sum.plus(entry.counts))
     }
 
-    /// The VM's own count for one key.
+    /// Returns the VM's own counts for one key.
     pub fn own(&self, own: &Origin, key: &Key) -> Counts {
         let entry = self.rows.get(own).and_then(|row| row.get(key));
         entry.map(|entry| entry.counts).unwrap_or_default()
     }
 
-    /// Sums over all origins, for the keys that `wanted` picks.
+    /// Returns the sums over all origins for the keys that `wanted` selects.
     pub fn sums(&self, wanted: impl Fn(&Key) -> bool) -> BTreeMap<Key, Counts> {
         let mut sums: BTreeMap<Key, Counts> = BTreeMap::new();
         for row in self.rows.values() {
@@ -214,7 +216,7 @@
         sums
     }
 
-    /// Forgets counters that no decision needs any more.
+    /// Removes the counters whose keys `needless` selects.
     pub fn remove_where(&mut self, needless: impl Fn(&Key) -> bool) {
         for row in self.rows.values_mut() {
             row.retain(|key, _| !needless(key));
@@ -222,12 +224,12 @@
         self.rows.retain(|_, row| !row.is_empty());
     }
 
-    /// Counters held.
+    /// Number of counters.
     pub fn len(&self) -> usize {
         self.rows.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether nothing is held.
+    /// Returns true if there are no counters.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
@@ -249,9 +251,9 @@
 
     fn rows(facts: &[(u8, u8, u8)]) -> Vec<Row> {
         let row = |(vm, about, n): &(u8, u8, u8)| {
-            let tally =
+            let counts =
                 Counts { rated: u64::from(*n), poor: u64::from(n / 2), ..Counts::default() };
-            Row { origin: origin(*vm), cells: vec![Cell { key: key(*about), counts: tally }] }
+            Row { origin: origin(*vm), cells: vec![Cell { key: key(*about), counts }] }
         };
         facts.iter().map(row).collect()
     }
--- a/src/forward/pinned.rs
+++ b/src/forward/pinned.rs
@@ -1,8 +1,9 @@
-//! Sessions that keep the old version while the trial of a new one is young.
+//! Sessions pinned to the old version while the trial of a new one is young.
 //!
-//! The requests of a session come to several VMs, and one that has not seen it cannot tell whether it begins
-//! just now. So each VM tells the others which of its live sessions went to the old version although their point
-//! draws them to the new one. Without it four sessions of a quiet day with a roll-out changed their version.
+//! The requests of a session arrive at several VMs, and a VM that has not seen the session can't
+//! tell whether it begins just now. So each VM tells the others which of its live sessions use the
+//! old version although their draw selects the new one. Without this, four sessions of a quiet day
+//! with a roll-out changed their version.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,32 +15,35 @@
 use crate::decide::canary;
 use crate::unit::{Moment, Service, Span, Version, hash};
 
-/// Time between two looks. The first sessions go to a new version a second after the order at the earliest.
+/// Interval between two checks. The first sessions move to a new version a second after the order
+/// at the earliest.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What was told counts for this many gaps between the requests of a session, and is told again after one.
+/// Validity of a pin, in maximum gaps between the requests of a session. It is sent again after one
+/// gap.
 const VALID_GAPS: u64 = 2;
 
-/// Sessions told at once.
+/// Maximum number of sessions in a message.
 const MAX_DRAWS_PER_MESSAGE: usize = 500;
 
-/// The draw of a session, or of a request without one, for a version of a service: the same on all VMs.
+/// Draw of a session, or of a request without one, for a version of a service: a hash that is the
+/// same on all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Draw(u64);
 
 impl Draw {
-    /// The draw of a name.
+    /// Computes the draw of a session or request by its name.
     pub fn new(service: &Service, version: &Version, name: &str) -> Draw {
         Draw(hash::stable(&[service.as_str(), version.as_str(), name]))
     }
 
-    /// It as a point from 0 to 1.
+    /// Returns the draw as a point from 0 to 1.
     pub fn point(self) -> f64 {
         hash::point(self.0)
     }
 }
 
-/// Draws of sessions that keep the old version, and when they were told or heard last.
+/// Draws of sessions pinned to the old version, and when they were last sent or received.
 #[derive(Default)]
 pub struct PinnedSessions {
     seen_at: HashMap<Draw, Moment>,
@@ -47,12 +51,13 @@
 }
 
 impl PinnedSessions {
-    /// Whether a VM said that a session keeps the old version.
+    /// Returns true if a VM has reported the session as pinned to the old version.
     pub fn is_pinned(&self, draw: Draw, gap: Span, now: Moment) -> bool {
         self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * VALID_GAPS))
     }
 
-    /// Takes draws that are told or heard. Those that were not within the last gap.
+    /// Records draws that are sent or received. Returns those that were not recorded within the
+    /// last gap.
     pub fn record(
         &mut self,
         draws: impl Iterator<Item = Draw>,
@@ -70,7 +75,7 @@
     }
 }
 
-/// Tells the others what they should know until the process ends.
+/// Broadcasts this VM's pinned sessions until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -86,7 +91,8 @@
     }
 }
 
-/// Takes what another VM told. Among many VMs it goes on to the neighbours of this one.
+/// Handles pinned sessions from another VM. Outside a full mesh they are forwarded to this VM's
+/// neighbours.
 pub fn on_pinned(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
     if vm.peers.borrow().are_few() {
         vm.kept.borrow_mut().record(draws.into_iter(), vm.settings.bounds.session_gap, vm.now());
@@ -95,7 +101,8 @@
     }
 }
 
-/// Whether sessions keep their version for now: in the first half of a roll-out's time.
+/// Returns true while sessions are pinned to their version: in the first half of a roll-out's time
+/// limit.
 pub fn is_pinning(vm: &Vm, rollout: &Rollout, now: Moment) -> bool {
     let trials = vm.trials.borrow();
     let trial = trials.get(&rollout.service);
@@ -103,7 +110,8 @@
     first_half && rollout.is_open()
 }
 
-/// Draws of this VM's live sessions that went to the old version, though the first share has them.
+/// Returns the draws of this VM's live sessions that use the old version although the first share
+/// selects them.
 fn own_draws(vm: &Vm, rollout: &Rollout, now: Moment) -> Vec<Draw> {
     let share = canary::first_share(vm.settings.bounds.exposure);
     let sessions = vm.sessions.borrow();
@@ -113,7 +121,7 @@
     draws.filter(|draw| draw.point() < share).collect()
 }
 
-/// Notes draws, and tells those that are news.
+/// Records draws and broadcasts the new ones.
 fn record_and_broadcast(
     vm: &Rc<Vm>,
     service: &Service,
--- a/src/forward/rollout_counts.rs
+++ b/src/forward/rollout_counts.rs
@@ -1,11 +1,13 @@
-//! What all VMs of a large fleet have seen of a version that is rolled out.
+//! Aggregation of trial counts over a large fleet.
 //!
-//! A VM tells the one that it follows what it has seen; the first of a group tells the sum of its group. So the VM
-//! that reads the store has the sum of all, judges by it, and tells its verdict with its news. Of 295 VMs each sees
-//! three answers in a thousand; with its neighbours on the ring, the way before this one, three in a hundred.
+//! A VM sends its counts to the VM that it follows, and the first of a group sends the sum of its
+//! group. So the VM that reads the store has the sum of all, judges the version by it, and sends
+//! its verdict with its updates. Each of 295 VMs sees three answers in a thousand by itself, and
+//! three in a hundred together with its neighbours on the ring, which were the basis before this
+//! aggregation.
 //!
-//! Counts are totals since the order and replace what the same VM, or the first of the same group, told before, so
-//! that nothing counts twice; a VM that starts anew begins at nought.
+//! Counts are totals since the order and replace the last ones from the same VM, or from the first
+//! of the same group, so that nothing counts twice. A VM that restarts begins at zero.
 
 use std::collections::HashMap;
 
@@ -15,38 +17,39 @@
 use super::vm::Vm;
 use crate::unit::{Service, Version, Vm as Name};
 
-/// What a source has seen of a version.
+/// Counts of a version from one source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observations {
     /// The service.
     pub service: Service,
     /// The new version.
     pub version: Version,
-    /// Whose counts they are.
+    /// Origin of the counts.
     pub source: Source,
     /// The counts by route.
     pub routes: TotalsByRoute,
 }
 
-/// What the fleet's evidence says of a version.
+/// Verdict on a version from the counts of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionVerdict {
     /// The service.
     pub service: Service,
     /// The new version.
     pub version: Version,
-    /// What was seen, and what it says.
+    /// The verdict.
     pub verdict: Verdict,
 }
 
-/// What one VM was told last by this one, for each service.
+/// The counts that this VM last sent for each service, and to whom.
 #[derive(Default)]
 pub struct SentCounts {
     sent: HashMap<Service, (Name, Observations)>,
 }
 
 impl SentCounts {
-    /// What the VM `to` does not know yet of what this one has seen; of its group, if this is the `first`.
+    /// Returns the counts that the VM `to` has not received yet: those of this VM, or of its group
+    /// if this VM is the `first`.
     pub fn unsent(&self, vm: &Vm, to: &Name, first: bool) -> Vec<Observations> {
         let is_unsent = |seen: &Observations| {
             let sent = self.sent.get(&seen.service);
@@ -55,14 +58,15 @@
         observations(vm, first).into_iter().filter(is_unsent).collect()
     }
 
-    /// The VM `to` has taken what it was told.
+    /// Records that the VM `to` has received these counts.
     pub fn record_sent(&mut self, to: &Name, seen: Vec<Observations>) {
         let sent = seen.into_iter().map(|one| (one.service.clone(), (to.clone(), one)));
         self.sent.extend(sent);
     }
 }
 
-/// Counts of the roll-outs that run. Among few VMs each tells each, so there are none to pass on.
+/// Returns the counts of running roll-outs. None in a full mesh, where each VM sends its counts to
+/// each other.
 fn observations(vm: &Vm, first: bool) -> Vec<Observations> {
     if vm.peers.borrow().are_few() {
         return Vec::new();
@@ -81,14 +85,14 @@
     running(vm).into_iter().filter_map(counts).collect()
 }
 
-/// Services whose roll-outs run, and their new versions.
+/// Returns the services with a running roll-out and their new versions.
 fn running(vm: &Vm) -> Vec<(Service, Version)> {
     let rollouts = vm.rollouts.borrow();
     let running = rollouts.values().filter(|rollout| rollout.is_open());
     running.map(|rollout| (rollout.service.clone(), rollout.version.clone())).collect()
 }
 
-/// Takes what those that follow this VM have seen.
+/// Applies counts from a VM that follows this one.
 pub fn merge_counts(vm: &Vm, seen: Vec<Observations>) {
     let mut trials = vm.trials.borrow_mut();
     for Observations { service, version, source, routes } in seen {
@@ -96,7 +100,7 @@
     }
 }
 
-/// What this VM makes of all that it knows, for those that follow it.
+/// Returns this VM's verdicts on running roll-outs, for the VMs that follow it.
 pub fn verdicts(vm: &Vm) -> Vec<VersionVerdict> {
     let trials = vm.trials.borrow();
     let verdict = |(service, version): (Service, Version)| {
@@ -106,7 +110,7 @@
     running(vm).into_iter().filter_map(verdict).collect()
 }
 
-/// Takes the verdicts of the VM that this one follows.
+/// Applies the verdicts of the VM that this one follows.
 pub fn apply_verdicts(vm: &Vm, verdicts: &[VersionVerdict]) {
     let mut trials = vm.trials.borrow_mut();
     for VersionVerdict { service, version, verdict } in verdicts {
--- a/src/forward/steps.rs
+++ b/src/forward/steps.rs
@@ -1,4 +1,4 @@
-//! The task that moves roll-outs on.
+//! Task that writes the next steps of roll-outs to the store.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -16,31 +16,33 @@
 use crate::platform::objects::{Objects, Trouble};
 use crate::unit::{Moment, Service, Span};
 
-/// Time between two looks.
+/// Interval between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A VM waits up to this before it writes a step, so that mostly one VM does.
+/// Maximum random delay, in seconds, before a VM writes a step, so that usually only one VM writes
+/// it.
 const WRITE_JITTER_S: f64 = 0.2;
 
-/// A step back is written at once by a VM that reads the store and finds the version bad.
+/// The same for a rollback, which a VM that reads the store and finds the version bad writes nearly
+/// at once.
 const ROLLBACK_JITTER_S: f64 = 0.05;
 
-/// VMs that follow a reader leave steps to those that read, and try after this: they hear of a
-/// step some tenths of a second late.
+/// Delay, in seconds, after which VMs that follow a reader try to write a step. They leave steps to
+/// the readers, since they see a step some tenths of a second late.
 const FOLLOWER_DELAY_S: f64 = 1.0;
 
-/// Longest pause after writes that failed: a store that turns VMs away had 50 of them a second from 91 VMs
-/// without pauses.
+/// Maximum backoff after failed writes. Without backoff 91 VMs sent 50 of them a second to a store
+/// that refused them.
 const MAX_RETRY_PAUSE: Span = Span::millis(1600);
 
-/// When a step of a service may be written again after writes that failed.
+/// Backoff of a service after failed writes.
 #[derive(Default)]
 struct Retry {
     pause: Pause,
     after: Moment,
 }
 
-/// Looks for steps that are due until the process ends.
+/// Writes due steps until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     let mut store = vm.store_client();
     let mut retries: HashMap<Service, Retry> = HashMap::new();
@@ -53,7 +55,7 @@
         };
         for service in open {
             broadcast_counts(&vm, &service);
-            // A write waits for the word that the store is back.
+            // Writes wait until the store has recovered.
             if vm.is_store_lost() {
                 continue;
             }
@@ -70,20 +72,21 @@
     }
 }
 
-/// Tells the others what this VM has seen, if there is more than they know and they are few; of many, each tells the
-/// VM that it follows.
+/// Broadcasts this VM's changed counts in a full mesh. Otherwise each VM sends them to the VM that
+/// it follows.
 fn broadcast_counts(vm: &Rc<Vm>, service: &Service) {
     if !vm.peers.borrow().are_few() {
         return;
     }
-    let news =
+    let changed =
         vm.trials.borrow_mut().get_mut(service).and_then(|trial| trial.take_changed_totals());
-    if let Some((version, routes)) = news {
+    if let Some((version, routes)) = changed {
         peer::tell(vm, &peer::Word::Seen { service: service.clone(), version, routes });
     }
 }
 
-/// Writes the step that is due, if there is one. Whether the store took or answered it.
+/// Writes the step that is due, if any. Returns true if the store accepted or answered the write, or
+/// if none was due.
 async fn write_due_step(vm: &Rc<Vm>, store: &mut Objects, service: &Service) -> bool {
     let Some(DueStep { phase, .. }) = due_step(vm, service) else { return true };
     let (wait, spread) = match (!vm.reads(), phase) {
@@ -92,7 +95,7 @@
         (false, _) => (0.0, WRITE_JITTER_S),
     };
     tokio::time::sleep(Duration::from_secs_f64(wait + spread * rand::random::<f64>())).await;
-    // Another VM may have written it meanwhile.
+    // Another VM may have written it in the meantime.
     let Some(DueStep { rollout, phase, inputs }) = due_step(vm, service) else { return true };
     let status = object::progress(&rollout, phase);
     let written = store.put_status(ROLLOUTS, service.as_str(), rollout.position, status).await;
@@ -128,26 +131,27 @@
 
 /// A step that is due.
 struct DueStep {
-    /// The order as it is known.
+    /// The roll-out.
     rollout: Rollout,
     /// The phase to write.
     phase: Phase,
-    /// What decided it.
+    /// Inputs of the decision, for the log.
     inputs: Inputs,
 }
 
-/// The step that is due for a service, if any.
+/// Returns the step that is due for a service, if any.
 fn due_step(vm: &Vm, service: &Service) -> Option<DueStep> {
     let now = vm.now();
     let rollouts = vm.rollouts.borrow();
-    // The revision of another era would name another state.
+    // A revision of another era refers to another state of the store.
     let rollout = rollouts.get(service).filter(|one| one.position.era == vm.era.newest())?;
     let trials = vm.trials.borrow();
     let trial = trials.get(service)?;
     let fleet = vm.fleet.borrow();
     let access = bounded::access(vm, service, now);
     let new = fleet.of(service, now).filter(|one| one.replica.version == rollout.version);
-    // A cold server takes few requests, and sessions that it began would have nowhere to go on.
+    // A cold server accepts few requests, and sessions that it began could not continue anywhere
+    // else.
     let ready = new.filter(|one| !access.is_cold(one)).count();
     let Verdict { seen, evidence } = trial.verdict();
     let inputs = Inputs {
--- a/src/forward/trial.rs
+++ b/src/forward/trial.rs
@@ -1,4 +1,4 @@
-//! What a VM has seen of the old and the new version while a roll-out runs.
+//! Counts of the answers of the old and the new version while a roll-out runs.
 
 use std::collections::HashMap;
 
@@ -8,26 +8,27 @@
 use crate::decide::sequential::Count;
 use crate::unit::{DataCentre, Moment, Span, Version, Vm as Name};
 
-/// Degrees of slowness. An answer is slow in a degree if it took this many times what was expected of
-/// it: the reading of its prompt, or, without one, the old version's usual time for its route. Where
-/// servers are overloaded, two in five answers of a sound version are slow in the first degree, and a
-/// slow version stands out in the higher ones only.
+/// Levels of slowness. An answer is slow at a level if it took this many times its expected time:
+/// the prefill time of its prompt or, without a prompt, the old version's usual time for its route.
+/// Where servers are overloaded, two in five answers of a good version are slow at the first level,
+/// and a slow version stands out at the higher ones only.
 const SLOW_FACTORS: [f64; SLOWNESS_LEVELS] = [2.5, 6.0, 15.0];
 const SLOWNESS_LEVELS: usize = 3;
 
-/// And at least this much longer, so that jitter of fast answers does not count.
+/// Minimum excess over the usual time of a slow answer, so that jitter of fast answers does not
+/// count.
 const MIN_SLOW_EXCESS: Span = Span::millis(15);
 
-/// Time that any answer of a model takes beside the reading of its prompt, at least.
+/// Minimum time that any answer of a model takes in addition to prefill.
 const MIN_OVERHEAD: Span = Span::millis(25);
 
-/// Step of the running median, as a share of it.
+/// Minimum step of the running median, as a fraction of its value.
 const MIN_MEDIAN_STEP: f64 = 0.05;
 
-/// Answers before a median is believed.
+/// Answers needed before a median is used.
 const MIN_MEDIAN_SAMPLES: u32 = 10;
 
-/// A running median of times.
+/// Running estimate of a median time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Median {
     value: f64,
@@ -39,14 +40,14 @@
         if self.seen == 0 {
             self.value = time;
         }
-        // Large steps first, so that a first answer that was odd is soon forgotten.
+        // Large steps first, so that an outlier as the first answer has little effect.
         let step = MIN_MEDIAN_STEP.max(1.0 / f64::from(self.seen + 1)).min(0.5);
         let direction = if time > self.value { 1.0 } else { -1.0 };
         self.value += direction * step * self.value;
         self.seen += 1;
     }
 
-    /// In how many degrees a time is slow.
+    /// Returns the number of levels at which a time is slow.
     fn level(&self, time: f64) -> usize {
         if self.seen < MIN_MEDIAN_SAMPLES || time <= self.value + MIN_SLOW_EXCESS.0 as f64 {
             return 0;
@@ -55,13 +56,13 @@
     }
 }
 
-/// The longest times of an answer that is not slow in each degree, if its first event was due within
+/// Returns the time per level after which an answer is slow, if its first event was due within
 /// `expected`.
 pub fn slow_thresholds(expected: Span) -> [Span; SLOWNESS_LEVELS] {
     SLOW_FACTORS.map(|times| Span(((expected.0 + MIN_OVERHEAD.0) as f64 * times) as u64))
 }
 
-/// Whose counts they are.
+/// Origin of counts.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Source {
     /// One VM.
@@ -70,31 +71,31 @@
     Group(DataCentre),
 }
 
-/// One answer, as a roll-out sees it.
+/// One answer, as it is counted in a trial.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample<'a> {
-    /// The route, whose answers are alike.
+    /// Route of the request; answers of one route have similar times.
     pub route: &'a str,
-    /// The version that answered.
+    /// Version of the server that answered.
     pub version: &'a Version,
-    /// Whether the server itself failed.
+    /// True if the server itself failed.
     pub failed: bool,
-    /// Time to the answer or to the first event, or that it has been awaited; none if it failed.
+    /// Time to the answer or to its first event, or the time waited so far; none if it failed.
     pub time: Option<Span>,
-    /// Degrees of slowness in which it was noted before.
+    /// Levels of slowness that were counted for this answer before.
     pub reported_slow_levels: usize,
-    /// Time within which the first event was due if the server holds nothing that this VM did not
-    /// send it, if the request has a prompt. A new version that holds no prompt yet must not look slow
-    /// beside one that holds many.
+    /// Time within which the first event was due if the request has a prompt, assuming that the
+    /// server has cached only prompts that this VM sent to it. Otherwise a new version, which has
+    /// no prompt cached yet, would look slow beside one that has many.
     pub expected: Option<Span>,
 }
 
-/// What one VM has seen of both versions on one route.
+/// Counts of both versions on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Failures.
+    /// Failed answers.
     pub failures: Comparison,
-    /// Slow answers, by degree.
+    /// Slow answers, by level.
     pub slow: [Comparison; SLOWNESS_LEVELS],
 }
 
@@ -104,45 +105,46 @@
         Totals { failures: self.failures.plus(other.failures), slow }
     }
 
-    /// Evidence that the new version is worse, in the way that tells most.
+    /// Returns the strongest evidence that the new version is worse, over all ways of being bad.
     fn evidence(&self) -> f64 {
         let slow = self.slow.iter().map(Comparison::evidence_of_slowness);
         slow.fold(self.failures.evidence(), f64::max)
     }
 }
 
-/// What was seen, by route. A version may be bad on one route only, and few of its answers lie
-/// there: what one VM sees of one route in a trial is some answers, what all see is enough.
+/// Counts by route. A version may be bad on one route only, which few of its answers use: one VM
+/// sees only some answers of one route during a trial, but all VMs together see enough.
 pub type TotalsByRoute = HashMap<String, Totals>;
 
-/// Trials of one service.
+/// Trial of a new version of one service.
 #[derive(Default)]
 pub struct RolloutTrial {
-    /// The order's version that the counts are of.
+    /// The new version to which the counts belong.
     version: Option<Version>,
     since: Moment,
     bad: bool,
     own: TotalsByRoute,
     medians: HashMap<String, Median>,
-    /// What other VMs have seen, and other groups of them.
+    /// Latest counts from other VMs and from other groups.
     others: HashMap<Source, TotalsByRoute>,
-    /// What the VM that this one follows makes of what it knows.
+    /// Verdict of the VM that this one follows.
     upstream_verdict: Option<Verdict>,
-    /// What the others were told.
+    /// Counts as they were last sent to the other VMs.
     sent: TotalsByRoute,
 }
 
-/// What the counts say of a new version.
+/// Result of the counts for a new version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Answers of the new version that were seen.
     pub seen: f64,
-    /// Evidence that it is worse: the logarithm of a likelihood ratio.
+    /// Evidence that it is worse, as a log likelihood ratio.
     pub evidence: f64,
 }
 
 impl RolloutTrial {
-    /// An order as it stands: counts begin anew with another version. `now` is when it was seen.
+    /// Sets the version that is rolled out, seen at the moment `now`. Counts restart if it differs
+    /// from the last one.
     pub fn track_version(&mut self, version: &Version, now: Moment) {
         if self.version.as_ref() != Some(version) {
             *self = RolloutTrial {
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Notes an answer, or the moment when one that is awaited became slow.
+    /// Counts an answer, or an awaited answer at the moment when it became slow.
     pub fn record(&mut self, sample: &Sample) {
         let is_new = self.version.as_ref() == Some(sample.version);
         let level = self.level(sample, is_new);
@@ -172,8 +174,8 @@
         self.bad = self.bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
     }
 
-    /// In how many degrees an answer was slow. Those of the old version teach what is usual for answers
-    /// without a prompt.
+    /// Returns the number of levels at which an answer was slow. Without a prompt, answers of the
+    /// old version set the usual time.
     fn level(&mut self, sample: &Sample, is_new: bool) -> usize {
         let Some(time) = sample.time else { return 0 };
         if let Some(expected) = sample.expected {
@@ -187,17 +189,17 @@
         level
     }
 
-    /// What this VM has seen.
+    /// Counts of this VM.
     pub fn own_totals(&self) -> &TotalsByRoute {
         &self.own
     }
 
-    /// What this VM and others of its group have seen.
+    /// Counts of this VM and the others of its group.
     pub fn group_totals(&self) -> TotalsByRoute {
         self.sum(|source| matches!(source, Source::Vm(_)))
     }
 
-    /// What this VM and others that were heard have seen, by route.
+    /// Returns the counts by route of this VM and of the sources that `included` selects.
     fn sum(&self, included: impl Fn(&Source) -> bool) -> TotalsByRoute {
         let mut sums = self.own.clone();
         let others = self.others.iter().filter(|(source, _)| included(source));
@@ -208,8 +210,9 @@
         sums
     }
 
-    /// What is known of the new version: evidence that it is worse on one route, or on all together. Of what this VM
-    /// counted and what it was told, that counts which rests on more answers: the less would accuse by chance.
+    /// Returns the evidence that the new version is worse on one route or on all together. Of this
+    /// VM's own sum and the verdict of the VM it follows, the one that rests on more answers
+    /// counts: the one with fewer would accuse good versions by chance.
     pub fn verdict(&self) -> Verdict {
         let sums = self.sum(|_| true);
         let all = sums.values().fold(Totals::default(), |sum, one| sum.plus(*one));
@@ -220,12 +223,13 @@
             .unwrap_or(counted)
     }
 
-    /// Evidence of all VMs that the new version is worse.
+    /// Returns the evidence of all VMs that the new version is worse.
     pub fn evidence(&self) -> f64 {
         self.verdict().evidence
     }
 
-    /// Takes what others have seen of a version; routes that are not named stay as they were.
+    /// Replaces the counts of another VM or group by route; routes that are not named keep their
+    /// counts. Ignored for any other version.
     pub fn merge_totals(
         &mut self,
         from: Source,
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Takes the verdict of the VM that this one follows.
+    /// Sets the verdict of the VM that this one follows. Ignored for any other version.
     pub fn set_upstream_verdict(&mut self, version: &Version, verdict: Verdict) {
         if self.version.as_ref() == Some(version) {
             self.upstream_verdict = Some(verdict);
@@ -246,12 +250,13 @@
         }
     }
 
-    /// This VM follows none any more: what counts is what it is told from now on.
+    /// Clears the verdict when this VM stops following another.
     pub fn clear_upstream_verdict(&mut self) {
         self.upstream_verdict = None;
     }
 
-    /// What the others should be told: routes where more of the new version was seen than they know.
+    /// Returns the routes whose counts of the new version changed since the last call, to be sent
+    /// to the other VMs.
     pub fn take_changed_totals(&mut self) -> Option<(Version, Vec<(String, Totals)>)> {
         let version = self.version.clone()?;
         let is_changed = |route: &String, totals: &Totals| {
@@ -269,17 +274,17 @@
         (!changed.is_empty()).then_some((version, changed))
     }
 
-    /// Whether this VM found the version bad.
+    /// Returns true once this VM has found the version bad.
     pub fn is_bad(&self) -> bool {
         self.bad
     }
 
-    /// Answers of the new version that all VMs have seen.
+    /// Returns the number of answers of the new version that all VMs have seen.
     pub fn seen(&self) -> f64 {
         self.verdict().seen
     }
 
-    /// Time since the order was seen.
+    /// Returns the time since this VM saw the order.
     pub fn age(&self, now: Moment) -> Span {
         now.since(self.since)
     }
--- a/src/forward/trial_attempt.rs
+++ b/src/forward/trial_attempt.rs
@@ -1,4 +1,4 @@
-//! What a roll-out's trial is told of an attempt at a server.
+//! Reports attempts at a server to the trial of a roll-out.
 
 use super::job::Job;
 use super::replica::Replica;
@@ -6,18 +6,19 @@
 use crate::decide::ends::End;
 use crate::unit::{Moment, Span, Version};
 
-/// An attempt as a roll-out's trial sees it.
+/// An attempt that is counted in a trial.
 pub struct TrialAttempt<'a> {
     job: &'a Job,
     version: Version,
     begun: Moment,
     expected: Option<Span>,
-    /// Degrees of slowness that were told.
+    /// Levels of slowness that were counted.
     reported_slow_levels: usize,
 }
 
 impl<'a> TrialAttempt<'a> {
-    /// An attempt at a server that began at a moment; its answer is due within `expected`, if that is known.
+    /// Creates the record of an attempt that began at the moment `begun`; its first event is due
+    /// within `expected`, if known.
     pub fn new(
         job: &'a Job,
         replica: &Replica,
@@ -28,8 +29,8 @@
         TrialAttempt { job, version, begun, expected, reported_slow_levels: 0 }
     }
 
-    /// Waits for an attempt. One that takes too long is told as slow at that moment: its answer may
-    /// come seconds later, or its caller may leave, and a version that is slow is found by then.
+    /// Waits for an attempt. Counts it as slow as soon as it takes too long: its answer may come
+    /// seconds later, or its caller may leave, and a slow version must be detected by then.
     pub async fn wait<T>(&mut self, attempt: impl Future<Output = T>) -> T {
         let mut attempt = std::pin::pin!(attempt);
         for limit in self.expected.map(trial::slow_thresholds).into_iter().flatten() {
@@ -43,13 +44,13 @@
         attempt.await
     }
 
-    /// It ended; what was told of it as slow is not told again.
+    /// Counts the end of the attempt, unless it was counted as slow before.
     pub fn on_end(mut self, end: End) {
         match end {
             _ if self.reported_slow_levels > 0 => {}
             End::Good | End::Late => self.record_sample(false),
             End::Failed => self.record_sample(true),
-            // A connection that breaks and a server that is full say nothing about the version.
+            // A broken connection or a full server says nothing about the version.
             End::NotSent | End::Withheld | End::NotRun | End::Broken => {}
         }
     }
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -1,5 +1,6 @@
-//! Who reads the store, and whom a VM asks, decided without a network: fleets of up to a thousand VMs in six data
-//! centres, with VMs that are silent, decline, or say that the store is lost.
+//! Which VMs read the store and which sources a VM polls, decided without a network: fleets of up
+//! to a thousand VMs in six data centres, with VMs that do not answer, decline, or report the store
+//! as lost.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,7 @@
 const DATA_CENTRES: usize = 6;
 
 fn rank(number: usize) -> Rank {
-    // Of each data centre the first three are large, as on the users' site.
+    // The first three VMs of each data centre are large, as on the users' site.
     let share = if number / DATA_CENTRES < 3 { 500 } else { 120 };
     Rank::new(Millicores(share), format!("vm{number:04}").parse().unwrap())
 }
@@ -25,41 +26,47 @@
     (0..DATA_CENTRES).map(|at| of(at).collect()).collect()
 }
 
-/// How a VM that hears nothing new stands, as it would find by itself.
-fn without(asked: &SourceHistory, groups: &[Vec<Rank>], at: usize, own: &Rank) -> FollowerState {
+/// Returns the state of a VM without an update, as it would determine it itself.
+fn follower_state(
+    history: &SourceHistory,
+    groups: &[Vec<Rank>],
+    at: usize,
+    own: &Rank,
+) -> FollowerState {
     let now = Moment(1);
-    let place = asked.place(own, groups[at].iter(), now);
+    let place = history.place(own, groups[at].iter(), now);
     let others = groups.iter().enumerate().filter(|(group, _)| *group != at);
     let firsts: Vec<&Rank> =
-        others.filter_map(|(_, group)| asked.first_responsive(group.iter(), now)).collect();
+        others.filter_map(|(_, group)| history.first_responsive(group.iter(), now)).collect();
     let next = match place {
-        Place::First => asked.next_source(own, firsts.iter().copied(), now),
-        Place::Next | Place::Behind => asked.next_source(own, groups[at].iter(), now),
+        Place::First => history.next_source(own, firsts.iter().copied(), now),
+        Place::Next | Place::Behind => history.next_source(own, groups[at].iter(), now),
     };
     FollowerState {
         place,
         has_other_groups: !firsts.is_empty(),
         has_source: next.is_some(),
-        is_store_lost: asked.is_store_reported_lost(own, groups[at].iter(), now),
+        is_store_lost: history.is_store_reported_lost(own, groups[at].iter(), now),
         has_snapshot: true,
         is_starting: false,
         is_overdue: false,
     }
 }
 
-/// How many of a fleet read for themselves, if each remembers `met` of those that it may ask.
-fn readers(vms: usize, met: impl Fn(&mut SourceHistory, &Vm)) -> usize {
+/// Returns how many VMs of a fleet read the store if each has applied `observe` to its
+/// possible sources.
+fn readers(vms: usize, observe: impl Fn(&mut SourceHistory, &Vm)) -> usize {
     let groups = fleet(vms);
     let mut readers = 0;
     for (at, group) in groups.iter().enumerate() {
         for own in group {
-            let mut asked = SourceHistory::default();
+            let mut history = SourceHistory::default();
             groups
                 .iter()
                 .flatten()
                 .filter(|other| *other != own)
-                .for_each(|other| met(&mut asked, &other.vm));
-            readers += usize::from(should_read_store(&without(&asked, &groups, at, own)));
+                .for_each(|other| observe(&mut history, &other.vm));
+            readers += usize::from(should_read_store(&follower_state(&history, &groups, at, own)));
         }
     }
     readers
@@ -75,7 +82,7 @@
 #[test]
 fn while_the_store_is_lost_the_first_of_each_data_centre_tries() {
     for vms in [60, 300, 1000] {
-        let tried = readers(vms, |asked, vm| asked.on_store_lost(vm, Moment(0)));
+        let tried = readers(vms, |history, vm| history.on_store_lost(vm, Moment(0)));
         assert_eq!(tried, DATA_CENTRES, "of {vms}");
     }
 }
@@ -83,7 +90,7 @@
 #[test]
 fn when_all_decline_those_next_to_the_first_read_and_nobody_behind() {
     for vms in [60, 300, 1000] {
-        let read = readers(vms, |asked, vm| asked.on_declined(vm, Moment(0)));
+        let read = readers(vms, |history, vm| history.on_declined(vm, Moment(0)));
         assert_eq!(read, 3 * DATA_CENTRES, "of {vms}");
     }
 }
@@ -91,13 +98,13 @@
 #[test]
 fn a_vm_that_answers_nobody_is_passed_over() {
     let first = rank(0).vm;
-    let silent = |asked: &mut SourceHistory, vm: &Vm| {
+    let silent = |history: &mut SourceHistory, vm: &Vm| {
         if *vm == first {
-            asked.on_timeout(vm, Moment(0));
+            history.on_timeout(vm, Moment(0));
         }
     };
-    // The first of all is still up and reads; the next in its data centre asks the first of the others, and of those
-    // the first reads.
+    // The first of all VMs is still up and reads. The next in its data centre polls the firsts of
+    // the others, of which the first reads.
     assert_eq!(readers(300, silent), 2);
 }
 
@@ -112,13 +119,10 @@
         is_starting: false,
         is_overdue: true,
     };
-    assert!(
-        should_read_store(&behind),
-        "servers that leave must not get work for longer than is granted"
-    );
+    assert!(should_read_store(&behind), "draining servers must not get work beyond the bound");
     assert!(
         !should_read_store(&FollowerState { is_store_lost: true, ..behind }),
-        "those that try will tell"
+        "the VMs that try the store report the result"
     );
     let young = FollowerState {
         has_snapshot: false,
@@ -127,8 +131,8 @@
         has_source: false,
         ..behind
     };
-    assert!(!should_read_store(&young), "its first news may come yet");
-    assert!(should_read_store(&FollowerState { is_starting: false, ..young }), "they did not come");
+    assert!(!should_read_store(&young), "its first update may still come");
+    assert!(should_read_store(&FollowerState { is_starting: false, ..young }), "no update came");
 }
 
 #[test]
@@ -136,21 +140,22 @@
     let (own, other) = (rank(1).vm, rank(2).vm);
     assert!(!may_accept(&own, 1, &own));
     assert!(may_accept(&other, 2, &own));
-    assert!(!may_accept(&other, 9, &own), "it went round");
+    assert!(!may_accept(&other, 9, &own), "it was forwarded too often");
 }
 
-/// What VMs saw of a version, told upwards again and again, after starts anew and by another first of the group.
-fn verdict_of(told: &[(u8, u8)]) -> (f64, f64) {
+/// Returns the answers in the verdict and those in fact seen, if VMs report their counts repeatedly
+/// and some restart.
+fn verdict_of(reports: &[(u8, u8)]) -> (f64, f64) {
     let (old, new): (Version, Version) = ("v1".parse().unwrap(), "v2".parse().unwrap());
     let mut first = RolloutTrial::default();
     first.track_version(&new, Moment(0));
     let mut vms: BTreeMap<u8, RolloutTrial> = BTreeMap::new();
     let mut seen: BTreeMap<u8, f64> = BTreeMap::new();
-    for (vm, act) in told {
+    for (vm, action) in reports {
         let name: Vm = format!("vm{}", vm % 7).parse().unwrap();
         let vm = vm % 7;
-        if act % 5 == 0 {
-            // It starts anew.
+        if action % 5 == 0 {
+            // The VM restarts and loses its counts.
             vms.remove(&vm);
             seen.remove(&vm);
         }
@@ -171,13 +176,14 @@
         *seen.entry(vm).or_default() += 1.0;
         first.merge_totals(Source::Vm(name), &new, trials.own_totals().clone());
     }
-    // Those that started anew and were not heard since still count as they were told; each was heard at its last step.
+    // Counts of a VM that restarted would stay as last reported, but each VM reports again after
+    // its last action.
     (first.verdict().seen, seen.values().sum())
 }
 
 quickcheck! {
-    fn nothing_counts_twice(told: Vec<(u8, u8)>) -> bool {
-        let (counted, seen) = verdict_of(&told);
+    fn nothing_counts_twice(reports: Vec<(u8, u8)>) -> bool {
+        let (counted, seen) = verdict_of(&reports);
         counted == seen
     }
 }
@@ -190,14 +196,14 @@
     trials.set_upstream_verdict(&new, Verdict { seen: 50.0, evidence: 0.5 });
     assert_eq!(trials.verdict(), Verdict { seen: 50.0, evidence: 0.5 });
     trials.set_upstream_verdict(&"v3".parse().unwrap(), Verdict { seen: 90.0, evidence: 9.0 });
-    assert_eq!(trials.verdict().seen, 50.0, "that is of another version");
+    assert_eq!(trials.verdict().seen, 50.0, "the verdict is of another version");
     trials.set_upstream_verdict(&new, Verdict { seen: 60.0, evidence: 9.0 });
-    assert!(trials.is_bad(), "the fleet found it bad");
+    assert!(trials.is_bad(), "the fleet found the version bad");
     trials.clear_upstream_verdict();
     assert_eq!(trials.verdict().seen, 0.0);
 }
 
-/// The rows of the emulation, by way and number of VMs.
+/// Rows of the emulation, by strategy and number of VMs.
 fn emulated(vms: &str) -> Vec<serde_json::Value> {
     let program = env!("CARGO_BIN_EXE_kitepulley");
     let played = std::process::Command::new(program)
