--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -64,7 +64,7 @@
 /// Minimum excess of the share of bad answers over the old version's, absolute and relative to the
 /// old share. A smaller excess does no harm that matters however certain it is, since the servers
 /// of a new version hold no prompts at first. Of 944 answers of a good version that 295 VMs had
-/// seen together the evidence against it was 2.8, and above 3.0 it is rolled back.
+/// seen together the evidence against it was 2.8, close to the 3.0 at which it is rolled back.
 const MIN_HARM: f64 = 0.05;
 const MIN_HARM_FRACTION: f64 = 0.25;
 
@@ -93,8 +93,8 @@
         Comparison { new: self.new.plus(other.new), old: self.old.plus(other.old) }
     }
 
-    /// Returns the evidence that the new version is worse, as a log likelihood ratio; zero below
-    /// [`MIN_BAD_ANSWERS`] or [`MIN_HARM`].
+    /// Returns the evidence that the new version is worse, as a log likelihood ratio; zero while it
+    /// has few bad answers or its excess of them is too small to matter.
     pub fn evidence(&self) -> f64 {
         self.evidence_beyond(MIN_HARM)
     }
