--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -1,4 +1,5 @@
-//! What the platform's objects change in a VM's knowledge, whoever read them.
+//! Applies objects of the platform's store to a VM's state, whether this VM read them or a peer
+//! sent them.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -11,11 +12,11 @@
 use crate::unit::{Moment, Position, Revision, Vm as Name};
 use crate::watch::line::Value;
 
-/// Who read what this VM learns, and of when it is.
+/// Origin of the objects that this VM applies, and the position of the store that they reflect.
 pub struct Source<'a> {
-    /// The VM that read it, if it was not this one.
+    /// The VM that sent the objects; none if this VM read the store itself.
     pub reader: Option<&'a Name>,
-    /// Position of the store at which it was so.
+    /// Position of the store at which the objects were in this state.
     pub as_of: Position,
 }
 
@@ -27,18 +28,19 @@
     }
 }
 
-/// Applies all objects of a kind. Returns the revision of the configuration, if it is among them and reads.
+/// Applies a list of all objects of a kind. Returns the revision of the configuration if the list
+/// has a valid one.
 pub fn apply_list(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
     vm.enter_at(source.as_of);
     let configuration = apply_kind(vm, kind, objects, source);
-    // Requests may wait for a VM that has just started to know all.
+    // Requests may wait until a VM that has just started knows all kinds.
     vm.proof.notify_waiters();
     configuration
 }
 
 fn apply_kind(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
     match kind {
-        // These bear numbers of their own, which only rise.
+        // Objects of these kinds have numbers of their own, which only rise.
         Kind::Config => return apply_config_list(vm, objects),
         Kind::Rollouts => apply_rollouts(vm, objects),
         Kind::Servers => {
@@ -52,13 +54,14 @@
     None
 }
 
-/// Takes a list, whose objects bear no order: what is known to be newer stays. A list of a reader that had been cut
-/// off brought back, for 0.7 s, servers that were known to leave.
+/// Applies a list of a kind whose objects have no number of their own; objects that are known in a
+/// newer state stay as they are. Without that, the list of a reader that had been partitioned
+/// brought draining servers back for 0.7 s.
 fn reconcile(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
     let listed: HashSet<&str> = objects.iter().map(|one| one.metadata.name.as_str()).collect();
     let missing = vm.known.borrow_mut().missing_from_list(kind, &listed, source.as_of);
-    // A server that a copy lacks counts as lapsed, and what else it lacks stays until its owner has had
-    // time to write it again.
+    // A server that a restored backup lacks counts as lapsed. Objects of other kinds stay until
+    // their owners have had time to write them again.
     if kind == Kind::Servers || vm.restored.borrow().is_none() {
         for name in missing {
             remove_object(vm, kind, &name, may_lapse, source);
@@ -72,7 +75,7 @@
     }
 }
 
-/// Notes an object, if it is as new as what is known. Whether it is.
+/// Records the object's position if it is at least as new as the known one. Returns true if it is.
 fn record_if_newest(vm: &Vm, kind: Kind, object: &Object, source: &Source) -> bool {
     let metadata = &object.metadata;
     vm.known.borrow_mut().record(kind, &metadata.name, metadata.position, source.as_of)
@@ -81,10 +84,10 @@
 fn log_stale(vm: &Vm, kind: Kind, count: usize, source: &Source) {
     let [from, era, as_of] = source.fields();
     let fields = [("kind", kind.name().into()), ("count", count.into()), from, era, as_of];
-    vm.log("older word passed over", &fields);
+    vm.log("stale update ignored", &fields);
 }
 
-/// Takes an object that is the newest; one of a server is told with its source, if there is one.
+/// Applies an object that is the newest; the entry of a server is logged if `source` is given.
 fn apply_current(vm: &Vm, kind: Kind, object: &Object, source: Option<&Source>) {
     match kind {
         Kind::Config if object.metadata.name == MAIN => {
@@ -107,21 +110,21 @@
     }
 }
 
-/// Takes an order to empty a data centre.
+/// Applies an order to evacuate a data centre.
 fn apply_evacuation(vm: &Vm, object: &Object) {
     match object::emptied(object) {
         Ok(data_centre) => {
             let is_outdated = vm.may_be_outdated(object.metadata.position);
             if is_outdated && vm.fleet.borrow().was_refilled(&data_centre) {
                 let data_centre = ("data_centre", data_centre.as_str().into());
-                vm.log("order of a restored store ignored", &[data_centre]);
+                vm.log("evacuation from a restored backup ignored", &[data_centre]);
                 return;
             }
             if vm.fleet.borrow_mut().empty(&data_centre) {
                 let revision = object.metadata.position.revision;
                 let fields =
                     [("data_centre", data_centre.as_str().into()), ("revision", revision.into())];
-                vm.log("data centre emptied", &fields);
+                vm.log("data centre evacuated", &fields);
                 vm.metrics.emptied.with_label_values(&[data_centre.as_str()]).set(1);
             }
         }
@@ -129,17 +132,17 @@
     }
 }
 
-/// An order to empty a data centre was withdrawn.
+/// Ends the evacuation of a data centre whose order was withdrawn.
 fn withdraw_evacuation(vm: &Vm, name: &str, source: &Source) {
     let Ok(data_centre) = name.parse() else { return };
     if vm.fleet.borrow_mut().take_back(&data_centre, vm.now()) {
         let [from, era, as_of] = source.fields();
-        vm.log("data centre taken back", &[("data_centre", name.into()), from, era, as_of]);
+        vm.log("evacuation withdrawn", &[("data_centre", name.into()), from, era, as_of]);
         vm.metrics.emptied.with_label_values(&[name]).set(0);
     }
 }
 
-/// Takes an object as it changed.
+/// Applies a changed object unless a newer state of it is known.
 pub fn apply_object(vm: &Vm, kind: Kind, object: &Object, source: &Source) {
     vm.enter_at(source.as_of);
     if matches!(kind, Kind::Config | Kind::Rollouts) {
@@ -151,10 +154,11 @@
     }
 }
 
-/// An object is gone; a backend server may only have lapsed while the store was away.
+/// Removes an object unless a newer state of it is known. If `lapsed` is set, a backend server is
+/// kept for a while: its entry may only have expired while the store was unavailable.
 pub fn remove_object(vm: &Vm, kind: Kind, name: &str, lapsed: bool, source: &Source) {
     vm.enter_at(source.as_of);
-    // The operator takes neither away; what stands last stays in force.
+    // The operator removes objects of neither kind; the last state stays in force.
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         return;
     }
@@ -178,13 +182,14 @@
     }
 }
 
-/// Applies what was ignored because the store had been restored, and nobody has written again.
+/// Applies the state of the restored store that was held back to give owners time to write again,
+/// where none of them has.
 pub fn accept_restored(vm: &Vm) {
     let Some(restore) = vm.restored.send_replace(None) else { return };
     let as_of = restore.base.unwrap_or(Position::new(vm.era.newest(), 0));
     for kind in [Kind::Evacuations, Kind::Vms] {
         let read = vm.feed.borrow().freshness(kind);
-        if read.is_some_and(|reading| reading.position.era == as_of.era) {
+        if read.is_some_and(|freshness| freshness.position.era == as_of.era) {
             let missing = vm.known.borrow().last_seen_before(kind, as_of.era);
             let source = Source { reader: None, as_of };
             missing.iter().for_each(|name| remove_object(vm, kind, name, false, &source));
@@ -198,7 +203,8 @@
     objects(Kind::Servers).iter().for_each(|object| apply_server(vm, object, None));
 }
 
-/// Takes a proof that `configuration` was the newest at `moment`, unless this VM has an older one.
+/// Records a proof that `configuration` was the newest at `moment`, unless this VM has an older
+/// configuration.
 pub fn record_proof(vm: &Vm, moment: Moment, configuration: Revision) {
     let in_force = vm.routes().map(|table| table.revision).unwrap_or_default();
     if in_force < configuration {
@@ -210,13 +216,13 @@
     vm.proof.notify_waiters();
 }
 
-/// Applies the configuration of a list. Returns its revision, if there is one that reads.
+/// Applies the configuration of a list. Returns its revision if the list has a valid one.
 fn apply_config_list(vm: &Vm, objects: &[Object]) -> Option<Revision> {
     let main = objects.iter().find(|object| object.metadata.name == MAIN);
     main.and_then(|object| apply_config(vm, object))
 }
 
-/// Applies a configuration unless a newer one is in force. Returns its revision if it reads.
+/// Applies a configuration unless a newer one is in force. Returns its revision if it is valid.
 fn apply_config(vm: &Vm, object: &Object) -> Option<Revision> {
     let known = vm.routes().map(|table| table.revision);
     let table = match object::table(object) {
@@ -241,7 +247,10 @@
 fn log_unreadable(vm: &Vm, kind: &str, object: &Object, why: &str) {
     vm.metrics.unreadable.with_label_values(&[kind]).inc();
     let name = object.metadata.name.as_str();
-    vm.log("object not read", &[("kind", kind.into()), ("name", name.into()), ("why", why.into())]);
+    vm.log(
+        "invalid object ignored",
+        &[("kind", kind.into()), ("name", name.into()), ("why", why.into())],
+    );
 }
 
 fn log_list(vm: &Vm, count: usize, may_lapse: bool, source: &Source) {
@@ -260,7 +269,10 @@
             let mut fleet = vm.fleet.borrow_mut();
             if vm.may_be_outdated(object.metadata.position) && !fleet.put_outdated(&replica) {
                 if fleet.get(&id).is_none_or(|known| known.replica != replica) {
-                    vm.log("entry of a restored store ignored", &[("server", id.as_str().into())]);
+                    vm.log(
+                        "server entry from a restored backup ignored",
+                        &[("server", id.as_str().into())],
+                    );
                     vm.disputes.notify_one();
                 }
                 return;
@@ -268,14 +280,14 @@
             if fleet.put(replica, vm.now()) {
                 let revision = object.metadata.position.revision.into();
                 vm.log(
-                    "server started again",
+                    "server restarted",
                     &[("server", id.as_str().into()), ("revision", revision)],
                 );
             }
         }
         Err(why) => {
             log_unreadable(vm, SERVERS, object, &why);
-            // What its entry said before holds no more.
+            // The earlier entry of the server is no longer valid.
             if let Ok(id) = object.metadata.name.parse() {
                 vm.fleet.borrow_mut().remove(&id, false, vm.now());
             }
@@ -322,7 +334,7 @@
             }
         } else if is_restored && vm.may_be_outdated(rollout.position) {
             vm.log(
-                "order of a restored store ignored",
+                "roll-out from a restored backup ignored",
                 &[("service", known.service.as_str().into())],
             );
             vm.put_off.borrow_mut().insert(known.service, object.clone());
--- a/src/forward/backoff.rs
+++ b/src/forward/backoff.rs
@@ -1,26 +1,26 @@
-//! Pauses after failed calls to the store.
+//! Exponential backoff with jitter after failed calls to the store.
 
 use crate::unit::Span;
 
-/// First pause after a failed call.
+/// Delay after the first failed call, before jitter.
 const INITIAL_DELAY: Span = Span::millis(150);
 
-/// Doublings at most.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Pauses that double, with a random part that keeps VMs apart.
+/// Delays that double with each failure. A random part of up to a half keeps VMs from calling the
+/// store at the same moments.
 #[derive(Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Whether the last call failed.
+    /// Returns true if a call has failed since the back-off was created.
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// The pause after one more failure, at most `longest`.
+    /// Records a failure and returns the delay before the next call, at most `longest`.
     pub fn next_delay(&mut self, longest: Span) -> Span {
         let doubled = INITIAL_DELAY.0 << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
--- a/src/forward/era.rs
+++ b/src/forward/era.rs
@@ -1,4 +1,5 @@
-//! Tracks the era of the platform's store from what its answers name.
+//! Tracks the era of the platform's store from the era header of its answers. The era rises with
+//! each restore from a backup.
 
 use std::cell::Cell;
 
@@ -6,29 +7,29 @@
 
 use crate::unit::Era;
 
-/// A rise by more than this counts only once a second answer names the same era: one garbled header
-/// must not make all later answers look old.
+/// A larger rise counts only once a second answer names the same era: one garbled header must not
+/// make all later answers look old.
 const MAX_UNCONFIRMED_RISE: u64 = 1;
 
-/// Why an answer's era was not taken as it stood.
+/// Why the era header of an answer was not used as it was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Anomaly {
-    /// The answer names none, though others did.
+    /// The answer has no header, though earlier ones had.
     Missing,
-    /// It is not a number.
+    /// The header is not a number.
     Unreadable,
-    /// It is more than one ahead of the newest, and the first to be so.
+    /// The era is more than one ahead of the newest, and no other answer has confirmed it yet.
     Implausible,
-    /// It is older than the newest.
+    /// The era is older than the newest.
     Older,
 }
 
 impl Anomaly {
-    /// All of them.
+    /// All anomalies, in the order of their declaration.
     pub const ALL: [Anomaly; 4] =
         [Anomaly::Missing, Anomaly::Unreadable, Anomaly::Implausible, Anomaly::Older];
 
-    /// Its name on the metrics page.
+    /// Returns its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Anomaly::Missing => "missing",
@@ -39,28 +40,28 @@
     }
 }
 
-/// The newest era that is known.
+/// Tracks the newest era and counts anomalies of the header.
 #[derive(Default)]
 pub struct Tracker {
     newest: Cell<Option<Era>>,
-    /// Whether any answer had the header.
+    /// True once any answer had the header.
     header_seen: Cell<bool>,
-    /// An implausible era that one answer named.
+    /// An implausible era that one answer named, until a second answer confirms it.
     candidate: Cell<Option<Era>>,
     anomalies: [Cell<u64>; Anomaly::ALL.len()],
-    /// Wakes whoever waits for a new era or an anomaly.
+    /// Notified of a new era or an anomaly.
     pub changed: Notify,
 }
 
 impl Tracker {
-    /// The newest era; the first if none was named yet.
+    /// Returns the newest era, or the first if no answer has named one yet.
     pub fn newest(&self) -> Era {
         self.newest.get().unwrap_or_default()
     }
 
-    /// Returns the era of an answer with this header, or none if the answer must change nothing, since
-    /// its era is older than the newest or not yet believed. Without a readable header it counts as one
-    /// of the newest.
+    /// Returns the era of an answer with this header, or none if the answer must be ignored because
+    /// its era is older than the newest or not yet confirmed. An answer without a valid header
+    /// counts as one of the newest era.
     pub fn observe(&self, header: Option<&str>) -> Option<Era> {
         self.header_seen.set(self.header_seen.get() || header.is_some());
         match (header.map(str::parse::<Era>), self.newest.get()) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes an era that another VM has seen.
+    /// Raises the newest era to one that the store, or another VM, has named.
     pub fn advance(&self, era: Era) {
         self.candidate.set(None);
         if self.newest.get().is_none_or(|newest| newest < era) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Answers so far with an anomaly.
+    /// Returns the number of answers so far with an anomaly.
     pub fn count(&self, anomaly: Anomaly) -> u64 {
         self.anomalies[anomaly as usize].get()
     }
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -1,8 +1,8 @@
-//! What a VM knows of the platform's objects, as it passes it on to others: objects as they change, in order.
+//! Change feed of the platform's objects that a VM serves to its followers.
 //!
-//! A follower asks from the cursor that it has reached; one that asks for another epoch, or from a
-//! cursor that is no longer kept, gets everything. It does not matter who read: a VM that follows another
-//! passes on what it heard, as old as it is.
+//! A follower polls from its cursor. If the cursor is of another epoch, or of a change that is no
+//! longer kept, the follower gets all objects. The feed serves what this VM read from the store as
+//! well as what it got from another VM, with its true age.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -17,84 +17,84 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Position, Revision, Span, Vm};
 
-/// Changes kept for followers; they ask a few times a second. Of each only the name is kept: an object is passed
-/// on as it stands now.
+/// Changes kept for followers, which poll a few times a second. Of each change only the object's
+/// name is kept: a follower gets the object in its present state.
 const MAX_CHANGES: usize = 2000;
 
-/// How far a follower has come.
+/// Position of a follower in the feed of another VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The life of the process that counts; drawn anew with each.
+    /// Identifies the process that serves the feed; drawn at random at its start.
     pub epoch: u64,
-    /// Changes of that epoch that it has.
+    /// Number of changes of that epoch that the follower has.
     pub sequence: u64,
 }
 
-/// How current a VM's knowledge of a kind is.
+/// How current a VM's state of a kind is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// Position of the store that it stands for.
+    /// Position of the store that the state reflects.
     pub position: Position,
-    /// When the read was sent that brought it; later changes may be missing.
+    /// When the read was sent that returned it; later changes may be missing.
     pub sent: Moment,
 }
 
-/// The same as a reader tells it.
+/// Freshness of a kind as sent to a follower, with an age instead of a local time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Staleness {
-    /// The kind.
+    /// The kind of objects.
     pub kind: Kind,
-    /// Position of the store that it stands for.
+    /// Position of the store that the state reflects.
     pub position: Position,
-    /// How old it is when this is told.
+    /// Age of the state when the update is sent.
     pub age: Span,
 }
 
-/// How the platform's store does, as a VM tells it.
+/// Whether the platform's store answers, as a VM reports it to its followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reachability {
-    /// It answers.
+    /// The store answers.
     Up,
-    /// It answers again since so long ago; entries may have lapsed meanwhile.
+    /// The store has answered again for this long; entries may have lapsed while it did not.
     Recovered(Span),
-    /// It does not answer.
+    /// The store does not answer.
     Down,
 }
 
-/// Proof that a configuration is the newest, as one VM passes it on to another.
+/// Proof that a configuration is the newest, as one VM sends it to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
-    /// Age of the read that proves it, when this is answered.
+    /// Age of the linearizable read that proves it, when the update is sent.
     pub age: Span,
-    /// The configuration; the proof counts for no VM that has an older one.
+    /// Revision of the configuration; a VM that has an older one ignores the proof.
     pub configuration: Revision,
 }
 
-/// Who read what is told, and by how many VMs it was passed on.
+/// The VM that read an update from the store, and the number of VMs that relayed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
     /// The VM that read the store.
     pub reader: Vm,
-    /// VMs between it and the one that is told.
+    /// VMs between the reader and the recipient.
     pub hops: u8,
 }
 
-/// What a VM that is asked for news answers.
+/// Answer to a follower's poll: what changed since its cursor, and the state of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     /// Who read it.
     pub origin: Origin,
     /// How the store does.
     pub store: Reachability,
-    /// Where the follower stands with these changes.
+    /// Cursor of the follower once it has applied these changes.
     pub cursor: Cursor,
-    /// Whether these are all objects there are, rather than those that changed.
+    /// True if the changes hold all objects that exist, rather than those that changed.
     pub is_full: bool,
-    /// The changes in order.
+    /// The changes, in the order in which they are applied.
     pub changes: Packed,
     /// Proof that a configuration is the newest.
     pub proof: Option<Proof>,
-    /// How current each kind is.
+    /// How current each kind is; kinds that were never read are missing.
     pub freshness: Vec<Staleness>,
     /// The last restore of the store, if owners may not have had time to write again.
     pub restore: Option<Notice>,
@@ -105,7 +105,7 @@
 }
 
 impl Update {
-    /// How current a kind is, if the reader has read it.
+    /// Returns how current a kind is, or none if the sender does not know it.
     pub fn staleness_of(&self, kind: Kind) -> Option<&Staleness> {
         self.freshness.iter().find(|entry| entry.kind == kind)
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// What a VM knows of the store, apart from its objects.
+/// The part of an [`Update`] that does not come from the feed itself.
 #[derive(Clone, Debug)]
 pub struct Status {
     /// Who read it.
@@ -133,15 +133,16 @@
     pub held: Vec<poison::Told>,
 }
 
-/// The objects that a VM knows, and their last changes.
+/// The objects that a VM knows, and the order of their last changes.
 #[derive(Default)]
 pub struct Feed {
     cursor: Cursor,
     objects: BTreeMap<(Kind, String), Stored>,
     changes: VecDeque<ChangeRecord>,
     freshness: BTreeMap<Kind, Freshness>,
-    /// Changes as they were packed for followers at a cursor, none for those that get everything, until the next
-    /// change: fifty that ask at the same time lack the same.
+    /// Cache of packed changes, by the number of changes that the follower lacks (none: it gets all
+    /// objects). Cleared at the next change; it serves, say, fifty followers that poll at the same
+    /// time and lack the same changes.
     packed: RefCell<HashMap<Option<u64>, Packed>>,
 }
 
@@ -150,7 +151,7 @@
     text: String,
 }
 
-/// That an object changed, or went.
+/// A change or the removal of an object.
 struct ChangeRecord {
     kind: Kind,
     name: String,
@@ -158,29 +159,30 @@
 }
 
 impl Feed {
-    /// The feed of a process with this epoch; nothing is known yet.
+    /// Creates an empty feed for a process with this epoch.
     pub fn new(epoch: u64) -> Feed {
         Feed { cursor: Cursor { epoch, sequence: 0 }, ..Feed::default() }
     }
 
-    /// Whether all kinds are known.
+    /// Returns true if every kind was read at least once.
     pub fn is_complete(&self) -> bool {
         Kind::ALL.iter().all(|kind| self.freshness.contains_key(kind))
     }
 
-    /// How current this kind is, if it is known.
+    /// Returns how current a kind is, or none if it was never read.
     pub fn freshness(&self, kind: Kind) -> Option<Freshness> {
         self.freshness.get(&kind).copied()
     }
 
-    /// A read of a kind that was sent at `sent` was answered, and what it brought was taken.
+    /// Records that a read of a kind, sent at `sent`, was answered and its objects were applied.
     pub fn record_read(&mut self, kind: Kind, position: Position, sent: Moment) {
         let known = self.freshness.entry(kind).or_insert(Freshness { position, sent });
         known.position = known.position.max(position);
         known.sent = known.sent.max(sent);
     }
 
-    /// Replaces an object. Which of two states is the newer is for the caller to say: kinds differ in it.
+    /// Inserts or replaces an object. The caller makes sure that the state is the newest: each kind
+    /// orders its states in its own way.
     pub fn upsert(&mut self, kind: Kind, object: &Object) {
         let (name, position) = (object.metadata.name.clone(), object.metadata.position);
         let known = self.objects.get(&(kind, name.clone()));
@@ -192,14 +194,15 @@
         self.push_change(ChangeRecord { kind, name, lapsed: false });
     }
 
-    /// An object is gone, or lapsed.
+    /// Removes an object. `lapsed` tells followers that its entry may only have expired while the
+    /// store was unavailable.
     pub fn remove(&mut self, kind: Kind, name: &str, lapsed: bool) {
         if self.objects.remove(&(kind, name.to_owned())).is_some() {
             self.push_change(ChangeRecord { kind, name: name.to_owned(), lapsed });
         }
     }
 
-    /// The objects of a kind.
+    /// Returns the objects of a kind, in order of their names.
     pub fn objects(&self, kind: Kind) -> impl Iterator<Item = Object> {
         let of_kind = self.objects.iter().filter(move |((of, _), _)| *of == kind);
         of_kind.filter_map(|(_, kept)| Object::from_json(&kept.text).ok())
@@ -214,7 +217,7 @@
         }
     }
 
-    /// What a follower at `cursor` lacks.
+    /// Returns the update for a follower at `cursor`.
     pub fn since(&self, cursor: Cursor, status: Status, now: Moment) -> Update {
         let behind = self.cursor.sequence.checked_sub(cursor.sequence).filter(|behind| {
             cursor.epoch == self.cursor.epoch && *behind <= self.changes.len() as u64
@@ -233,7 +236,7 @@
         }
     }
 
-    /// The last changes, or all objects, as they are sent.
+    /// Returns the last `behind` changes, or all objects if it is none, packed for sending.
     fn packed(&self, behind: Option<u64>) -> Packed {
         let mut packed = self.packed.borrow_mut();
         let made = packed.entry(behind).or_insert_with(|| {
@@ -244,7 +247,7 @@
         made.clone()
     }
 
-    /// The objects of the last changes, each once and as it stands.
+    /// Returns the objects of the last `behind` changes, each once and in its present state.
     fn latest_changes(&self, behind: usize) -> Vec<Change> {
         let mut seen = HashSet::new();
         let newest_first = self.changes.iter().rev().take(behind);
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -1,4 +1,5 @@
-//! A VM's search for one that has update, as [`crate::decide::reader`] says, and what it does without.
+//! Polls other VMs for updates, in the order that [`crate::decide::reader`] gives, and decides to
+//! read the platform's store itself if none has any.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,7 +24,7 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
 
-/// Follows another VM whenever one has update, until the process ends.
+/// Follows another VM whenever one serves updates, until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     if vm.settings.links.is_none() {
         vm.role.send_replace(Role::Reads);
@@ -54,54 +55,54 @@
     }
 }
 
-/// One VM's search.
+/// State of this VM's polls.
 struct Follower {
     vm: Rc<Vm>,
-    /// When it began.
+    /// When the polls began.
     started: Moment,
     asked: Asked,
-    /// How far it has come with the update of each VM.
+    /// Cursor in the feed of each VM.
     cursors: HashMap<Name, Cursor>,
-    /// Of when its knowledge of servers is; none while it reads for itself.
+    /// The time that its state of the servers reflects; none while it reads the store itself.
     servers_as_of: Option<Moment>,
-    /// Since when those that answer say that the store is lost.
+    /// Since when the VMs that answer report that the store is down.
     lost_since: Option<Moment>,
-    /// What others were known of versions that are rolled out.
+    /// What was sent to each VM about versions that are rolled out.
     tally: Tally,
 }
 
-/// The VMs that one may ask.
+/// The VMs that may be polled.
 struct Candidates {
     own: Rank,
-    /// The others of its group.
+    /// The other VMs of its group.
     group: Vec<Rank>,
-    /// The first of each other group.
+    /// The first VM of each other group.
     firsts: Vec<Rank>,
 }
 
-/// What came of a question that was asked at a moment.
+/// Outcome of one poll.
 struct Outcome {
     name: Name,
     asked: Moment,
-    /// What was known with it.
+    /// Counts of versions that were sent with the request.
     seen: Vec<Seen>,
     reply: Response,
 }
 
-/// What an answer was worth.
+/// What a poll brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Gain {
     /// Nothing.
     None,
-    /// What was known when the store was lost.
+    /// The state from before the store went down.
     Stale,
     /// Current changes.
     Fresh,
 }
 
 impl Follower {
-    /// Asks the next VM that may have update, and the one that is followed if that is another. Whether this VM has what
-    /// it needs for now.
+    /// Polls the next candidate, and the followed VM if it is another one. Returns true if this VM
+    /// needs no other update until the next regular poll.
     async fn poll(&mut self) -> bool {
         let candidates = self.candidates();
         let followed = match &*self.vm.role.borrow() {
@@ -110,7 +111,7 @@
         };
         self.update_rank(&candidates);
         let next = self.next_target(&candidates).filter(|next| Some(next) != followed.as_ref());
-        // Both at once: two that do not answer take the time of one.
+        // Both at the same time, so that two timeouts take no longer than one.
         let (of_next, of_followed) =
             join(self.poll_vm(next, &candidates), self.poll_vm(followed, &candidates)).await;
         let gain = self.apply_outcome(of_next);
@@ -122,8 +123,8 @@
         gain == Gain::Fresh || self.decide_without_update(gain == Gain::Stale, &candidates)
     }
 
-    /// Time for a question, if any. While the store is said to be lost others may yet be asked, however old is what is
-    /// known.
+    /// Returns the timeout of the next poll, or none if the state of the servers is too old to wait
+    /// for an answer. While the store is reported down, VMs are polled however old the state is.
     fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.told_lost.get() || self.is_store_reported_down(candidates);
@@ -134,7 +135,7 @@
         self.asked.is_told_lost(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
-    /// Whether this VM has just started and had no update yet.
+    /// Returns true if this VM has just started and has got no update yet.
     fn is_starting(&self) -> bool {
         self.servers_as_of.is_none() && self.is_young()
     }
@@ -159,7 +160,8 @@
         self.asked.place(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
-    /// Notes since when this VM is the first of its group, and whether enough other firsts come before it.
+    /// Updates since when this VM is the first of its group, and whether so many firsts of
+    /// other groups rank before it that it may try the store rarely.
     fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
         let is_first = self.place(candidates) == decide::Place::First;
@@ -169,7 +171,8 @@
         self.vm.tries_rarely.set(among == decide::Place::Behind);
     }
 
-    /// The next VM to ask: one before this one in its group; for the first of a group, the first of another.
+    /// Returns the next VM to poll: one that ranks before this one in its group or, for the first
+    /// of a group, the first of another group.
     fn next_target(&self, candidates: &Candidates) -> Option<Name> {
         let now = self.vm.now();
         let next = if self.place(candidates) != decide::Place::First {
@@ -182,7 +185,7 @@
         next.cloned()
     }
 
-    /// Asks a VM, if there is one and time for it.
+    /// Polls a VM, if there is one and there is time for it.
     async fn poll_vm(&self, name: Option<Name>, candidates: &Candidates) -> Option<Outcome> {
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
@@ -201,7 +204,7 @@
         Some(Outcome { name, asked, seen, reply })
     }
 
-    /// Takes what came of a question.
+    /// Applies the outcome of a poll.
     fn apply_outcome(&mut self, answer: Option<Outcome>) -> Gain {
         let Some(Outcome { name, asked, seen, reply }) = answer else { return Gain::None };
         let now = self.vm.now();
@@ -228,7 +231,8 @@
             return Gain::None;
         }
         if is_lost {
-            // Another may reach the store; this one is asked on, to hear of its return.
+            // Another VM may reach the store. This one is still polled, to learn when the store is
+            // back.
             self.asked.lost(from, vm.now());
             let lost_since = *self.lost_since.get_or_insert(vm.now());
             if *vm.role.borrow() == Role::Joins && vm.now().since(lost_since) < SETTLED {
@@ -237,14 +241,14 @@
         }
         let position = update.position();
         if position.era < vm.era.newest() {
-            vm.log("news of an older era", &[("from", from.as_str().into())]);
+            vm.log("update from an older era ignored", &[("from", from.as_str().into())]);
             self.asked.declined(from, vm.now());
             return Gain::None;
         }
         vm.enter_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
         let Some(changes) = update.changes.changes() else {
             let bytes = ("bytes", update.changes.size().into());
-            vm.log("news not read", &[("from", from.as_str().into()), bytes]);
+            vm.log("invalid update ignored", &[("from", from.as_str().into()), bytes]);
             self.asked.declined(from, vm.now());
             return Gain::None;
         };
@@ -272,7 +276,8 @@
         Gain::Fresh
     }
 
-    /// What this VM does without update. Whether it has what it needs for now.
+    /// Decides what this VM does without an update, and makes it a reader if it must read the store
+    /// itself. Returns true if it needs no update until the next regular poll.
     fn decide_without_update(&mut self, is_reported_down: bool, candidates: &Candidates) -> bool {
         let vm = &self.vm;
         if vm.reads() {
@@ -299,12 +304,13 @@
     }
 }
 
-/// The moment of which knowledge dates that had an age when it was known, if it was asked for at `asked`.
+/// Returns the time that a state reflects whose age was `age` in the response to a request sent at
+/// `asked`.
 fn dated_at(asked: Moment, age: Option<Span>) -> Option<Moment> {
     Some(Moment(asked.0.saturating_sub(age?.0)))
 }
 
-/// Takes what a VM answered to a question of the moment `asked`.
+/// Applies the objects, freshness and proof of an update that was requested at `asked`.
 fn apply_contents(vm: &Vm, asked: Moment, from: &Name, update: &Update, changes: &[Change]) {
     if update.is_full {
         for kind in Kind::ALL {
@@ -322,7 +328,7 @@
             vm.feed.borrow_mut().record_read(staleness.kind, staleness.position, sent);
         }
     }
-    // A proof from before this process began proves nothing that it can count.
+    // The clock starts with the process, so an earlier proof can't be dated.
     if let Some(proof) = update.proof
         && let Some(at) = asked.0.checked_sub(proof.age.0)
     {
@@ -330,7 +336,8 @@
     }
 }
 
-/// Update of a kind are what the teller knew when that kind had been read last.
+/// Returns the source of an update's objects of a kind: they reflect the position at which the
+/// sender's state of that kind was last read.
 fn update_source<'a>(from: &'a Name, update: &Update, kind: Kind) -> Source<'a> {
     let as_of = update.staleness_of(kind).map(|staleness| staleness.position).unwrap_or_default();
     Source { reader: Some(from), as_of }
@@ -344,13 +351,17 @@
     }
 }
 
-/// The object of a change, if it is not gone; of one that does not read, what was known stays.
+/// Returns the object of a change, or none if it was removed or is invalid; an invalid one leaves
+/// the known state as it is.
 fn parse_object(vm: &Vm, change: &Change) -> Option<Object> {
     match Object::from_json(change.object.as_deref()?) {
         Ok(object) => Some(object),
         Err(why) => {
             let name = change.name.as_str();
-            vm.log("news not read", &[("name", name.into()), ("why", why.as_str().into())]);
+            vm.log(
+                "invalid object in an update ignored",
+                &[("name", name.into()), ("why", why.as_str().into())],
+            );
             None
         }
     }
--- a/src/forward/kind.rs
+++ b/src/forward/kind.rs
@@ -1,13 +1,13 @@
-//! Kinds of objects of the platform that VMs keep up with.
+//! Kinds of objects in the platform's store that VMs watch.
 
 use serde::{Deserialize, Serialize};
 
 use crate::platform::object::{CONFIG, EVACUATIONS, ROLLOUTS, SERVERS};
 
-/// The kind of the objects that name the VMs, their data centres and their addresses.
+/// Name of the kind of objects that register the VMs with their data centres and addresses.
 pub const VMS: &str = "kitepulley-vms";
 
-/// What is followed.
+/// A kind of objects that VMs watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// The configuration.
@@ -16,18 +16,18 @@
     Servers,
     /// Orders to roll versions out.
     Rollouts,
-    /// Orders to empty a data centre.
+    /// Orders to evacuate a data centre.
     Evacuations,
     /// The entry VMs themselves.
     Vms,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds, in the order of their declaration.
     pub const ALL: [Kind; 5] =
         [Kind::Config, Kind::Servers, Kind::Rollouts, Kind::Evacuations, Kind::Vms];
 
-    /// Its name in the store.
+    /// Returns the kind's name in the paths of the store.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Config => CONFIG,
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -1,4 +1,4 @@
-//! The VMs as the store names them, and the key of the links between them.
+//! Registration of the VMs in the store, and the key of the links between them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,24 +14,27 @@
 use crate::platform::objects::{Objects, Read, Trouble};
 use crate::unit::{Era, Span, Vm as Name};
 
-/// The kind and name of the object that holds the key of the links between VMs. The deploy file
-/// is public, so the first VM makes a key and all take it from there.
+/// Kind and name of the object that holds the key of the links between VMs. The deploy file is
+/// public, so the key can't be in it: the first VM creates it, and all others read it from the
+/// store.
 const KEY_KIND: &str = "kitepulley-keys";
 const LINK_KEY: &str = "links";
 
-/// Bytes of the key.
+/// Length of the key in bytes.
 const KEY_BYTES: usize = 32;
 
-/// Longest pause after the store did not answer.
+/// Longest delay after a failed call to the store.
 const MAX_BACKOFF: Span = Span::millis(1000);
 
-/// A VM that the store did not name yet asks again after this, so that those that start with it are named too.
+/// A VM that was not registered yet lists the VMs again after this, to see those that start at the
+/// same time.
 const RELIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Times that it asks so what may be some seconds old, which costs a tenth.
+/// Number of those lists that may be some seconds old, which cost a tenth of a linearizable read.
 const STALE_RELISTS: u32 = 4;
 
-/// The key of the links: made by whichever VM is first. It never changes, so that an old word of it is as good.
+/// Returns the key of the links, which the first VM creates. The key never changes, so a stale read
+/// is as good as a linearizable one. Retries until the store answers.
 pub async fn shared_key(vm: &Vm, store: &mut Objects) -> String {
     let mut backoff = Backoff::default();
     loop {
@@ -40,7 +43,7 @@
                 if let Some(key) = object.spec["key"].as_str() {
                     return key.to_owned();
                 }
-                vm.log("key of the links not read", &[("why", "it is not there".into())]);
+                vm.log("key of the links not read", &[("why", "the object has no key".into())]);
             }
             Ok(None) => {}
             Err(trouble) => {
@@ -52,7 +55,7 @@
     }
 }
 
-/// The key as the store has it, or as it is made now.
+/// Returns the object with the key, and creates it if the store has none.
 async fn get_or_create_key(vm: &Vm, store: &mut Objects) -> Result<Option<Object>, Trouble> {
     let known = store.get(KEY_KIND, LINK_KEY, Read::Stale).await;
     vm.count_call("key-stale", &known);
@@ -69,19 +72,19 @@
     }
 }
 
-/// Reads something small that the store has, as it stood some seconds ago at most.
+/// Checks that the store answers, with a small read that may be some seconds old.
 ///
 /// # Errors
 /// If the store refuses or does not answer.
 pub async fn probe(store: &mut Objects) -> Result<(), Trouble> {
     match store.get(KEY_KIND, LINK_KEY, Read::Stale).await {
-        // What may be old may be of an older era too; the store answers all the same.
+        // A stale read may be of an older era too; the store is up all the same.
         Ok(_) | Err(Trouble::Outdated) => Ok(()),
         Err(trouble) => Err(trouble),
     }
 }
 
-/// Learns the VMs that the store names, and writes this one's entry if it is not among them.
+/// Lists the VMs that are registered in the store, and registers this one if it is not among them.
 pub async fn join(vm: &Vm, store: &mut Objects, address: SocketAddr) {
     let entry = Place::of(&vm.settings, address);
     if list_members(vm, store, &entry, Read::Stale).await {
@@ -100,8 +103,8 @@
     list_members(vm, store, &entry, Read::Newest).await;
 }
 
-/// Writes again what this VM wrote and a copy that the store was restored from lacks. Returns the era in which the store
-/// has it, or none if it is to be tried again.
+/// Writes this VM's entry and the key again if a restored backup lacks them. Returns the era in
+/// which the store has them, or none if the caller must retry.
 pub async fn reregister(
     vm: &Vm,
     store: &mut Objects,
@@ -118,7 +121,7 @@
     }
     let is_registered = vm.known.borrow().was_seen_in(Kind::Vms, vm.settings.vm.as_str(), era);
     if !is_registered {
-        vm.log("entry written again", &[("era", era.0.into())]);
+        vm.log("VM registered again after a restore", &[("era", era.0.into())]);
         register(vm, store, &json!(Place::of(&vm.settings, address))).await;
     }
     Some(era)
@@ -129,9 +132,9 @@
     let created = store.create(KEY_KIND, LINK_KEY, json!({"key": key})).await;
     vm.count_call("key-create", &created);
     match created {
-        Ok(_) => vm.log("key of the links written again", &[]),
+        Ok(_) => vm.log("key of the links written again after a restore", &[]),
         Err(Trouble::Conflict(Some(object))) if object.spec["key"] == key => {}
-        Err(Trouble::Conflict(_)) => vm.log("the store has another key of the links", &[]),
+        Err(Trouble::Conflict(_)) => vm.log("the store has a different key of the links", &[]),
         Err(trouble) => {
             let why = trouble.to_string();
             vm.log("key of the links not written", &[("why", why.as_str().into())]);
@@ -141,7 +144,8 @@
     true
 }
 
-/// Takes the VMs that the store names. Whether this one's entry is among them.
+/// Lists and applies the VMs that are registered. Returns true if this VM's entry is among them,
+/// unchanged.
 async fn list_members(vm: &Vm, store: &mut Objects, entry: &Place, read: Read) -> bool {
     let call = if read == Read::Newest { "list-vms" } else { "list-vms-stale" };
     let listed = store.list(VMS, read).await;
@@ -158,7 +162,7 @@
         }
         Err(trouble) => {
             let why = trouble.to_string();
-            vm.log("names of VMs not read", &[("why", why.as_str().into())]);
+            vm.log("list of VMs failed", &[("why", why.as_str().into())]);
             false
         }
     }
@@ -170,7 +174,7 @@
     group.iter().any(|rank| *rank < own)
 }
 
-/// Writes this VM's entry.
+/// Creates or replaces this VM's entry in the store, and retries until it is written.
 async fn register(vm: &Vm, store: &mut Objects, entry: &Value) {
     let name = vm.settings.vm.as_str();
     let mut backoff = Backoff::default();
@@ -188,18 +192,18 @@
             Ok(_) => return,
             Err(trouble) => {
                 let why = trouble.to_string();
-                vm.log("entry not written", &[("why", why.as_str().into())]);
+                vm.log("registration of this VM failed", &[("why", why.as_str().into())]);
                 tokio::time::sleep(backoff.next_delay(MAX_BACKOFF).duration()).await;
             }
         }
     }
 }
 
-/// Takes a VM that the store names.
+/// Adds or updates the peer of an entry in the store. This VM's own entry is ignored.
 pub fn apply_entry(vm: &Vm, object: &Object) {
     let entry: Result<Place, _> = serde_json::from_value(object.spec.clone());
     let (Ok(entry), Ok(name)) = (entry, object.metadata.name.parse::<Name>()) else {
-        vm.log("entry of a VM not read", &[("name", object.metadata.name.as_str().into())]);
+        vm.log("invalid VM entry ignored", &[("name", object.metadata.name.as_str().into())]);
         return;
     };
     if name == vm.settings.vm {
@@ -208,7 +212,7 @@
     vm.peers.borrow_mut().name(name, entry, vm.now());
 }
 
-/// The store no longer names a VM.
+/// Removes the peer whose entry was removed from the store.
 pub fn remove_entry(vm: &Vm, name: &str) {
     vm.peers.borrow_mut().keep(|known| known.as_str() != name, vm.now());
 }
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,5 +1,5 @@
-//! An entry VM on the users' platform: requests are forwarded to backend servers unchanged, and
-//! what must be agreed lies in the platform's store. `docs/PLATFORM.md` has the design.
+//! An entry VM on the platform: forwards requests to backend servers unchanged and keeps what all
+//! VMs must agree on in the platform's store. `docs/PLATFORM.md` has the design.
 
 pub mod apply;
 pub mod attempt;
--- a/src/forward/pack.rs
+++ b/src/forward/pack.rs
@@ -1,7 +1,8 @@
-//! Changes as one VM sends them to another: as small as they go.
+//! Encodes and compresses the changes that one VM sends to another.
 //!
-//! A configuration of 1,600 routes has some 400 KB of text; a small VM's link of 10 Mbit/s takes a third of a second for
-//! it, and one VM answers fifty others at once. Packed, the same has a tenth of that.
+//! A configuration of 1,600 routes has about 400 KB of text. A small VM's link of 10 Mbit/s takes a
+//! third of a second for it, and one VM answers fifty others at once. Compressed, it has a tenth of
+//! that size.
 
 use std::io::Read;
 
@@ -12,26 +13,26 @@
 use super::kind::Kind;
 use crate::peer::wire::{decode, encode};
 
-/// Changes of fewer bytes are sent as they are.
+/// Changes with a smaller encoding are sent uncompressed.
 const MIN_DEFLATE_BYTES: usize = 1024;
 
-/// Largest text of changes that is unpacked; a peer that sends more is not believed.
+/// Largest encoding that is unpacked; a peer's larger message is truncated and so fails to decode.
 const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// One object as it changed.
+/// A changed or removed object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its kind.
+    /// Kind of the object.
     pub kind: Kind,
-    /// Its name among its kind.
+    /// Name of the object, unique within its kind.
     pub name: String,
-    /// The object in JSON; none if it is gone.
+    /// The object in JSON; none if it was removed.
     pub object: Option<String>,
-    /// Whether it may only have lapsed, since the store was away just before.
+    /// True if the entry may only have lapsed, since the store was unavailable just before.
     pub lapsed: bool,
 }
 
-/// Changes in order.
+/// Encoded changes, compressed if that is worthwhile.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed {
     deflated: bool,
@@ -39,7 +40,7 @@
 }
 
 impl Packed {
-    /// Packs changes.
+    /// Encodes changes in order, and compresses them if the encoding is large.
     pub fn new(changes: &[Change]) -> Packed {
         let plain = encode(&changes);
         if plain.len() < MIN_DEFLATE_BYTES {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The changes; nothing if they do not read.
+    /// Decodes the changes, or returns none if they are invalid or too large.
     pub fn changes(&self) -> Option<Vec<Change>> {
         if !self.deflated {
             return decode(&self.bytes);
@@ -64,7 +65,7 @@
         read.ok().and_then(|_| decode(&plain))
     }
 
-    /// Bytes on the way.
+    /// Returns the number of bytes of the encoded changes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -1,8 +1,10 @@
-//! What a VM answers those that ask it for update: what it knows of the platform's objects, whoever read them.
+//! Polls between VMs: a follower requests updates of the platform's objects, and any VM responds
+//! with what it knows, whether it read the store itself or follows another VM.
 //!
-//! A proof of freshness is dated to the moment of its question, less the proof's age when it was told, so that no
-//! delay on the way makes it look younger than it is; so are all readings. What is passed on by several VMs is as old as
-//! all the ways took, and what is too old is not passed on.
+//! The recipient dates a proof to the moment when it sent the request, less the age of the proof
+//! when the response was sent, so that no network delay makes it look younger than it is. Ages of
+//! objects are dated in the same way. Updates that several VMs relay carry the delays of all hops,
+//! and updates that are too old are not relayed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,38 +23,40 @@
 use crate::peer::wire::{decode, encode};
 use crate::unit::{Span, Vm as Name};
 
-/// A reader whose own proof is older than this part of the longest age has lost touch.
+/// A VM serves no updates once its proof is older than this part of the longest age: it has lost
+/// contact with the store or its reader.
 const MAX_PROOF_AGE_FRACTION: f64 = 0.75;
 
-/// A VM whose pause between two questions lasted so much longer than asked for was frozen, or is slow: what
-/// it believes may be of before, and it gives no update for a while.
+/// A VM whose sleep between two polls overran by this much was frozen, or is slow. Its state may be
+/// outdated, so it serves no updates for `STALL_QUARANTINE`.
 pub const STALL_THRESHOLD: Span = Span::millis(400);
 const STALL_QUARANTINE: Span = Span::millis(1500);
 
-/// A question for update.
+/// A request for updates.
 #[derive(Serialize, Deserialize)]
 struct Request {
-    /// Who asks.
+    /// The VM that sends the request.
     from: Name,
-    /// How far it has come.
+    /// Its cursor in the feed of the recipient.
     cursor: Cursor,
-    /// What it has seen of versions that are rolled out, as far as this is update.
+    /// What it counted for versions that are rolled out, as far as the recipient lacks it.
     seen: Vec<Seen>,
-    /// Contents that it holds back.
+    /// Request contents that it holds back.
     held: Vec<poison::Told>,
 }
 
-/// What came of a question.
+/// Outcome of a request.
 pub enum Response {
-    /// What changed.
+    /// Objects changed since the cursor, and the state of the store.
     Update(Box<Update>),
-    /// The VM gives none.
+    /// The VM serves no updates now.
     Declined(Decline),
-    /// No answer that reads.
+    /// No answer in time, or none that could be decoded.
     NoAnswer,
 }
 
-/// Asks the VM at `to` for what changed since `cursor`, and tells it what was `seen` of versions.
+/// Requests the changes since `cursor` from the VM at `to`, and sends it what was `seen` of
+/// versions that are rolled out.
 pub async fn request(
     vm: &Vm,
     to: SocketAddr,
@@ -72,10 +76,11 @@
     }
 }
 
-/// What a VM that asks is told; the reason if this one knows nothing, or what it knows is too old.
+/// Returns the encoded answer to a request for updates: an update, or the reason why this VM
+/// serves none.
 pub fn respond(vm: &Rc<Vm>, question: &[u8]) -> Vec<u8> {
     let Some(Request { from, cursor, seen, held }) = decode::<Request>(question) else {
-        vm.log("question of a peer not read", &[("bytes", question.len().into())]);
+        vm.log("invalid poll request", &[("bytes", question.len().into())]);
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
     peer::heard(vm, &from);
@@ -86,7 +91,7 @@
     encode(&update)
 }
 
-/// Notes why this VM gives no update, when that changes.
+/// Logs why this VM serves no updates, when the reason changes.
 fn log_decline(vm: &Vm, why: Option<Decline>) {
     if vm.declined.replace(why) == why {
         return;
@@ -100,7 +105,7 @@
         ("servers_age_ms", servers_age.map_or(-1.0, Span::as_millis).into()),
         ("proof_age_ms", vm.proof_age(now).map_or(-1.0, Span::as_millis).into()),
     ];
-    vm.log("news for followers", &fields);
+    vm.log("serving of updates changed", &fields);
 }
 
 fn update(vm: &Vm, cursor: Cursor) -> Result<Update, Decline> {
@@ -115,7 +120,7 @@
         return Err(Decline::Stops);
     }
     if !vm.has_followers(now) {
-        // From now on proofs are due earlier.
+        // With followers, proofs are due earlier.
         vm.prove.notify_one();
     }
     vm.asked.set(Some(now));
@@ -131,9 +136,11 @@
     Ok(vm.feed.borrow().since(cursor, status, now))
 }
 
-/// How the store does, given how current this VM is. Of a store that is lost no newer word is to be had; how old this
-/// one is, is told with it. It counts as lost until all is current again: 9 of 16 VMs read for themselves when the first
-/// had an answer about servers some milliseconds before its proof.
+/// Returns the state of the store to report, or the reason to serve no update if `current` is one.
+/// While the store is down nobody has anything newer, so outdated objects are served with their
+/// age. The store counts as down until all state is current again: otherwise, when the first VM had
+/// an answer about servers some milliseconds before its proof, 9 of 16 VMs read the store
+/// themselves.
 fn availability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
     match (vm.store(vm.now()), current) {
         (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
@@ -141,10 +148,10 @@
     }
 }
 
-/// Who read what this VM tells.
+/// Returns the VM that read the updates served here; this VM if it reads the store itself.
 fn origin(vm: &Vm) -> Origin {
-    let heard = vm.origin.borrow().clone();
-    heard.unwrap_or_else(|| Origin { reader: vm.settings.vm.clone(), hops: 0 })
+    let origin = vm.origin.borrow().clone();
+    origin.unwrap_or_else(|| Origin { reader: vm.settings.vm.clone(), hops: 0 })
 }
 
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
@@ -153,7 +160,7 @@
             .filter(|age| *age < longest.part(MAX_PROOF_AGE_FRACTION))
             .ok_or(Decline::OldProof)?;
     }
-    // A proof of the configuration says nothing of servers: they have an age of their own.
+    // A proof of the configuration does not cover servers, which have an age of their own.
     let servers = vm.feed.borrow().freshness(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
     let age = vm.now().since(servers.sent);
     if is_stale(age, vm.settings.bounds.leave_within) {
--- a/src/forward/positions.rs
+++ b/src/forward/positions.rs
@@ -1,32 +1,33 @@
-//! How new a VM's knowledge of each object is, so that no older word takes the place of a newer one, whoever says
-//! it: the store, by a list or a watch, or a reader, which may have been cut off for a while.
+//! Positions of the objects that a VM knows, so that an older state never replaces a newer one.
+//! States come from the store, by a list or a watch, and from a reader, which may have been
+//! partitioned for a while.
 
 use std::collections::{HashMap, HashSet};
 
 use super::kind::Kind;
 use crate::unit::{Era, Position};
 
-/// What is known of an object that is there.
+/// Positions of an object that exists.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// Position of the store at which it was so.
+    /// Newest position of the store at which the object was seen.
     as_of: Position,
     /// Position of the object's last change.
     changed: Position,
 }
 
-/// The objects that a VM knows.
+/// Positions of all objects that a VM knows.
 #[derive(Default)]
 pub struct Positions {
     objects: HashMap<(Kind, String), Entry>,
-    /// The newest position of the store at which objects of a kind were missing or gone: one that is not known
-    /// was not there then.
+    /// The newest position of the store at which objects of a kind were missing or removed; an
+    /// object that is not in `objects` did not exist at that position.
     gone_as_of: HashMap<Kind, Position>,
 }
 
 impl Positions {
-    /// Takes an object whose last change was at `changed`, as it stood at the store's position `as_of`. Returns true if
-    /// that is as new as what is known.
+    /// Records an object that last changed at `changed`, as seen at the store's position `as_of`.
+    /// Returns false, and records nothing, if a newer state is known.
     pub fn record(&mut self, kind: Kind, name: &str, changed: Position, as_of: Position) -> bool {
         let key = (kind, name.to_owned());
         let is_newest = match self.objects.get(&key) {
@@ -39,7 +40,8 @@
         is_newest
     }
 
-    /// Takes that an object was gone at the store's position `as_of`. Returns true if that is as new as what is known.
+    /// Records that an object did not exist at the store's position `as_of`. Returns false, and
+    /// records nothing, if a newer state is known.
     pub fn record_removal(&mut self, kind: Kind, name: &str, as_of: Position) -> bool {
         let key = (kind, name.to_owned());
         let newer = |known: &Entry| as_of < known.as_of.max(known.changed);
@@ -51,8 +53,9 @@
         true
     }
 
-    /// Takes that a list of the store's position `as_of` names just `listed`. The objects that are known and were gone
-    /// by then; each is still to be removed.
+    /// Records that a list of the store's position `as_of` had exactly the objects `listed`.
+    /// Returns the known objects that it lacks; the caller removes each with
+    /// [`Positions::record_removal`].
     pub fn missing_from_list(
         &mut self,
         kind: Kind,
@@ -66,13 +69,13 @@
         names.filter(|name| !listed.contains(name.as_str())).cloned().collect()
     }
 
-    /// Returns true if an answer of this era named an object.
+    /// Returns true if an object was last seen in this era of the store.
     pub fn was_seen_in(&self, kind: Kind, name: &str, era: Era) -> bool {
         let known = self.objects.get(&(kind, name.to_owned()));
         known.is_some_and(|known| known.as_of.era == era)
     }
 
-    /// Returns the objects of a kind that no answer of this era named.
+    /// Returns the objects of a kind that were last seen before this era of the store.
     pub fn last_seen_before(&self, kind: Kind, era: Era) -> Vec<String> {
         let of_kind = self.objects.iter().filter(|((of, _), _)| *of == kind);
         let earlier = of_kind.filter(|(_, known)| known.as_of.era < era);
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -1,4 +1,5 @@
-//! Proofs that the configuration is the newest: linearizable reads, dated to when they were sent.
+//! Proofs that the configuration is the newest: linearizable reads of the store, each dated to the
+//! moment when the read was sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,36 +15,38 @@
 use crate::platform::objects::{Objects, Read, Trouble};
 use crate::unit::Span;
 
-/// A proof is renewed once this part of its longest age has passed: the rest is for a store that
-/// is slow or away for a moment.
+/// A proof is renewed once it reaches this part of the longest age; the rest is a reserve for a
+/// store that is slow or unavailable for a moment.
 const RENEWAL_FRACTION: f64 = 0.7;
 
-/// The same for a VM that reads the store for others, as a part of that age and of the time in which a
-/// change must be in force: they need time to notice that it is gone and to read for themselves, and
-/// deny routes and keys by its proofs.
+/// A reader with followers renews its proof at these parts of the longest age and of the bound in
+/// which a change must be in force. Followers deny routes and keys by its proofs, and need time to
+/// notice that the reader is gone and to read the store themselves.
 const READER_RENEWAL_FRACTION: f64 = 0.35;
 const DENIAL_RENEWAL_FRACTION: f64 = 0.45;
 
-/// At the start the first list of the configuration has this long to bring a proof.
+/// Time for the first list of the configuration after the start, which is a proof as well.
 const STARTUP_LIST_GRACE: Span = Span::millis(300);
 
-/// Longest pause after a proof that failed, so that the store's return is noticed soon; among many VMs those that
-/// try tell the others.
+/// Longest delay after a failed proof. It is short so that recovery of the store is noticed soon;
+/// in a large fleet it is longer, since the VMs that try the store inform the others.
 const MAX_BACKOFF: Span = Span::millis(300);
 const MAX_BACKOFF_LARGE_FLEET: Span = Span::millis(600);
 
-/// The same where three others before this one try: the store may turn just those away.
+/// Longest delay while three VMs that rank before this one try the store. This one still tries,
+/// since the store may reject just those three.
 const MAX_BACKOFF_LOW_RANK: Span = Span::millis(2400);
 
-/// A VM that is not the first of its group leaves it to the first to prove that a store that was lost is back, for so long, and asks it
-/// meanwhile: several would read the same at once. Those that follow it hear of the return so much later.
+/// When the store recovers, a VM that is not the first of its group polls the first for this long
+/// instead of proving the recovery itself: several VMs would do the same read at once. Its
+/// followers learn of the recovery later by this time.
 const FIRST_VM_GRACE: Span = Span::millis(400);
 
-/// A VM for which others try the store looks again after this.
+/// Interval at which a VM that leaves the store to others checks whether that still holds.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Proves freshness ahead of the end of the last proof and whenever it is asked to, one read at a
-/// time. While another VM reads for this one it brings proofs too.
+/// Renews the proof before the last one expires and on request, one read at a time, until the
+/// process ends. While this VM follows another, that VM's updates bring proofs as well.
 pub async fn run(vm: Rc<Vm>) {
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
@@ -78,14 +81,16 @@
     }
 }
 
-/// Tries whether a store that was lost answers: by a read that may be old, which costs a tenth of a proof.
+/// Checks whether a store that was down answers again, by a stale read, which costs a tenth of a
+/// proof.
 async fn probe(vm: &Vm, store: &mut Objects) -> Result<(), Trouble> {
     let found = membership::probe(store).await;
     vm.count_call("probe-stale", &found);
     found
 }
 
-/// Whether the first of this VM's group has proved meanwhile, so that this VM follows it.
+/// Polls the first VM of the group for [`FIRST_VM_GRACE`]. Returns true if it has proved the
+/// configuration meanwhile, so that this VM follows it.
 async fn first_vm_took_over(vm: &Vm) -> bool {
     if vm.first_since.get().is_some() {
         return false;
@@ -102,7 +107,7 @@
     false
 }
 
-/// Notes that the store did not answer, and pauses.
+/// Records that the store did not answer, and sleeps for the next delay.
 async fn record_failure(vm: &Vm, trouble: &Trouble, backoff: &mut Backoff) {
     vm.store_failed(&trouble.to_string());
     vm.proof.notify_waiters();
@@ -117,8 +122,8 @@
     }
 }
 
-/// Whether this VM leaves it to others to try the store: it does not know yet whom to follow, or the VM that it follows
-/// says that the store is lost, and will tell when it is back.
+/// Returns true if this VM leaves it to others to try the store: it has not found a VM to follow
+/// yet, or the VM that it follows reports that the store is down and will report its recovery.
 fn is_left_to_others(vm: &Vm) -> bool {
     match *vm.role.borrow() {
         Role::Joins => true,
@@ -127,21 +132,21 @@
     }
 }
 
-/// Waits until a proof is due, or asked for. Whether it still is.
+/// Waits until a proof is due or requested. Returns true if it is still needed then.
 async fn wait_for_due(vm: &Vm) -> bool {
     let asked = vm.prove.notified();
     let proved = vm.proved.get();
-    // Without a bound on keys nobody needs a proof that was not asked for.
+    // Without a bound on the revocation of keys, proofs are needed only on request.
     let Some(wait) = until_due(vm) else {
         asked.await;
         return true;
     };
     let was_asked = tokio::time::timeout(wait.duration(), asked).await.is_ok();
-    // Another proof may have come meanwhile, with a list or from a reader.
+    // Another proof may have arrived meanwhile, with a list or from a reader.
     (was_asked || vm.proved.get() == proved) && !is_left_to_others(vm)
 }
 
-/// Time until the next proof is due.
+/// Returns the time until the next proof is due, or none if proofs are made only on request.
 fn until_due(vm: &Vm) -> Option<Span> {
     let longest = vm.longest_proof_age();
     let interval = if vm.reads() && vm.has_followers(vm.now()) {
@@ -150,7 +155,7 @@
     } else {
         longest?.part(RENEWAL_FRACTION)
     };
-    // The list at the start is a proof too; a little time is left to it.
+    // The list at the start is a proof too, so without one there is still a short wait for it.
     let age =
         vm.proof_age(vm.now()).unwrap_or(Span(interval.0.saturating_sub(STARTUP_LIST_GRACE.0)));
     Some(Span(interval.0.saturating_sub(age.0)))
--- a/src/forward/replica.rs
+++ b/src/forward/replica.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the platform lists them, and orders to roll a version out.
+//! Backend servers as the platform lists them, and orders to roll out a version.
 
 use std::net::SocketAddr;
 
@@ -6,37 +6,39 @@
 
 use crate::unit::{DataCentre, Position, Server, Service, Span, Version};
 
-/// One life of a backend server.
+/// One incarnation of a backend server: a process from its start to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Its id. One that starts again may keep it, and then holds and knows nothing of before.
+    /// Its id. A server that restarts may keep its id, but keeps no requests, cache or other state.
     pub id: Server,
-    /// When this life of it began, in milliseconds of its own clock since 1970; tells lives under one id apart.
+    /// Start of this incarnation in milliseconds since 1970 by the server's own clock, if the entry
+    /// gives it; tells incarnations under one id apart.
     pub started_at_ms: Option<u64>,
-    /// The service that it answers for.
+    /// The service that it belongs to.
     pub service: Service,
-    /// Where it listens.
+    /// Address where it listens.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentre,
     /// Version of its software.
     pub version: Version,
-    /// Requests that it works on at once.
+    /// Requests that it processes at the same time.
     pub slots: u32,
-    /// How much longer it is cold, as its entry says.
+    /// Remaining time of its cold start when the entry was written.
     pub cold: Span,
-    /// Whether it takes new work.
+    /// False if it is draining and must get no new requests.
     pub ready: bool,
 }
 
 impl Replica {
-    /// Whether this is the same life of the same server, as far as entries tell. Which of two is the later one is not for
-    /// its clock to say, which may step back: the store's revisions order them.
+    /// Returns true if `other` is the same incarnation of the same server, as far as entries show.
+    /// The start times can't tell which of two incarnations is the later one, since the server's
+    /// clock may step back; the store's revisions order them.
     pub fn is_same_incarnation(&self, other: &Replica) -> bool {
         self.matches_incarnation(&other.id, other.started_at_ms, other.address)
     }
 
-    /// Returns what names this life.
+    /// Returns the identity of this incarnation, as VMs send it to one another.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             server: self.id.clone(),
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The same, of a life that is told of by what names it.
+    /// Returns true if this is the incarnation with this id, start and address.
     pub fn matches_incarnation(
         &self,
         id: &Server,
@@ -56,45 +58,45 @@
     }
 }
 
-/// What names one life of a server between VMs.
+/// Identity of one incarnation of a server, in messages between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Its id.
+    /// Id of the server.
     pub server: Server,
-    /// When that life began, by its own clock.
+    /// Start of the incarnation in milliseconds since 1970 by the server's own clock.
     pub started_at_ms: Option<u64>,
-    /// Where it listens.
+    /// Address where it listens.
     pub address: SocketAddr,
 }
 
-/// How far a roll-out has come, as it stands in the store.
+/// Progress of a roll-out, as written in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// This share of sessions goes to the new version.
+    /// A share of sessions goes to the new version.
     Running {
-        /// From 0 to 1.
+        /// Share of sessions, from 0 to 1.
         share: f64,
     },
-    /// The new version has taken over.
+    /// All sessions go to the new version.
     Completed,
-    /// The new version was found bad.
+    /// The new version was found bad and gets no sessions.
     RolledBack,
 }
 
-/// The operator's order to move a service to a version, and how far it has come.
+/// The operator's order to roll out a version of a service, and its progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
     /// The service.
     pub service: Service,
     /// The new version.
     pub version: Version,
-    /// Time in which it is to be done.
+    /// Time in which the roll-out is to complete.
     pub within: Span,
-    /// How far it has come, as far as this VM knows; none before the first step.
+    /// Progress that this VM knows; none before the first step.
     pub phase: Option<Phase>,
-    /// The phase that the store has.
+    /// Progress that is written in the store.
     pub stored: Option<Phase>,
-    /// The object's position, for a conditional update.
+    /// Position of the object's last change, for conditional writes.
     pub position: Position,
 }
 
@@ -105,7 +107,7 @@
         order(self) == order(other)
     }
 
-    /// Keeps the phase of an earlier state of the same order if that has come further.
+    /// Keeps the phase of an earlier state of the same order unless the present phase is further.
     pub fn keep_progress(&mut self, earlier: &Rollout) {
         if progress(earlier.phase) >= progress(self.phase) {
             self.phase = earlier.phase;
@@ -117,13 +119,13 @@
         self.phase != self.stored
     }
 
-    /// Whether it has not ended, in either way.
+    /// Returns true if the roll-out has neither completed nor been rolled back.
     pub fn is_open(&self) -> bool {
         !matches!(self.phase, Some(Phase::Completed | Phase::RolledBack))
     }
 }
 
-/// Orders the phases of one order by how far it has come; both ends are as far.
+/// Returns a key that orders phases by progress; completed and rolled back are equal.
 fn progress(phase: Option<Phase>) -> (u8, f64) {
     match phase {
         None => (0, 0.0),
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -1,7 +1,7 @@
-//! What holds after the platform's store was restored from a copy.
+//! Handles a restore of the platform's store from a backup.
 //!
-//! The copy lacks what was written last, and its owners write that again within a short time. Until then
-//! the copy does not undo what this VM knows to be newer.
+//! The backup lacks the last writes, and their owners write them again within a short time. Until
+//! then the restored state does not undo what this VM knows to be newer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,62 +15,65 @@
 use super::vm::Vm;
 use crate::unit::{Moment, Position, Span};
 
-/// Time after a restore within which owners write again what the copy lacks. Servers write every second
-/// or so; an operator's tool may take longer to notice.
+/// Time after a restore within which owners write again what the backup lacks. Servers write about
+/// every second; an operator's tool may take longer to notice the restore.
 pub const REWRITE_GRACE: Span = Span::secs(5);
 
-/// Time between two messages about the same servers; one that is sent to a VM just after its start may be lost.
+/// Interval of the messages about disputed servers. They are repeated because one sent to a VM just
+/// after its start may be lost.
 const DISPUTE_BROADCAST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A restore that this VM noticed.
+/// A restore of the store that this VM has noticed.
 #[derive(Clone, Copy, Debug)]
 pub struct Restore {
-    /// When.
+    /// When this VM noticed it.
     pub at: Moment,
-    /// First position that was read in the new era; objects that changed later were written in it.
+    /// First position that was read in the new era; objects that changed later were written after
+    /// the restore. None until a position was read.
     pub base: Option<Position>,
 }
 
 impl Restore {
-    /// Returns true if an object that last changed at `position` may stem from the copy, and its owner
-    /// may not have had time to write again.
+    /// Returns true if an object that last changed at `position` may come from the backup, and its
+    /// owner may not have had time to write it again.
     pub fn covers(&self, position: Position, now: Moment) -> bool {
         self.is_recent(now) && self.base.is_none_or(|base| position <= base)
     }
 
-    /// Returns true if owners may not have had time to write again.
+    /// Returns true while owners may not have had time to write their objects again.
     pub fn is_recent(&self, now: Moment) -> bool {
         now.since(self.at) < REWRITE_GRACE
     }
 }
 
-/// A restore as one VM passes it on to another.
+/// A restore as one VM reports it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Time since it was noticed, when this is answered.
+    /// Time since the restore was noticed, when the update is sent.
     age: Span,
     base: Position,
-    /// Lives of servers that leave or have gone, and that the copy calls ready.
+    /// Incarnations of servers that are draining or gone but that the backup lists as ready.
     pub disputed: Vec<Incarnation>,
 }
 
 impl Notice {
-    /// Returns the notice of the last restore, if owners may not have had time to write again.
+    /// Returns the notice of the last restore, or none if owners have had time to write their
+    /// objects again or no position of the new era was read.
     pub fn of(vm: &Vm, now: Moment) -> Option<Notice> {
         let restore = (*vm.restored.borrow()).filter(|restore| restore.is_recent(now))?;
         let disputed = vm.fleet.borrow().disputed().cloned().collect();
         Some(Notice { age: now.since(restore.at), base: restore.base?, disputed })
     }
 
-    /// Returns the restore, dated so that it cannot look later than it was if the question was sent at
-    /// `asked`.
+    /// Returns the restore, dated so that it can't look later than it was if the request was sent
+    /// at `asked`.
     pub fn at(&self, asked: Moment) -> Restore {
         Restore { at: Moment(asked.0.saturating_sub(self.age.0)), base: Some(self.base) }
     }
 }
 
-/// Enters each new era of the store, whichever call it was that met it, and counts anomalies of the
-/// header until the process ends.
+/// Enters each new era of the store, whichever call found it, and counts anomalies of the era
+/// header, until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     loop {
         vm.era.changed.notified().await;
@@ -84,12 +87,12 @@
     let (before, count) = (counter.get(), vm.era.count(anomaly));
     counter.inc_by(count - before);
     if before == 0 && count > 0 {
-        vm.log("era of the store not taken", &[("why", anomaly.name().into())]);
+        vm.log("anomalous store era header", &[("why", anomaly.name().into())]);
     }
 }
 
-/// Tells other VMs, for as long as that may be so, which servers the copy wrongly calls ready: one that
-/// starts meanwhile and reads the copy knows no better.
+/// Sends other VMs the servers that the backup wrongly lists as ready, repeatedly while there are
+/// any: a VM that starts meanwhile and reads the restored store has no other source.
 pub async fn broadcast_disputes(vm: Rc<Vm>) {
     loop {
         let disputed: Vec<Incarnation> = vm.fleet.borrow().disputed().cloned().collect();
@@ -101,7 +104,8 @@
     }
 }
 
-/// Applies what the copy says once its time is over, after each restore, until the process ends.
+/// Applies the held-back state of the backup when the grace time after a restore ends, after each
+/// restore, until the process ends.
 pub async fn accept_after_grace(vm: Rc<Vm>) {
     let mut restored = vm.restored.subscribe();
     loop {
@@ -110,7 +114,7 @@
         };
         let left = (restore.at + REWRITE_GRACE).since(vm.now());
         if left > Span(0) {
-            // A second restore begins a time of its own.
+            // A second restore starts the grace time anew.
             tokio::time::sleep(left.duration()).await;
             continue;
         }
--- a/src/forward/role.rs
+++ b/src/forward/role.rs
@@ -1,33 +1,33 @@
-//! Who reads the platform's store for a VM, and why one gives no news.
+//! Roles of VMs in reading the platform's store, and reasons to serve no updates.
 
 use serde::{Deserialize, Serialize};
 
 use crate::unit::Vm as Name;
 
-/// Who reads the store for a VM.
+/// How a VM gets the state of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Nobody yet: it has just started and looks for others.
+    /// It has just started and looks for a VM to follow.
     Joins,
-    /// Itself.
+    /// It reads the store itself.
     Reads,
-    /// Another VM, or one that this one follows in its turn.
+    /// It polls this VM, which reads the store or follows another VM in its turn.
     Follows(Name),
 }
 
-/// Why a VM gives no news.
+/// Why a VM serves no updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decline {
-    /// The question does not read.
+    /// The request could not be decoded.
     Unreadable,
-    /// It does not know all kinds yet.
+    /// It does not know all kinds of objects yet.
     KnowsTooLittle,
-    /// It stood still a moment ago, so what it believes may be of before.
+    /// The process was frozen a moment ago, so its state may be outdated.
     HeldUp,
-    /// It stops.
+    /// It is shutting down.
     Stops,
     /// Its proof of the configuration is too old.
     OldProof,
-    /// What it knows of servers is too old.
+    /// Its state of the servers is too old.
     OldServers,
 }
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -1,4 +1,4 @@
-//! Tasks that keep this VM's knowledge of the platform's objects up to date.
+//! Tasks that keep this VM's objects up to date by lists and watches of the platform's store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,45 +13,49 @@
 };
 use crate::unit::{Moment, Position, Span};
 
-/// Longest wait of a watch. The store allows 30 s, but an answer may be lost without a word, and
-/// then nothing is heard for so long.
+/// Longest time that a watch request waits for events. The store allows 30 s, but an answer may be
+/// lost without an error, and then no event arrives for that long.
 const WATCH_TIMEOUT: Span = Span::secs(6);
 
-/// Longest wait of a watch of roll-outs, as a part of the time in which a version found bad is out of use: one that
-/// hangs is asked anew 3.4 s of 5 s after the change at the latest, 7.4 s with the wait above.
+/// Longest wait of a watch of roll-outs, as a part of the bound in which a version found bad must
+/// be out of use: with a bound of 5 s, a watch that hangs is repeated at most 3.4 s after the
+/// change, and after 7.4 s with [`WATCH_TIMEOUT`].
 const ROLLOUTS_WATCH_FRACTION: f64 = 0.4;
 
-/// The same for orders to empty a data centre, as a part of the time in which they are due: a watch that hangs is asked
-/// anew 3.2 s of 5 s after the order at the latest.
+/// Longest wait of a watch of evacuations, as a part of the bound in which a data centre must be
+/// evacuated: with a bound of 5 s, a watch that hangs is repeated at most 3.2 s after the order.
 const EVACUATIONS_WATCH_FRACTION: f64 = 0.4;
 
-/// Backoff after an event, so that those of one change come with one call.
+/// Delay after an event, so that all events of one change come with one call.
 const EVENT_BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Servers are asked for so often, as a part of the time in which one that leaves may still get work. A watch that
-/// waits proves nothing while it waits: one that hung on a connection which a cut of 0.8 s had slowed kept
-/// an entry back for 2.0 s, while proofs of the configuration went on over a new one.
+/// Interval of polls for changes of servers, as a part of the bound in which a draining server may
+/// still get requests. Servers are polled because a watch that waits proves nothing: one that hung
+/// on a connection slowed by a network cut of 0.8 s delayed an entry by 2.0 s, while proofs of the
+/// configuration went on over a new connection.
 const SERVERS_POLL_FRACTION: f64 = 0.3;
 
-/// An answer about servers that comes later than this may not come at all: a store whose answers took 60 times as
-/// long as usual gave them after 240 ms.
+/// An answer about servers that takes longer than this may not come at all. A store that was 60
+/// times slower than usual answered after 240 ms.
 const SLOW_ANSWER_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// Longest pause after a failed call.
+/// Longest delay after a failed call.
 const MAX_BACKOFF: Span = Span::millis(1000);
 
-/// A follower that waits for the store's return looks again after this at the latest.
+/// A task that waits for the store to recover checks again after this at the latest.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// At the store's return a VM that is not the first of its group leaves it so much time to have news, which tries every
-/// 0.6 s and is asked every 0.35 s: several would ask for all kinds at once.
+/// When the store recovers, a VM that is not the first of its group waits this long for updates
+/// from the first, which tries the store every 0.6 s and is polled every 0.35 s. Otherwise several
+/// VMs would list all kinds at once.
 const RECOVERY_YIELD: Duration = Duration::from_millis(900);
 
-/// Time between two looks for entries that lapsed.
+/// Interval of the checks for lapsed entries.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows a kind of objects until the process ends. While another VM reads the store for this one, own reading
-/// rests; when it begins it goes on from what is known, if the store still tells the changes since then.
+/// Lists and watches a kind of objects until the process ends. Pauses while another VM reads the
+/// store for this one, and then resumes from the known position if the store still has the changes
+/// since then.
 pub async fn watch_kind(vm: Rc<Vm>, kind: Kind) {
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
@@ -61,9 +65,9 @@
     loop {
         if !vm.reads() {
             let _ = role.wait_for(|role| *role == Role::Reads).await;
-            from = vm.feed.borrow().freshness(kind).map(|reading| reading.position);
+            from = vm.feed.borrow().freshness(kind).map(|freshness| freshness.position);
             backoff = Backoff::default();
-            // What was heard of the store while another read is no reason to ask later.
+            // A recovery of the store that was noticed while another VM read is no reason to wait.
             regained.borrow_and_update();
         }
         wait_for_store(&vm, &mut regained).await;
@@ -86,8 +90,8 @@
                         store.disconnect();
                         continue;
                     }
-                    // The way to the store was lost and is back: what the watch missed is asked
-                    // for anew, and the old connection may lead nowhere.
+                    // The store is reachable again: request what the watch missed, on a new
+                    // connection, since the old one may be dead.
                     _ = regained.changed() => {
                         store.disconnect();
                         Ok((position, false))
@@ -98,22 +102,23 @@
         let call = if from.is_some() { "watch" } else { "list" };
         vm.count_call(&format!("{call}-{}", kind.name()), &result);
         match result {
-            Ok((position, some)) => {
+            Ok((position, has_events)) => {
                 vm.store_answered();
                 from = from.max(Some(position));
                 backoff = Backoff::default();
-                let rest = match kind {
+                let delay = match kind {
                     Kind::Servers => until_servers_due(&vm, sent),
-                    _ if some => EVENT_BATCH_DELAY,
+                    _ if has_events => EVENT_BATCH_DELAY,
                     _ => Duration::ZERO,
                 };
-                // The store's return ends the pause: what was missed is asked for at once, and anew.
-                if tokio::time::timeout(rest, regained.changed()).await.is_ok() {
+                // If the store recovers meanwhile, request what was missed at once, on a new
+                // connection.
+                if tokio::time::timeout(delay, regained.changed()).await.is_ok() {
                     store.disconnect();
                 }
             }
             Err(Trouble::HistoryGone) => {
-                vm.log("history lost", &[("kind", kind.name().into())]);
+                vm.log("watch history expired", &[("kind", kind.name().into())]);
                 from = None;
             }
             Err(trouble) => {
@@ -121,11 +126,11 @@
                     "store call failed",
                     &[("kind", kind.name().into()), ("why", trouble.to_string().as_str().into())],
                 );
-                // Those that follow this VM may ask others meanwhile.
+                // Followers of this VM may poll others meanwhile.
                 vm.doubts_store.set(vm.doubts_store.get() || kind == Kind::Servers);
-                // A proof tells whether the store is lost or this call alone.
+                // A proof shows whether the store is down or only this call failed.
                 vm.prove.notify_one();
-                // News that the store is back ends the pause.
+                // Recovery of the store ends the delay.
                 let wait = backoff.next_delay(MAX_BACKOFF).duration();
                 let _ = tokio::time::timeout(wait, regained.changed()).await;
             }
@@ -133,7 +138,7 @@
     }
 }
 
-/// Waits while a proof is tried that tells whether the store is lost, and for its return.
+/// Waits for a pending proof that shows whether the store is down, and if it is, for its recovery.
 async fn wait_for_store(vm: &Vm, regained: &mut tokio::sync::watch::Receiver<u64>) {
     if vm.unsure.get() {
         let _ = tokio::time::timeout(ANSWER_WITHIN.duration(), vm.proof.notified()).await;
@@ -149,7 +154,8 @@
     }
 }
 
-/// Changes of a kind: of servers those that there are, of others as soon as there is one.
+/// Returns changes of a kind since `from`: of servers those that exist now, of other kinds as soon
+/// as there is one.
 async fn watch(
     vm: &Vm,
     kind: Kind,
@@ -159,7 +165,8 @@
 ) -> Result<Events, Trouble> {
     let wait = match kind {
         Kind::Servers => {
-            // A connection that hangs is given up soon; a store that is slow has more time after that.
+            // The first timeout is short, for a connection that hangs; a slow store gets more time
+            // at the next call.
             let within = if backoff.has_failed() { ANSWER_WITHIN } else { ANSWER_SOON };
             let changes = store.changes(kind.name(), from, within);
             return flag_if_slow(vm, changes).await;
@@ -170,13 +177,14 @@
         Kind::Evacuations => {
             WATCH_TIMEOUT.min(vm.settings.bounds.empty_within.part(EVACUATIONS_WATCH_FRACTION))
         }
-        // The proof reads the configuration itself, and nothing is due of VMs.
+        // Proofs read the configuration as well, and changes of VMs have no bound.
         Kind::Config | Kind::Vms => WATCH_TIMEOUT,
     };
     store.watch(kind.name(), from, wait).await
 }
 
-/// Waits for an answer; when it is late, those that follow this VM are told so, and may ask others.
+/// Waits for an answer; if it is late, flags the store as doubtful, so that followers of this VM
+/// may poll others.
 async fn flag_if_slow<T>(vm: &Vm, call: impl Future<Output = T>) -> T {
     let mut call = std::pin::pin!(call);
     if let Ok(answer) = tokio::time::timeout(SLOW_ANSWER_THRESHOLD, &mut call).await {
@@ -186,7 +194,7 @@
     call.await
 }
 
-/// Time until servers are to be asked for again, if the last question was sent at `sent`.
+/// Returns the time until the next poll for servers, if the last one was sent at `sent`.
 fn until_servers_due(vm: &Vm, sent: Moment) -> Duration {
     let due = sent + vm.settings.bounds.leave_within.part(SERVERS_POLL_FRACTION);
     due.since(vm.now()).duration()
@@ -199,7 +207,8 @@
     Ok((listing.position(), false))
 }
 
-/// Takes a list that was asked for at `sent`; one of the configuration proves that it is the newest.
+/// Applies a list that was requested at `sent`; a list of the configuration also proves that this
+/// configuration is the newest.
 pub fn apply_listing(vm: &Vm, kind: Kind, listing: &Listing, sent: Moment) {
     let source = Source { reader: None, as_of: listing.position() };
     let configuration = apply::apply_list(vm, kind, &listing.items, &source);
@@ -224,7 +233,8 @@
     }
 }
 
-/// Drops entries that lapsed while the store was away and did not come back.
+/// Removes servers whose entries lapsed while the store was unavailable and were not written again,
+/// until the process ends.
 pub async fn expire_servers(vm: Rc<Vm>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -154,7 +154,7 @@
     std::thread::sleep(Duration::from_millis(1600));
     site.store.remove("evacuations", "there");
     eventually("it is known", || {
-        vm.lines().iter().any(|line| line["event"] == "data centre taken back")
+        vm.lines().iter().any(|line| line["event"] == "evacuation withdrawn")
     });
     std::thread::scope(|scope| {
         (0..20).for_each(|number| {
--- a/tests/emptied.rs
+++ b/tests/emptied.rs
@@ -37,7 +37,7 @@
     let vms = [site.start_in("there"), site.start_in("there")];
     are_ready(&vms);
     site.store.put(ORDERS, "there", json!({}));
-    eventually("all know the order", || vms.iter().all(|vm| heard(vm, "data centre emptied")));
+    eventually("all know the order", || vms.iter().all(|vm| heard(vm, "data centre evacuated")));
     let before = emptied.seen().len();
     for number in 0..20 {
         assert_eq!(send(&vms[number % 2], &format!("e{number}")), 200);
@@ -69,7 +69,7 @@
         eventually("it has begun", || !emptied.seen().is_empty());
         site.replica("r2", "v1");
         site.store.put(ORDERS, "there", json!({}));
-        eventually("the order is known", || heard(&vm, "data centre emptied"));
+        eventually("the order is known", || heard(&vm, "data centre evacuated"));
         stream.join().unwrap()
     });
     assert!(answer.whole);
@@ -82,7 +82,7 @@
     let emptied = site.replica_with("r1", json!({"zone": "there"}));
     let vm = site.start_ready();
     site.store.put(ORDERS, "there", json!({}));
-    eventually("the order is known", || heard(&vm, "data centre emptied"));
+    eventually("the order is known", || heard(&vm, "data centre evacuated"));
     let begun = Instant::now();
     let answer = ask(vm.callers, &head("GET /safe/x", "r1", ""), b"");
     assert_eq!(answer.status, 503);
--- a/tests/forward.rs
+++ b/tests/forward.rs
@@ -438,7 +438,7 @@
         site.store.switch(Switches::default());
         eventually("the new route is served", || status(&format!("/{name}/x")) == 200);
     }
-    for event in ["history lost", "store regained"] {
+    for event in ["watch history expired", "store regained"] {
         eventually(event, || vm.lines().iter().any(|line| line["event"] == event));
     }
 }
@@ -451,7 +451,9 @@
     site.store.put("config", "main", json!({"version": "seven", "routes": 3}));
     eventually("it is counted", || vm.counter(&["kitepulley_unreadable", "config"]) >= 1.0);
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "g", ""), b"").status, 200);
-    eventually("it is told", || vm.lines().iter().any(|line| line["event"] == "object not read"));
+    eventually("it is told", || {
+        vm.lines().iter().any(|line| line["event"] == "invalid object ignored")
+    });
 }
 
 #[test]
