--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -82,9 +82,9 @@
 /// Answer to a follower's poll: what changed since its cursor, and the state of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Who read it.
+    /// The VM that read it from the store.
     pub origin: Origin,
-    /// How the store does.
+    /// Whether the store answers.
     pub store: Reachability,
     /// Cursor of the follower once it has applied these changes.
     pub cursor: Cursor,
@@ -92,15 +92,16 @@
     pub is_full: bool,
     /// The changes, in the order in which they are applied.
     pub changes: Packed,
-    /// Proof that a configuration is the newest.
+    /// Proof that a configuration is the newest, if the sender has one.
     pub proof: Option<Proof>,
     /// How current each kind is; kinds that were never read are missing.
     pub freshness: Vec<Staleness>,
-    /// The last restore of the store, if owners may not have had time to write again.
+    /// The last restore of the store, while owners may not have had time to write their objects
+    /// again.
     pub restore: Option<Notice>,
-    /// What it makes of versions that are rolled out.
+    /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<tally::Told>,
-    /// Contents that it holds back.
+    /// Request contents that the sender holds back.
     pub held: Vec<poison::Told>,
 }
 
@@ -119,17 +120,18 @@
 /// The part of an [`Update`] that does not come from the feed itself.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// Who read it.
+    /// The VM that read it from the store.
     pub origin: Origin,
-    /// How the store does.
+    /// Whether the store answers.
     pub store: Reachability,
-    /// Proof that a configuration is the newest.
+    /// Proof that a configuration is the newest, if the sender has one.
     pub proof: Option<Proof>,
-    /// The last restore of the store, if owners may not have had time to write again.
+    /// The last restore of the store, while owners may not have had time to write their objects
+    /// again.
     pub restore: Option<Notice>,
-    /// What it makes of versions that are rolled out.
+    /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<tally::Told>,
-    /// Contents that it holds back.
+    /// Request contents that the sender holds back.
     pub held: Vec<poison::Told>,
 }
 
--- a/src/forward/kind.rs
+++ b/src/forward/kind.rs
@@ -14,11 +14,11 @@
     Config,
     /// Entries of backend servers.
     Servers,
-    /// Orders to roll versions out.
+    /// Orders to roll out versions.
     Rollouts,
     /// Orders to evacuate a data centre.
     Evacuations,
-    /// The entry VMs themselves.
+    /// Registrations of the entry VMs.
     Vms,
 }
 
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -126,7 +126,7 @@
     vm.asked.set(Some(now));
     let proof_age = vm.proof_age(now);
     let verdicts = tally::verdicts(vm);
-    let store = availability(vm, check_ages(vm, proof_age))?;
+    let store = reachability(vm, check_ages(vm, proof_age))?;
     let held = poison::held(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
@@ -141,7 +141,7 @@
 /// age. The store counts as down until all state is current again: otherwise, when the first VM had
 /// an answer about servers some milliseconds before its proof, 9 of 16 VMs read the store
 /// themselves.
-fn availability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
+fn reachability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
     match (vm.store(vm.now()), current) {
         (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
         (store, current) => current.map(|()| store),
