--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a request at one server, until its answer is whole or its first event is there.
+//! One attempt: sends a request to one server and waits until the response is complete or, for a
+//! stream, its first event has arrived.
 
 use std::rc::Rc;
 
@@ -21,56 +22,57 @@
 use crate::platform::header::{self, Extra};
 use crate::unit::{Model, Moment, Rate, Span};
 
-/// A connection that does not open within this is tried elsewhere; the servers are some
+/// Another server is tried if the connection does not open within this time; the servers are a few
 /// milliseconds away.
-const OPEN_WITHIN: Span = Span::millis(350);
+const CONNECT_TIMEOUT: Span = Span::millis(350);
 
-/// Largest answer that is not a stream.
-const LARGEST: usize = 8 * 1024 * 1024;
+/// Largest response body in bytes that is not a stream.
+const MAX_BODY_SIZE: usize = 8 * 1024 * 1024;
 
-/// Answers for other requests that may precede ours on a connection.
-const STRANGERS: u32 = 2;
+/// Responses to earlier requests that may precede the response to this one on a connection.
+const MAX_STALE_RESPONSES: u32 = 2;
 
-/// Why an attempt has no answer whose server began a later life.
-const BEFORE_A_LATER_LIFE: &str = "before the server started again";
+/// Ends the reason of an attempt whose server restarted before it responded.
+const BEFORE_RESTART: &str = "before the server restarted";
 
-/// What an attempt brought.
+/// The result of an attempt.
 pub struct Outcome {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: End,
-    /// Why, in words, if it is no good end.
+    /// Human-readable reason; empty if the attempt succeeded.
     pub reason: String,
-    /// The answer's head, as the server gave it and as it was understood.
+    /// The response head as the server sent it, and as parsed.
     pub head: Option<(ResponseHead, Response)>,
-    /// The body, if it is whole.
+    /// The complete body; empty for a stream.
     pub body: Bytes,
-    /// The rest of a stream.
+    /// The open stream, if the response is one.
     pub stream: Option<Stream>,
 }
 
-/// A stream whose first whole event, or end, has arrived.
+/// A stream whose first complete event, or end, has arrived.
 pub struct Stream {
-    /// Where the rest comes from.
+    /// The connection that the remaining events come from.
     pub connection: Connection,
-    /// Events that arrived and are not passed on.
+    /// Bytes that have arrived and are not relayed yet.
     pub events: EventBuffer,
-    /// The first whole events.
+    /// The first complete events, until they are relayed.
     pub first_batch: Option<Batch>,
-    /// Whether the server ended it.
+    /// Set once the server has ended the stream.
     pub ended: bool,
-    /// When its first event, or its end, arrived.
+    /// When the first event, or the end of the stream, arrived.
     pub started_at: Moment,
-    /// Counts the request at the server.
+    /// Counts the request as open at the server until the stream is dropped.
     pub open: OpenRequest,
 }
 
 impl Stream {
-    /// Reads what arrives next, or finds that the server ended the stream.
+    /// Reads the next chunk into the buffer, or sets `ended` at the end of the stream.
     ///
     /// # Errors
-    /// `Broken` if it broke off, or ended within an event.
+    /// `Broken` if the connection broke, or the stream ended within an event or exceeded the
+    /// maximum event size.
     pub async fn read(&mut self) -> Result<(), Fault> {
-        let broken = |why: &str| Err(Fault::Broken(why.to_owned()));
+        let broken = |reason: &str| Err(Fault::Broken(reason.to_owned()));
         match self.connection.read_chunk().await? {
             Some(bytes) if self.events.push(&bytes) => Ok(()),
             Some(_) => broken("an event without an end"),
@@ -84,46 +86,49 @@
 }
 
 impl Outcome {
-    fn without_answer(end: End, why: impl Into<String>) -> Outcome {
-        Outcome { end, reason: why.into(), head: None, body: Bytes::new(), stream: None }
+    fn without_response(end: End, reason: impl Into<String>) -> Outcome {
+        Outcome { end, reason: reason.into(), head: None, body: Bytes::new(), stream: None }
     }
 }
 
-/// Sends a request to a server and waits until `until`; its prompt is `waiting` there meanwhile.
+/// Sends a request to a server and waits for the response until the moment `until`. `pending`
+/// counts the prompt as unread at the server and is dropped when the attempt ends.
 pub async fn run(
     job: &Job,
     replica: &Replica,
     model: Option<&Model>,
-    after_event: Option<u64>,
-    waiting: PendingPrompt,
+    last_event_id: Option<u64>,
+    pending: PendingPrompt,
     until: Moment,
 ) -> Outcome {
     let vm = &job.vm;
     let open = OpenRequest::new(vm, replica);
-    let over = open.server_restarted();
+    let restarted = open.server_restarted();
     let mut sent = false;
     let left = until.since(vm.now()).duration();
-    let exchange = exchange(job, replica, model, after_event, &waiting, open, &mut sent);
+    let exchange = exchange(job, replica, model, last_event_id, &pending, open, &mut sent);
     let outcome = tokio::select! {
         ended = tokio::time::timeout(left, exchange) => ended.map_err(|_| "in time"),
-        () = over.notified() => Err(BEFORE_A_LATER_LIFE),
+        () = restarted.notified() => Err(BEFORE_RESTART),
     };
-    let is_lost = outcome.as_ref().is_err_and(|why| *why == BEFORE_A_LATER_LIFE);
+    let is_lost = outcome.as_ref().is_err_and(|reason| *reason == BEFORE_RESTART);
     let outcome = match outcome {
         Ok(outcome) => outcome,
-        Err(why) if sent => Outcome::without_answer(End::Late, format!("no answer {why}")),
-        Err(why) => Outcome::without_answer(End::NotSent, format!("no connection {why}")),
+        Err(reason) if sent => {
+            Outcome::without_response(End::Late, format!("no response {reason}"))
+        }
+        Err(reason) => Outcome::without_response(End::NotSent, format!("no connection {reason}")),
     };
-    drop(waiting);
-    note(job, replica, &outcome);
+    drop(pending);
+    record_outcome(job, replica, &outcome);
     if outcome.end == End::Broken || is_lost {
         crash::on_broken_response(vm, replica, Broken { content: job.content, ran: false });
     }
     outcome
 }
 
-/// Keeps what an attempt told about its server.
-fn note(job: &Job, replica: &Replica, outcome: &Outcome) {
+/// Records the result of an attempt in the metrics, the request's record and the server's state.
+fn record_outcome(job: &Job, replica: &Replica, outcome: &Outcome) {
     let vm = &job.vm;
     let now = vm.now();
     let end = format!("{:?}", outcome.end);
@@ -132,12 +137,12 @@
     let mut fleet = vm.fleet.borrow_mut();
     let usual = fleet.failures(&job.service, now);
     let Some(server) = fleet.life_mut(replica) else { return };
-    if let Some(load) = outcome.head.as_ref().and_then(|(_, answer)| answer.load) {
+    if let Some(load) = outcome.head.as_ref().and_then(|(_, response)| response.load) {
         server.load.hear(load.running + load.waiting, now);
     }
-    let is_another =
+    let is_misdirected =
         |(head, _): &(ResponseHead, Response)| head.status == StatusCode::MISDIRECTED_REQUEST;
-    if outcome.head.as_ref().is_some_and(is_another) {
+    if outcome.head.as_ref().is_some_and(is_misdirected) {
         server.standing.note_another();
     }
     let left_out = server.standing.note(outcome.end, usual, now);
@@ -145,7 +150,7 @@
     drop(fleet);
     if left_out {
         vm.log(
-            "server left out",
+            "server ejected",
             &[
                 ("server", replica.id.as_str().into()),
                 ("after", outcome.reason.as_str().into()),
@@ -160,98 +165,102 @@
     job: &Job,
     replica: &Replica,
     model: Option<&Model>,
-    after_event: Option<u64>,
-    waiting: &PendingPrompt,
+    last_event_id: Option<u64>,
+    pending: &PendingPrompt,
     open: OpenRequest,
     sent: &mut bool,
 ) -> Outcome {
     let vm = &job.vm;
     let repeatable = job.route.repeat != Repeat::Never;
     let now = vm.now();
-    let resting = {
+    let pooled = {
         let mut fleet = vm.fleet.borrow_mut();
         fleet.life_mut(replica).and_then(|server| server.pool.checkout(repeatable, now))
     };
-    let mut connection = match pool::reuse_or_open(resting, replica.address, OPEN_WITHIN).await {
+    let mut connection = match pool::reuse_or_open(pooled, replica.address, CONNECT_TIMEOUT).await {
         Ok(connection) => connection,
-        Err(fault) => return broken(fault),
+        Err(fault) => return outcome_of(fault),
     };
     let forbidden = vm.fleet.borrow().forbids(replica, vm.now());
     if let Some(bar) = forbidden {
         release_connection(job, replica, connection, None);
-        return Outcome::without_answer(End::Withheld, bar.to_string());
+        return Outcome::without_response(End::Withheld, bar.to_string());
     }
-    if let Err(why) = waiting.turn.spend(vm.now()) {
+    if let Err(reason) = pending.turn.spend(vm.now()) {
         release_connection(job, replica, connection, None);
-        return Outcome::without_answer(End::Withheld, why.to_string());
+        return Outcome::without_response(End::Withheld, reason.to_string());
     }
     let extra = Extra {
         replica,
         left: job.left(vm.now()),
         workspace: job.holder.as_ref().map(|holder| &holder.workspace),
         model,
-        priority: job.route.streams.then(|| job.priority(waiting.prefill_time, vm.now())),
-        after_event,
+        priority: job.route.streams.then(|| job.priority(pending.prefill_time, vm.now())),
+        after_event: last_event_id,
     };
     let head = header::request(&job.head, &extra);
-    // From here on a byte may leave.
+    // From here on bytes may have been sent.
     *sent = true;
-    let (head, answer) = match answer(job, replica, &mut connection, head).await {
+    let (head, response) = match send_and_read_head(job, replica, &mut connection, head).await {
         Ok(answered) => answered,
-        Err(fault) => return broken(fault),
+        Err(fault) => return outcome_of(fault),
     };
-    if head.status.is_success() && (!answer.signed || answer.encoded) {
-        return Outcome::without_answer(End::Broken, "a success that the server did not sign");
+    if head.status.is_success() && (!response.signed || response.encoded) {
+        return Outcome::without_response(
+            End::Broken,
+            "the success response is unsigned or encoded",
+        );
     }
     if head.status.is_success() && job.route.streams {
-        return first_event(vm, connection, open, head, answer).await;
+        return read_first_event(vm, connection, open, head, response).await;
     }
-    let body = match connection.read_body(LARGEST).await {
+    let body = match connection.read_body(MAX_BODY_SIZE).await {
         Ok(body) => body,
-        Err(fault) => return broken(fault),
+        Err(fault) => return outcome_of(fault),
     };
-    let end = match (answer.not_run, head.status.is_server_error()) {
+    let end = match (response.not_run, head.status.is_server_error()) {
         (true, _) => End::NotRun,
         (false, true) => End::Failed,
         (false, false) => End::Good,
     };
-    release_connection(job, replica, connection, answer.idle_timeout);
-    let why = if end == End::Good { String::new() } else { head.status.as_str().to_owned() };
-    Outcome { end, reason: why, head: Some((head, answer)), body, stream: None }
+    release_connection(job, replica, connection, response.idle_timeout);
+    let reason = if end == End::Good { String::new() } else { head.status.as_str().to_owned() };
+    Outcome { end, reason, head: Some((head, response)), body, stream: None }
 }
 
-/// Sends, and reads heads until one answers this request.
-async fn answer(
+/// Sends the request and reads response heads until one belongs to it.
+async fn send_and_read_head(
     job: &Job,
     replica: &Replica,
     connection: &mut Connection,
     head: actix_http::RequestHead,
 ) -> Result<(ResponseHead, Response), Fault> {
-    let asked = job.vm.now();
+    let sent_at = job.vm.now();
     let mut head = connection.send(head, &job.body).await?;
-    for _ in 0..=STRANGERS {
-        let answer = header::answer(&head);
-        note_unknown(job, replica, &head);
-        // A server that turns a request away unread may not have seen its id.
-        let ours = answer.id.as_deref() == Some(job.call.id.as_str())
-            || (answer.id.is_none() && answer.not_run);
-        let ends_limit = ours && !answer.not_run;
-        heed(job, replica, &answer, ends_limit.then_some(asked));
-        if ours || job.call.id.is_empty() {
-            return Ok((head, answer));
+    for _ in 0..=MAX_STALE_RESPONSES {
+        let response = header::answer(&head);
+        count_unknown_headers(job, replica, &head);
+        // A server that rejects a request without reading it may not know the request's id.
+        let is_ours = response.id.as_deref() == Some(job.call.id.as_str())
+            || (response.id.is_none() && response.not_run);
+        let ends_limit = is_ours && !response.not_run;
+        apply_signal(job, replica, &response, ends_limit.then_some(sent_at));
+        if is_ours || job.call.id.is_empty() {
+            return Ok((head, response));
         }
-        if answer.id.is_none() {
-            return Err(Fault::Broken("an answer without an id".to_owned()));
+        if response.id.is_none() {
+            return Err(Fault::Broken("the response has no request id".to_owned()));
         }
-        // The answer of an earlier request; ours is due behind it.
-        connection.read_body(LARGEST).await?;
+        // A response to an earlier request; the one to this request follows it.
+        connection.read_body(MAX_BODY_SIZE).await?;
         head = connection.read_head().await?;
     }
-    Err(Fault::Broken("answers for other requests only".to_owned()))
+    Err(Fault::Broken("only responses to other requests arrived".to_owned()))
 }
 
-/// Counts the headers of an answer that nothing decodes, so that a new word of the platform is seen on the day on which it comes.
-fn note_unknown(job: &Job, replica: &Replica, head: &ResponseHead) {
+/// Counts response headers that this version does not know, so that a header new to the platform is
+/// noticed on the day it appears.
+fn count_unknown_headers(job: &Job, replica: &Replica, head: &ResponseHead) {
     let vm = &job.vm;
     for name in header::unknown(head) {
         let (name, is_new) = vm.unknown.borrow_mut().meet(name);
@@ -267,11 +276,15 @@
     }
 }
 
-/// Keeps what a server says of itself, as soon as a head has arrived; it holds whatever becomes of the answer. The request that it answers was
-/// sent at `asked`, if it is this one and ran: a refusal that names no limit ends none, since what refuses need not know of the server's need.
-fn heed(job: &Job, replica: &Replica, answer: &Response, asked: Option<Moment>) {
-    // The head of another server that has its address now.
-    if answer.status == StatusCode::MISDIRECTED_REQUEST {
+/// Applies what a response head reports about its server: draining, backoff and rate limit. This
+/// happens as soon as the head has arrived and holds whatever becomes of the response.
+///
+/// `sent_at` is given if the response belongs to this request and the request ran. Only then does a
+/// head without a rate limit end the known one: whatever refuses a request, such as a proxy, need
+/// not know the server's limit.
+fn apply_signal(job: &Job, replica: &Replica, response: &Response, sent_at: Option<Moment>) {
+    // Another server has the address now; its head says nothing about this one.
+    if response.status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
     let vm = &job.vm;
@@ -280,92 +293,95 @@
         let mut fleet = vm.fleet.borrow_mut();
         let Some(server) = fleet.life_mut(replica) else { return };
         let standing = &mut server.standing;
-        let limited = standing.limit.hear(answer.limit, asked.unwrap_or_default(), now);
-        (standing.hear(answer.signal, now), limited, standing.limit.rate(now))
+        let limited = standing.limit.hear(response.limit, sent_at.unwrap_or_default(), now);
+        (standing.hear(response.signal, now), limited, standing.limit.rate(now))
     };
     said::tell_limit(vm, replica);
-    let news = [
-        ("leaves", heard && answer.signal.leaves),
-        ("rest", heard && !answer.signal.leaves),
+    let signals = [
+        ("leaves", heard && response.signal.leaves),
+        ("rest", heard && !response.signal.leaves),
         ("limit", limited),
-        ("unreadable limit", answer.limit == bound::Word::Unreadable),
+        ("unreadable limit", response.limit == bound::Word::Unreadable),
     ];
-    let mut is_news = false;
-    for (word, _) in news.iter().filter(|(_, is_new)| *is_new) {
-        vm.metrics.said.with_label_values(&[job.service.as_str(), word]).inc();
-        is_news = true;
+    let mut is_any_new = false;
+    for (name, _) in signals.iter().filter(|(_, is_new)| *is_new) {
+        vm.metrics.said.with_label_values(&[job.service.as_str(), name]).inc();
+        is_any_new = true;
     }
-    if is_news {
-        log_said(job, replica, answer, rate);
+    if is_any_new {
+        log_signal(job, replica, response, rate);
     }
-    if heard && answer.signal.leaves {
+    if heard && response.signal.leaves {
         said::tell_leave(vm, replica);
     }
 }
 
-/// Tells what the head of an answer said of its server, which now has this limit.
-fn log_said(job: &Job, replica: &Replica, answer: &Response, limit: Option<Rate>) {
-    let is_read = answer.limit != bound::Word::Unreadable;
+/// Logs what a response head reports about its server; `limit` is the rate limit now in force
+/// there.
+fn log_signal(job: &Job, replica: &Replica, response: &Response, limit: Option<Rate>) {
+    let is_read = response.limit != bound::Word::Unreadable;
     let fields = [
         ("server", replica.id.as_str().into()),
         ("born_ms", replica.born.unwrap_or_default().into()),
         ("request", job.call.id.as_str().into()),
-        ("status", u32::from(answer.status.as_u16()).into()),
-        ("leaves", answer.signal.leaves.into()),
-        ("rest_ms", answer.signal.rest.map_or(-1.0, Span::as_millis).into()),
+        ("status", u32::from(response.status.as_u16()).into()),
+        ("leaves", response.signal.leaves.into()),
+        ("rest_ms", response.signal.rest.map_or(-1.0, Span::as_millis).into()),
         ("limit_per_s", limit.map_or(-1.0, |rate| rate.0).into()),
         ("limit_read", is_read.into()),
     ];
-    job.vm.log("server said", &fields);
+    job.vm.log("server signal received", &fields);
 }
 
-async fn first_event(
+/// Reads until the first complete event, or the end of the stream, has arrived.
+async fn read_first_event(
     vm: &Vm,
     connection: Connection,
     open: OpenRequest,
     head: ResponseHead,
-    answer: Response,
+    response: Response,
 ) -> Outcome {
     let events = EventBuffer::default();
-    let begun = vm.now();
+    let started_at = vm.now();
     let mut stream =
-        Stream { connection, events, first_batch: None, ended: false, started_at: begun, open };
+        Stream { connection, events, first_batch: None, ended: false, started_at, open };
     loop {
         stream.first_batch = stream.events.take_complete();
         if stream.first_batch.is_some() || stream.ended {
             break;
         }
         if let Err(fault) = stream.read().await {
-            return broken(fault);
+            return outcome_of(fault);
         }
     }
     stream.started_at = vm.now();
     Outcome {
         end: End::Good,
         reason: String::new(),
-        head: Some((head, answer)),
+        head: Some((head, response)),
         body: Bytes::new(),
         stream: Some(stream),
     }
 }
 
-fn broken(fault: Fault) -> Outcome {
+fn outcome_of(fault: Fault) -> Outcome {
     match fault {
-        Fault::NotSent(why) => Outcome::without_answer(End::NotSent, why),
-        Fault::Broken(why) => Outcome::without_answer(End::Broken, why),
+        Fault::NotSent(reason) => Outcome::without_response(End::NotSent, reason),
+        Fault::Broken(reason) => Outcome::without_response(End::Broken, reason),
     }
 }
 
-/// Lets a connection rest for the next request.
+/// Returns a connection to the server's pool, or drops it if the server's incarnation is gone.
+/// `idle_timeout` is the time that the server named, if it did.
 pub fn release_connection(
     job: &Job,
     replica: &Replica,
     connection: Connection,
-    rest: Option<Span>,
+    idle_timeout: Option<Span>,
 ) {
     let vm: &Rc<super::Vm> = &job.vm;
     let now = vm.now();
     if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
-        server.pool.release(connection, rest, now);
+        server.pool.release(connection, idle_timeout, now);
     }
 }
--- a/src/forward/call.rs
+++ b/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! A request as a caller sent it, and an answer as a server gave it, in the project's own types.
+//! Parsed heads of callers' requests and of servers' responses, independent of header names.
 
 use actix_http::StatusCode;
 
@@ -6,71 +6,71 @@
 use crate::decide::standing::Said;
 use crate::unit::{Model, Span};
 
-/// What the head of a caller's request says.
+/// The parsed head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The caller's id of this try; each try has its own.
+    /// The caller's id of this attempt; a retry by the caller has another one.
     pub id: String,
-    /// The host that it asks.
+    /// The host that the request names.
     pub host: String,
     /// The path, without a query.
     pub path: String,
-    /// The workspace's key.
+    /// The workspace's API key, if given.
     pub api_key: Option<String>,
-    /// Time that the caller waits.
+    /// Time that the caller waits for the response.
     pub timeout: Span,
-    /// Whether the system is to choose the model.
+    /// Set if the caller leaves the choice of the model to the system.
     pub any_model: bool,
     /// The model, if the caller named one.
     pub model: Option<Model>,
-    /// Parts of the prompt in order; servers keep parts that they have read.
+    /// Parts of the prompt in order; servers cache the parts that they have read.
     pub prompt: Vec<PromptPart>,
-    /// The session, if it belongs to one.
+    /// The session that the request belongs to, if any.
     pub session: Option<String>,
-    /// The last event that the caller has, if it goes on with a stream.
+    /// Id of the last event that the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
 /// A part of a prompt that other requests may share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PromptPart {
-    /// Its id.
+    /// Id that all requests with this part share.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What the head of a server's answer says.
+/// The parsed head of a server's response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The id of the request that it answers.
+    /// The id of the request that it responds to.
     pub id: Option<String>,
-    /// Whether it bears the server's signature.
+    /// Set if the server has signed the response.
     pub signed: bool,
-    /// The server's word that it did not run the request.
+    /// Set if the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether the body is encoded; servers never do that.
+    /// Set if the body has a content encoding; servers never use one.
     pub encoded: bool,
-    /// Whether the server leaves, or wants rest.
+    /// Whether the server is draining or asks for a backoff.
     pub signal: Said,
-    /// What it says of a limit.
+    /// The rate limit that the server reports.
     pub limit: bound::Word,
-    /// The server's load.
+    /// The load that the server reports.
     pub load: Option<Load>,
-    /// The model's own rough opinion of its answer, 0 to 100.
+    /// The model's own rough confidence in its response, 0 to 100.
     pub confidence: Option<f64>,
-    /// Time that the connection may rest.
+    /// Time that the server keeps the idle connection open.
     pub idle_timeout: Option<Span>,
 }
 
-/// A server's load as it told it.
+/// A server's load as reported by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
     /// Requests that can run at once.
     pub slots: u32,
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -1,4 +1,4 @@
-//! The life of one request: attempts at servers until one answers, or nothing more may be tried.
+//! Dispatches a request: attempts at servers until one of them responds or no retry is allowed.
 
 use actix_http::ResponseHead;
 use bytes::Bytes;
@@ -16,99 +16,103 @@
 use crate::entry::refusal::{Kind, Refusal};
 use crate::unit::{Model, Moment, Span};
 
-/// A repeat needs at least this much time.
-const LEAST: Span = Span::millis(30);
+/// Time to the deadline below which no attempt is started.
+const MIN_ATTEMPT_TIME: Span = Span::millis(30);
 
-/// Attempts without a byte sent, which the route's number does not count; for each model.
-const UNSENT: u32 = 4;
+/// Attempts per model that may fail before a byte is sent. The route's limit on attempts does not
+/// count them.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// What the caller gets.
+/// The response that the caller gets.
 pub enum Reply {
-    /// A whole answer of a server.
+    /// A complete response of a server.
     Complete(Box<(ResponseHead, Bytes)>),
-    /// A stream.
+    /// A stream of server-sent events whose first event has arrived.
     Stream(Box<StartedStream>),
-    /// An answer of this VM's own.
+    /// A refusal by this VM.
     Refused(Refusal),
 }
 
-/// A stream that has begun, and who sends it.
+/// A stream that has started, with the server and model that send it.
 pub struct StartedStream {
-    /// The head of the first server.
+    /// Response head of the first server; the caller keeps it if another server takes over.
     pub head: ResponseHead,
-    /// The rest.
+    /// The events that are still to be relayed.
     pub stream: Stream,
-    /// The server.
+    /// The server that sends the events now.
     pub replica: Replica,
-    /// The model.
+    /// The model that the system chose; none if the caller named one or the request has none.
     pub model: Option<Model>,
-    /// Servers tried so far.
+    /// Servers that were tried so far; a resumed stream avoids them.
     pub tried: Vec<Replica>,
 }
 
-/// What is known of the attempts so far.
+/// State of the attempts so far.
 #[derive(Default)]
 struct Progress {
     tried: Vec<Replica>,
-    /// Attempts without a byte sent; in all, and since the model changed.
+    /// Attempts that failed before a byte was sent.
     unsent: u32,
+    /// The same since the model last changed.
     unsent_of_model: u32,
     may_have_run: bool,
-    /// A failure that a server gave, kept in case that nothing better comes.
+    /// The latest error response of a server, delivered if no later attempt succeeds.
     failure: Option<(ResponseHead, Bytes)>,
-    /// Whether a larger model was asked; that happens once.
+    /// Set once the request went to the larger model; it does so at most once.
     escalated: bool,
-    /// The smaller model whose answer was dropped for it. It answers again if the larger fails.
-    smaller: Option<Model>,
+    /// The smaller model whose response was dropped for the larger one. It runs again if the larger
+    /// model fails.
+    fallback_model: Option<Model>,
 }
 
-/// Tries servers until one answers.
+/// Attempts the request at one server after another until one responds or no retry is allowed.
 pub async fn run(job: &Job) -> Reply {
     let vm = &job.vm;
     let mut progress = Progress::default();
-    let mut model = first_model(job);
+    let mut model = initial_model(job);
     vm.count_first(&job.service, vm.now());
     loop {
         if poison::holds_back(job) {
-            return hold_back(job, progress);
+            return refuse_quarantined(job, progress);
         }
         let now = vm.now();
-        if job.left(now) < LEAST {
+        if job.left(now) < MIN_ATTEMPT_TIME {
             return give_up(job, progress, End::Late);
         }
-        let wish = job.criteria(model.as_ref(), &progress.tried);
-        let Some(place) = job.wait_for_server(&wish).await else {
+        let criteria = job.criteria(model.as_ref(), &progress.tried);
+        let Some(placement) = job.wait_for_server(&criteria).await else {
             if fall_back(job, &mut progress, &mut model, vm.now()) {
                 continue;
             }
             return give_up(job, progress, End::NotSent);
         };
         if poison::holds_back(job) {
-            return hold_back(job, progress);
+            return refuse_quarantined(job, progress);
         }
         let now = vm.now();
-        let replica = &place.replica;
+        let replica = &placement.replica;
         vm.metrics.added.observe(now.since(job.arrived).as_secs());
-        let left = job.route.attempts.saturating_sub(sends(job, &progress));
-        let until = job.attempt_deadline(left, place.until_prefilled, now);
-        let outcome = try_at(job, &place, model.as_ref(), until).await;
+        let left = job.route.attempts.saturating_sub(counted_attempts(job, &progress));
+        let until = job.attempt_deadline(left, placement.until_prefilled, now);
+        let outcome = attempt_at(job, &placement, model.as_ref(), until).await;
         progress.tried.push(replica.clone());
         let ended = vm.now();
         if outcome.end == End::Good
-            && let Some(larger) = gives_way(job, &progress, model.as_ref(), &outcome, ended)
+            && let Some(larger) = escalate_to(job, &progress, model.as_ref(), &outcome, ended)
         {
-            // Dropping the answer closes its connection, so the server stops. It did run.
+            // Dropping the outcome closes the connection, which cancels the request at the server.
+            // It has run there, at least in part.
             drop(outcome);
             progress.may_have_run = true;
             progress.tried.pop();
             progress.escalated = true;
-            progress.smaller = model.replace(larger);
+            progress.fallback_model = model.replace(larger);
             progress.unsent_of_model = 0;
             continue;
         }
         match ends::next(outcome.end, job.route.repeat) {
-            Next::Deliver => return deliver(job, place.replica, model, outcome, progress),
-            Next::Unknown if !goes_on(job, &outcome) => {
+            Next::Deliver => return deliver(job, placement.replica, model, outcome, progress),
+            Next::Unknown if !may_retry_timeout(job, &outcome) => {
                 progress.may_have_run = true;
                 return give_up(job, progress, outcome.end);
             }
@@ -122,8 +126,8 @@
         if let (End::Failed, Some((head, _))) = (end, outcome.head) {
             progress.failure = Some((head, outcome.body));
         }
-        let falls_back = !end.is_unsent() && progress.smaller.is_some();
-        if !falls_back && may_try_again(job, &progress, end) {
+        let uses_fallback = !end.is_unsent() && progress.fallback_model.is_some();
+        if !uses_fallback && may_retry(job, &progress, end) {
             continue;
         }
         if !fall_back(job, &mut progress, &mut model, ended) {
@@ -132,51 +136,58 @@
     }
 }
 
-/// Goes back to the smaller model whose answer was dropped, if there is one and it may run again.
+/// Switches back to the smaller model whose response was dropped. Returns false if there is none or
+/// no further attempt is allowed.
 fn fall_back(job: &Job, progress: &mut Progress, model: &mut Option<Model>, now: Moment) -> bool {
-    let may = job.left(now) >= LEAST && progress.smaller.is_some();
-    if !may || !spend_attempt(job, progress, now) {
+    let is_allowed = job.left(now) >= MIN_ATTEMPT_TIME && progress.fallback_model.is_some();
+    if !is_allowed || !spend_attempt(job, progress, now) {
         return false;
     }
-    *model = progress.smaller.take();
+    *model = progress.fallback_model.take();
     progress.tried.clear();
     progress.unsent_of_model = 0;
     true
 }
 
-/// One attempt, and what this VM learns from it.
-async fn try_at(job: &Job, place: &Placement, model: Option<&Model>, until: Moment) -> Outcome {
-    let replica = &place.replica;
+/// Makes one attempt and feeds its result into the rollout trial and this VM's estimates.
+async fn attempt_at(
+    job: &Job,
+    placement: &Placement,
+    model: Option<&Model>,
+    until: Moment,
+) -> Outcome {
+    let replica = &placement.replica;
     let vm = &job.vm;
-    let begun = vm.now();
+    let started = vm.now();
     let named = model.or(job.call.model.as_ref());
-    let (sent, waiting) = job.begin_attempt(place, model);
-    let mut trial = Watched::new(job, replica, begun, sent.expected_time);
-    let attempt = attempt::run(job, replica, model, job.call.last_event_id, waiting, until);
+    let (estimate, pending) = job.begin_attempt(placement, model);
+    let mut trial = Watched::new(job, replica, started, estimate.expected_time);
+    let attempt = attempt::run(job, replica, model, job.call.last_event_id, pending, until);
     let outcome = trial.wait(attempt).await;
     trial.ended(outcome.end);
     if outcome.end == End::Good {
-        let took = vm.now().since(begun);
-        vm.learn_pace(named, sent.uncached_tokens, took);
-        if sent.expected_time.is_some() {
-            let waited = Span(took.0.saturating_sub(sent.prefill_time.0));
+        let took = vm.now().since(started);
+        vm.learn_pace(named, estimate.uncached_tokens, took);
+        if estimate.expected_time.is_some() {
+            let waited = Span(took.0.saturating_sub(estimate.prefill_time.0));
             vm.note_wait(&job.service, waited, job.route.goal);
         }
     }
     outcome
 }
 
-/// The model that begins, if the caller leaves the choice to the system: the smallest.
-fn first_model(job: &Job) -> Option<Model> {
+/// Returns the smallest model of the route's cascade, if the caller leaves the choice to the
+/// system.
+fn initial_model(job: &Job) -> Option<Model> {
     if !job.call.any_model {
         return None;
     }
     job.route.cascade.first().cloned()
 }
 
-/// The model that takes over from one whose answer is in doubt: the largest, if it is not that
-/// already and the request may run again. Models between cost several times more than the smallest
-/// and answer few more.
+/// Returns the largest model of the route's cascade if `model` is not that one yet and the request
+/// may be repeated. Models in between are skipped: they cost several times more than the smallest
+/// and answer few more requests.
 fn larger_model(job: &Job, model: Option<&Model>) -> Option<Model> {
     if !job.call.any_model || job.route.repeat == Repeat::Never {
         return None;
@@ -185,54 +196,57 @@
     (model != Some(largest)).then(|| largest.clone())
 }
 
-/// The larger model, if an answer that nobody has seen yet gives way to one of it. Only if the smaller
-/// may run again should the larger fail, and if the budget of repeats leaves enough for failures.
-fn gives_way(
+/// Returns the larger model if the request should escalate to it, because the smaller model's
+/// response, which the caller has not seen yet, has a low confidence.
+///
+/// Requires that the smaller model may run again should the larger one fail, and that the retry
+/// budget keeps enough for failures.
+fn escalate_to(
     job: &Job,
     progress: &Progress,
     model: Option<&Model>,
     outcome: &Outcome,
     now: Moment,
 ) -> Option<Model> {
-    // The larger's, and one more if the route allows so many at all.
+    // One for the larger model, and one for the fallback if the route allows that many at all.
     let needed = if job.route.attempts > 2 { 2 } else { 1 };
-    let may_send = sends(job, progress) + needed <= job.route.attempts;
-    if progress.escalated || !may_send || poison::holds_back(job) {
+    let may_attempt = counted_attempts(job, progress) + needed <= job.route.attempts;
+    if progress.escalated || !may_attempt || poison::holds_back(job) {
         return None;
     }
-    let (_, answer) = outcome.head.as_ref()?;
-    let confidence = answer.confidence? / 100.0;
+    let (_, response) = outcome.head.as_ref()?;
+    let confidence = response.confidence? / 100.0;
     let larger = larger_model(job, model)?;
-    let place = selection::select_server(&job.vm, &job.criteria(Some(&larger), &[]), now)?;
+    let placement = selection::select_server(&job.vm, &job.criteria(Some(&larger), &[]), now)?;
     let left = (job.arrived + job.route.goal).since(now);
     let pressure = job.vm.pressure(&job.service, now);
     let known = escalate::Known {
         confidence,
         keep_from: job.vm.settings.keep_confidence / 100.0,
         pressure,
-        waits: Span(place.until_prefilled.0 - place.prefill_time.0),
-        reads: place.prefill_time,
+        waits: Span(placement.until_prefilled.0 - placement.prefill_time.0),
+        reads: placement.prefill_time,
         left,
     };
     job.record.add_escalation_check(&known);
-    let may = escalate::gives_way(&known) && job.vm.spend_spare(&job.service, now);
-    may.then_some(larger)
+    let is_allowed = escalate::gives_way(&known) && job.vm.spend_spare(&job.service, now);
+    is_allowed.then_some(larger)
 }
 
-/// Sends that count as an attempt.
-fn sends(job: &Job, progress: &Progress) -> u32 {
+/// Returns the number of attempts that count towards the route's limit.
+fn counted_attempts(job: &Job, progress: &Progress) -> u32 {
     job.record.attempts().saturating_sub(progress.unsent)
 }
 
-/// Whether a request that may be repeated can still go elsewhere after its attempt's time was up.
-fn goes_on(job: &Job, outcome: &Outcome) -> bool {
-    let more = job.left(job.vm.now()) >= LEAST;
+/// Returns true if a request whose attempt timed out may be retried at another server.
+fn may_retry_timeout(job: &Job, outcome: &Outcome) -> bool {
+    let more = job.left(job.vm.now()) >= MIN_ATTEMPT_TIME;
     outcome.end == End::Late && job.route.repeat != Repeat::Never && more
 }
 
-fn may_try_again(job: &Job, progress: &Progress, end: End) -> bool {
+fn may_retry(job: &Job, progress: &Progress, end: End) -> bool {
     let now = job.vm.now();
-    if job.left(now) < LEAST || progress.unsent_of_model >= UNSENT {
+    if job.left(now) < MIN_ATTEMPT_TIME || progress.unsent_of_model >= MAX_UNSENT_ATTEMPTS {
         return false;
     }
     if end.is_unsent() {
@@ -241,9 +255,10 @@
     spend_attempt(job, progress, now)
 }
 
-/// Takes one more attempt, if the route's number and the budget of repeats leave one.
+/// Returns true if the route's limit and the retry budget allow one more attempt, and spends it
+/// from the budget.
 fn spend_attempt(job: &Job, progress: &Progress, now: Moment) -> bool {
-    sends(job, progress) < job.route.attempts && job.vm.spend_repeat(&job.service, now)
+    counted_attempts(job, progress) < job.route.attempts && job.vm.spend_repeat(&job.service, now)
 }
 
 fn deliver(
@@ -254,29 +269,29 @@
     progress: Progress,
 ) -> Reply {
     job.record.mark_response_started(job.vm.now());
-    let Some((head, answer)) = outcome.head else {
-        return unknown(job, "an answer without a head");
+    let Some((head, response)) = outcome.head else {
+        return refuse_broken(job, "the response of the server has no head");
     };
     if let Some(stream) = outcome.stream {
         let tried = progress.tried;
         return Reply::Stream(Box::new(StartedStream { head, stream, replica, model, tried }));
     }
-    if promises_not_run(&answer) {
-        return unknown(job, "a failure that promises too much");
+    if reads_as_not_run(&response) {
+        return refuse_broken(job, "the server failed with a status that callers read as not run");
     }
     poison::ran_well(&job.vm, job.content);
     job.record.set_outcome(head.status.as_str());
     Reply::Complete(Box::new((head, outcome.body)))
 }
 
-/// Whether callers would take an answer for the promise that the request did not run, which the
-/// server did not give.
-fn promises_not_run(answer: &Response) -> bool {
-    matches!(answer.status.as_u16(), 408 | 421 | 429 | 503) && !answer.not_run
+/// Returns true if callers would read the status as a promise that the request did not run although
+/// the server made none.
+fn reads_as_not_run(response: &Response) -> bool {
+    matches!(response.status.as_u16(), 408 | 421 | 429 | 503) && !response.not_run
 }
 
-fn unknown(job: &Job, why: &str) -> Reply {
-    refuse(job, Refusal::because(Kind::Broken, why))
+fn refuse_broken(job: &Job, reason: &str) -> Reply {
+    refuse(job, Refusal::because(Kind::Broken, reason))
 }
 
 fn refuse(job: &Job, refusal: Refusal) -> Reply {
@@ -284,20 +299,20 @@
     Reply::Refused(refusal)
 }
 
-/// The last word of a request whose content crashes servers.
-fn hold_back(job: &Job, progress: Progress) -> Reply {
+/// Ends a request whose content crashes servers and is quarantined.
+fn refuse_quarantined(job: &Job, progress: Progress) -> Reply {
     if progress.may_have_run {
         return give_up(job, progress, End::Broken);
     }
     refuse(job, Refusal::new(Kind::HeldBack))
 }
 
-/// The last word when nothing more may be tried.
+/// Ends a request that may not be attempted any more.
 fn give_up(job: &Job, progress: Progress, end: End) -> Reply {
-    let late = job.left(job.vm.now()) < LEAST;
+    let late = job.left(job.vm.now()) < MIN_ATTEMPT_TIME;
     if let Some((head, body)) = progress.failure {
-        let answer = crate::platform::header::answer(&head);
-        if !promises_not_run(&answer) {
+        let response = crate::platform::header::answer(&head);
+        if !reads_as_not_run(&response) {
             job.record.set_outcome(head.status.as_str());
             return Reply::Complete(Box::new((head, body)));
         }
@@ -312,6 +327,6 @@
             refuse(job, Refusal::new(Kind::Busy))
         }
         Last::Unknown | Last::Delivered if late => refuse(job, Refusal::new(Kind::TimedOut)),
-        Last::Unknown | Last::Delivered => unknown(job, "no server gave a whole answer"),
+        Last::Unknown | Last::Delivered => refuse_broken(job, "no server gave a complete response"),
     }
 }
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way through this VM, and the record that it leaves.
+//! An admitted request, the log record that it leaves, and the guards that count it at a server.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write as _;
@@ -19,49 +19,58 @@
 use crate::decide::rank;
 use crate::unit::{Digest, Model, Moment, Service, Span, Version, hash};
 
-/// A request that may be repeated is tried elsewhere after this many times the route's goal without
-/// an answer, if there is time for it.
-const SILENCE: u64 = 3;
+/// An idempotent request is retried at another server after this many times the route's latency
+/// goal without a response, if time is left.
+const ATTEMPT_TIMEOUT_GOALS: u64 = 3;
 
-/// A stream is begun or goes on elsewhere if its first event does not come within this many times the time that was
-/// expected, nor within its goal: its server hangs or cannot be reached, or is overloaded beyond use.
-const OVERDUE: f64 = 30.0;
+/// A resumable stream moves to another server if its first event arrives neither within this many
+/// times the expected time nor within the route's latency goal: the server hangs, is unreachable or
+/// is hopelessly overloaded.
+const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 30.0;
 
-/// A request that was admitted.
+/// An admitted request with everything that its attempts need.
 pub struct Job {
-    /// The VM.
+    /// The VM that forwards it.
     pub vm: Rc<Vm>,
-    /// The head as the caller sent it.
+    /// The request head as the caller sent it.
     pub head: RequestHead,
-    /// What the head says.
+    /// The same head, parsed.
     pub call: Call,
-    /// The whole body.
+    /// The complete request body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that its host and path matched.
     pub route: Rc<Route>,
-    /// The service that answers.
+    /// The service of the route that it was assigned to by weight.
     pub service: Service,
-    /// Who holds its key.
+    /// The holder of its API key; none on a public route or without keys.
     pub holder: Option<Rc<Holder>>,
-    /// What it asks, whoever brings it.
+    /// Digest of its content; see [`super::content`].
     pub content: Digest,
-    /// When its head arrived.
+    /// When the request head arrived.
     pub arrived: Moment,
-    /// When the caller, or the route's timeout, has it given up.
+    /// When the caller's timeout or the route's, whichever is shorter, expires.
     pub deadline: Moment,
-    /// What is told when it ends.
+    /// What is logged when it ends.
     pub record: Record,
 }
 
 impl Job {
-    /// Time left.
+    /// Returns the time left until the deadline.
     pub fn left(&self, now: Moment) -> Span {
         self.deadline.since(now)
     }
 
-    /// Until when an attempt at a server may bring nothing, with so many attempts left, it among them: what may run elsewhere does not spend all
-    /// its time on a server that says nothing. Its prompt is expected to be read within `until_read`.
-    pub fn attempt_deadline(&self, attempts_left: u32, until_read: Span, now: Moment) -> Moment {
+    /// Returns the moment until which an attempt may go without a response. A request that may run
+    /// elsewhere does not spend all its time on a server that does not respond.
+    ///
+    /// `attempts_left` includes this attempt; the server is expected to have read the prompt within
+    /// `until_prefilled`.
+    pub fn attempt_deadline(
+        &self,
+        attempts_left: u32,
+        until_prefilled: Span,
+        now: Moment,
+    ) -> Moment {
         if attempts_left <= 1 {
             return self.deadline;
         }
@@ -70,14 +79,17 @@
             Repeat::Never => self.deadline,
             Repeat::Safe => {
                 let half = now + Span(self.left(now).0 / 2);
-                half.min(now + Span(goal.0 * SILENCE))
+                half.min(now + Span(goal.0 * ATTEMPT_TIMEOUT_GOALS))
+            }
+            Repeat::Resume => {
+                now + Span((until_prefilled.0 as f64 * FIRST_EVENT_TIMEOUT_FACTOR) as u64).max(goal)
             }
-            Repeat::Resume => now + Span((until_read.0 as f64 * OVERDUE) as u64).max(goal),
         };
         until.min(self.deadline)
     }
 
-    /// What it wants of its server; `model` is the one that the system chose, if it did.
+    /// Returns the criteria for the choice of its server. `model` is the one that the system chose,
+    /// if it did; `tried` are the servers to avoid.
     pub fn criteria<'a>(&'a self, model: Option<&'a Model>, tried: &'a [Replica]) -> Criteria<'a> {
         let model = model.or(self.call.model.as_ref());
         let of_workspace = self.holder.as_ref().map(|holder| &holder.regions);
@@ -86,59 +98,63 @@
         Criteria { service, call, body_bytes: self.body.len(), regions, model, tried }
     }
 
-    /// The server for it, after a wait for a turn at one that bears only so much or the end of a rest if no other takes it: a wait is worth while as
-    /// long as the answer can come within its goal, or if that has passed, within its time. None if nothing takes it by then.
-    pub async fn wait_for_server(&self, wish: &Criteria<'_>) -> Option<Placement> {
+    /// Returns the server for this request, waiting for a permit at a rate-limited server or for
+    /// the end of a backoff if no other server takes it.
+    ///
+    /// Waits while the response can still come within the route's latency goal, or within the
+    /// deadline once the goal has passed. Returns none if no server takes the request by then.
+    pub async fn wait_for_server(&self, criteria: &Criteria<'_>) -> Option<Placement> {
         let vm = &self.vm;
         let goal = self.arrived + self.route.goal;
         let until = if vm.now() < goal { goal.min(self.deadline) } else { self.deadline };
         loop {
             let now = vm.now();
-            if let Some(place) = selection::select_server(vm, wish, now) {
-                return Some(place);
+            if let Some(placement) = selection::select_server(vm, criteria, now) {
+                return Some(placement);
             }
-            let wait = selection::next_wait(vm, wish, until, now)?;
+            let wait = selection::next_wait(vm, criteria, until, now)?;
             self.record.add_wait(&wait, now);
             tokio::time::sleep(wait.until.since(now).duration()).await;
-            if let Some(place) = selection::select_after_wait(vm, wish, wait, vm.now()) {
-                return Some(place);
+            if let Some(placement) = selection::select_after_wait(vm, criteria, wait, vm.now()) {
+                return Some(placement);
             }
         }
     }
 
-    /// Notes that it is about to be sent to a server, and what is expected of that. Its prompt
-    /// counts as unread there until the second part is dropped.
+    /// Records that the request is about to be sent to a server. Returns the estimate for the
+    /// attempt and a guard that counts the prompt as unread at the server until it is dropped.
     pub fn begin_attempt(
         &self,
-        place: &Placement,
+        placement: &Placement,
         model: Option<&Model>,
     ) -> (Estimate, PendingPrompt) {
         let now = self.vm.now();
         let named = model.or(self.call.model.as_ref());
-        let sent = selection::record_send(&self.vm, place, &self.call, named, now);
-        let turn = place.turn.clone().unwrap_or_else(|| {
+        let estimate = selection::record_send(&self.vm, placement, &self.call, named, now);
+        let turn = placement.turn.clone().unwrap_or_else(|| {
             let mut fleet = self.vm.fleet.borrow_mut();
-            Rc::new(Turn::take(&self.vm, &mut fleet, &place.replica, now))
+            Rc::new(Turn::take(&self.vm, &mut fleet, &placement.replica, now))
         });
-        self.record.add_attempt(place, named, &sent, now);
-        (sent, PendingPrompt::new(&self.vm, &place.replica, sent.prefill_time, turn))
+        self.record.add_attempt(placement, named, &estimate, now);
+        (estimate, PendingPrompt::new(&self.vm, &placement.replica, estimate.prefill_time, turn))
     }
 
-    /// Rank at a server, 0 to 9: the workspace's comes before that of the reading.
-    pub fn priority(&self, reads: Span, now: Moment) -> u32 {
+    /// Returns the priority at the server, 0 to 9, where the workspace's priority comes before that
+    /// of the prefill time.
+    pub fn priority(&self, prefill_time: Span, now: Moment) -> u32 {
         let workspace = self.holder.as_ref().map_or(0, |holder| holder.priority);
         let goal = self.arrived + self.route.goal;
-        rank::of(workspace, reads, goal.since(now))
+        rank::of(workspace, prefill_time, goal.since(now))
     }
 }
 
-/// What is told of a request when it ends, however it ends.
+/// Log record of a request, written when it is dropped, however the request ends.
 pub struct Record {
     vm: Rc<Vm>,
     id: String,
     session: Option<String>,
     content: Option<Digest>,
-    /// The version that it was sent to last.
+    /// The version that the request was last sent to.
     version: RefCell<Option<Version>>,
     route: String,
     arrived: Moment,
@@ -151,7 +167,7 @@
 }
 
 impl Record {
-    /// The record of a request that arrived just now.
+    /// Starts the record of a request that has just arrived and counts it as running.
     pub fn new(vm: Rc<Vm>, call: &Call, arrived: Moment) -> Record {
         vm.running.set(vm.running.get() + 1);
         vm.metrics.running.set(vm.running.get() as i64);
@@ -172,64 +188,69 @@
         }
     }
 
-    /// The route was found.
+    /// Sets the name of the matched route.
     pub fn set_route(&mut self, route: &str) {
         route.clone_into(&mut self.route);
     }
 
-    /// The body was read, and who asks is known.
+    /// Sets the digest of the content, once the body and the workspace are known.
     pub fn set_content(&mut self, content: Digest) {
         self.content = Some(content);
     }
 
-    /// Sends to a server so far.
+    /// Returns the number of attempts so far.
     pub fn attempts(&self) -> u32 {
         self.attempts.get()
     }
 
-    /// A send to a server is about to begin, and what is expected of it.
+    /// Adds an attempt that is about to start, with its estimate.
     pub fn add_attempt(
         &self,
-        place: &Placement,
+        placement: &Placement,
         model: Option<&Model>,
-        sent: &Estimate,
+        estimate: &Estimate,
         now: Moment,
     ) {
         self.attempts.set(self.attempts.get() + 1);
-        *self.version.borrow_mut() = Some(place.replica.version.clone());
-        self.note_session(now);
+        *self.version.borrow_mut() = Some(placement.replica.version.clone());
+        self.record_session(now);
         let mut trail = self.trail.borrow_mut();
         if !trail.is_empty() {
             trail.push_str("; ");
         }
         let after = now.since(self.arrived).0 / 1000;
         // Writing to a string cannot fail.
-        let _ = write!(trail, "{after}ms {}", place.replica.id);
-        if place.reason != Reason::Settled {
-            let _ = write!(trail, " {} ({})", place.replica.version, place.reason);
+        let _ = write!(trail, "{after}ms {}", placement.replica.id);
+        if placement.reason != Reason::Settled {
+            let _ = write!(trail, " {} ({})", placement.replica.version, placement.reason);
         }
-        if place.skipped != Skipped::default() {
-            let _ = write!(trail, " {}", place.skipped);
+        if placement.skipped != Skipped::default() {
+            let _ = write!(trail, " {}", placement.skipped);
         }
         if let Some(model) = model {
             let _ = write!(trail, " {model}");
         }
-        if let Some(expected) = sent.expected_time {
-            let _ = write!(trail, " unread {} of {}", sent.uncached_tokens, sent.prompt_tokens);
-            let _ = write!(trail, " waits {} reads {}", sent.queue_time, sent.prefill_time);
-            let _ = write!(trail, " within {expected}");
+        if let Some(expected) = estimate.expected_time {
+            let _ = write!(
+                trail,
+                " uncached {} of {} tokens",
+                estimate.uncached_tokens, estimate.prompt_tokens
+            );
+            let _ =
+                write!(trail, " queue {} prefill {}", estimate.queue_time, estimate.prefill_time);
+            let _ = write!(trail, " expected {expected}");
         }
-        let _ = write!(trail, " load {:.0}", sent.load);
-        if let Some(bar) = sent.bar {
-            let _ = write!(trail, " though {bar}");
+        let _ = write!(trail, " load {:.0}", estimate.load);
+        if let Some(bar) = estimate.bar {
+            let _ = write!(trail, " despite {bar}");
         }
-        if let Some((rate, age)) = sent.limit {
-            let _ = write!(trail, " limit {rate} named {age} ago");
+        if let Some((rate, age)) = estimate.limit {
+            let _ = write!(trail, " limit {rate} first reported {age} ago");
         }
     }
 
-    /// Its session, if it belongs to one, is on the version that it was sent to.
-    fn note_session(&self, now: Moment) {
+    /// Records the version that the request's session, if it has one, was last sent to.
+    fn record_session(&self, now: Moment) {
         let version = self.version.borrow();
         if let (Some(session), Some(version)) = (&self.session, version.as_ref()) {
             let gap = self.vm.settings.bounds.session_gap;
@@ -237,41 +258,44 @@
         }
     }
 
-    /// Nothing takes it now, and it waits.
+    /// Adds a wait, as no server takes the request now.
     pub fn add_wait(&self, wait: &Wait, now: Moment) {
         let what = match wait.turn {
-            Some(_) => "turn at a bounded server",
-            None => "end of a rest",
+            Some(_) => "permit of a rate-limited server",
+            None => "end of a backoff",
         };
         // Writing to a string cannot fail.
         let _ = write!(self.trail.borrow_mut(), "{what} in {}", wait.until.since(now));
     }
 
-    /// It was weighed whether a small model's answer gives way.
+    /// Adds what the decision on an escalation to a larger model was based on.
     pub fn add_escalation_check(&self, known: &escalate::Known) {
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " confidence {:.2}", known.confidence);
         let _ = write!(trail, " pressure {:.2}", known.pressure);
-        let _ =
-            write!(trail, " larger waits {} reads {} of {}", known.waits, known.reads, known.left);
+        let _ = write!(
+            trail,
+            " larger queue {} prefill {} of {}",
+            known.waits, known.reads, known.left
+        );
     }
 
-    /// An attempt ended.
-    pub fn add_attempt_end(&self, end: End, why: &str, now: Moment) {
+    /// Adds the end of an attempt.
+    pub fn add_attempt_end(&self, end: End, reason: &str, now: Moment) {
         let after = now.since(self.arrived).0 / 1000;
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " -> {after}ms {end:?}");
-        if !why.is_empty() {
-            let _ = write!(trail, " ({why})");
+        if !reason.is_empty() {
+            let _ = write!(trail, " ({reason})");
         }
     }
 
-    /// The answer, or its first event, is on its way to the caller.
+    /// Marks the moment at which the response, or its first event, goes to the caller.
     pub fn mark_response_started(&self, now: Moment) {
         self.first.set(Some(now.since(self.arrived)));
     }
 
-    /// How the request ended.
+    /// Sets how the request ended. The text is also the `outcome` label of a metric.
     pub fn set_outcome(&self, outcome: impl Into<String>) {
         *self.outcome.borrow_mut() = outcome.into();
     }
@@ -288,10 +312,10 @@
             let histogram = vm.metrics.answer.with_label_values(&[self.route.as_str()]);
             histogram.observe(first.as_secs());
         }
-        // The session lives on from the end of the answer.
-        self.note_session(vm.now());
+        // The gap after which a session expires starts at the end of the response.
+        self.record_session(vm.now());
         let took = vm.now().since(self.arrived);
-        // A hash tells sessions apart and names nobody.
+        // A hash tells sessions apart without disclosing their names.
         let session = self.session.as_deref().map(hash::short).unwrap_or_default();
         let content = self.content.map(|content| content.to_string()).unwrap_or_default();
         vm.log(
@@ -313,22 +337,23 @@
     }
 }
 
-/// A prompt of which no event has come yet; it counts as unread at that life of its server while this is held.
+/// A prompt that was sent and has had no response yet. It counts as unread at that incarnation of
+/// the server until this is dropped.
 pub struct PendingPrompt {
     vm: Rc<Vm>,
     replica: Replica,
-    /// Time that the server needs to read it.
+    /// Time that the server is expected to need for reading the prompt.
     pub prefill_time: Span,
-    /// Its turn, if the server bears only so much.
+    /// The permit to send; an empty one if the server has no rate limit.
     pub turn: Rc<Turn>,
 }
 
 impl PendingPrompt {
-    fn new(vm: &Rc<Vm>, replica: &Replica, reads: Span, turn: Rc<Turn>) -> PendingPrompt {
+    fn new(vm: &Rc<Vm>, replica: &Replica, prefill_time: Span, turn: Rc<Turn>) -> PendingPrompt {
         if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
-            server.backlog.wait_for(reads);
+            server.backlog.wait_for(prefill_time);
         }
-        PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time: reads, turn }
+        PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time, turn }
     }
 }
 
@@ -340,28 +365,34 @@
     }
 }
 
-/// A request that is open at a server; it is counted at that life of it while this is held.
+/// A request that is open at a server. It counts towards the load of that incarnation of the server
+/// until this is dropped.
 pub struct OpenRequest {
     vm: Rc<Vm>,
     replica: Replica,
-    over: Rc<Notify>,
+    restarted: Rc<Notify>,
 }
 
 impl OpenRequest {
-    /// Counts a request at a server.
+    /// Counts a request as open at a server.
     pub fn new(vm: &Rc<Vm>, replica: &Replica) -> OpenRequest {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.life_mut(replica);
-        let over = server.map(|server| {
+        let restarted = server.map(|server| {
             server.load.add();
             server.over.clone()
         });
-        OpenRequest { vm: vm.clone(), replica: replica.clone(), over: over.unwrap_or_default() }
+        OpenRequest {
+            vm: vm.clone(),
+            replica: replica.clone(),
+            restarted: restarted.unwrap_or_default(),
+        }
     }
 
-    /// Wakes when a later life of the server begins, so that this request is lost there.
+    /// Returns a notification that fires when a later incarnation of the server starts, so that the
+    /// request is lost.
     pub fn server_restarted(&self) -> Rc<Notify> {
-        self.over.clone()
+        self.restarted.clone()
     }
 }
 
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -1,4 +1,4 @@
-//! The doors of an entry VM: callers, the balancer's question, the counters.
+//! HTTP listeners of an entry VM: for callers, the load balancer's readiness probe and metrics.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -28,35 +28,36 @@
 use crate::platform::header;
 use crate::unit::{Span, hash};
 
-/// Connections that may wait to be taken; a burst of callers must fit.
-const BACKLOG: u32 = 4096;
+/// Length of the accept queue; a burst of callers must fit.
+const ACCEPT_BACKLOG: u32 = 4096;
 
-/// Pause after a connection could not be taken, for want of descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, such as for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A refusal tells to come back after this, unless more is known; callers wait at most a third of
-/// their time.
-const COME_BACK: Span = Span::millis(300);
+/// `Retry-After` of a refusal, unless a better value is known. Either is capped at a third of the
+/// caller's remaining time.
+const DEFAULT_RETRY_AFTER: Span = Span::millis(300);
 
-/// An answer that a route or key is not there needs a proof no older than this part of the time in
+/// Denying a route or key needs a freshness proof no older than this fraction of the time within
 /// which a change must be in force.
-const DENIAL_PROOF: f64 = 0.75;
+const DENIAL_PROOF_AGE_FRACTION: f64 = 0.75;
 
-/// A VM that started longer ago than this, and still knows too little, refuses at once.
-const KNOWS_WITHIN: Span = Span::millis(1200);
+/// Time after the start of a VM during which requests wait for its first complete state. Later they
+/// are refused at once.
+const STARTUP_GRACE: Span = Span::millis(1200);
 
-/// Longest wait for a proof of freshness.
-const PROOF_WITHIN: Span = Span::millis(900);
+/// Longest time that a request waits for a freshness proof.
+const PROOF_TIMEOUT: Span = Span::millis(900);
 
-/// Time that the balancer's questions and readers of counters may take.
-const QUESTION_WITHIN: Duration = Duration::from_secs(5);
+/// Time within which a readiness probe or metrics scrape must send its request.
+const PROBE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 type HttpResponse = Response<BoxBody>;
 
-/// Binds an address for callers.
+/// Binds and listens on an address.
 ///
 /// # Errors
-/// If it cannot be bound.
+/// `Error::Bind` if the address cannot be bound.
 pub fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     let fault = |e: std::io::Error| Error::Bind(address.to_string(), e.to_string());
     let socket = match address {
@@ -64,13 +65,13 @@
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
     let socket = socket.map_err(fault)?;
-    // A process that starts again takes its address over from connections that still close.
+    // A restarted process can bind while connections of its predecessor are still in TIME_WAIT.
     socket.set_reuseaddr(true).map_err(fault)?;
     socket.bind(address).map_err(fault)?;
-    socket.listen(BACKLOG).map_err(fault)
+    socket.listen(ACCEPT_BACKLOG).map_err(fault)
 }
 
-/// Serves callers until the process ends.
+/// Serves callers until the process ends. New connections follow changes of the configured limits.
 pub async fn serve_callers(vm: Rc<Vm>, listener: TcpListener) {
     loop {
         let limits = vm.routes().map(|table| table.limits).unwrap_or_default();
@@ -80,24 +81,25 @@
             .client_request_timeout(limits.head_within.duration())
             .h1_allow_half_closed(false)
             .tcp_nodelay(true)
-            .graceful_shutdown_signal(closing(&vm))
+            .graceful_shutdown_signal(shutdown_signal(&vm))
             .h1(fn_service(move |request: Request| {
                 let vm = handler.clone();
-                async move { Ok::<_, std::convert::Infallible>(answer(vm, request).await) }
+                async move { Ok::<_, std::convert::Infallible>(handle_request(vm, request).await) }
             }))
             .tcp();
-        // Connections taken from here on go by these limits.
+        // Accepts with these limits until they change; open connections keep theirs.
         let same = || vm.routes().map(|table| table.limits).unwrap_or_default() == limits;
         match service.new_service(()).await {
-            Ok(service) => take(&listener, Rc::new(service), same).await,
-            Err(()) => tokio::time::sleep(PAUSE).await,
+            Ok(service) => accept_connections(&listener, Rc::new(service), same).await,
+            Err(()) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Closes connections that rest when a planned stop begins, and others after their answer. Those
-/// that are taken during the stop are served first.
-fn closing(vm: &Rc<Vm>) -> impl Fn() -> LocalBoxFuture<'static, ()> + 'static {
+/// Returns a signal that closes idle connections when a planned stop begins, and busy ones after
+/// their response. Connections accepted during the stop don't get the signal, so that they are
+/// served first.
+fn shutdown_signal(vm: &Rc<Vm>) -> impl Fn() -> LocalBoxFuture<'static, ()> + 'static {
     let vm = vm.clone();
     move || {
         let mut stop = vm.stop.subscribe();
@@ -110,9 +112,9 @@
     }
 }
 
-/// Answers whether the VM takes new connections.
+/// Serves the readiness probe: 200 if the VM accepts requests now, else 503.
 pub async fn serve_readiness(vm: Rc<Vm>, listener: TcpListener) {
-    serve_questions(listener, move |request: &Request| {
+    serve_probes(listener, move |request: &Request| {
         let ready = header::asks_readiness(request.head()) && vm.is_ready(vm.now());
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Response::with_body(status, BoxBody::new(()))
@@ -120,9 +122,9 @@
     .await;
 }
 
-/// Serves the counters.
+/// Serves the metrics in the text format.
 pub async fn serve_metrics(vm: Rc<Vm>, listener: TcpListener) {
-    serve_questions(listener, move |_: &Request| {
+    serve_probes(listener, move |_: &Request| {
         let age = vm.proof_age(vm.now()).map_or(f64::INFINITY, Span::as_secs);
         vm.metrics.proof_age.set(age);
         bounded::count(&vm);
@@ -131,13 +133,11 @@
     .await;
 }
 
-async fn serve_questions(
-    listener: TcpListener,
-    reply: impl Fn(&Request) -> HttpResponse + 'static,
-) {
+/// Serves responses that are computed at once from the request head.
+async fn serve_probes(listener: TcpListener, reply: impl Fn(&Request) -> HttpResponse + 'static) {
     let reply = Rc::new(reply);
     let service = HttpService::build()
-        .client_request_timeout(QUESTION_WITHIN)
+        .client_request_timeout(PROBE_REQUEST_TIMEOUT)
         .tcp_nodelay(true)
         .h1(fn_service(move |request: Request| {
             let reply = reply.clone();
@@ -145,29 +145,32 @@
         }))
         .tcp();
     if let Ok(service) = service.new_service(()).await {
-        take(&listener, Rc::new(service), || true).await;
+        accept_connections(&listener, Rc::new(service), || true).await;
     }
 }
 
-/// Takes connections while `go_on` says so.
-async fn take<S>(listener: &TcpListener, service: Rc<S>, go_on: impl Fn() -> bool)
-where
+/// Accepts connections while `keep_accepting` returns true; it is asked after each one.
+async fn accept_connections<S>(
+    listener: &TcpListener,
+    service: Rc<S>,
+    keep_accepting: impl Fn() -> bool,
+) where
     S: Service<TcpStream> + 'static,
 {
-    while go_on() {
+    while keep_accepting() {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let connection = service.call(stream);
-                // A connection that breaks concerns nobody else; its requests tell their ends.
+                // A broken connection affects no other; its requests log their own ends.
                 actix_web::rt::spawn(async move { drop(connection.await) });
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Answers one request of a caller.
-async fn answer(vm: Rc<Vm>, mut request: Request) -> HttpResponse {
+/// Handles one request of a caller.
+async fn handle_request(vm: Rc<Vm>, mut request: Request) -> HttpResponse {
     let arrived = vm.now();
     let call = header::call(request.head());
     let id = header::answer_id(&call);
@@ -201,13 +204,13 @@
                 }
                 None => {
                     record.set_outcome("no service");
-                    refusal(&vm, &Refusal::new(Kind::NoServer), call.timeout)
+                    refusal_response(&vm, &Refusal::new(Kind::NoServer), call.timeout)
                 }
             }
         }
         Err(refused) => {
             record.set_outcome(refused.kind.row().name);
-            refusal(&vm, &refused, call.timeout)
+            refusal_response(&vm, &refused, call.timeout)
         }
     };
     if let Some((name, value)) = id.filter(|(name, _)| !response.headers().contains_key(name)) {
@@ -219,31 +222,32 @@
     response
 }
 
-/// What a request needs to be sent on.
+/// What admission establishes about a request.
 struct Admitted {
     route: Rc<Route>,
     holder: Option<Rc<Holder>>,
     body: Bytes,
 }
 
+/// Reads the body and checks route, API key and freshness of the configuration.
 async fn admit(
     vm: &Rc<Vm>,
     call: &Call,
     payload: Payload,
     record: &mut Record,
 ) -> Result<Admitted, Refusal> {
-    catch_up(vm).await;
+    wait_until_synced(vm).await;
     let table = vm.routes().ok_or_else(|| Refusal::new(Kind::Behind))?;
-    let most = table.limits.body;
-    let body = read(payload, most);
+    let max_size = table.limits.body;
+    let body = read_body(payload, max_size);
     let body = tokio::time::timeout(call.timeout.duration(), body).await;
     let body = body.map_err(|_| Refusal::new(Kind::Malformed))??;
-    let (table, found) = match allowed(&table, call) {
+    let (table, found) = match authorize(&table, call) {
         Ok(found) => (table, Ok(found)),
-        // What this VM does not know may have been added since its last proof.
-        Err(_) if confirm(vm).await => {
+        // The unknown route or key may have been added since this VM's last proof.
+        Err(_) if await_denial_proof(vm).await => {
             let newest = vm.routes().unwrap_or(table);
-            let found = allowed(&newest, call);
+            let found = authorize(&newest, call);
             (newest, found)
         }
         Err(_) => return Err(Refusal::new(Kind::Behind)),
@@ -253,31 +257,36 @@
     if vm.would_outlast(route.streams, vm.now()) {
         return Err(Refusal::after(Kind::Stopping, Span(0)));
     }
-    if table.keyed && !route.public && !fresh(vm).await {
+    if table.keyed && !route.public && !await_key_proof(vm).await {
         return Err(Refusal::new(Kind::CutOff));
     }
     if !vm.knows_all() {
         return Err(Refusal::new(Kind::Behind));
     }
-    // A key may have been taken away while the proof was awaited.
+    // The key may have been revoked while the request waited for the proof.
     let newest = vm.routes().unwrap_or(table);
-    let (route, holder) = allowed(&newest, call)?;
+    let (route, holder) = authorize(&newest, call)?;
     Ok(Admitted { route, holder, body })
 }
 
-/// Waits for what a VM that has just started does not know yet. It comes some tenths of a second after the start, and a
-/// request that waits is served where one that is refused comes back to another VM that has just started: when all of
-/// 23 VMs started again, 108 tries of a few hundred were refused.
-async fn catch_up(vm: &Rc<Vm>) {
-    let until = vm.started + KNOWS_WITHIN;
+/// Waits, on a VM that has just started, until its state is complete.
+///
+/// That takes some tenths of a second. A request that waits is then served, while a refused one
+/// comes back to another VM that has just started: when all of 23 VMs restarted, 108 attempts out
+/// of a few hundred were refused.
+async fn wait_until_synced(vm: &Rc<Vm>) {
+    let until = vm.started + STARTUP_GRACE;
     while !vm.knows_all() && vm.now() < until {
         let left = until.since(vm.now()).duration();
         let _ = tokio::time::timeout(left, vm.proof.notified()).await;
     }
 }
 
-/// The route of a request, and who holds its key.
-fn allowed(table: &Table, call: &Call) -> Result<(Rc<Route>, Option<Rc<Holder>>), Refusal> {
+/// Returns the route of a request and the holder of its API key.
+///
+/// # Errors
+/// `NotFound` without a route, `Unauthorised` if the route needs a key and this one is unknown.
+fn authorize(table: &Table, call: &Call) -> Result<(Rc<Route>, Option<Rc<Holder>>), Refusal> {
     let route = table.route(&call.host, &call.path);
     let route = route.ok_or_else(|| Refusal::new(Kind::NotFound))?.clone();
     if !table.keyed || route.public {
@@ -288,65 +297,69 @@
     Ok((route, Some(holder)))
 }
 
-/// Waits until a proof is there that is young enough to deny a route or key. Whether it came.
-async fn confirm(vm: &Rc<Vm>) -> bool {
+/// Waits for a proof that is recent enough to deny a route or key. Returns false if none came.
+async fn await_denial_proof(vm: &Rc<Vm>) -> bool {
     let now = vm.now();
-    let longest = vm.settings.bounds.in_force.part(DENIAL_PROOF);
-    let young = |vm: &Vm| vm.proved.get().is_some_and(|at| now.since(at) < longest);
-    young(vm) || await_proof(vm, young).await
+    let max_age = vm.settings.bounds.in_force.part(DENIAL_PROOF_AGE_FRACTION);
+    let is_recent = |vm: &Vm| vm.proved.get().is_some_and(|at| now.since(at) < max_age);
+    is_recent(vm) || await_proof(vm, is_recent).await
 }
 
-/// Whether requests with a key may be sent on, waiting for a proof if need be.
-async fn fresh(vm: &Rc<Vm>) -> bool {
+/// Returns true if requests with a key may be forwarded, waiting for a proof if needed.
+async fn await_key_proof(vm: &Rc<Vm>) -> bool {
     let now = vm.now();
     vm.may_use_keys(now) || await_proof(vm, |vm| vm.may_use_keys(vm.now())).await
 }
 
-async fn await_proof(vm: &Rc<Vm>, enough: impl Fn(&Vm) -> bool) -> bool {
-    let until = vm.now() + PROOF_WITHIN;
-    // While the store is known to be away a proof is tried for all the time; nobody waits for it.
+/// Requests proofs until `is_enough` holds. Returns false after the timeout.
+async fn await_proof(vm: &Rc<Vm>, is_enough: impl Fn(&Vm) -> bool) -> bool {
+    let until = vm.now() + PROOF_TIMEOUT;
+    // While the store is known to be lost, proofs are attempted continuously in the background, and
+    // no request waits for one.
     while vm.now() < until && !vm.store_lost.get() {
-        let heard = vm.proof.notified();
+        let proof = vm.proof.notified();
         vm.prove.notify_one();
         let left = until.since(vm.now()).duration();
-        let _ = tokio::time::timeout(left, heard).await;
-        if enough(vm) {
+        let _ = tokio::time::timeout(left, proof).await;
+        if is_enough(vm) {
             return true;
         }
     }
     false
 }
 
-async fn read(mut payload: Payload, most: usize) -> Result<Bytes, Refusal> {
-    let mut whole = BytesMut::new();
+/// Reads a request body of at most `max_size` bytes.
+async fn read_body(mut payload: Payload, max_size: usize) -> Result<Bytes, Refusal> {
+    let mut body = BytesMut::new();
     while let Some(piece) = payload.next().await {
         let piece = piece.map_err(|_| Refusal::new(Kind::Malformed))?;
-        if whole.len() + piece.len() > most {
+        if body.len() + piece.len() > max_size {
             return Err(Refusal::new(Kind::TooLarge));
         }
-        whole.extend_from_slice(&piece);
+        body.extend_from_slice(&piece);
     }
-    Ok(whole.freeze())
+    Ok(body.freeze())
 }
 
+/// Dispatches an admitted request and builds the caller's response.
 async fn forward(job: Job) -> HttpResponse {
     let vm = job.vm.clone();
     match dispatch::run(&job).await {
-        Reply::Complete(whole) => {
-            let (head, body) = *whole;
-            relayed(&head, BoxBody::new(body))
+        Reply::Complete(complete) => {
+            let (head, body) = *complete;
+            relay_response(&head, BoxBody::new(body))
         }
-        Reply::Stream(begun) => {
-            let response = relayed(&begun.head, BoxBody::new(()));
-            let body = BodyStream::new(Box::pin(relay::body(job, *begun)));
+        Reply::Stream(started) => {
+            let response = relay_response(&started.head, BoxBody::new(()));
+            let body = BodyStream::new(Box::pin(relay::body(job, *started)));
             response.set_body(BoxBody::new(body))
         }
-        Reply::Refused(refused) => refusal(&vm, &refused, job.left(vm.now())),
+        Reply::Refused(refused) => refusal_response(&vm, &refused, job.left(vm.now())),
     }
 }
 
-/// A server's answer, with its status and headers as they are.
-fn relayed(head: &ResponseHead, body: BoxBody) -> HttpResponse {
+/// Returns a server's response with its status and end-to-end headers unchanged.
+fn relay_response(head: &ResponseHead, body: BoxBody) -> HttpResponse {
     let mut response = Response::with_body(head.status, body);
     for (name, value) in header::answer_headers(head) {
         response.headers_mut().append(name, value);
@@ -354,8 +367,8 @@
     response
 }
 
-/// An answer of this VM's own.
-fn refusal(vm: &Vm, refused: &Refusal, left: Span) -> HttpResponse {
+/// Returns the response for a refusal by this VM; `left` is the caller's remaining time.
+fn refusal_response(vm: &Vm, refused: &Refusal, left: Span) -> HttpResponse {
     let row = refused.kind.row();
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let body = refused.body().to_string();
@@ -369,7 +382,7 @@
     set(actix_http::header::CONTENT_TYPE, "application/problem+json");
     set(HeaderName::from_static(crate::entry::header::VM), vm.settings.vm.as_str());
     if row.again.is_some() {
-        let again = refused.again.unwrap_or(COME_BACK).min(Span(left.0 / 3));
+        let again = refused.again.unwrap_or(DEFAULT_RETRY_AFTER).min(Span(left.0 / 3));
         set(RETRY_AFTER, &format!("{:.3}", again.as_secs()));
     }
     response
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -1,4 +1,4 @@
-//! Which version and which backend server a request goes to, with the VM's knowledge as input.
+//! Selects the version and the backend server for a request from the VM's state.
 
 mod prompt;
 mod version;
@@ -21,65 +21,65 @@
 pub use version::{Reason, Versions};
 use version::{eligible_versions, trial_servers};
 
-/// Requests that wait for the end of one rest look for a server within so long after it.
-const APART: Span = Span::millis(20);
+/// Requests that wait for the end of the same backoff wake at random within this time after it.
+const WAKE_JITTER: Span = Span::millis(20);
 
-/// What a request wants of its server.
+/// What a request requires of its server.
 pub struct Criteria<'a> {
-    /// The service.
+    /// The service that must serve it.
     pub service: &'a Service,
-    /// The request.
+    /// The parsed head of the request.
     pub call: &'a Call,
-    /// Size of its body.
+    /// Size of the request body in bytes.
     pub body_bytes: usize,
-    /// Where it may go, by its route and by its workspace, if a key names one.
+    /// Regions allowed by the route and by the workspace, if an API key names one.
     pub regions: [Option<&'a Regions>; 2],
-    /// The model, if it is known.
+    /// The model, if the caller or the system has chosen one.
     pub model: Option<&'a Model>,
-    /// Lives of servers that were tried before.
+    /// Server incarnations that were already tried and are avoided.
     pub tried: &'a [Replica],
 }
 
 impl Criteria<'_> {
-    /// Whether this life of a server was tried before.
+    /// Returns true if this incarnation of a server was already tried.
     fn has_tried(&self, replica: &Replica) -> bool {
         self.tried.iter().any(|tried| tried.is_life_of(replica))
     }
 
-    /// Whether it may go to a server, as far as its regions say.
+    /// Returns true if the server is in an allowed region.
     fn allows(&self, vm: &Vm, server: &Server) -> bool {
         let region = vm.settings.regions.get(&server.replica.data_centre);
         self.regions.iter().flatten().all(|regions| regions.allow(region))
     }
 }
 
-/// The server for a request.
+/// The server selected for a request.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The server.
+    /// The selected server.
     pub replica: Replica,
-    /// Time until the prompt is expected to be read there.
+    /// Expected time until the server has read the prompt, including the queue there.
     pub until_prefilled: Span,
-    /// The part of it that is the reading of this prompt.
+    /// The part of that time spent on this prompt itself.
     pub prefill_time: Span,
-    /// Why its version.
+    /// Why the request goes to the server's version.
     pub reason: Reason,
-    /// Its turn, if it has waited for one.
+    /// The permit, if the request has waited for one.
     pub turn: Option<Rc<Turn>>,
-    /// Servers of the service that were passed over though they do not leave.
+    /// Servers of the service that were skipped although they are not draining.
     pub skipped: Skipped,
 }
 
-/// How many servers a request could not go to, and why.
+/// Number of servers that a request could not go to, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Skipped {
-    /// In data centres that an order empties.
+    /// Servers in evacuated data centres.
     pub emptied: usize,
-    /// Cold ones whose turn was not this VM's, or not yet.
+    /// Cold servers whose next permit is not this VM's, or not due yet.
     pub cold: usize,
-    /// Those that name a limit, likewise.
+    /// Servers that report a rate limit, likewise.
     pub limited: usize,
-    /// Those that want rest.
+    /// Servers that asked for a backoff.
     pub resting: usize,
 }
 
@@ -102,27 +102,28 @@
         let Skipped { emptied, cold, limited, resting } = self;
         write!(
             f,
-            "passing over {emptied} emptied, {cold} cold, {resting} resting, {limited} limited"
+            "skipped {emptied} evacuated, {cold} cold, {resting} backing off, {limited} limited"
         )
     }
 }
 
-/// What a request waits for that no server takes at once: its turn at a server that bears only so much, or the end of a server's rest, when
-/// it is looked for a server anew.
+/// What a request waits for if no server takes it at once: a permit at a rate-limited server, or
+/// the end of a server's backoff, after which the selection is repeated.
 pub struct Wait {
-    /// When that comes.
+    /// When the wait is over.
     pub until: Moment,
-    /// Its turn.
+    /// The permit that is due then; none for a backoff.
     pub turn: Option<Turn>,
 }
 
-/// What comes by `until`, if anything does.
+/// Returns the wait that a request can make that ends by `until`, if there is one.
 pub fn next_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
-    turn_wait(vm, criteria, until, now).or_else(|| rest_wait(vm, criteria, until, now))
+    permit_wait(vm, criteria, until, now).or_else(|| backoff_wait(vm, criteria, until, now))
 }
 
-/// The end of the first rest. Requests that wait for the same do not all look at one moment.
-fn rest_wait(vm: &Vm, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
+/// Returns a wait for the backoff that ends first, with jitter so that the requests that wait for
+/// it do not all retry at once.
+fn backoff_wait(vm: &Vm, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
     let resting = fleet.resting(criteria.service, now).filter(|(one, _)| {
@@ -132,12 +133,12 @@
             && !criteria.has_tried(replica)
     });
     let left = resting.map(|(_, left)| left).min()?;
-    let at = now + left + APART.part(rand::random());
+    let at = now + left + WAKE_JITTER.part(rand::random());
     (at <= until).then_some(Wait { until: at, turn: None })
 }
 
-/// Takes the next turn at a server that bears only so much.
-fn turn_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
+/// Reserves the earliest permit at a rate-limited server and returns a wait for it.
+fn permit_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
     let access = bounded::access(vm, criteria.service, now);
     let mut fleet = vm.fleet.borrow_mut();
@@ -156,7 +157,7 @@
     Some(Wait { until: at, turn: Some(turn) })
 }
 
-/// The server whose turn a request has waited for, if it still takes work.
+/// Returns the server whose permit the request has waited for, if it is still available.
 pub fn select_after_wait(
     vm: &Vm,
     criteria: &Criteria,
@@ -169,13 +170,13 @@
     let server = fleet.of(criteria.service, now).find(|one| one.replica.id == turn.server().id);
     let server = server
         .filter(|one| versions.contains(&one.replica.version) && one.standing.bar(now).is_none());
-    let place = server.map(|server| {
+    let placement = server.map(|server| {
         let prompt = Prompt::new(criteria, &[server]);
         Placement::of(server, &candidate(vm, criteria, &prompt, server, now), reason)
     });
-    // A turn that is given back looks for its server.
+    // Dropping an unused permit borrows the fleet to return it.
     drop(fleet);
-    Some(Placement { turn: Some(Rc::new(turn)), ..place? })
+    Some(Placement { turn: Some(Rc::new(turn)), ..placement? })
 }
 
 impl Placement {
@@ -193,32 +194,34 @@
     }
 }
 
-/// The server for a request; none if none takes work.
+/// Selects the server for a request. Returns none if no server takes it now.
 pub fn select_server(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Placement> {
     let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
-    let found = among(vm, criteria, &versions, reason, now);
-    if found.is_none() && is_back_soon(vm, criteria, &versions, reason, now) {
+    let found = select_among(vm, criteria, &versions, reason, now);
+    if found.is_none() && is_available_soon(vm, criteria, &versions, reason, now) {
         return None;
     }
-    // While a version is tried, the other serves on if it alone has servers.
+    // During a rollout one version serves all requests if only that one has servers.
     let running = matches!(
         vm.rollouts.borrow().get(criteria.service).map(|one| one.phase),
         Some(Some(Phase::Running { .. }))
     );
     match (found, versions) {
         (None, Versions::Only(version)) if running => {
-            among(vm, criteria, &Versions::Except(version), Reason::Elsewhere, now)
+            select_among(vm, criteria, &Versions::Except(version), Reason::Elsewhere, now)
         }
         (None, Versions::Only(_)) if !vm.rollouts.borrow().contains_key(criteria.service) => {
-            among(vm, criteria, &Versions::Any, Reason::Elsewhere, now)
+            select_among(vm, criteria, &Versions::Any, Reason::Elsewhere, now)
         }
         (found, _) => found,
     }
 }
 
-/// Whether a server of these versions takes requests again in a moment, so that a request stays with its version: it wants rest, or it
-/// named a limit and its turn comes later. What was only drawn for a version goes elsewhere rather than wait for a turn.
-fn is_back_soon(
+/// Returns true if a server of these versions will take requests again soon, so that the request
+/// waits for its version: the server asked for a backoff, or it reports a rate limit and the next
+/// permit is due later. A request that was merely drawn for a version goes to another one rather
+/// than wait for a permit.
+fn is_available_soon(
     vm: &Vm,
     criteria: &Criteria,
     versions: &Versions,
@@ -226,31 +229,34 @@
     now: Moment,
 ) -> bool {
     let fleet = vm.fleet.borrow();
-    let is_meant =
+    let is_eligible =
         |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
     let is_limited = |one: &Server| one.standing.limit.rate(now).is_some();
     let mut resting = fleet.resting(criteria.service, now);
-    let mut taking = fleet.of(criteria.service, now);
-    resting.any(|(one, _)| is_meant(one))
+    let mut serving = fleet.of(criteria.service, now);
+    resting.any(|(one, _)| is_eligible(one))
         || (!matches!(reason, Reason::Drawn { .. })
-            && taking.any(|one| is_meant(one) && is_limited(one)))
+            && serving.any(|one| is_eligible(one) && is_limited(one)))
 }
 
-/// When to come back, if all servers that a request may go to want rest or bear only so much: when the first rest ends or the first turn comes.
+/// Returns the time after which a refused caller should retry, when the first backoff ends or the
+/// first permit is due. Returns none unless all servers that the request may go to are backing off
+/// or rate limited.
 pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
     let access = bounded::access(vm, criteria.service, now);
-    let is_meant = |one: &&Server| criteria.allows(vm, one);
-    let taking = || fleet.of(criteria.service, now).filter(is_meant);
-    if taking().any(|one| access.bound(one).is_none()) {
+    let is_eligible = |one: &&Server| criteria.allows(vm, one);
+    let serving = || fleet.of(criteria.service, now).filter(is_eligible);
+    if serving().any(|one| access.bound(one).is_none()) {
         return None;
     }
-    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| is_meant(one));
-    let turns = taking().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
+    let resting = fleet.resting(criteria.service, now).filter(|(one, _)| is_eligible(one));
+    let turns = serving().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
     standing::come_back(resting.map(|(_, left)| left).chain(turns), rand::random())
 }
 
-fn among(
+/// Selects the server among those of the given versions.
+fn select_among(
     vm: &Vm,
     criteria: &Criteria,
     versions: &Versions,
@@ -268,18 +274,22 @@
             .filter(within)
             .filter(|one| access.lets(one))
     };
-    let sound = |one: &&Server| one.standing.bar(now).is_none();
-    let busy = trial_servers(vm, criteria.service, versions, of_version().filter(sound));
-    let most = connections_each(vm, criteria.service, now);
-    let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < most;
-    let in_trial = |one: &&Server| busy.as_ref().is_none_or(|busy| busy.contains(&one.replica.id));
+    let is_available = |one: &&Server| one.standing.bar(now).is_none();
+    let in_trial_set =
+        trial_servers(vm, criteria.service, versions, of_version().filter(is_available));
+    let max_open = max_open_per_server(vm, criteria.service, now);
+    let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < max_open;
+    let in_trial = |one: &&Server| {
+        in_trial_set.as_ref().is_none_or(|in_trial_set| in_trial_set.contains(&one.replica.id))
+    };
     let mut servers: Vec<&Server> =
-        of_version().filter(untried).filter(sound).filter(in_trial).collect();
-    // A repeat stays with its version, on servers beyond those of the trial.
+        of_version().filter(untried).filter(is_available).filter(in_trial).collect();
+    // A retry stays on its version, even if only servers outside the trial are left.
     if servers.is_empty() {
-        servers = of_version().filter(untried).filter(sound).collect();
+        servers = of_version().filter(untried).filter(is_available).collect();
     }
-    // If all that is left is left out, its record may be wrong and refusing is no better.
+    // If all remaining servers are ejected, uses one anyway: their records may be wrong, and a
+    // refusal is no better.
     if servers.is_empty() {
         servers = of_version().filter(untried).collect();
     }
@@ -291,50 +301,51 @@
         false => place::soonest(&candidates, criteria.body_bytes),
     };
     at.map(|at| {
-        let passed = Skipped::count(&fleet, &access, criteria.service, now);
-        Placement { skipped: passed, ..Placement::of(servers[at], &candidates[at], reason) }
+        let skipped = Skipped::count(&fleet, &access, criteria.service, now);
+        Placement { skipped, ..Placement::of(servers[at], &candidates[at], reason) }
     })
 }
 
-/// Requests that this VM may have open at one server: its part of the connections that the server
-/// takes from all VMs together; beyond them it resets.
-fn connections_each(vm: &Vm, service: &Service, now: Moment) -> u32 {
+/// Returns the number of requests that this VM may have open at one server: its share of the
+/// connections that the server accepts from all VMs. The server resets connections beyond that.
+fn max_open_per_server(vm: &Vm, service: &Service, now: Moment) -> u32 {
     let declared = vm.routes().and_then(|table| table.pool(service).map(|pool| pool.connections));
     let vms = vm.peers.borrow().present(now) as u32;
     declared.map_or(u32::MAX, |all| limit::even_part(all, vms))
 }
 
-/// What is expected of a request that was sent.
+/// What the VM expected of a request when it was sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimate {
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that the server had to read.
+    /// Number of those tokens that the server was thought not to have cached.
     pub uncached_tokens: u64,
-    /// Time until the server comes to it.
+    /// Expected time until the server starts to read the prompt.
     pub queue_time: Span,
-    /// Time that the server needs to read it.
+    /// Expected time that the server needs to read the prompt.
     pub prefill_time: Span,
-    /// Requests that the server was thought to hold.
+    /// Estimated number of requests at the server.
     pub load: f64,
-    /// Time until the prompt is read if the server works at the usual pace and holds only what this
-    /// VM sent it; none if the request has no prompt.
+    /// Time until the prompt is read if the server works at the usual speed and has only the work
+    /// of this VM; none if the request has no prompt.
     pub expected_time: Option<Span>,
-    /// What the server had said against it.
+    /// Why the server should not have been used, if it was used nevertheless.
     pub bar: Option<Bar>,
-    /// The limit that it had named, and how long ago it did so first.
+    /// The rate limit that the server reported, and how long ago it first did.
     pub limit: Option<(Rate, Span)>,
 }
 
-/// Notes that a request was sent: its prompt waits at the server, which then holds its parts.
+/// Records that a request is sent: its prompt joins the server's backlog and its parts count as
+/// cached there. Returns the estimate made before.
 pub fn record_send(
     vm: &Rc<Vm>,
-    place: &Placement,
+    placement: &Placement,
     call: &Call,
     model: Option<&Model>,
     now: Moment,
 ) -> Estimate {
-    let replica = &place.replica;
+    let replica = &placement.replica;
     let mut fleet = vm.fleet.borrow_mut();
     let Some(server) = fleet.life_mut(replica) else { return Estimate::default() };
     let (load, bar) = (server.load.level(now), server.standing.bar(now));
--- a/src/forward/selection/prompt.rs
+++ b/src/forward/selection/prompt.rs
@@ -1,59 +1,62 @@
-//! A prompt by its parts: how much of it each server would have to read.
+//! The parts of a prompt and how many of its tokens each server would have to read.
 
 use super::Criteria;
 use crate::forward::call::{Call, PromptPart};
 use crate::forward::server::Server;
 use crate::unit::{Model, Moment, Server as Id, hash};
 
-/// The parts of a prompt, and where the shared ones are thought to be.
+/// A prompt as a list of parts, with the server preferred for its shared parts.
 pub struct Prompt {
     parts: Vec<Part>,
-    /// The server that is first for requests with the same last shared part: prefix affinity, which all VMs work out alike.
-    affine: Option<Id>,
+    /// The server preferred for requests with the same last shared part (prefix affinity). All VMs
+    /// compute the same one.
+    preferred: Option<Id>,
 }
 
 /// One part of a prompt.
 struct Part {
-    /// Hash of the part with the model, since models share nothing.
+    /// Hash of the part's id and the model, since models share no cache.
     hash: u64,
     tokens: u64,
 }
 
 impl Prompt {
-    /// The prompt of a request that was sent, whichever server was first for it.
+    /// Returns the prompt of a request that was sent, without a preferred server.
     pub fn without_affinity(call: &Call, model: Option<&Model>) -> Prompt {
-        Prompt { parts: parts(call, model), affine: None }
+        Prompt { parts: parts(call, model), preferred: None }
     }
 
-    /// The prompt of a request that one of these servers may get.
+    /// Returns the prompt of a request with the preferred one of these servers, by rendezvous
+    /// hashing.
     pub fn new(criteria: &Criteria, servers: &[&Server]) -> Prompt {
         let parts = parts(criteria.call, criteria.model);
-        let Some(shared) = parts.len().checked_sub(2) else {
-            return Prompt { parts, affine: None };
+        let Some(last_shared) = parts.len().checked_sub(2) else {
+            return Prompt { parts, preferred: None };
         };
-        let name = parts[shared].hash.to_string();
+        let name = parts[last_shared].hash.to_string();
         let rank = |server: &&&Server| hash::stable(&[&name, server.replica.id.as_str()]);
-        let affine = servers.iter().max_by_key(rank).map(|server| server.replica.id.clone());
-        Prompt { parts, affine }
+        let preferred = servers.iter().max_by_key(rank).map(|server| server.replica.id.clone());
+        Prompt { parts, preferred }
     }
 
-    /// Hashes of its parts.
+    /// Returns the hashes of the parts in order.
     pub fn hashes(&self) -> impl Iterator<Item = u64> {
         self.parts.iter().map(|part| part.hash)
     }
 
-    /// Tokens of all its parts.
+    /// Returns the number of tokens of all parts.
     pub fn tokens(&self) -> u64 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens that a server would have to read: parts from the first that it does not hold.
+    /// Returns the number of tokens that a server would have to read: all from the first part on
+    /// that it has not cached. The preferred server counts as having cached all parts but the last.
     pub fn uncached_tokens(&self, server: &Server, now: Moment) -> u64 {
-        let is_affine = self.affine.as_ref() == Some(&server.replica.id);
+        let is_preferred = self.preferred.as_ref() == Some(&server.replica.id);
         let last = self.parts.len().saturating_sub(1);
-        let held =
-            |at: usize, part: &Part| (is_affine && at < last) || server.holds(part.hash, now);
-        let first = self.parts.iter().enumerate().position(|(at, part)| !held(at, part));
+        let is_cached =
+            |at: usize, part: &Part| (is_preferred && at < last) || server.holds(part.hash, now);
+        let first = self.parts.iter().enumerate().position(|(at, part)| !is_cached(at, part));
         let from = first.unwrap_or(self.parts.len());
         self.parts[from..].iter().map(|part| part.tokens).sum()
     }
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -1,4 +1,5 @@
-//! Which version of a service a request goes to, and which servers of one under trial share its requests.
+//! Selects the version of a service for a request, and the servers that serve a version in a
+//! rollout.
 
 use crate::decide::canary;
 use crate::forward::call::Call;
@@ -11,16 +12,16 @@
 /// Versions that a request may be sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Versions {
-    /// This one only.
+    /// Only this version.
     Only(Version),
-    /// All but this one.
+    /// All versions but this one.
     Except(Version),
-    /// Any.
+    /// Any version.
     Any,
 }
 
 impl Versions {
-    /// Whether a version is among them.
+    /// Returns true if the version is among them.
     pub fn contains(&self, version: &Version) -> bool {
         match self {
             Versions::Only(only) => version == only,
@@ -33,24 +34,24 @@
 /// Why a request goes to a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reason {
-    /// No trial runs.
+    /// No rollout is in progress.
     Settled,
-    /// This VM found the new version bad.
+    /// This VM has judged the new version bad.
     Bad,
-    /// Its session was sent there before.
+    /// This VM has sent the session to that version before.
     Kept,
-    /// Another VM had sent its session there.
+    /// Another VM reported that the session was sent to that version.
     Heard,
-    /// Its point, from 0 to 1, lies below the new version's share, or not.
+    /// Chosen by comparing the request's random point, from 0 to 1, with the new version's share.
     Drawn {
-        /// The point.
+        /// The point, the same on all VMs for the same session.
         point: f64,
-        /// The share.
+        /// The new version's share of the requests, from 0 to 1.
         share: f64,
-        /// Whether this VM had sent its session to a version before.
+        /// Set if this VM has sent the session to a version before.
         known: bool,
     },
-    /// The version that it should go to has no server that takes it.
+    /// The version that the request should go to has no available server.
     Elsewhere,
 }
 
@@ -60,7 +61,7 @@
             Reason::Settled => f.write_str("settled"),
             Reason::Bad => f.write_str("bad"),
             Reason::Kept => f.write_str("kept"),
-            Reason::Heard => f.write_str("kept, as another VM said"),
+            Reason::Heard => f.write_str("kept, as another VM reported"),
             Reason::Drawn { point, share, known } => {
                 write!(f, "drawn {point:.3} of {share:.3}{}", if *known { " again" } else { "" })
             }
@@ -69,7 +70,7 @@
     }
 }
 
-/// The versions of a service that a request may be sent to now, and why these.
+/// Returns the versions of a service that a request may be sent to now, and the reason.
 pub fn eligible_versions(
     vm: &Vm,
     service: &Service,
@@ -111,8 +112,8 @@
     }
 }
 
-/// The servers of a version under trial that share its requests, the same on all VMs; none if all
-/// of them do.
+/// Returns the servers that share the requests of a version in a rollout, or none if all of them
+/// do. All VMs compute the same servers.
 pub fn trial_servers<'a>(
     vm: &Vm,
     service: &Service,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -130,7 +130,7 @@
     assert!(most_seen_in_a_second(&cold, begun) <= 4);
     assert_eq!(vm.counter(&["kitepulley_cold_servers{", "api"]), 1.0);
     let passed = |line: &serde_json::Value| {
-        line["trail"].as_str().is_some_and(|trail| trail.contains("passing over 0 emptied, 1 cold"))
+        line["trail"].as_str().is_some_and(|trail| trail.contains("skipped 0 evacuated, 1 cold"))
     };
     eventually("the log tells why it got none", || vm.lines().iter().any(passed));
     // Warm again, it gets its part.
