--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -186,7 +186,7 @@
         release_connection(job, replica, connection, None);
         return Outcome::without_response(End::Withheld, bar.to_string());
     }
-    if let Err(reason) = pending.turn.spend(vm.now()) {
+    if let Err(reason) = pending.permit.spend(vm.now()) {
         release_connection(job, replica, connection, None);
         return Outcome::without_response(End::Withheld, reason.to_string());
     }
@@ -289,18 +289,18 @@
     }
     let vm = &job.vm;
     let now = vm.now();
-    let (heard, limited, rate) = {
+    let (signal_changed, limit_changed, rate) = {
         let mut fleet = vm.fleet.borrow_mut();
         let Some(server) = fleet.life_mut(replica) else { return };
         let standing = &mut server.standing;
-        let limited = standing.limit.hear(response.limit, sent_at.unwrap_or_default(), now);
-        (standing.hear(response.signal, now), limited, standing.limit.rate(now))
+        let limit_changed = standing.limit.hear(response.limit, sent_at.unwrap_or_default(), now);
+        (standing.hear(response.signal, now), limit_changed, standing.limit.rate(now))
     };
     said::tell_limit(vm, replica);
     let signals = [
-        ("leaves", heard && response.signal.leaves),
-        ("rest", heard && !response.signal.leaves),
-        ("limit", limited),
+        ("leaves", signal_changed && response.signal.leaves),
+        ("rest", signal_changed && !response.signal.leaves),
+        ("limit", limit_changed),
         ("unreadable limit", response.limit == bound::Word::Unreadable),
     ];
     let mut is_any_new = false;
@@ -311,7 +311,7 @@
     if is_any_new {
         log_signal(job, replica, response, rate);
     }
-    if heard && response.signal.leaves {
+    if signal_changed && response.signal.leaves {
         said::tell_leave(vm, replica);
     }
 }
--- a/src/forward/connection.rs
+++ b/src/forward/connection.rs
@@ -1,9 +1,9 @@
-//! One HTTP/1.1 connection to a backend server or to the platform, which tells a whole answer
-//! from a broken one.
+//! An HTTP/1.1 client connection to a backend server or to the platform that distinguishes complete
+//! responses from truncated ones.
 //!
-//! The codec is `actix-http`'s. What the codec leaves to its user is decided here: an answer
-//! without a length ends with its connection, an end before the last byte is a fault, and bytes
-//! that nobody asked for end the use of the connection.
+//! The codec is that of `actix-http`. This module decides what the codec leaves open: a response
+//! without a length ends with its connection, an end before the last byte is an error, and a
+//! connection with unsolicited bytes is not reused.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,47 +20,49 @@
 
 use crate::unit::Span;
 
-/// A peer that acknowledges nothing for this long is lost; a path that heals within a second or
-/// two must not break what runs.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
+/// `TCP_USER_TIMEOUT`: a peer that acknowledges nothing for this long is lost. A network path that
+/// recovers within a second or two must not break running requests.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Silence after which the peer's kernel is asked whether it is there, time between two such
-/// questions, and questions without an answer that end the connection.
-const ASK_AFTER: Duration = Duration::from_secs(2);
-const ASK_EVERY: Duration = Duration::from_secs(1);
-const ASK_TIMES: u32 = 3;
+/// TCP keepalive: silence before the first probe, interval between probes, and number of unanswered
+/// probes that end the connection.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 3;
 
-/// Bytes read at once.
-const READ: usize = 16 * 1024;
+/// Buffer space in bytes reserved for each read.
+const READ_SIZE: usize = 16 * 1024;
 
-/// Why an exchange gave no whole answer.
+/// Why an exchange brought no complete response.
 #[derive(Debug)]
 pub enum Fault {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It broke after a byte may have left.
+    /// The exchange broke after bytes may have been sent.
     Broken(String),
 }
 
-/// How the body of an answer is framed.
+/// How the body of a response is framed.
 enum Body {
-    /// There is none, or it was read to its end.
-    Ended,
-    /// By a length or in chunks.
+    /// There is none, or it was read completely.
+    Complete,
+    /// By a content length or in chunks.
     Framed(ClientPayloadCodec),
-    /// Until the connection ends.
-    ToEnd(ClientCodec),
+    /// By the end of the connection.
+    UntilClose(ClientCodec),
 }
 
-/// An open connection. One request at a time.
+/// An open connection that carries one request at a time.
 pub struct Connection {
     io: TcpStream,
     read: BytesMut,
-    /// Between two answers; `body` has it while a body is read.
+    /// Present between two responses; moved into `body` while a body is read.
     codec: Option<ClientCodec>,
     body: Body,
-    whole_request: bool,
-    keeps: bool,
+    /// Set if the whole request was sent.
+    request_sent: bool,
+    /// Set if the connection may be reused after the response.
+    keep_alive: bool,
     method: Method,
 }
 
@@ -68,37 +70,39 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// `NotSent` if it does not open within the time.
+    /// `NotSent` if the connection is not established within the time.
     pub async fn open(to: SocketAddr, within: Span) -> Result<Connection, Fault> {
         let opened = tokio::time::timeout(within.duration(), TcpStream::connect(to)).await;
-        let opened =
-            opened.map_err(|_| Fault::NotSent(format!("no connection within {within}")))?;
-        let io = opened.map_err(|fault| Fault::NotSent(format!("no connection: {fault}")))?;
-        tune(&io).map_err(|fault| Fault::NotSent(format!("a socket's option: {fault}")))?;
+        let opened = opened
+            .map_err(|_| Fault::NotSent(format!("connection not established within {within}")))?;
+        let io = opened.map_err(|fault| Fault::NotSent(format!("connection failed: {fault}")))?;
+        set_socket_options(&io)
+            .map_err(|fault| Fault::NotSent(format!("socket option not set: {fault}")))?;
         Ok(Connection {
             io,
             read: BytesMut::new(),
             codec: Some(ClientCodec::default()),
-            body: Body::Ended,
-            whole_request: true,
-            keeps: true,
+            body: Body::Complete,
+            request_sent: true,
+            keep_alive: true,
             method: Method::GET,
         })
     }
 
-    /// Whether nothing has arrived that nobody asked for, and the peer has not closed.
+    /// Returns true if no unsolicited bytes have arrived and the peer has not closed the
+    /// connection.
     pub fn is_idle(&self) -> bool {
         let nothing = self.io.try_read(&mut [0u8; 1]);
         self.read.is_empty() && matches!(nothing, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and reads the head of its answer.
+    /// Sends a request and reads the head of the response.
     ///
-    /// The answer may come before the whole request is sent; then the rest is not sent and the
-    /// connection is not used again.
+    /// If the response arrives before the whole request is sent, the rest is not sent and the
+    /// connection is not reused.
     ///
     /// # Errors
-    /// `NotSent` if no byte left, else `Broken`.
+    /// `NotSent` if no byte was sent, else `Broken`.
     pub async fn send(&mut self, head: RequestHead, body: &Bytes) -> Result<ResponseHead, Fault> {
         let bytes = self.encode(head, body)?;
         let mut sent = 0;
@@ -109,27 +113,29 @@
                 wrote = writer.write(&bytes[sent..]) => match wrote {
                     Ok(count) => sent += count,
                     Err(fault) if sent == 0 => return Err(Fault::NotSent(fault.to_string())),
-                    // An early answer may still lie there to be read.
+                    // An early response may still be readable.
                     Err(_) => break,
                 },
                 got = reader.read_buf(&mut self.read) => match got {
                     Ok(0) => break,
-                    Ok(_) => if self.head_is_there() { break },
+                    Ok(_) => if self.has_buffered_head() { break },
                     Err(_) => break,
                 },
             }
         }
-        self.whole_request = sent == bytes.len();
+        self.request_sent = sent == bytes.len();
         self.read_head().await
     }
 
     fn encode(&mut self, mut head: RequestHead, body: &Bytes) -> Result<BytesMut, Fault> {
         let refused = |e: io::Error| Fault::NotSent(e.to_string());
         let codec = self.codec.as_mut();
-        let codec = codec.ok_or_else(|| Fault::NotSent("an answer is still read".to_owned()))?;
+        let codec = codec.ok_or_else(|| {
+            Fault::NotSent("the previous response is still being read".to_owned())
+        })?;
         self.method = head.method.clone();
         let size = match body.len() {
-            0 if bodiless(&head.method) => BodySize::None,
+            0 if allows_no_length(&head.method) => BodySize::None,
             length => BodySize::Sized(length as u64),
         };
         head.set_connection_type(actix_http::ConnectionType::KeepAlive);
@@ -140,77 +146,82 @@
         Ok(bytes)
     }
 
-    fn head_is_there(&self) -> bool {
+    /// Returns true if the buffer contains the end of a head.
+    fn has_buffered_head(&self) -> bool {
         self.read.windows(4).any(|end| end == b"\r\n\r\n")
     }
 
-    /// Reads the head of the next answer; interim answers are passed over.
+    /// Reads the head of the next response, skipping informational ones.
     ///
     /// # Errors
-    /// `Broken`, whatever was sent before may have run.
+    /// `Broken` if no valid head arrives; what was sent before may have run.
     pub async fn read_head(&mut self) -> Result<ResponseHead, Fault> {
         loop {
             let codec = self.codec.as_mut();
-            let codec = codec.ok_or_else(|| Fault::Broken("a body is still read".to_owned()))?;
+            let codec = codec
+                .ok_or_else(|| Fault::Broken("a response body is still being read".to_owned()))?;
             let decoded = codec.decode(&mut self.read);
-            match decoded.map_err(|e| Fault::Broken(format!("no answer in HTTP: {e}")))? {
+            match decoded
+                .map_err(|e| Fault::Broken(format!("the response is not valid HTTP: {e}")))?
+            {
                 Some(head) if head.status.is_informational() => continue,
                 Some(head) => {
-                    self.frame(&head);
+                    self.set_framing(&head);
                     return Ok(head);
                 }
-                None => self.fill("the connection ended before an answer").await?,
+                None => self.fill("the connection ended before a response").await?,
             }
         }
     }
 
-    fn frame(&mut self, head: &ResponseHead) {
+    /// Sets the framing of the body and whether the connection may be reused, from a response head.
+    fn set_framing(&mut self, head: &ResponseHead) {
         let Some(codec) = self.codec.take() else { return };
-        self.keeps = codec.keep_alive() && self.whole_request;
-        let empty = self.method == Method::HEAD
+        self.keep_alive = codec.keep_alive() && self.request_sent;
+        let has_no_body = self.method == Method::HEAD
             || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        let lengthless = !head.headers.contains_key(CONTENT_LENGTH)
+        let has_no_length = !head.headers.contains_key(CONTENT_LENGTH)
             && !head.headers.contains_key(TRANSFER_ENCODING);
         self.body = match codec.message_type() {
-            _ if empty => self.ended(codec),
-            MessageType::None if lengthless => Body::ToEnd(codec),
-            MessageType::None => self.ended(codec),
+            _ if has_no_body => self.without_body(codec),
+            MessageType::None if has_no_length => Body::UntilClose(codec),
+            MessageType::None => self.without_body(codec),
             MessageType::Payload | MessageType::Stream => Body::Framed(codec.into_payload_codec()),
         };
-        self.keeps &= !matches!(self.body, Body::ToEnd(_));
+        self.keep_alive &= !matches!(self.body, Body::UntilClose(_));
     }
 
-    fn ended(&mut self, codec: ClientCodec) -> Body {
+    fn without_body(&mut self, codec: ClientCodec) -> Body {
         self.codec = Some(codec);
-        Body::Ended
+        Body::Complete
     }
 
-    /// The next bytes of the answer's body; nothing after its last.
+    /// Reads the next bytes of the response body; none after the last.
     ///
     /// # Errors
     /// `Broken` if the connection ended before the last byte or the framing is wrong.
     pub async fn read_chunk(&mut self) -> Result<Option<Bytes>, Fault> {
         loop {
             match &mut self.body {
-                Body::Ended => return Ok(None),
+                Body::Complete => return Ok(None),
                 Body::Framed(codec) => {
                     let decoded = codec.decode(&mut self.read);
                     match decoded.map_err(|e| Fault::Broken(format!("the body's framing: {e}")))? {
                         Some(Some(bytes)) => return Ok(Some(bytes)),
                         Some(None) => {
-                            self.end_of_body();
+                            self.finish_body();
                             return Ok(None);
                         }
                         None => self.fill("the connection ended within the answer").await?,
                     }
                 }
-                Body::ToEnd(_) if !self.read.is_empty() => {
+                Body::UntilClose(_) if !self.read.is_empty() => {
                     return Ok(Some(self.read.split().freeze()));
                 }
-                Body::ToEnd(_) => {
+                Body::UntilClose(_) => {
                     let got = self.io.read_buf(&mut self.read).await;
                     if got.map_err(|e| Fault::Broken(e.to_string()))? == 0 {
-                        self.end_of_body();
+                        self.finish_body();
                         return Ok(None);
                     }
                 }
@@ -218,36 +229,43 @@
         }
     }
 
-    fn end_of_body(&mut self) {
-        match std::mem::replace(&mut self.body, Body::Ended) {
+    /// Takes the codec back from a body that was read completely.
+    fn finish_body(&mut self) {
+        match std::mem::replace(&mut self.body, Body::Complete) {
             Body::Framed(codec) => self.codec = Some(codec.into_message_codec()),
-            Body::ToEnd(codec) => self.codec = Some(codec),
-            Body::Ended => {}
+            Body::UntilClose(codec) => self.codec = Some(codec),
+            Body::Complete => {}
         }
     }
 
-    /// The whole body, if it is no longer than `most`.
+    /// Reads the complete body of at most `max_size` bytes.
     ///
     /// # Errors
-    /// `Broken` if it is not whole, or too long.
-    pub async fn read_body(&mut self, most: usize) -> Result<Bytes, Fault> {
-        let mut whole = BytesMut::new();
+    /// `Broken` if the body is truncated or too long.
+    pub async fn read_body(&mut self, max_size: usize) -> Result<Bytes, Fault> {
+        let mut body = BytesMut::new();
         while let Some(bytes) = self.read_chunk().await? {
-            if whole.len() + bytes.len() > most {
-                return Err(Fault::Broken(format!("the answer is longer than {most} bytes")));
+            if body.len() + bytes.len() > max_size {
+                return Err(Fault::Broken(format!(
+                    "the response body is longer than {max_size} bytes"
+                )));
             }
-            whole.extend_from_slice(&bytes);
+            body.extend_from_slice(&bytes);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
-    /// Whether another request may be sent, now that the answer was read.
+    /// Returns true if another request may be sent, after the response was read.
     pub fn is_reusable(&self) -> bool {
-        self.keeps && matches!(self.body, Body::Ended) && self.codec.is_some() && self.is_idle()
+        self.keep_alive
+            && matches!(self.body, Body::Complete)
+            && self.codec.is_some()
+            && self.is_idle()
     }
 
+    /// Reads more bytes into the buffer; `at_end` is the error if the connection has ended.
     async fn fill(&mut self, at_end: &str) -> Result<(), Fault> {
-        self.read.reserve(READ);
+        self.read.reserve(READ_SIZE);
         let got = self.io.read_buf(&mut self.read).await;
         match got.map_err(|e| Fault::Broken(e.to_string()))? {
             0 => Err(Fault::Broken(at_end.to_owned())),
@@ -256,19 +274,19 @@
     }
 }
 
-/// Whether a request of this method without a body needs no length.
-fn bodiless(method: &Method) -> bool {
+/// Returns true if a request of this method without a body needs no content length.
+fn allows_no_length(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::DELETE | Method::OPTIONS)
 }
 
-/// Small writes leave at once, and a peer that is gone without a word is noticed.
-fn tune(io: &TcpStream) -> io::Result<()> {
+/// Disables Nagle's algorithm and makes the kernel detect a peer that vanished silently.
+fn set_socket_options(io: &TcpStream) -> io::Result<()> {
     io.set_nodelay(true)?;
     let socket = socket2::SockRef::from(io);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-    let ask = socket2::TcpKeepalive::new()
-        .with_time(ASK_AFTER)
-        .with_interval(ASK_EVERY)
-        .with_retries(ASK_TIMES);
-    socket.set_tcp_keepalive(&ask)
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/src/forward/content.rs
+++ b/src/forward/content.rs
@@ -1,8 +1,8 @@
-//! What a request asks, whoever brings it, however often and to whichever VM: its content.
+//! The content of a request: what it asks for, regardless of the attempt and the VM it reaches.
 //!
-//! Two requests with the same method, host, path and query and body have the same content if the same workspace asks; without a
-//! key all callers count as one. Its id, its key among those of the workspace, its deadline, its session and how far a
-//! caller has come with a stream are not part of it.
+//! Requests have the same content if method, host, path and query, body and workspace are equal.
+//! Without an API key all callers count as one workspace. The request id, the choice among the keys
+//! of a workspace, the deadline, the session and the last event id are not part of the content.
 
 use actix_http::RequestHead;
 
@@ -10,7 +10,7 @@
 use crate::config::Holder;
 use crate::unit::{Digest, digest};
 
-/// The content of a request.
+/// Returns the digest of the content of a request.
 pub fn request_digest(
     head: &RequestHead,
     call: &Call,
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -1,7 +1,7 @@
-//! Finds out whether a backend server has crashed where the answer of a request broke off.
+//! Checks whether a backend server has crashed after a response from it broke off.
 //!
-//! A server whose process is gone refuses new connections, or a later life of it is there. A server that has said that it leaves
-//! ends as planned.
+//! A server whose process is gone refuses new connections, or has a later incarnation. A server
+//! that announced a drain ends as planned and is not checked.
 
 use std::rc::Rc;
 
@@ -15,49 +15,51 @@
 use crate::decide::poison::Broken;
 use crate::engine::check::{self, Found};
 
-/// What a broken answer means for the life of its server, as far as this VM knows.
-enum Next {
-    /// It is over.
-    IsOver,
-    /// It is to be checked.
+/// What to do about a broken response, by what this VM knows of the server's incarnation.
+enum Action {
+    /// The incarnation has ended: record the crash.
+    RecordCrash,
+    /// Start a check.
     Check,
-    /// It is being checked, or ends as planned.
-    Nothing,
+    /// A check is running, or the server ends as planned: do nothing.
+    Ignore,
 }
 
-/// The answer to a request broke off at a life of a server.
+/// Handles a response that broke off at an incarnation of a server.
 pub fn on_broken_response(vm: &Rc<Vm>, replica: &Replica, request: Broken) {
-    match next(&mut vm.fleet.borrow_mut(), replica, request) {
-        Next::IsOver => {}
-        Next::Check => {
-            spawn(look(vm.clone(), replica.clone()));
+    match next_action(&mut vm.fleet.borrow_mut(), replica, request) {
+        Action::RecordCrash => {}
+        Action::Check => {
+            spawn(check_server(vm.clone(), replica.clone()));
             return;
         }
-        Next::Nothing => return,
+        Action::Ignore => return,
     }
-    note(vm, replica, vec![request], Found::IsGone);
+    record_check(vm, replica, vec![request], Found::IsGone);
 }
 
-fn next(fleet: &mut Fleet, replica: &Replica, request: Broken) -> Next {
-    let Some(server) = fleet.get_mut(&replica.id) else { return Next::Nothing };
+/// Decides on the action and remembers the request while the server is being checked.
+fn next_action(fleet: &mut Fleet, replica: &Replica, request: Broken) -> Action {
+    let Some(server) = fleet.get_mut(&replica.id) else { return Action::Ignore };
     if !server.replica.is_life_of(replica) {
-        return Next::IsOver;
+        return Action::RecordCrash;
     }
     match &mut server.life {
-        Life::Over => Next::IsOver,
+        Life::Over => Action::RecordCrash,
         Life::Doubtful(broken) => {
             broken.push(request);
-            Next::Nothing
+            Action::Ignore
         }
         Life::GoesOn if !server.standing.leaves() => {
             server.life = Life::Doubtful(vec![request]);
-            Next::Check
+            Action::Check
         }
-        Life::GoesOn => Next::Nothing,
+        Life::GoesOn => Action::Ignore,
     }
 }
 
-async fn look(vm: Rc<Vm>, replica: Replica) {
+/// Checks the server and records the result for all responses that broke off meanwhile.
+async fn check_server(vm: Rc<Vm>, replica: Replica) {
     let found = check::check(replica.address).await;
     let broken = {
         let mut fleet = vm.fleet.borrow_mut();
@@ -68,20 +70,21 @@
             Life::GoesOn | Life::Over => Vec::new(),
         }
     };
-    note(&vm, &replica, broken, found);
+    record_check(&vm, &replica, broken, found);
 }
 
-fn note(vm: &Rc<Vm>, replica: &Replica, broken: Vec<Broken>, found: Found) {
+/// Counts and logs the result of a check and reports a crash with the contents that ran there.
+fn record_check(vm: &Rc<Vm>, replica: &Replica, broken: Vec<Broken>, found: Found) {
     let outcome = format!("{found:?}");
     vm.metrics.checks.with_label_values(&[replica.service.as_str(), &outcome]).inc();
-    let texts: Vec<String> = broken.iter().map(|one| one.content.to_string()).collect();
-    let texts = texts.join(" ");
+    let contents: Vec<String> = broken.iter().map(|one| one.content.to_string()).collect();
+    let contents = contents.join(" ");
     let fields = [
         ("server", replica.id.as_str().into()),
         ("born_ms", replica.born.unwrap_or_default().into()),
         ("found", outcome.as_str().into()),
         ("broken", broken.len().into()),
-        ("contents", texts.as_str().into()),
+        ("contents", contents.as_str().into()),
     ];
     vm.log("server checked", &fields);
     if found == Found::IsGone && !broken.is_empty() {
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -131,12 +131,12 @@
         let now = self.vm.now();
         let named = model.or(self.call.model.as_ref());
         let estimate = selection::record_send(&self.vm, placement, &self.call, named, now);
-        let turn = placement.turn.clone().unwrap_or_else(|| {
+        let permit = placement.permit.clone().unwrap_or_else(|| {
             let mut fleet = self.vm.fleet.borrow_mut();
             Rc::new(Turn::take(&self.vm, &mut fleet, &placement.replica, now))
         });
         self.record.add_attempt(placement, named, &estimate, now);
-        (estimate, PendingPrompt::new(&self.vm, &placement.replica, estimate.prefill_time, turn))
+        (estimate, PendingPrompt::new(&self.vm, &placement.replica, estimate.prefill_time, permit))
     }
 
     /// Returns the priority at the server, 0 to 9, where the workspace's priority comes before that
@@ -260,7 +260,7 @@
 
     /// Adds a wait, as no server takes the request now.
     pub fn add_wait(&self, wait: &Wait, now: Moment) {
-        let what = match wait.turn {
+        let what = match wait.permit {
             Some(_) => "permit of a rate-limited server",
             None => "end of a backoff",
         };
@@ -345,15 +345,15 @@
     /// Time that the server is expected to need for reading the prompt.
     pub prefill_time: Span,
     /// The permit to send; an empty one if the server has no rate limit.
-    pub turn: Rc<Turn>,
+    pub permit: Rc<Turn>,
 }
 
 impl PendingPrompt {
-    fn new(vm: &Rc<Vm>, replica: &Replica, prefill_time: Span, turn: Rc<Turn>) -> PendingPrompt {
+    fn new(vm: &Rc<Vm>, replica: &Replica, prefill_time: Span, permit: Rc<Turn>) -> PendingPrompt {
         if let Some(server) = vm.fleet.borrow_mut().life_mut(replica) {
             server.backlog.wait_for(prefill_time);
         }
-        PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time, turn }
+        PendingPrompt { vm: vm.clone(), replica: replica.clone(), prefill_time, permit }
     }
 }
 
--- a/src/forward/pool.rs
+++ b/src/forward/pool.rs
@@ -1,69 +1,79 @@
-//! Connections to one backend server that rest between two requests.
+//! A pool of idle connections to one backend server.
 
 use super::connection::{Connection, Fault};
 use crate::unit::{Moment, Span};
 
-/// A resting connection is used again within this if the server names no time.
-const REST: Span = Span::secs(8);
+/// Idle timeout of a connection if the server names none, and the longest one used.
+const MAX_IDLE_TIMEOUT: Span = Span::secs(8);
 
-/// Time kept free before the server closes a resting connection.
-const MARGIN: Span = Span::millis(700);
+/// A connection is dropped this long before the server would close it.
+const IDLE_TIMEOUT_MARGIN: Span = Span::millis(700);
 
-/// A request that may not be repeated takes only connections that rested no longer than this: a
-/// server that closes one at the same moment would leave open whether the request ran.
-const FRESH: Span = Span::millis(1500);
+/// A non-idempotent request uses only connections that were idle no longer than this: if the server
+/// closed the connection at the same moment, it would be unknown whether the request ran.
+const MAX_IDLE_NON_IDEMPOTENT: Span = Span::millis(1500);
 
-/// Resting connections to one server at most; more than a burst leaves behind is waste.
-const MOST: usize = 8;
+/// Maximum number of idle connections per server; a burst leaves no more behind that are of use.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Moment,
     until: Moment,
 }
 
-/// Resting connections to one server.
+/// The idle connections to one server.
 #[derive(Default)]
 pub struct Pool {
-    resting: Vec<Resting>,
+    idle: Vec<IdleConnection>,
 }
 
 impl Pool {
-    /// A resting connection, the one used last; those that are no longer good are closed.
+    /// Returns the idle connection that was used last, if there is one, and closes connections that
+    /// expired or broke. Without `repeatable`, connections that were idle for too long are not
+    /// used.
     pub fn checkout(&mut self, repeatable: bool, now: Moment) -> Option<Connection> {
-        self.resting.retain(|resting| now < resting.until);
-        while let Some(resting) = self.resting.pop() {
-            if !repeatable && now.since(resting.since) > FRESH {
-                self.resting.push(resting);
+        self.idle.retain(|idle| now < idle.until);
+        while let Some(idle) = self.idle.pop() {
+            if !repeatable && now.since(idle.since) > MAX_IDLE_NON_IDEMPOTENT {
+                self.idle.push(idle);
                 return None;
             }
-            if resting.connection.is_idle() {
-                return Some(resting.connection);
+            if idle.connection.is_idle() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read whole; `rest` is the time that the server named.
-    pub fn release(&mut self, connection: Connection, rest: Option<Span>, now: Moment) {
-        let rest = rest.unwrap_or(REST).min(REST);
-        if rest <= MARGIN || self.resting.len() >= MOST || !connection.is_reusable() {
+    /// Keeps a connection for reuse if it is reusable and the pool has room, else closes it.
+    /// `idle_timeout` is the time that the server named, if it did.
+    pub fn release(&mut self, connection: Connection, idle_timeout: Option<Span>, now: Moment) {
+        let timeout = idle_timeout.unwrap_or(MAX_IDLE_TIMEOUT).min(MAX_IDLE_TIMEOUT);
+        if timeout <= IDLE_TIMEOUT_MARGIN
+            || self.idle.len() >= MAX_IDLE_CONNECTIONS
+            || !connection.is_reusable()
+        {
             return;
         }
-        self.resting.push(Resting { connection, since: now, until: now + rest - MARGIN });
+        self.idle.push(IdleConnection {
+            connection,
+            since: now,
+            until: now + timeout - IDLE_TIMEOUT_MARGIN,
+        });
     }
 }
 
-/// A connection for one request: a resting one, or a new one.
+/// Returns the idle connection if there is one, else opens a new one within the time.
 ///
 /// # Errors
-/// `NotSent` if none opens.
+/// `NotSent` if no connection is established.
 pub async fn reuse_or_open(
-    resting: Option<Connection>,
+    idle: Option<Connection>,
     to: std::net::SocketAddr,
     within: Span,
 ) -> Result<Connection, Fault> {
-    match resting {
+    match idle {
         Some(connection) => Ok(connection),
         None => Connection::open(to, within).await,
     }
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -1,5 +1,5 @@
-//! A stream of events on its way to the caller: whole events as they arrive, gone on with at
-//! another server if one breaks off.
+//! Relays a stream of server-sent events to the caller: complete events as they arrive, resumed at
+//! another server if a server breaks off.
 
 use bytes::Bytes;
 use futures_util::Stream as Pieces;
@@ -16,50 +16,53 @@
 use crate::decide::poison::{Broken, RAN_FOR};
 use crate::unit::{Moment, Span};
 
-/// Pause until the budget of repeats is asked again.
-const PAUSE: Span = Span::millis(50);
+/// Interval at which a broken stream checks for an exhausted retry budget to recover.
+const RETRY_BUDGET_POLL_INTERVAL: Span = Span::millis(50);
 
-/// A stream that is passed on.
+/// A stream that is being relayed.
 struct Relay {
     job: Job,
-    begun: StartedStream,
-    last: Option<u64>,
+    current: StartedStream,
+    /// Id of the last event that the caller has.
+    last_id: Option<u64>,
+    /// Attempts to resume that failed before a byte was sent.
     unsent: u32,
 }
 
-/// Why the caller's stream is broken off; the connection is reset, so that it does not look whole.
+/// Why the caller's stream is aborted. The connection is reset, so that the stream does not look
+/// complete.
 #[derive(Debug)]
-pub struct BrokenOff(String);
+pub struct Aborted(String);
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for Aborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for Aborted {}
 
-/// The body of the caller's answer. Dropping it closes the server's connection.
-pub fn body(job: Job, begun: StartedStream) -> impl Pieces<Item = Result<Bytes, BrokenOff>> {
-    let last = job.call.last_event_id;
-    // The caller left, unless the end is seen.
+/// Returns the body of the caller's response. Dropping it closes the connection to the server.
+pub fn body(job: Job, started: StartedStream) -> impl Pieces<Item = Result<Bytes, Aborted>> {
+    let last_id = job.call.last_event_id;
+    // The outcome if this is dropped before the stream ends.
     job.record.set_outcome("caller left its stream");
-    let relay = Relay { job, begun, last, unsent: 0 };
+    let relay = Relay { job, current: started, last_id, unsent: 0 };
     futures_util::stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next().await {
             Some(Ok(bytes)) => Some((Ok(bytes), Some(relay))),
-            Some(Err(why)) => {
-                relay.job.record.set_outcome(format!("broken off: {why}"));
-                // The server of callers drops what it has not written when a body fails; while
-                // the body is pending it writes.
+            Some(Err(reason)) => {
+                relay.job.record.set_outcome(format!("broken off: {reason}"));
+                // When a body fails, the HTTP server drops what it has not written yet. While the
+                // body is pending, it writes.
                 tokio::task::yield_now().await;
-                Some((Err(BrokenOff(why)), None))
+                Some((Err(Aborted(reason)), None))
             }
             None => {
                 relay.job.record.set_outcome("streamed");
                 poison::ran_well(&relay.job.vm, relay.job.content);
-                relay.rest();
+                relay.release_connection();
                 None
             }
         }
@@ -67,37 +70,38 @@
 }
 
 impl Relay {
-    /// The next whole events; nothing at the end of the stream.
+    /// Returns the next complete events, or none at the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes, String>> {
         loop {
-            let why = match self.ready() {
-                Some(batch) => match self.in_order(&batch) {
+            let reason = match self.next_buffered() {
+                Some(batch) => match self.check_order(&batch) {
                     Ok(()) => {
-                        self.last = batch.last_id.or(self.last);
+                        self.last_id = batch.last_id.or(self.last_id);
                         return Some(Ok(batch.bytes));
                     }
-                    Err(why) => why,
+                    Err(reason) => reason,
                 },
-                None if self.begun.stream.ended => return None,
+                None if self.current.stream.ended => return None,
                 None => match self.read().await {
                     Ok(()) => continue,
-                    Err(why) => why,
+                    Err(reason) => reason,
                 },
             };
-            if let Err(why) = self.go_on(why).await {
-                return Some(Err(why));
+            if let Err(reason) = self.resume(reason).await {
+                return Some(Err(reason));
             }
         }
     }
 
-    fn ready(&mut self) -> Option<Batch> {
-        let stream = &mut self.begun.stream;
+    /// Returns the complete events that have already arrived.
+    fn next_buffered(&mut self) -> Option<Batch> {
+        let stream = &mut self.current.stream;
         stream.first_batch.take().or_else(|| stream.events.take_complete())
     }
 
-    /// Events must follow those that the caller has.
-    fn in_order(&self, batch: &Batch) -> Result<(), String> {
-        match (self.last, batch.first_id) {
+    /// Checks that the events follow directly those that the caller has.
+    fn check_order(&self, batch: &Batch) -> Result<(), String> {
+        match (self.last_id, batch.first_id) {
             (Some(last), Some(first)) if first != last + 1 => {
                 Err(format!("event {first} came after event {last}"))
             }
@@ -105,26 +109,27 @@
         }
     }
 
+    /// Reads more of the stream until the deadline or a restart of the server.
     async fn read(&mut self) -> Result<(), String> {
         let left = self.job.left(self.job.vm.now()).duration();
-        let over = self.begun.stream.open.server_restarted();
-        let read = tokio::time::timeout(left, self.begun.stream.read());
+        let restarted = self.current.stream.open.server_restarted();
+        let read = tokio::time::timeout(left, self.current.stream.read());
         let read = tokio::select! {
             read = read => read,
-            () = over.notified() => return Err("the server started again".to_owned()),
+            () = restarted.notified() => return Err("the server started again".to_owned()),
         };
         match read {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(Fault::NotSent(why) | Fault::Broken(why))) => Err(why),
+            Ok(Err(Fault::NotSent(reason) | Fault::Broken(reason))) => Err(reason),
             Err(_) => Err("the time was up".to_owned()),
         }
     }
 
-    /// Goes on at another server after the last whole event, if the request allows it.
-    async fn go_on(&mut self, why: String) -> Result<(), String> {
+    /// Resumes the stream at another server after the last complete event, if the route allows it.
+    async fn resume(&mut self, reason: String) -> Result<(), String> {
         let vm = self.job.vm.clone();
-        let broken = &self.begun.replica;
-        self.job.record.add_attempt_end(End::Broken, &why, vm.now());
+        let broken = &self.current.replica;
+        self.job.record.add_attempt_end(End::Broken, &reason, vm.now());
         {
             let mut fleet = vm.fleet.borrow_mut();
             let usual = fleet.failures(&self.job.service, vm.now());
@@ -132,53 +137,54 @@
                 server.standing.note(End::Broken, usual, vm.now());
             }
         }
-        let ran = vm.now().since(self.begun.stream.started_at) >= RAN_FOR;
+        let ran = vm.now().since(self.current.stream.started_at) >= RAN_FOR;
         crash::on_broken_response(&vm, broken, Broken { content: self.job.content, ran });
         if self.job.route.repeat != Repeat::Resume {
-            return Err(why);
+            return Err(reason);
         }
         loop {
             let now = vm.now();
-            if !self.may_go_on(now) || poison::holds_back(&self.job) {
-                return Err(why);
+            if !self.may_resume(now) || poison::holds_back(&self.job) {
+                return Err(reason);
             }
             if !vm.spend_repeat(&self.job.service, now) {
-                tokio::time::sleep(PAUSE.duration()).await;
+                tokio::time::sleep(RETRY_BUDGET_POLL_INTERVAL.duration()).await;
                 continue;
             }
-            let wish = self.job.criteria(self.begun.model.as_ref(), &self.begun.tried);
-            let Some(place) = self.job.wait_for_server(&wish).await else {
-                return Err(format!("{why}; no other server takes work"));
+            let criteria = self.job.criteria(self.current.model.as_ref(), &self.current.tried);
+            let Some(placement) = self.job.wait_for_server(&criteria).await else {
+                return Err(format!("{reason}; no other server takes work"));
             };
-            let model = self.begun.model.clone();
-            let left = self.job.route.attempts.saturating_sub(self.sends());
-            let until = self.job.attempt_deadline(left, place.until_prefilled, vm.now());
-            let (_, waiting) = self.job.begin_attempt(&place, model.as_ref());
-            let replica = place.replica;
+            let model = self.current.model.clone();
+            let left = self.job.route.attempts.saturating_sub(self.counted_attempts());
+            let until = self.job.attempt_deadline(left, placement.until_prefilled, vm.now());
+            let (_, pending) = self.job.begin_attempt(&placement, model.as_ref());
+            let replica = placement.replica;
             let outcome =
-                attempt::run(&self.job, &replica, model.as_ref(), self.last, waiting, until).await;
-            self.begun.tried.push(replica.clone());
+                attempt::run(&self.job, &replica, model.as_ref(), self.last_id, pending, until)
+                    .await;
+            self.current.tried.push(replica.clone());
             self.unsent += u32::from(outcome.end.is_unsent());
             if let Some(stream) = outcome.stream {
-                self.begun.stream = stream;
-                self.begun.replica = replica;
+                self.current.stream = stream;
+                self.current.replica = replica;
                 return Ok(());
             }
         }
     }
 
-    fn may_go_on(&self, now: Moment) -> bool {
-        self.sends() < self.job.route.attempts && now < self.job.deadline
+    fn may_resume(&self, now: Moment) -> bool {
+        self.counted_attempts() < self.job.route.attempts && now < self.job.deadline
     }
 
-    /// Sends that count as an attempt.
-    fn sends(&self) -> u32 {
+    /// Returns the number of attempts that count towards the route's limit.
+    fn counted_attempts(&self) -> u32 {
         self.job.record.attempts().saturating_sub(self.unsent)
     }
 
-    /// Lets the connection of a stream that ended rest.
-    fn rest(self) {
-        let Relay { job, begun, .. } = self;
-        attempt::release_connection(&job, &begun.replica, begun.stream.connection, None);
+    /// Returns the connection of a complete stream to the pool.
+    fn release_connection(self) {
+        let Relay { job, current, .. } = self;
+        attempt::release_connection(&job, &current.replica, current.stream.connection, None);
     }
 }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -65,7 +65,7 @@
     /// Why the request goes to the server's version.
     pub reason: Reason,
     /// The permit, if the request has waited for one.
-    pub turn: Option<Rc<Turn>>,
+    pub permit: Option<Rc<Turn>>,
     /// Servers of the service that were skipped although they are not draining.
     pub skipped: Skipped,
 }
@@ -113,7 +113,7 @@
     /// When the wait is over.
     pub until: Moment,
     /// The permit that is due then; none for a backoff.
-    pub turn: Option<Turn>,
+    pub permit: Option<Turn>,
 }
 
 /// Returns the wait that a request can make that ends by `until`, if there is one.
@@ -134,7 +134,7 @@
     });
     let left = resting.map(|(_, left)| left).min()?;
     let at = now + left + WAKE_JITTER.part(rand::random());
-    (at <= until).then_some(Wait { until: at, turn: None })
+    (at <= until).then_some(Wait { until: at, permit: None })
 }
 
 /// Reserves the earliest permit at a rate-limited server and returns a wait for it.
@@ -148,13 +148,13 @@
             && criteria.allows(vm, one)
             && !criteria.has_tried(replica)
     });
-    let turns = allowed.filter_map(|one| Some((access.next_turn(one)?, &one.replica)));
+    let permits = allowed.filter_map(|one| Some((access.next_turn(one)?, &one.replica)));
     let first =
-        turns.min_by(|(at, one), (other_at, other)| (at, &one.id).cmp(&(other_at, &other.id)));
+        permits.min_by(|(at, one), (other_at, other)| (at, &one.id).cmp(&(other_at, &other.id)));
     let (at, replica) = first.filter(|(at, _)| *at <= until)?;
     let replica = replica.clone();
-    let turn = Turn::take(vm, &mut fleet, &replica, now);
-    Some(Wait { until: at, turn: Some(turn) })
+    let permit = Turn::take(vm, &mut fleet, &replica, now);
+    Some(Wait { until: at, permit: Some(permit) })
 }
 
 /// Returns the server whose permit the request has waited for, if it is still available.
@@ -164,10 +164,10 @@
     wait: Wait,
     now: Moment,
 ) -> Option<Placement> {
-    let turn = wait.turn?;
+    let permit = wait.permit?;
     let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let server = fleet.of(criteria.service, now).find(|one| one.replica.id == turn.server().id);
+    let server = fleet.of(criteria.service, now).find(|one| one.replica.id == permit.server().id);
     let server = server
         .filter(|one| versions.contains(&one.replica.version) && one.standing.bar(now).is_none());
     let placement = server.map(|server| {
@@ -176,7 +176,7 @@
     });
     // Dropping an unused permit borrows the fleet to return it.
     drop(fleet);
-    Some(Placement { turn: Some(Rc::new(turn)), ..placement? })
+    Some(Placement { permit: Some(Rc::new(permit)), ..placement? })
 }
 
 impl Placement {
@@ -188,7 +188,7 @@
             until_prefilled: until_read,
             prefill_time: reads,
             reason,
-            turn: None,
+            permit: None,
             skipped: Skipped::default(),
         }
     }
@@ -251,8 +251,8 @@
         return None;
     }
     let resting = fleet.resting(criteria.service, now).filter(|(one, _)| is_eligible(one));
-    let turns = serving().filter_map(|one| access.next_turn(one)).map(|turn| turn.since(now));
-    standing::come_back(resting.map(|(_, left)| left).chain(turns), rand::random())
+    let permits = serving().filter_map(|one| access.next_turn(one)).map(|permit| permit.since(now));
+    standing::come_back(resting.map(|(_, left)| left).chain(permits), rand::random())
 }
 
 /// Selects the server among those of the given versions.
--- a/src/forward/sse.rs
+++ b/src/forward/sse.rs
@@ -1,57 +1,58 @@
-//! Server-sent events: whole events only, and the ids that they bear.
+//! Splits a stream of server-sent events into complete events and reads their ids.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event; a server that never ends one is broken.
-const LONGEST: usize = 1024 * 1024;
+/// Largest size of an event in bytes; a server that sends an endless one is broken.
+const MAX_EVENT_SIZE: usize = 1024 * 1024;
 
-/// Bytes of a stream that are not passed on yet.
+/// The bytes of a stream that have arrived and were not taken yet.
 #[derive(Default)]
 pub struct EventBuffer {
     buffer: BytesMut,
 }
 
-/// Some whole events.
+/// One or more complete events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Their bytes.
+    /// The bytes of the events.
     pub bytes: Bytes,
-    /// The id of the first that bears one.
+    /// The id of the first event that has one.
     pub first_id: Option<u64>,
-    /// The id of the last that bears one.
+    /// The id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
 impl EventBuffer {
-    /// Adds bytes as they arrived. Whether the stream can still be one of events.
+    /// Appends bytes that arrived. Returns false if the buffer exceeds the maximum event size.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= LONGEST
+        self.buffer.len() <= MAX_EVENT_SIZE
     }
 
-    /// All whole events that arrived.
+    /// Removes and returns all complete events, if there is one.
     pub fn take_complete(&mut self) -> Option<Batch> {
-        let end = last_end(&self.buffer)?;
+        let end = end_of_last_event(&self.buffer)?;
         let bytes = self.buffer.split_to(end).freeze();
-        let ids = || bytes.split(|byte| *byte == b'\n').filter_map(id);
-        let (first, last) = (ids().next(), ids().next_back());
-        Some(Batch { bytes, first_id: first, last_id: last })
+        let ids = || bytes.split(|byte| *byte == b'\n').filter_map(parse_id);
+        let (first_id, last_id) = (ids().next(), ids().next_back());
+        Some(Batch { bytes, first_id, last_id })
     }
 
-    /// Whether an event has begun and not ended.
+    /// Returns true if bytes of an incomplete event are left.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// Where the last whole event ends, which is after an empty line.
-fn last_end(bytes: &[u8]) -> Option<usize> {
-    let plain = bytes.windows(2).rposition(|end| end == b"\n\n").map(|at| at + 2);
-    let with_returns = bytes.windows(4).rposition(|end| end == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(with_returns)
+/// Returns the offset after the last complete event, which ends with an empty line.
+fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
+    let lf = bytes.windows(2).rposition(|end| end == b"\n\n").map(|at| at + 2);
+    let crlf = bytes.windows(4).rposition(|end| end == b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
-fn id(line: &[u8]) -> Option<u64> {
+/// Parses the id from a line of an event, if it has a numeric one.
+fn parse_id(line: &[u8]) -> Option<u64> {
     let line = std::str::from_utf8(line).ok()?;
     line.strip_prefix("id:")?.trim().parse().ok()
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,5 @@
-//! Backend servers that have just started: requests of all VMs together stay within what one bears.
+//! Cold backend servers: the requests of all VMs together stay within the rate limit of such a
+//! server.
 
 mod site;
 
@@ -20,7 +21,7 @@
     Bound { rate: Rate(rate), window: SECOND }
 }
 
-/// The most of these moments that lie within one second.
+/// Returns the largest number of these moments within one second.
 fn most_in_a_second(mut moments: Vec<Moment>) -> usize {
     moments.sort();
     let within = |from: &Moment| {
@@ -30,7 +31,8 @@
     moments.iter().map(within).max().unwrap_or(0)
 }
 
-/// When VMs that always have a request send to one cold server in five seconds; each knows the others that `knows` says.
+/// Returns when VMs that always have a request send to one cold server within five seconds. A VM
+/// knows the VMs for which `knows` returns true.
 fn sends(vms: usize, rate: f64, knows: impl Fn(usize, usize) -> bool) -> Vec<Moment> {
     let name = |vm: usize| number(&format!("vm{vm}"));
     let server = number("r1");
@@ -40,7 +42,7 @@
             (0..vms).filter(|vm| *vm != own && knows(own, *vm)).map(name).collect();
         let part = Part::new(&bound(rate), others.len() + 1);
         let mut turns = Turns::default();
-        // They do not begin at the same moment.
+        // The VMs start at different moments.
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
         while is_sender(&part, server, name(own), &others) && now < Moment(5_000_000) {
             now = turns.take(&part, now).at;
@@ -51,13 +53,14 @@
 }
 
 quickcheck! {
-    /// Whatever the number of VMs and the rate, no second holds more than the rate.
+    /// For any number of VMs and any rate, no second has more requests than the rate.
     fn all_vms_together_stay_within_the_rate(vms: u8, tenths: u16) -> bool {
         let (vms, rate) = (1 + usize::from(vms) % 120, f64::from(1 + tenths % 400) / 10.0);
         most_in_a_second(sends(vms, rate, |_, _| true)) as f64 <= rate.max(1.0)
     }
 
-    /// A tenth of what VMs know of each other may be missing: what a service grants beyond its rate bears that.
+    /// A tenth of the VMs' knowledge of each other may be missing: what a service tolerates beyond
+    /// its rate covers that.
     fn vms_that_know_unlike_things_stay_within_what_is_granted(seed: u8) -> bool {
         let knows = |own: usize, other: usize| !number(&format!("{seed} {own} {other}")).is_multiple_of(10);
         most_in_a_second(sends(84, 8.8, knows)) as f64 <= 8.8 * 1.5 + 5.0
@@ -70,7 +73,7 @@
     assert!(sent >= 35, "{sent} requests in five seconds");
 }
 
-/// A site whose cold servers bear four requests a second.
+/// A site whose cold servers accept four requests per second.
 fn site() -> Site {
     let service = json!({"name": "api", "max_connections": 64, "cold_start_s": 3, "cold_per_s": 4});
     let times = json!({"latency_goal_ms": 2500, "timeout_ms": 4000});
@@ -96,7 +99,7 @@
     let cold = site.replica_with("r1", json!({"cold_remaining_ms": 60_000}));
     let vms = [site.start(), site.start(), site.start()];
     are_ready(&vms);
-    // VMs know each other when they have been up for a while.
+    // Gives the VMs the time to learn of each other.
     std::thread::sleep(Duration::from_millis(2000));
     let answers: Vec<u16> = std::thread::scope(|scope| {
         let one = |number: usize| {
@@ -109,8 +112,8 @@
     let served = answers.iter().filter(|status| **status == 200).count();
     let refused = answers.iter().filter(|status| **status == 503).count();
     assert_eq!(served + refused, 24, "{answers:?}");
-    assert_eq!(cold.seen().len(), served, "a refusal says that it has not run");
-    assert!(served >= 6, "{served} served in the time that callers have");
+    assert_eq!(cold.seen().len(), served, "a refused request has not run");
+    assert!(served >= 6, "{served} served before the callers' deadlines");
     let most = most_seen_in_a_second(&cold, begun);
     assert!(most <= 4, "{most} requests in a second");
 }
@@ -132,11 +135,11 @@
     let passed = |line: &serde_json::Value| {
         line["trail"].as_str().is_some_and(|trail| trail.contains("skipped 0 evacuated, 1 cold"))
     };
-    eventually("the log tells why it got none", || vm.lines().iter().any(passed));
-    // Warm again, it gets its part.
+    eventually("the log names the skipped cold server", || vm.lines().iter().any(passed));
+    // Once warm, the server gets its share of the requests.
     let before = cold.seen().len();
     site.list("r1", "v1", "ready", cold.address);
-    eventually("it gets more than a cold one would", || {
+    eventually("it gets more requests than a cold server would", || {
         for _ in 0..10 {
             send(&vm, "more");
         }
@@ -153,7 +156,7 @@
     let vm = site.start_ready();
     std::thread::sleep(Duration::from_millis(1600));
     site.store.remove("evacuations", "there");
-    eventually("it is known", || {
+    eventually("the end of the evacuation is known", || {
         vm.lines().iter().any(|line| line["event"] == "data centre taken back")
     });
     std::thread::scope(|scope| {
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Backend servers that crash: what a VM can tell of it from a connection that broke.
+//! Crashes of backend servers, detected by a VM after a connection broke.
 
 mod site;
 
@@ -14,16 +14,16 @@
     Site::new().route("safe", "idempotent", json!({})).route("stream", "streaming", json!({}))
 }
 
-/// What checks of a server found, and how many answers had broken off there.
+/// Returns the result of each check of a server and the number of responses that had broken off.
 fn checks(vm: &Vm, server: &str) -> Vec<(String, u64)> {
     let lines = vm.lines();
     let of_server =
         lines.iter().filter(|line| line["event"] == "server checked" && line["server"] == server);
-    let told = |line: &Value| {
+    let logged = |line: &Value| {
         let broken = line["broken"].as_f64().unwrap_or_default() as u64;
         (line["found"].as_str().unwrap_or_default().to_owned(), broken)
     };
-    of_server.map(told).collect()
+    of_server.map(logged).collect()
 }
 
 #[test]
@@ -33,7 +33,7 @@
     let vm = site.start_ready();
     replica.then(Act::Reset);
     ask(vm.callers, &head("GET /safe/x", "reset", ""), b"");
-    eventually("it was checked", || checks(&vm, "r1") == [("Lives".to_owned(), 1)]);
+    eventually("the server is checked", || checks(&vm, "r1") == [("Lives".to_owned(), 1)]);
     replica.usually(Act::Slow(Duration::from_millis(400)));
     let waiting: Vec<_> = (0..3)
         .map(|at| {
@@ -41,12 +41,12 @@
             std::thread::spawn(move || ask(callers, &head, b"").status)
         })
         .collect();
-    eventually("all three run", || replica.seen().len() == 4);
+    eventually("all three requests run", || replica.seen().len() == 4);
     replica.crash(None);
     for one in waiting {
         assert!(one.join().unwrap() >= 500);
     }
-    eventually("it was found gone", || {
+    eventually("the server is found gone", || {
         let gone = checks(&vm, "r1").into_iter().skip(1);
         let broken: Vec<u64> =
             gone.filter(|(found, _)| found == "IsGone").map(|(_, broken)| broken).collect();
@@ -63,9 +63,9 @@
     replica.then(Act::Slow(Duration::from_millis(1500)));
     let (callers, head) = (vm.callers, head("GET /safe/x", "late", ""));
     let waiting = std::thread::spawn(move || ask(callers, &head, b"").status);
-    eventually("it runs", || !replica.seen().is_empty());
+    eventually("the request runs", || !replica.seen().is_empty());
     site.list("r1", "v1", "draining", replica.address);
-    eventually("the VM knows that it leaves", || {
+    eventually("the VM knows that the server is draining", || {
         vm.lines().iter().any(|line| line["event"] == "server entry" && line["ready"] == false)
     });
     replica.crash(None);
@@ -81,14 +81,14 @@
     let content = |id: &str, line: &str, key: &str, more: &str, body: &[u8]| {
         let more = format!("Authorization: Token {key}\r\n{more}");
         assert_eq!(ask(vm.callers, &head(line, id, &more), body).status, 200);
-        let told = || {
+        let logged = || {
             let lines = vm.lines();
             let line =
                 lines.into_iter().find(|line| line["event"] == "request" && line["id"] == id);
             line.map(|line| line["content"].as_str().unwrap_or_default().to_owned())
         };
-        eventually("the request was told", || told().is_some());
-        told().expect("it was told")
+        eventually("the request is logged", || logged().is_some());
+        logged().expect("logged before")
     };
     let first = content("a", "POST /safe/x?y=1", "key1", "", b"order");
     assert_eq!(first.len(), 32);
@@ -103,15 +103,15 @@
     assert!(!others.contains(&first), "{others:?}");
 }
 
-/// A process that ends while it is being checked: its listener closes under connections that are just being opened, which are then refused,
-/// closed at once, or reset before they are open, whichever comes first.
+/// A process may end while it is being checked: its listener closes while connections are being
+/// opened, which are then refused, closed at once, or reset before they are open.
 ///
-/// Seen where four servers crashed under one content: the check of the second came back with neither answer within a millisecond, so its end
-/// did not count, and two more servers ended under that content.
+/// Guards against a check that finds neither result in this case. The crash of the second server
+/// under one content was once not counted for this reason, and two more servers crashed under it.
 #[test]
 fn a_process_that_ends_while_it_is_checked_is_found_gone() {
     const ROUNDS: u64 = 3000;
-    // One whose thread got no processor for so long lived when it was checked.
+    // A listener whose thread was delayed for longer may still be open when it is checked.
     const ENDED_WITHIN: Duration = Duration::from_millis(10);
     let found: Vec<Found> = block(async {
         let mut found = Vec::new();
@@ -124,15 +124,19 @@
                 drop(listener);
                 begun.elapsed()
             });
-            let told = check(address).await;
+            let result = check(address).await;
             if ends.join().unwrap() < ENDED_WITHIN {
-                found.push(told);
+                found.push(result);
             }
         }
         found
     });
-    assert!(found.len() as u64 > ROUNDS / 2, "{} of {ROUNDS} ended in time", found.len());
+    assert!(
+        found.len() as u64 > ROUNDS / 2,
+        "{} of {ROUNDS} listeners closed in time",
+        found.len()
+    );
     let gone = found.iter().filter(|one| **one == Found::IsGone).count();
     let unknown = found.iter().filter(|one| **one == Found::Unknown).count();
-    assert_eq!(gone, found.len(), "{unknown} of {} were told as neither", found.len());
+    assert_eq!(gone, found.len(), "{unknown} of {} checks found neither result", found.len());
 }
--- a/tests/forward.rs
+++ b/tests/forward.rs
@@ -1,5 +1,5 @@
-//! An entry VM on the users' platform, as a process: each way that an attempt can end, streams,
-//! keys, routes, the store's troubles, planned stops.
+//! An entry VM on the users' platform, run as a process: each way that an attempt can end, streams,
+//! API keys, routes, failures of the store, planned stops.
 
 mod site;
 
@@ -12,7 +12,7 @@
 use serde_json::json;
 use site::{Site, ask, eventually, follows, head, try_ask};
 
-/// Kinds of routes in the platform's words.
+/// Kinds of routes as the platform names them.
 const SAFE: &str = "idempotent";
 const ONCE: &str = "non_idempotent";
 const STREAM: &str = "streaming";
@@ -57,7 +57,7 @@
     assert!((1..=2500).contains(&left), "{left}");
 }
 
-/// Each row of the table of ends for a request that may not be repeated.
+/// Each outcome of an attempt at a request that may not be repeated.
 #[test]
 fn what_may_not_be_repeated_runs_at_most_once_whatever_happens() {
     let mut site = site();
@@ -105,7 +105,7 @@
         Act::Another,
     ];
     for (number, act) in acts.into_iter().enumerate() {
-        // Whichever gets it first does this; the other then answers.
+        // Both servers do the same, as either may be tried first.
         replica.then(act.clone());
         other.then(act.clone());
         let id = format!("safe{number}");
@@ -115,15 +115,15 @@
         };
         let sends = arrived(&replica) + arrived(&other);
         assert!(sends == 2, "{act:?}: {sends} sends, {}", answer.status);
-        // Both did the same, so the caller gets the last word of the table; drain what is left.
+        // Both attempts failed alike, so the caller gets the final response for this outcome.
         let expected = match act {
             Act::Whole(500, _) => 500,
             Act::NotRun | Act::Another => 503,
             _ => 502,
         };
         assert_eq!(answer.status, expected, "{act:?}");
-        // Servers left out after a few failures come back.
-        eventually("it is served again", || {
+        // Waits until servers that were ejected after a few failures are used again.
+        eventually("requests succeed again", || {
             ask(vm.callers, &head("GET /safe/x", "again", ""), b"").status == 200
         });
     }
@@ -161,7 +161,7 @@
 fn a_server_that_does_not_open_is_passed_over() {
     let mut site = site();
     let good = site.replica("r2", "v1");
-    // An address where nobody listens.
+    // An address without a listener.
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     site.list("r1", "v1", "ready", nobody);
     let vm = site.start_ready();
@@ -207,7 +207,7 @@
     let two = site.replica("r2", "v1");
     one.usually(slow.clone());
     let vm = site.start_ready();
-    // Whichever is asked first: before long the silent one has been.
+    // Sends requests until one was tried at the silent server.
     let mut number = 0;
     while one.seen().is_empty() {
         number += 1;
@@ -215,7 +215,7 @@
         let answer = ask(vm.callers, &head("GET /safe/x", &format!("silent{number}"), ""), b"");
         assert_eq!(answer.status, 200);
         assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
-        assert!(number < 50, "the silent server was never asked");
+        assert!(number < 50, "the silent server was never tried");
     }
     assert_eq!(two.seen().len(), number);
 }
@@ -230,7 +230,7 @@
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /stream/x", "s1", ""), b"prompt");
     assert_eq!(answer.status, 200);
-    // Two servers, four events each, then one is asked for the rest: 4 + 4 + 1 of 3 attempts.
+    // Each server sends four events per attempt: 4 + 4 + 1 in three attempts.
     assert!(answer.text().starts_with(&pieces(8)), "{}", answer.text());
     let seen: Vec<_> = one.seen().into_iter().chain(two.seen()).collect();
     let after: Vec<_> = seen.iter().map(|seen| seen.header("last-event-id")).collect();
@@ -238,14 +238,15 @@
     assert!(seen.len() <= 3, "{}", seen.len());
 }
 
-/// A stream broke off and goes on at a server that takes it and says nothing: another one is asked while there is time.
+/// A stream breaks off and is resumed at a server that accepts it but sends nothing. It must move
+/// on to a third server while time is left.
 #[test]
 fn a_stream_that_goes_on_at_a_silent_server_goes_on_at_a_third() {
     let mut site = site();
     let pause = Duration::from_millis(300);
     let first = site.replica("r1", "v1");
     first.usually(Act::Events { last: 6, cut_after: Some(3), confidence: None, pause });
-    // The nearer of two servers is asked first.
+    // The server in the own data centre is tried before this one.
     let third = site.replica_with("r3", json!({"zone": "there"}));
     third.usually(events(6, None));
     let vm = site.start_ready();
@@ -385,7 +386,7 @@
     site.publish();
     eventually("the new key is known", || status("new") == 200);
     assert_eq!(status("old"), 401);
-    // An older configuration, told late, changes nothing.
+    // An older configuration that arrives late changes nothing.
     site.store.put("config", "main", json!({"version": 1, "routes": [], "services": []}));
     std::thread::sleep(Duration::from_millis(400));
     assert_eq!(status("new"), 200);
@@ -400,7 +401,7 @@
     let status = || ask(vm.callers, &head("GET /safe/x", "f", more), b"").status;
     assert_eq!(status(), 200);
     site.store.switch(Switches { down: true, ..Switches::default() });
-    // The key is taken away while nobody hears of it.
+    // The key is revoked while the store is unreachable.
     site.config["tenants"][0]["api_keys"] = json!([]);
     site.publish();
     let taken = Instant::now();
@@ -451,7 +452,7 @@
     site.store.put("config", "main", json!({"version": "seven", "routes": 3}));
     eventually("it is counted", || vm.counter(&["kitepulley_unreadable", "config"]) >= 1.0);
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "g", ""), b"").status, 200);
-    eventually("it is told", || vm.lines().iter().any(|line| line["event"] == "object not read"));
+    eventually("it is logged", || vm.lines().iter().any(|line| line["event"] == "object not read"));
 }
 
 #[test]
@@ -489,7 +490,7 @@
     let ended = vm.process.wait().unwrap();
     assert!(ended.success());
     let lines = vm.lines();
-    let stop = lines.iter().find(|line| line["event"] == "stop").expect("the end is told");
+    let stop = lines.iter().find(|line| line["event"] == "stop").expect("the stop is logged");
     assert_eq!(stop["cut_off"], 0.0);
 }
 
@@ -498,7 +499,7 @@
     let mut site = site();
     site.bounds["grace_s"] = json!(8);
     let replica = site.replica("r1", "v1");
-    // Mostly one is running, and between two nothing is, which is when a stop may end.
+    // Most of the time one request is running; the stop may end in the gap between two.
     replica.usually(Act::Slow(Duration::from_millis(60)));
     let mut vm = site.start_ready();
     vm.signal(libc::SIGTERM);
@@ -527,7 +528,7 @@
     site.replica("r1", "v1");
     let vm = site.start_ready();
     vm.signal(libc::SIGHUP);
-    eventually("it is told", || {
+    eventually("it is logged", || {
         vm.lines().iter().any(|line| line["event"] == "settings read again")
     });
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "u", ""), b"").status, 200);
@@ -543,7 +544,7 @@
     assert!(replica.seen().is_empty());
 }
 
-/// Sends requests of sessions of their own until something holds.
+/// Sends requests, each in its own session, until `holds` returns true.
 fn load_until(vm: &site::Vm, what: &str, mut holds: impl FnMut() -> bool) {
     let mut number = 0;
     eventually(what, || {
@@ -618,7 +619,7 @@
     for session in 0..40 {
         assert_eq!(send(session), 200);
     }
-    assert_eq!(new.seen().len(), 0, "sessions that were alive stay");
+    assert_eq!(new.seen().len(), 0, "live sessions stay on the old version");
 }
 
 #[test]
@@ -628,17 +629,18 @@
     let one = site.start_ready();
     let mut two = site.start_ready();
     let heard = |vm: &site::Vm, event: &str| vm.lines().iter().any(|line| line["event"] == event);
-    eventually("both have heard the other", || {
+    eventually("each has received a message of the other", || {
         heard(&one, "peer heard") && heard(&two, "peer heard")
     });
     two.signal(libc::SIGTERM);
-    eventually("the one that stops says so", || heard(&one, "peer left"));
+    eventually("the other VM knows of the stop", || heard(&one, "peer left"));
     assert!(two.process.wait().unwrap().success());
 }
 
 #[test]
 fn a_request_that_comes_just_after_a_start_is_served() {
-    // The balancer uses all VMs of a data centre where most are not ready, as when all start again.
+    // The load balancer uses all VMs of a data centre if most are not ready, as after a restart of
+    // all of them.
     let mut site = site().workspace("roasters", &["key"]);
     site.replica("r1", "v1");
     let mut vms = vec![site.start_ready(), site.start_ready()];
@@ -647,7 +649,7 @@
     let request = head("GET /safe/x", "id", "Authorization: Token key\r\n");
     for vm in &vms {
         let mut answer = None;
-        eventually("its door is open", || {
+        eventually("it accepts connections", || {
             answer = try_ask(vm.callers, &request, b"");
             answer.is_some()
         });
@@ -670,7 +672,7 @@
     let mut vms = vec![site.start_ready(), site.start_ready(), site.start_ready()];
     eventually("two follow the third", || vms.iter().filter(|vm| follows(vm)).count() == 2);
     let before: Vec<usize> = vms.iter().map(store_calls).collect();
-    // Longer than the longest age of a proof: those that follow have theirs from the reader.
+    // Longer than the maximum age of a proof: followers get theirs from the reader.
     std::thread::sleep(Duration::from_secs(3));
     let status = |vm: &site::Vm, key: &str| {
         let more = format!("Authorization: Token {key}\r\n");
@@ -689,7 +691,7 @@
         eventually("the new key is in force", || status(vm, "new") == 200);
         assert_eq!(status(vm, "old"), 401);
     }
-    // The reader dies at the same moment as another change is acknowledged.
+    // The reader is killed at the moment at which another change is acknowledged.
     let reader = vms.iter().position(|vm| !follows(vm)).expect("one reads");
     vms.remove(reader).signal(libc::SIGKILL);
     replace(&mut site, "newest");
@@ -735,7 +737,7 @@
     std::thread::sleep(Duration::from_secs(3));
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "id2", ""), b"").status, 200);
     site.store.remove("servers", "r1");
-    eventually("it is gone for good", || {
+    eventually("it is removed for good", || {
         ask(vm.callers, &head("GET /safe/x", "id3", ""), b"").status == 503
     });
 }
@@ -746,18 +748,23 @@
     site.replica("r1", "v1");
     let vm = site.start_ready();
     site.store.switch(Switches { down: true, ..Switches::default() });
-    // Long enough for the pauses between two tries to grow.
+    // Long enough for the retry delay to grow.
     std::thread::sleep(Duration::from_millis(3500));
     site.store.remove("servers", "r1");
     site.store.switch(Switches::default());
     let back = Instant::now();
     let status = || ask(vm.callers, &head("GET /safe/x", "id", ""), b"").status;
     while back.elapsed() < Duration::from_millis(1700) {
-        assert_eq!(status(), 200, "it may come back yet, {:?} after the return", back.elapsed());
+        assert_eq!(
+            status(),
+            200,
+            "it may still return, {:?} after the store recovered",
+            back.elapsed()
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
     std::thread::sleep(Duration::from_millis(3000).saturating_sub(back.elapsed()));
-    assert_eq!(status(), 503, "{:?} after the return", back.elapsed());
+    assert_eq!(status(), 503, "{:?} after the store recovered", back.elapsed());
 }
 
 #[test]
@@ -779,7 +786,7 @@
     let mut site = site();
     let old = site.replica("r1", "v1");
     let vm = site.start_ready();
-    // As many as a request may be sent to: the old version serves only when none is left to ask.
+    // As many servers as a request may have attempts: the old version serves only if none is left.
     let new = ["r2", "r3", "r4"].map(|id| site.replica(id, "v2"));
     for replica in &new {
         replica.usually(Act::NotRun);
@@ -800,7 +807,7 @@
     let asked: Vec<Vec<String>> = new.iter().map(ids).collect();
     assert!(
         asked.iter().filter(|ids| !ids.is_empty()).count() >= 2,
-        "one of the trial, and others"
+        "a server of the trial and others are tried"
     );
     let strays: Vec<String> =
         ids(&old).into_iter().filter(|id| asked.concat().contains(id)).collect();
@@ -834,7 +841,7 @@
     assert_eq!(replica.seen().len(), 1);
 }
 
-/// A stream whose model thinks little of it.
+/// A stream with a low confidence.
 fn doubtful() -> Act {
     Act::Events { last: 2, cut_after: None, confidence: Some(5), pause: Duration::ZERO }
 }
@@ -850,7 +857,7 @@
     assert!(answer.text().contains("\"ran\":\"unknown\""), "{}", answer.text());
 }
 
-/// The larger model's server does not run the request, whichever is asked: the smaller answers again.
+/// The server does not run the request for the larger model, so that the smaller model runs again.
 #[test]
 fn a_small_model_answers_again_if_the_larger_cannot() {
     let mut site = site();
@@ -878,7 +885,7 @@
     assert_eq!(replica.seen().len(), 1);
 }
 
-/// The next word that servers say and nobody knows is seen when it comes.
+/// A response header that is new to the platform must show in the metrics and the log.
 #[test]
 fn headers_of_servers_that_nothing_decodes_are_counted_by_name() {
     let mut site = Site::new().route("safe", "idempotent", json!({}));
@@ -899,7 +906,7 @@
     });
     assert_eq!((count("server-word-30\""), count("others")), (1.0, 9.0));
     let told = || vm.lines().iter().filter(|line| line["event"] == "unknown header").count();
-    eventually("one line a name, and one for the others", || told() == 33);
+    eventually("one line per name, and one for all others", || told() == 33);
 }
 
 #[test]
@@ -909,10 +916,10 @@
     let mut vms = [site.start_ready(), site.start(), site.start()];
     let heard =
         |vm: &site::Vm| vm.lines().iter().filter(|one| one["event"] == "peer heard").count();
-    eventually("all hear one another", || vms.iter().all(|vm| heard(vm) == 2));
+    eventually("all VMs receive messages of each other", || vms.iter().all(|vm| heard(vm) == 2));
     vms[0].kill();
     vms[0].start_again();
     let started = Instant::now();
-    eventually("it hears the others", || heard(&vms[0]) == 4);
+    eventually("it receives messages of the others", || heard(&vms[0]) == 4);
     assert!(started.elapsed() < Duration::from_secs(4), "{:?}", started.elapsed());
 }
