--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -280,8 +280,8 @@
 /// happens as soon as the head has arrived and holds whatever becomes of the response.
 ///
 /// `sent_at` is given if the response belongs to this request and the request ran. Only then does a
-/// head without a rate limit end the known one: whatever refuses a request, such as a proxy, need
-/// not know the server's limit.
+/// head without a rate limit end the known one: whatever refuses a request need not know the
+/// server's limit.
 fn apply_signal(job: &Job, replica: &Replica, response: &Response, sent_at: Option<Moment>) {
     // Another server has the address now; its head says nothing about this one.
     if response.status == StatusCode::MISDIRECTED_REQUEST {
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -25,7 +25,7 @@
 
 /// A resumable stream moves to another server if its first event arrives neither within this many
 /// times the expected time nor within the route's latency goal: the server hangs, is unreachable or
-/// is hopelessly overloaded.
+/// is overloaded beyond use.
 const FIRST_EVENT_TIMEOUT_FACTOR: f64 = 30.0;
 
 /// An admitted request with everything that its attempts need.
--- a/src/forward/pool.rs
+++ b/src/forward/pool.rs
@@ -13,7 +13,7 @@
 /// closed the connection at the same moment, it would be unknown whether the request ran.
 const MAX_IDLE_NON_IDEMPOTENT: Span = Span::millis(1500);
 
-/// Maximum number of idle connections per server; a burst leaves no more behind that are of use.
+/// Maximum number of idle connections per server; more than a burst leaves behind would be wasted.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
 struct IdleConnection {
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -42,7 +42,7 @@
     Kept,
     /// Another VM reported that the session was sent to that version.
     Heard,
-    /// Chosen by comparing the request's random point, from 0 to 1, with the new version's share.
+    /// Chosen by comparing the request's point, from 0 to 1, with the new version's share.
     Drawn {
         /// The point, the same on all VMs for the same session.
         point: f64,
