--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -4,13 +4,13 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-use crate::platform::object::{self, CONFIG, EVACUATIONS, MAIN, Object, ROLLOUTS, SERVERS};
-use crate::unit::{Moment, Position, Revision, Vm as Name};
-use crate::watch::line::Value;
 use super::kind::Kind;
 use super::membership;
 use super::replica::{Phase, Replica, Rollout};
 use super::vm::Vm;
+use crate::platform::object::{self, CONFIG, EVACUATIONS, MAIN, Object, ROLLOUTS, SERVERS};
+use crate::unit::{Moment, Position, Revision, Vm as Name};
+use crate::watch::line::Value;
 
 /// Origin of the objects that this VM applies, and the position of the store that they reflect.
 pub struct Source<'a> {
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -9,12 +9,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::platform::object::Object;
-use crate::unit::{Moment, Position, Revision, Span, Vm};
 use super::kind::Kind;
 use super::pack::{Change, Packed};
 use super::restore::Notice;
 use super::{poison, rollout_counts};
+use crate::platform::object::Object;
+use crate::unit::{Moment, Position, Revision, Span, Vm};
 
 /// Changes kept for followers, which poll a few times a second. Of each change only the object's
 /// name is kept: a follower gets the object in its present state.
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -5,14 +5,14 @@
 
 use serde_json::{Value, json};
 
-use crate::platform::object::Object;
-use crate::platform::objects::{Objects, Read, Trouble};
-use crate::unit::{Era, Span, Vm as Name};
 use super::apply::{self, Source};
 use super::backoff::Backoff;
 use super::kind::{Kind, VMS};
 use super::peer::PeerInfo;
 use super::vm::Vm;
+use crate::platform::object::Object;
+use crate::platform::objects::{Objects, Read, Trouble};
+use crate::unit::{Era, Span, Vm as Name};
 
 /// Kind and name of the object that holds the key of the links between VMs. The deploy file is
 /// public, so the key can't be in it: the first VM creates it, and all others read it from the
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -11,9 +11,6 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::reader::is_stale;
-use crate::peer::wire::{decode, encode};
-use crate::unit::{Span, Vm as Name};
 use super::feed::{Cursor, Origin, Proof, Reachability, Status, Update};
 use super::kind::Kind;
 use super::restore::Notice;
@@ -21,6 +18,9 @@
 use super::rollout_counts::{self, Observations};
 use super::vm::Vm;
 use super::{peer, poison};
+use crate::decide::reader::is_stale;
+use crate::peer::wire::{decode, encode};
+use crate::unit::{Span, Vm as Name};
 
 /// A VM serves no updates once its proof is older than this part of the longest age: it has lost
 /// contact with the store or its reader.
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -4,16 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::decide::reader::FAST_POLL_INTERVAL;
-use crate::platform::object::CONFIG;
-use crate::platform::objects::{Objects, Read, Trouble};
-use crate::unit::Span;
 use super::backoff::Backoff;
 use super::kind::Kind;
 use super::membership;
 use super::role::Role;
 use super::store_watch::apply_listing;
 use super::vm::Vm;
+use crate::decide::reader::FAST_POLL_INTERVAL;
+use crate::platform::object::CONFIG;
+use crate::platform::objects::{Objects, Read, Trouble};
+use crate::unit::Span;
 
 /// A proof is renewed once it reaches this part of the longest age; the rest is a reserve for a
 /// store that is slow or unavailable for a moment.
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -3,13 +3,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::platform::objects::{ANSWER_SOON, ANSWER_WITHIN, Events, Listing, Objects, Read, Trouble};
-use crate::unit::{Moment, Position, Span};
 use super::apply::{self, Source};
 use super::backoff::Backoff;
 use super::kind::Kind;
 use super::role::Role;
 use super::vm::Vm;
+use crate::platform::objects::{
+    ANSWER_SOON, ANSWER_WITHIN, Events, Listing, Objects, Read, Trouble,
+};
+use crate::unit::{Moment, Position, Span};
 
 /// Longest time that a watch request waits for events. The store allows 30 s, but an answer may be
 /// lost without an error, and then no event arrives for that long.
--- a/tests/emptied.rs
+++ b/tests/emptied.rs
@@ -37,7 +37,9 @@
     let vms = [site.start_in("there"), site.start_in("there")];
     are_ready(&vms);
     site.store.put(EVACUATIONS, "there", json!({}));
-    eventually("all know the order", || vms.iter().all(|vm| has_logged(vm, "data centre evacuated")));
+    eventually("all know the order", || {
+        vms.iter().all(|vm| has_logged(vm, "data centre evacuated"))
+    });
     let before = evacuated.seen().len();
     for number in 0..20 {
         assert_eq!(send(&vms[number % 2], &format!("e{number}")), 200);
