--- a/src/forward/announce.rs
+++ b/src/forward/announce.rs
@@ -1,8 +1,10 @@
-//! What servers said of themselves, as VMs tell one another: that they leave, and which limits they name. The store tells of leaving too, but not
-//! while it is away, and nothing else tells of limits; a VM that is not told finds out by a request that it sends there.
+//! Exchange between VMs of what backend servers announce in their responses: that they drain, and
+//! their rate limits. The store lists draining servers too, but not while it is lost, and it lists
+//! no rate limits; a VM that gets no message finds out by a request that it sends there.
 //!
-//! Each VM passes on what is news to it, so that all know it within some round trips: some hundred bytes for each change and neighbour. That a limit is
-//! another is told to those alone that have a part of it.
+//! Each VM relays what is new to it, so that all know it within some round trips, at some hundred
+//! bytes for each change and neighbour. A changed rate is sent only to the VMs that have a share of
+//! it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,12 +16,13 @@
 use crate::decide::standing::Said;
 use crate::unit::{Moment, Rate, Server, Span};
 
-/// Tells the other VMs that a life of a server leaves.
+/// Broadcasts that an incarnation of a server drains.
 pub fn broadcast_drain(vm: &Rc<Vm>, replica: &Replica) {
     peer::broadcast(vm, &Message::ServerDraining(replica.incarnation()));
 }
 
-/// Takes another VM's word that a life of a server leaves, and passes it on if it is news.
+/// Applies the report of another VM that an incarnation of a server drains, and relays it if it is
+/// new.
 pub fn on_drain(vm: &Rc<Vm>, from: &str, incarnation: &Incarnation) {
     let Incarnation { server: id, born, address } = incarnation;
     let replica = {
@@ -37,11 +40,12 @@
         ("born_ms", born.unwrap_or_default().into()),
         ("from", from.into()),
     ];
-    vm.log("server said to leave", &fields);
+    vm.log("server drain reported by peer", &fields);
     broadcast_drain(vm, &replica);
 }
 
-/// Tells other VMs what this one knows of the limit of a life of a server, if any are to be told.
+/// Sends what this VM knows of the rate limit of an incarnation to the VMs that need it, if an
+/// update is due.
 pub fn broadcast_limit(vm: &Rc<Vm>, replica: &Replica) {
     let now = vm.now();
     let report = {
@@ -63,23 +67,23 @@
     Message::ServerLimit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
 }
 
-/// Another VM's word of the limit of a life of a server.
+/// Report of another VM on the rate limit of an incarnation of a server.
 pub struct LimitReport<'a> {
-    /// Who says it.
+    /// Name of the sender.
     pub from: &'a str,
-    /// The server.
+    /// Id of the server.
     pub server: &'a Server,
-    /// When that life began, by its own clock.
+    /// Start of the incarnation, in milliseconds since 1970 by its own clock.
     pub born: Option<u64>,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// The limit, if it names one.
+    /// Requests per second from all VMs together; `None` if there is no limit any more.
     pub rate: Option<Rate>,
-    /// How long ago it said so.
+    /// Time since the server announced it.
     pub age: Span,
 }
 
-/// Takes another VM's word of a limit, and passes it on if it is news.
+/// Applies the report of another VM on a rate limit, and relays it if it is new.
 pub fn on_limit(vm: &Rc<Vm>, report: &LimitReport) {
     let now = vm.now();
     let news = News { rate: report.rate, as_of: Moment(now.0.saturating_sub(report.age.0)) };
@@ -102,7 +106,7 @@
             ("limit_per_s", report.rate.map_or(-1.0, |rate| rate.0).into()),
             ("age_ms", report.age.as_millis().into()),
         ];
-        vm.log("server said to have a limit", &fields);
+        vm.log("server rate limit reported by peer", &fields);
     }
     if relays {
         peer::broadcast(vm, &limit_message(&replica, news, now));
--- a/src/forward/liveness.rs
+++ b/src/forward/liveness.rs
@@ -1,15 +1,15 @@
-//! How a life of a backend server goes on, as far as a VM knows.
+//! How sure a VM is that an incarnation of a backend server still runs.
 
 use crate::decide::poison::Broken;
 
-/// What is known of how a life of a server goes on.
+/// State of one incarnation of a server, as far as this VM knows.
 #[derive(Debug, Default)]
 pub enum Liveness {
-    /// No answer broke off there, or it took connections afterwards.
+    /// No response broke off there, or the server accepted connections afterwards.
     #[default]
     Alive,
-    /// Answers to these requests broke off, and it is being checked.
+    /// The responses to these requests broke off, and the server is being checked.
     Suspect(Vec<Broken>),
-    /// It has crashed.
+    /// The incarnation has crashed.
     Dead,
 }
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -1,4 +1,4 @@
-//! The messages that entry VMs tell one another.
+//! Messages between entry VMs, encoded with `postcard`: fields and variants go by position.
 
 use std::net::SocketAddr;
 
@@ -11,82 +11,82 @@
 use super::trial::Totals;
 use crate::unit::{DataCentre, Millicores, Rate, Server, Service, Span, Version, Vm as Name};
 
-/// What one VM tells another.
+/// A message from one VM to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// It is there.
+    /// Heartbeat: the VM runs.
     Hello,
-    /// It stops.
+    /// The VM stops as planned.
     Goodbye,
-    /// It sent a prompt to a server.
+    /// The VM sent a prompt to a server.
     Work {
-        /// The server.
+        /// Id of the server.
         server: Server,
-        /// Time that the server needs to read it.
+        /// Estimated time of the prefill.
         work: Span,
     },
-    /// What it has seen of a version since its roll-out began.
+    /// Counts of a new version since its rollout began.
     TrialCounts {
         /// The service.
         service: Service,
         /// The new version.
         version: Version,
-        /// Its counts, of routes where they changed.
+        /// Counts by route, of the routes where they changed.
         routes: Vec<(String, Totals)>,
     },
-    /// Sessions that keep the old version while a new one's trial is young.
+    /// Sessions pinned to the old version in the early part of a rollout.
     PinnedSessions {
         /// The service.
         service: Service,
         /// The new version.
         version: Version,
-        /// Their draws.
+        /// Hashes that decide which sessions get the new version.
         draws: Vec<Draw>,
     },
-    /// Contents under which servers crashed, or did not.
+    /// Contents under which servers crashed, or ran well.
     Poison(poison::News),
-    /// A life of a server has said that it leaves.
+    /// An incarnation of a server announced that it drains.
     ServerDraining(Incarnation),
-    /// A life of a server names a limit, or no longer does.
+    /// An incarnation of a server announced a rate limit, or the end of one.
     ServerLimit {
-        /// Its id.
+        /// Id of the server.
         server: Server,
-        /// When that life began, by its own clock.
+        /// Start of the incarnation, in milliseconds since 1970 by its own clock.
         born: Option<u64>,
-        /// Where it listens.
+        /// Address on which the server listens.
         address: SocketAddr,
-        /// Requests a second from all VMs together.
+        /// Requests per second from all VMs together; `None` if there is no limit any more.
         rate: Option<Rate>,
-        /// How long ago it said so.
+        /// Time since the server announced it.
         age: Span,
     },
 }
 
-/// A word, who says it, and where to answer.
+/// A message with its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who says it.
+    /// Name of the sender.
     pub from: Name,
-    /// Where it is.
+    /// Where to reach the sender.
     pub info: PeerInfo,
-    /// What it says.
+    /// The message itself.
     pub message: Message,
 }
 
-/// Where a VM is, and how large; the store's entry of it says the same.
+/// Address and size of a VM. The entry of the VM in the store has the same fields, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// Where other VMs reach it.
+    /// Address for messages from other VMs.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
-    /// Its share of a core.
+    /// CPU quota of the VM, in thousandths of a core.
     #[serde(default)]
     pub share: Millicores,
 }
 
 impl PeerInfo {
-    /// The place of a VM with these settings, whose links are at `address`.
+    /// Returns the information on a VM with these settings, whose links are at `address`.
     pub fn of(settings: &Settings, address: SocketAddr) -> PeerInfo {
         PeerInfo { address, data_centre: settings.data_centre.clone(), share: settings.share }
     }
--- a/src/forward/metrics.rs
+++ b/src/forward/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry VM.
+//! Prometheus metrics of an entry VM.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,54 +6,56 @@
     Opts, Registry, TextEncoder,
 };
 
-/// Bounds of the latency histograms, in seconds.
+/// Upper bounds of the buckets of the latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 12] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 3.0, 6.0, 12.0];
 
-/// The counters.
+/// The metrics and their registry.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route and outcome.
+    /// Requests, by route and outcome.
     pub requests: IntCounterVec,
-    /// Attempts by service and how they ended.
+    /// Attempts, by service and outcome.
     pub attempts: IntCounterVec,
-    /// Servers that were checked after an answer broke off, by service and what was found.
+    /// Checks if a server still runs after a response broke off, by service and result.
     pub checks: IntCounterVec,
-    /// Words of servers that changed what is known of them, by service and word.
+    /// Announcements of servers in response headers that changed what is known of them, by service
+    /// and kind.
     pub server_signals: IntCounterVec,
-    /// Headers of servers' answers that nothing decodes, by name.
+    /// Response headers of servers that nothing decodes, by name.
     pub unknown_headers: IntCounterVec,
-    /// Contents under which a server crashed, and those of them that are held back.
+    /// Request contents under which a server crashed.
     pub suspect_contents: IntGauge,
+    /// Request contents that are quarantined.
     pub quarantined_contents: IntGauge,
-    /// Time from a request to its answer or first event, by route.
+    /// Time from a request to the head of its response or the first event, by route.
     pub response_time: HistogramVec,
-    /// Time that this VM added before it sent a request on.
+    /// Time that this VM took before it forwarded a request.
     pub added_latency: Histogram,
-    /// Calls to the platform's store, by kind and outcome.
+    /// Calls to the platform's store, by call and outcome.
     pub store_calls: IntCounterVec,
-    /// Objects of the platform that did not read.
+    /// Objects of the platform that could not be decoded, by kind.
     pub unreadable: IntCounterVec,
     /// Requests in flight.
     pub running: IntGauge,
-    /// 1 for a data centre that gets nothing new by an order.
+    /// 1 for a data centre that is evacuated.
     pub evacuated: IntGaugeVec,
     /// Backend servers that are cold, by service.
     pub cold_servers: IntGaugeVec,
-    /// Backend servers that name a limit, by service.
+    /// Backend servers that announce a rate limit, by service.
     pub limited_servers: IntGaugeVec,
     /// Revision of the configuration in force.
     pub revision: IntGauge,
     /// Era of the store.
     pub era: IntGauge,
-    /// Answers of the store whose era was not taken as it stood, by reason.
+    /// Responses of the store whose era was rejected or adjusted, by reason.
     pub era_anomalies: IntCounterVec,
     /// Age of the last proof that the configuration is the newest, in seconds.
     pub proof_age: Gauge,
 }
 
 impl Metrics {
-    /// Counters at nought.
+    /// Returns metrics that are all zero, in a registry of their own.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Calls to the store so far: those of each cause and outcome that there were.
+    /// Returns the number of calls to the store so far, by `call outcome`.
     pub fn calls(&self) -> Vec<(String, u64)> {
         let families = self.store_calls.collect();
         let counters = families.iter().flat_map(|family| family.get_metric());
@@ -141,12 +143,12 @@
         counters.map(count).collect()
     }
 
-    /// All of them in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut out) {
             Ok(()) => String::from_utf8_lossy(&out).into_owned(),
-            Err(fault) => format!("# the counters could not be written: {fault}\n"),
+            Err(fault) => format!("# failed to encode the metrics: {fault}\n"),
         }
     }
 }
@@ -158,6 +160,6 @@
 }
 
 fn register<T: Collector + Clone + 'static>(registry: &Registry, metric: T) -> T {
-    registry.register(Box::new(metric.clone())).expect("each name is used once");
+    registry.register(Box::new(metric.clone())).expect("metric names are unique");
     metric
 }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -1,5 +1,6 @@
-//! What entry VMs tell one another: work that they sent to a server, and what they saw of a
-//! version that is rolled out. All of it is evidence; nothing is lost but speed if it is lost.
+//! Messages between entry VMs and their membership: who the other VMs are, which of them are alive,
+//! and which of them get a message. Messages speed up what a VM would find out by itself; a lost
+//! one costs nothing but time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,33 +28,33 @@
 use crate::platform::objects::Objects;
 use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 
-/// Up to this number every VM hears every other; beyond it each tells its ring neighbours, so that
-/// what a VM sends grows with the logarithm of their number, and those named in the store count as
-/// present.
+/// Up to this number of other VMs each VM sends to each (full mesh). Beyond it each sends to its
+/// ring neighbours, so that its traffic grows with the logarithm of their number, and VMs listed in
+/// the store count as live.
 const FULL_MESH_MAX: usize = 12;
 
-/// Time between two looks at the peers.
+/// Time between two checks of the peers.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A peer that was told nothing for this long is greeted.
+/// A peer that was sent nothing for this long gets a heartbeat.
 const HEARTBEAT_INTERVAL: Span = Span::secs(2);
 
-/// A peer that said nothing for this long is taken as gone, and greeted again from time to time.
+/// A peer that sent nothing for this long counts as gone, and gets heartbeats at this interval.
 const PEER_TIMEOUT: Span = Span::secs(5);
 
-/// After this it is forgotten, and its entry removed.
+/// A peer that sent nothing for this long is removed, and its entry in the store deleted.
 const REMOVAL_TIMEOUT: Span = Span::secs(60);
 
-/// Work below this is not told: it is done before the word arrives.
+/// Shorter work is not broadcast: it is done before the message arrives.
 const MIN_BROADCAST_WORK: Span = Span::millis(25);
 
-/// VMs of many that gather what is known of a content. With a tenth of the VMs cut off all three are for one content in
-/// a thousand.
+/// Number of VMs that collect the crash reports of one content, beyond a full mesh. With a tenth of
+/// the VMs cut off, all three are cut off for one content in a thousand.
 const AGGREGATOR_COUNT: usize = 3;
 
 struct Peer {
     info: PeerInfo,
-    /// When it was first named, heard last, and told something last.
+    /// When it became known, last sent something, and was last sent something.
     first_seen: Moment,
     last_received: Option<Moment>,
     last_sent: Option<Moment>,
@@ -65,16 +66,16 @@
     }
 
     fn is_live(&self, now: Moment) -> bool {
-        self.last_received.is_some_and(|last_received| now.since(last_received) < PEER_TIMEOUT)
+        self.last_received.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    /// Time since anything was heard of it by one that should hear it since `from`.
+    /// Returns how long it has been silent for a VM that expects messages from it since `from`.
     fn silence(&self, from: Moment, now: Moment) -> Span {
         now.since(self.last_received.unwrap_or(self.first_seen).max(from))
     }
 }
 
-/// The other VMs as this one knows them.
+/// The other VMs, as far as this one knows them.
 #[derive(Default)]
 pub struct Peers {
     links: Option<Links>,
@@ -82,20 +83,21 @@
 }
 
 impl Peers {
-    /// Whether there are so few VMs that each hears each.
+    /// Returns true if there are so few VMs that each sends to each.
     pub fn is_full_mesh(&self) -> bool {
         self.known.len() <= FULL_MESH_MAX
     }
 
-    /// VMs that take part, this one too: those heard of late, or, of many, those that the store
-    /// names. Shares of what all may use are the smaller for one that is gone and still named.
+    /// Returns the number of live VMs, this one included: those that sent something recently in a
+    /// full mesh, else those listed in the store. A VM that is gone and still listed makes each
+    /// VM's share of a common budget smaller.
     pub fn count_live(&self, now: Moment) -> usize {
         let full_mesh = self.is_full_mesh();
         1 + self.known.values().filter(|peer| !full_mesh || peer.is_live(now)).count()
     }
 
-    /// The other VMs by group: those that share a group with one of this data centre, and the other groups. A group is a
-    /// data centre, or all VMs if they are few.
+    /// Returns the other VMs by group: those in the group of `data_centre`, and the other groups. A
+    /// group is a data centre, or all VMs in a full mesh.
     pub fn groups(&self, data_centre: &DataCentre) -> (Vec<Rank>, HashMap<DataCentre, Vec<Rank>>) {
         let full_mesh = self.is_full_mesh();
         let (mut own, mut others) = (Vec::new(), HashMap::<DataCentre, Vec<Rank>>::new());
@@ -110,17 +112,17 @@
         (own, others)
     }
 
-    /// The names of the other VMs.
+    /// Returns the names of the other VMs.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.known.keys()
     }
 
-    /// Where another VM is reached.
+    /// Returns the address of another VM for messages.
     pub fn address(&self, name: &Name) -> Option<SocketAddr> {
         self.known.get(name).map(|peer| peer.info.address)
     }
 
-    /// The store names a VM. Until it is heard it does not count as present among few.
+    /// Inserts a VM that the store lists. In a full mesh it counts as live from its first message.
     pub fn insert_listed(&mut self, vm: Name, info: PeerInfo, now: Moment) {
         let peer = self.known.entry(vm).or_insert_with(|| Peer::new(info.clone(), now));
         if !peer.is_live(now) {
@@ -128,18 +130,18 @@
         }
     }
 
-    /// Forgets VMs that the store does not name and that say nothing.
+    /// Removes VMs that the store does not list and that are silent.
     pub fn retain_listed(&mut self, is_listed: impl Fn(&Name) -> bool, now: Moment) {
         self.known.retain(|name, peer| is_listed(name) || peer.is_live(now));
     }
 
-    /// The links, once they are open.
+    /// Returns the links to the other VMs, once they are open.
     pub fn links(&self) -> Option<Links> {
         self.links.clone()
     }
 }
 
-/// Takes part until the process ends.
+/// Opens the links, joins the other VMs, and checks them until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     let Some(address) = vm.settings.links else { return };
     let mut store = vm.store_client();
@@ -149,7 +151,7 @@
         Ok(links) => links,
         Err(fault) => {
             let why = fault.to_string();
-            vm.log("links not opened", &[("why", why.as_str().into())]);
+            vm.log("failed to open peer links", &[("why", why.as_str().into())]);
             vm.role.send_replace(Role::Reads);
             return;
         }
@@ -173,14 +175,14 @@
         let bytes = match message {
             Incoming::Frame(bytes) => bytes,
             Incoming::Call(bytes, answer) => {
-                // A follower that has given up does not wait for it.
+                // Fails if the follower has given up waiting, which needs no handling.
                 let _ = answer.send(reader::answer(&vm, &bytes));
                 continue;
             }
         };
         match decode::<Envelope>(&bytes) {
             Some(envelope) => on_envelope(&vm, envelope),
-            None => vm.log("word of a peer not read", &[("bytes", bytes.len().into())]),
+            None => vm.log("invalid peer message ignored", &[("bytes", bytes.len().into())]),
         }
     }
 }
@@ -231,7 +233,7 @@
     }
 }
 
-/// A VM asked this one something, or answered.
+/// Records that a VM sent this one a call or a response.
 pub fn on_contact(vm: &Vm, name: &Name) {
     let now = vm.now();
     let mut peers = vm.peers.borrow_mut();
@@ -242,7 +244,8 @@
     peer.last_received = Some(now);
 }
 
-/// A VM says that it stops. Among many it stays named: it mostly starts again, and only some hear it say so.
+/// Handles the message of a VM that it stops. Beyond a full mesh the VM stays in the list: it
+/// usually starts again, and only some VMs get this message.
 fn on_goodbye(vm: &Vm, name: &Name) {
     let mut peers = vm.peers.borrow_mut();
     if peers.is_full_mesh() {
@@ -251,26 +254,25 @@
     vm.log("peer left", &[("peer", name.as_str().into())]);
 }
 
-/// Greets peers that were told nothing, and drops those that are gone.
+/// Sends heartbeats that are due, and removes peers that are gone.
 async fn check_peers(vm: &Rc<Vm>, store: &mut Objects) {
     let now = vm.now();
     let (mut heartbeats, mut gone) = (Vec::new(), Vec::new());
     {
         let mut peers = vm.peers.borrow_mut();
-        let broadcast_targets = broadcast_targets(vm, &peers);
+        let targets = broadcast_targets(vm, &peers);
         let full_mesh = peers.is_full_mesh();
-        // Of many, the first of a data centre hears the others, since they ask it; it counts their silence from when it
-        // became the first.
+        // Beyond a full mesh the first VM of a data centre hears from the others there, as they
+        // poll it; it counts their silence from when it became the first.
         let first_since = vm.first_in_group_since.get();
-        let heard_from = if full_mesh { Some(Moment(0)) } else { first_since };
+        let expected_from = if full_mesh { Some(Moment(0)) } else { first_since };
         for (name, peer) in &mut peers.known {
             let due = if peer.is_live(now) { HEARTBEAT_INTERVAL } else { PEER_TIMEOUT };
             let own = full_mesh || peer.info.data_centre == vm.settings.data_centre;
-            let silence = heard_from.filter(|_| own).map(|from| peer.silence(from, now));
+            let silence = expected_from.filter(|_| own).map(|from| peer.silence(from, now));
             if silence.is_some_and(|silence| silence >= REMOVAL_TIMEOUT) {
                 gone.push(name.clone());
-            } else if peer.last_sent.is_none_or(|last_sent| now.since(last_sent) >= due)
-                && broadcast_targets.contains(name)
+            } else if peer.last_sent.is_none_or(|at| now.since(at) >= due) && targets.contains(name)
             {
                 peer.last_sent = Some(now);
                 heartbeats.push(peer.info.address);
@@ -284,17 +286,17 @@
         send(vm, address, Message::Hello);
     }
     for name in gone {
-        vm.log("peer forgotten", &[("peer", name.as_str().into())]);
+        vm.log("peer removed", &[("peer", name.as_str().into())]);
         let deleted = store.delete(VMS, name.as_str()).await;
         vm.count_store_call("entry-delete", &deleted);
         if let Err(trouble) = deleted {
             let why = trouble.to_string();
-            vm.log("entry not removed", &[("why", why.as_str().into())]);
+            vm.log("failed to delete peer entry", &[("why", why.as_str().into())]);
         }
     }
 }
 
-/// The peers that this VM tells things: all, or its neighbours on the ring.
+/// Returns the peers that get broadcasts of this VM: all, or its neighbours on the ring.
 fn broadcast_targets(vm: &Vm, peers: &Peers) -> Vec<Name> {
     let mut names: Vec<Name> = peers.known.keys().cloned().collect();
     if peers.is_full_mesh() {
@@ -304,7 +306,7 @@
     neighbours(&vm.settings.vm, &names)
 }
 
-/// Tells one VM.
+/// Sends a message to one VM, without waiting for it.
 pub fn send(vm: &Rc<Vm>, to: SocketAddr, message: Message) {
     let (Some(links), Some(address)) = (vm.peers.borrow().links.clone(), vm.settings.links) else {
         return;
@@ -312,18 +314,18 @@
     let from = vm.settings.vm.clone();
     let info = PeerInfo::of(&vm.settings, address);
     let envelope = Envelope { from, info, message };
-    // A word that does not arrive is told anew or does not matter.
+    // A message that does not arrive is repeated later, or does not matter.
     spawn(async move { links.send(to, encode(&envelope)).await });
 }
 
-/// Tells the peers.
+/// Sends a message to all VMs in a full mesh, else to the ring neighbours.
 pub fn broadcast(vm: &Rc<Vm>, message: &Message) {
-    let broadcast_targets = broadcast_targets(vm, &vm.peers.borrow());
-    send_to_all(vm, &broadcast_targets, message);
+    let targets = broadcast_targets(vm, &vm.peers.borrow());
+    send_to_all(vm, &targets, message);
 }
 
-/// Tells the VMs that gather what is known of a content: all peers if they are few, else those with the highest weights for it,
-/// which all VMs work out alike.
+/// Sends a message to the VMs that collect the crash reports of a content: all peers in a full
+/// mesh, else those with the highest weights for it, which all VMs compute alike.
 pub fn send_to_aggregators(vm: &Rc<Vm>, content: Digest, message: &Message) {
     let aggregators = {
         let peers = vm.peers.borrow();
@@ -335,7 +337,7 @@
     send_to_all(vm, &aggregators, message);
 }
 
-/// Tells the VMs that have a part of a server's limit of either rate.
+/// Sends a message to the VMs that have a share of a server's rate limit at either of two rates.
 pub fn send_to_senders(vm: &Rc<Vm>, server: &Server, rates: [Rate; 2], message: &Message) {
     let senders = {
         let peers = vm.peers.borrow();
@@ -345,7 +347,8 @@
     send_to_all(vm, &senders, message);
 }
 
-/// So many VMs with the highest weights for a number, this one maybe among them.
+/// Returns the `count` VMs with the highest weights for a number (rendezvous hashing); this one may
+/// be among them.
 fn highest_weighted(vm: &Vm, peers: &Peers, number: u64, count: usize) -> Vec<Name> {
     let all = peers.known.keys().chain([&vm.settings.vm]);
     let weight = |name: &Name| hash::mix(number, hash::stable(&[name.as_str()]));
@@ -358,8 +361,8 @@
     let now = vm.now();
     let addresses: Vec<SocketAddr> = {
         let mut peers = vm.peers.borrow_mut();
-        let last_sent = peers.known.iter_mut().filter(|(name, _)| names.contains(name));
-        last_sent
+        let targets = peers.known.iter_mut().filter(|(name, _)| names.contains(name));
+        targets
             .map(|(_, peer)| {
                 peer.last_sent = Some(now);
                 peer.info.address
@@ -371,7 +374,7 @@
     }
 }
 
-/// Tells the peers of work that was sent to a server, if it takes long enough to matter.
+/// Broadcasts work that was sent to a server, if it takes long enough to matter.
 pub fn broadcast_work(vm: &Rc<Vm>, server: &Server, work: Span) {
     if work >= MIN_BROADCAST_WORK {
         broadcast(vm, &Message::Work { server: server.clone(), work });
--- a/src/forward/poison.rs
+++ b/src/forward/poison.rs
@@ -1,4 +1,5 @@
-//! Contents under which backend servers crash, as the VMs on the users' platform know them; [`crate::decide::poison`] decides.
+//! Quarantine of request contents under which backend servers crash. This module connects the rules
+//! of [`crate::decide::poison`] to the requests and messages of a VM.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,43 +12,44 @@
 pub use crate::decide::poison::{News, Told};
 use crate::unit::{Digest, Moment};
 
-/// Whether a request is not to be sent on, or not again.
+/// Returns true if the content of a request is quarantined: it is not sent, or not again.
 pub fn is_quarantined(job: &Job) -> bool {
     let vm = &job.vm;
     vm.poison.borrow().held(&job.content, vm.now()).is_some()
 }
 
-/// This life of a server has crashed with these requests of this VM open.
+/// Records that an incarnation of a server crashed while these requests of this VM were open there.
 pub fn on_server_crash(vm: &Rc<Vm>, replica: &Replica, broken: &[Broken]) {
     let incarnation = Life::new(replica.id.as_str(), replica.born);
     let out = vm.poison.borrow_mut().ended(incarnation, broken, topology(vm), vm.now());
     apply(vm, out, None);
 }
 
-/// A request ran to a good end, whole.
+/// Records that a request with this content got a good and complete response.
 pub fn on_success(vm: &Rc<Vm>, content: Digest) {
     let out = vm.poison.borrow_mut().ran_well(content, vm.now());
     apply(vm, out, None);
 }
 
-/// Takes what another VM tells.
+/// Applies a message from another VM.
 pub fn on_message(vm: &Rc<Vm>, from: &str, news: &News) {
     let out = vm.poison.borrow_mut().hear(news, topology(vm), vm.now());
     apply(vm, out, Some(from));
 }
 
-/// Takes contents that another VM holds back, as old as they were at the moment `told_at`.
+/// Applies the contents that another VM has quarantined. Their ages are those at `told_at`.
 pub fn on_quarantine_list(vm: &Rc<Vm>, from: &str, told: &[Told], told_at: Moment) {
     let out = vm.poison.borrow_mut().hear_held(told, topology(vm), told_at, vm.now());
     apply(vm, out, Some(from));
 }
 
-/// What this VM holds back, for those that ask it, or that it asks.
+/// Returns the contents that this VM has quarantined, for the VMs that poll it or that it polls.
 pub fn quarantined(vm: &Vm) -> Vec<Told> {
     vm.poison.borrow().all_held(vm.now())
 }
 
-/// A VM is heard for the first time, or again: it may have started a moment ago.
+/// Sends the quarantined contents to a VM that was just discovered, or is back: it may have started
+/// a moment ago and know none.
 pub fn send_quarantined(vm: &Rc<Vm>, address: SocketAddr) {
     let held = quarantined(vm);
     if !held.is_empty() {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Drops what is too old, and counts what is left.
+/// Removes what is too old, and updates the gauges.
 pub fn expire(vm: &Vm) {
     let now = vm.now();
     let mut poison = vm.poison.borrow_mut();
@@ -68,7 +70,7 @@
     if vm.peers.borrow().is_full_mesh() { Ways::Direct } else { Ways::ByNeighbours }
 }
 
-/// Tells and logs what follows.
+/// Logs the changes and sends the messages that a decision asks for.
 fn apply(vm: &Rc<Vm>, out: Out, from: Option<&str>) {
     let from = from.unwrap_or("own");
     for change in out.turns {
@@ -77,14 +79,14 @@
                 let content = content.to_string();
                 let content = ("content", content.as_str().into());
                 vm.log(
-                    "content held back",
+                    "content quarantined",
                     &[content, ("ends", ends.into()), ("from", from.into())],
                 );
             }
             Turn::Freed(content) => {
                 let content = content.to_string();
                 let content = ("content", content.as_str().into());
-                vm.log("content free again", &[content, ("from", from.into())]);
+                vm.log("content released from quarantine", &[content, ("from", from.into())]);
             }
         }
     }
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -1,4 +1,5 @@
-//! Which backend servers that bear only so much this VM may send to, and when, as [`crate::decide::bound`] says.
+//! Enforces the rate limits of backend servers at this VM. [`crate::decide::bound`] decides which
+//! VMs may send to a server, and how far apart.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::HashSet;
@@ -13,11 +14,12 @@
 use crate::decide::cold;
 use crate::unit::{Moment, Service, Span, hash};
 
-/// A VM that has just started does not know all others yet, and sends nothing to servers that bear only so much: each VM that counts
-/// itself among the senders by mistake adds its part to what they get.
+/// A VM that has just started does not know all others yet, and sends nothing to rate-limited
+/// servers for this long: each VM that counts itself among the senders by mistake adds its share to
+/// the load of the server.
 const VM_DISCOVERY_TIME: Span = Span::millis(1500);
 
-/// Counts the cold servers of each service and those that name a limit, for the metrics page.
+/// Updates the gauges of cold servers and of servers that announce a rate limit, by service.
 pub fn update_gauges(vm: &Vm) {
     let fleet = vm.fleet.borrow();
     let now = vm.now();
@@ -32,13 +34,13 @@
     }
 }
 
-/// The VMs that may be senders, by the hashes of their names.
+/// Hashes of the names of all VMs, from which the senders to a server are chosen.
 pub struct Vms {
     own: u64,
     others: Vec<u64>,
 }
 
-/// What one decision needs to know of servers that bear only so much.
+/// Checks the rate limits of the servers of one service at one moment.
 pub struct Limiter<'a> {
     cold: Option<cold::Bound>,
     now: Moment,
@@ -46,13 +48,13 @@
     vms: OnceCell<Option<Vms>>,
 }
 
-/// What is asked of the servers of a service at a moment.
+/// Returns the limiter for the servers of a service.
 pub fn limiter<'a>(vm: &'a Vm, service: &Service, now: Moment) -> Limiter<'a> {
     let cold = vm.routes().and_then(|table| table.pool(service)?.cold);
     Limiter::new(cold, now, move || find_vms(vm, now))
 }
 
-/// All VMs, if this one knows the others yet.
+/// Returns all VMs, or `None` if this one does not know the others yet.
 fn find_vms(vm: &Vm, now: Moment) -> Option<Vms> {
     let is_alone = vm.settings.links.is_none();
     let is_settled = now.since(vm.started) >= VM_DISCOVERY_TIME;
@@ -66,7 +68,8 @@
 }
 
 impl<'a> Limiter<'a> {
-    /// With what a service declares of cold servers, and how to find the VMs, which is asked only where a server bears only so much.
+    /// Returns a limiter. `cold` is the rate limit that the service declares for cold servers;
+    /// `find_vms` is called at most once, and only if a server has a rate limit.
     pub fn new(
         cold: Option<cold::Bound>,
         now: Moment,
@@ -75,25 +78,26 @@
         Limiter { cold, now, find_vms: Box::new(find_vms), vms: OnceCell::new() }
     }
 
-    /// Whether a server is cold.
+    /// Returns true if a server is cold and the service declares a rate limit for that.
     pub fn is_cold(&self, server: &Server) -> bool {
         self.cold.is_some_and(|cold| server.is_cold(&cold, self.now))
     }
 
-    /// What a server bears, if that is bounded; the tightest of several.
+    /// Returns the rate limit of a server, if it has one; the tightest if there are several.
     pub fn rate_limit(&self, server: &Server) -> Option<Bound> {
         let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(Bound::from);
         let limit = server.availability.limit.rate(self.now).map(Bound::of_limit);
         cold.into_iter().chain(limit).reduce(Bound::and)
     }
 
-    /// Whether a server may get a request now.
+    /// Returns true if the rate limit of a server allows this VM a request now.
     pub fn allows(&self, server: &Server) -> bool {
         let may = |bound: Bound| self.next(&bound, server).is_some_and(|next| next <= self.now);
         self.rate_limit(server).is_none_or(may)
     }
 
-    /// When this VM may send to a bounded server next; none if that is for others to do, or its bound is gone.
+    /// Returns when this VM may send to a rate-limited server next; `None` if it is not among its
+    /// senders, or the server has no rate limit any more.
     pub fn next_permit(&self, server: &Server) -> Option<Moment> {
         self.next(&self.rate_limit(server)?, server)
     }
@@ -103,7 +107,8 @@
         Some(server.pacer.next(&share, self.now))
     }
 
-    /// This VM's part of what a server bears; none if it has none.
+    /// Returns this VM's share of a rate limit; `None` if it is not among the senders to the
+    /// server.
     fn share(&self, bound: &Bound, server: &Server) -> Option<Part> {
         let vms = self.vms.get_or_init(&self.find_vms).as_ref()?;
         let share = Part::new(bound, vms.others.len() + 1);
@@ -111,14 +116,16 @@
         bound::is_sender(&share, number, vms.own, &vms.others).then_some(share)
     }
 
-    /// Takes this VM's next turn at a server, if the server bears only so much and this VM has a part of that.
+    /// Reserves this VM's next send to a server. Returns `None` if the server has no rate limit, or
+    /// this VM is not among its senders.
     pub fn reserve(&self, server: &mut Server) -> Option<Ticket> {
         let share = self.share(&self.rate_limit(server)?, server)?;
         Some(server.pacer.take(&share, self.now))
     }
 }
 
-/// The turn of one request at one life of a server; it is given back if nothing was sent on it.
+/// Permit to send one request to one incarnation of a server. Dropping it unused releases its
+/// reservation.
 pub struct Permit {
     vm: Rc<Vm>,
     replica: Replica,
@@ -126,22 +133,24 @@
 }
 
 impl Permit {
-    /// Takes the next turn at a server; an empty one if the server bears anything, or this VM has no part of what it bears.
+    /// Reserves the next send to a server. The permit holds no reservation if the server has no
+    /// rate limit, or this VM is not among its senders.
     pub fn reserve(vm: &Rc<Vm>, fleet: &mut Fleet, replica: &Replica, now: Moment) -> Permit {
         let limiter = limiter(vm, &replica.service, now);
         let reservation = fleet.incarnation_mut(replica).and_then(|server| limiter.reserve(server));
         Permit { vm: vm.clone(), replica: replica.clone(), reservation: Cell::new(reservation) }
     }
 
-    /// The life of the server.
+    /// Returns the incarnation of the server that the permit is for.
     pub fn server(&self) -> &Replica {
         &self.replica
     }
 
-    /// Its request is about to leave.
+    /// Uses the permit: its request is about to be sent.
     ///
     /// # Errors
-    /// `NoTurn` if it may not: what the server bears was heard after the request had been meant for it, and it is not this VM's turn.
+    /// `NoTurn` if it may not be sent: the rate limit became known after the server had been
+    /// chosen, and this VM may not send there now.
     pub fn consume(&self, now: Moment) -> Result<(), NoTurn> {
         let mut fleet = self.vm.fleet.borrow_mut();
         let Some(server) = fleet.incarnation_mut(&self.replica) else { return Ok(()) };
@@ -159,7 +168,7 @@
 
 impl fmt::Debug for Permit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "turn at {}", self.replica.id)
+        write!(f, "permit for {}", self.replica.id)
     }
 }
 
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry VM's tasks, and stops it as planned.
+//! Starts the tasks of an entry VM, and stops it on a signal.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,25 +17,26 @@
 use crate::vm::Clock;
 use crate::watch::line::{Lines, Value};
 
-/// Time between two writes of log lines.
+/// Time between two flushes of the log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The balancer has noticed a VM that is not ready after two questions, a second apart.
+/// How long a planned stop serves on at least: the balancer notices that a VM is not ready after
+/// two health checks, a second apart.
 const READINESS_NOTICE_TIME: Span = Span::millis(2500);
 
-/// Time kept free before the process would be killed.
+/// Safety margin before the time at which the process would be killed.
 const KILL_MARGIN: Span = Span::millis(700);
 
-/// Time between two lines that tell the calls to the store.
+/// Time between two log lines with the counts of calls to the store.
 const STORE_CALLS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between two looks whether the last request has ended.
+/// Time between two checks if the last request has ended.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an entry VM until a signal to stop.
+/// Runs an entry VM until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If an address cannot be bound.
+/// Fails if a listen address cannot be bound.
 pub async fn run(settings: Settings) -> Result<(), Error> {
     let callers = door::bind(settings.callers)?;
     let readiness = door::bind(settings.readiness)?;
@@ -82,7 +83,7 @@
     vm.log("start", &fields);
 }
 
-/// Tells the calls to the store so far, by cause and outcome, whenever there were more.
+/// Logs the total calls to the store, by call and outcome, whenever there were more.
 async fn log_store_calls(vm: Rc<Vm>) {
     let mut logged = 0;
     loop {
@@ -100,7 +101,7 @@
 fn log_call_counts(vm: &Vm, calls: &[(String, u64)]) {
     let fields: Vec<(&str, Value)> =
         calls.iter().map(|(name, count)| (name.as_str(), (*count).into())).collect();
-    vm.log("calls to the store", &fields);
+    vm.log("store calls", &fields);
 }
 
 async fn flush_log_lines(vm: Rc<Vm>) {
@@ -110,16 +111,16 @@
     }
 }
 
-/// Reads the settings file again at each SIGHUP. Addresses cannot change while the process runs,
-/// so a change of one is told and the next start takes it.
+/// Reads the settings file again at each SIGHUP. Addresses can't change while the process runs, so
+/// a changed store address is only logged.
 async fn reload(vm: Rc<Vm>) {
-    let mut hangups = signal(SignalKind::hangup()).expect("signals can be watched");
+    let mut hangups = signal(SignalKind::hangup()).expect("signal handlers can be installed");
     while hangups.recv().await.is_some() {
         let outcome = match platform::settings::from_environment() {
             Ok(read) if read.store == vm.settings.store => {
-                "nothing that needs a restart".to_owned()
+                "no change that needs a restart".to_owned()
             }
-            Ok(_) => "the store's address changed; it is taken at the next start".to_owned(),
+            Ok(_) => "the store's address changed; restart to apply it".to_owned(),
             Err(fault) => fault.to_string(),
         };
         vm.log("settings read again", &[("outcome", outcome.as_str().into())]);
@@ -127,27 +128,28 @@
 }
 
 async fn stop_signal() {
-    let mut terminate = signal(SignalKind::terminate()).expect("signals can be watched");
-    let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
+    let mut terminate = signal(SignalKind::terminate()).expect("signal handlers can be installed");
+    let mut interrupt = signal(SignalKind::interrupt()).expect("signal handlers can be installed");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
 }
 
-/// A planned stop: no longer ready, open connections are served on, then the process ends.
+/// Runs a planned stop: the VM is no longer ready, serves its open connections, and returns once
+/// they are idle or the time is up.
 async fn stop(vm: &Rc<Vm>) {
-    let begun = vm.now();
-    vm.stopping_since.send_replace(Some(begun));
-    vm.log("stop begins", &[("running", vm.running.get().into())]);
-    let latest = begun + Span(vm.settings.bounds.stop_within.0.saturating_sub(KILL_MARGIN.0));
-    let earliest = begun + READINESS_NOTICE_TIME;
+    let started = vm.now();
+    vm.stopping_since.send_replace(Some(started));
+    vm.log("stop started", &[("running", vm.running.get().into())]);
+    let latest = started + Span(vm.settings.bounds.stop_within.0.saturating_sub(KILL_MARGIN.0));
+    let earliest = started + READINESS_NOTICE_TIME;
     let mut was_idle = false;
     loop {
         let now = vm.now();
         let idle = now >= earliest && vm.running.get() == 0;
-        // A request may still come on an open connection, so it must be idle at two looks; nothing
-        // runs between the second and the end of the process.
+        // A request may still arrive on an open connection, so the VM must be idle at two checks in
+        // a row; nothing runs between the second one and the end of the process.
         if now >= latest || (idle && was_idle) {
             break;
         }
@@ -161,7 +163,7 @@
         peer::broadcast(vm, &peer::Message::Goodbye);
         tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
-    let took = vm.now().since(begun).as_millis();
+    let took = vm.now().since(started).as_millis();
     log_call_counts(vm, &vm.metrics.calls());
     vm.log("stop", &[("cut_off", vm.running.get().into()), ("took_ms", took.into())]);
     vm.lines.flush();
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -1,4 +1,4 @@
-//! What one VM knows of one backend server beyond its entry.
+//! Backend servers as one VM knows them: their entries, and what requests sent there have shown.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -15,47 +15,49 @@
 use crate::decide::standing::{Bar, Standing};
 use crate::unit::{DataCentre, Moment, Server as Id, Service, Span, Version};
 
-/// A server whose entry went while the store was away is used on until this long after its return was
-/// noticed: entries of servers that live come back within two seconds. Noticing takes up to 0.7 s, among
-/// many VMs up to 1 s; the published sites of few grant three seconds after the return, those of many four.
+/// How long a server whose entry lapsed in an outage of the store stays in use after the recovery
+/// was noticed: entries of live servers come back within two seconds. Noticing takes up to 0.7 s,
+/// among many VMs up to 1 s; sites with few VMs allow three seconds after the recovery, those with
+/// many four.
 pub const LAPSED_ENTRY_GRACE: Span = Span::millis(2000);
 
-/// Parts of prompts remembered for one server, and for how long; servers drop the oldest when their
-/// memory is full, which takes some ten seconds under load.
+/// Prompt prefixes remembered for one server, and for how long. Servers evict the oldest when their
+/// cache is full, which takes some ten seconds under load.
 const MAX_PREFIXES: usize = 1000;
 const PREFIX_TTL: Span = Span::secs(20);
 
-/// Servers whose entries went that are remembered at most, and for how long they are once there are so many. Sites of two years from now
-/// have 600; what is kept of one takes some 300 bytes.
+/// Maximum number of removed servers that are remembered, and the age from which they are dropped
+/// once there are that many. Sites are expected to have 600 servers in two years; one takes about
+/// 300 bytes.
 const MAX_REMOVED: usize = 2400;
 const REMOVED_TTL: Span = Span::secs(60);
 
-/// One backend server.
+/// One incarnation of a backend server, with what this VM knows of it.
 pub struct Server {
-    /// Its entry.
+    /// Its entry in the store.
     pub replica: Replica,
-    /// Requests that it is thought to hold.
+    /// Estimate of the requests that it holds.
     pub load: Load,
-    /// Whether it takes requests, as far as this VM knows.
+    /// What decides if it may receive requests, as far as this VM knows.
     pub availability: Standing,
-    /// When this VM may send to it while it bears only so much.
+    /// Spaces the requests of this VM while the server has a rate limit.
     pub pacer: Turns,
-    /// Wakes requests at this life of it when a later one begins: they are lost.
+    /// Wakes requests at this incarnation when a later one starts, as they are lost.
     pub superseded: Rc<Notify>,
-    /// How this life of it goes on, as far as this VM knows.
+    /// How sure this VM is that this incarnation still runs.
     pub liveness: Liveness,
-    /// Connections that rest.
+    /// Idle connections.
     pub pool: Pool,
-    /// Prompts that wait to be read there, as far as this VM knows.
+    /// Prompts that wait for their prefill there, as far as this VM knows.
     pub backlog: Backlog,
-    /// Parts of prompts that it was sent of late, by model, and when.
+    /// Hashes of prompt prefixes that were sent there recently, and when.
     prefixes: HashMap<u64, Moment>,
-    /// Until when it is cold, as its entry said; that of a server whose cold time ends says so only at its next
-    /// heartbeat, so this may be too late and is never too early.
+    /// End of its cold phase by its entry. An entry shows the end only with the next heartbeat, so
+    /// this may be too late but is never too early.
     cold_until: Option<Moment>,
-    /// Since when it may have turned cold without a word of its own yet.
+    /// Since when it may have become cold without an entry that says so yet.
     possibly_cold_since: Option<Moment>,
-    /// Whether its entry went while the store was away.
+    /// True if its entry disappeared during an outage of the store.
     lapsed: bool,
 }
 
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Notes that it was sent a part of a prompt, which it now holds for a while.
+    /// Records that a prompt prefix was sent there, which the server now caches for a while.
     pub fn record_prefix(&mut self, prefix: u64, now: Moment) {
         if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.retain(|_, at| now.since(*at) < PREFIX_TTL);
@@ -87,18 +89,18 @@
         }
     }
 
-    /// Whether it was sent a part of a prompt of late.
+    /// Returns true if a prompt prefix was sent there recently.
     pub fn has_prefix(&self, prefix: u64, now: Moment) -> bool {
         self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
-    /// Notes what its entry says of how long it is cold.
+    /// Sets the end of the cold phase from the entry.
     fn update_cold_until(&mut self, now: Moment) {
         let cold = self.replica.cold;
         self.cold_until = (cold > Span(0)).then(|| now + cold);
     }
 
-    /// Whether it is cold, or may be.
+    /// Returns true if it is cold, or may be.
     pub fn is_cold(&self, bound: &Bound, now: Moment) -> bool {
         let is_listed_cold = self.cold_until.is_some_and(|until| now < until);
         is_listed_cold
@@ -106,32 +108,33 @@
     }
 }
 
-/// What was known of a life of a server whose entry went.
+/// What was known of an incarnation of a server whose entry was removed.
 struct RemovedServer {
     replica: Replica,
     availability: Standing,
     at: Moment,
 }
 
-/// All backend servers.
+/// All backend servers, and the orders that apply to them.
 #[derive(Default)]
 pub struct Fleet {
     servers: HashMap<Id, Server>,
-    /// Servers whose entries went of late, and may come back in the same life.
+    /// Servers whose entries were removed recently, and may come back as the same incarnation.
     removed: HashMap<Id, RemovedServer>,
-    /// Lives that leave or have gone, and that a copy of the store calls ready.
+    /// Incarnations that are draining or gone, and that a restored copy of the store lists as
+    /// ready.
     disputed: HashMap<Id, Incarnation>,
-    /// Data centres whose servers get nothing new.
+    /// Data centres whose servers get no new requests.
     evacuated: HashSet<DataCentre>,
-    /// Data centres of which an order to empty them was withdrawn last.
+    /// Data centres whose last evacuation was withdrawn.
     evacuation_withdrawn: HashSet<DataCentre>,
-    /// The version of a service that is in use when no roll-out says otherwise.
+    /// Version of each service that is in use unless a rollout says otherwise.
     default_versions: HashMap<Service, Version>,
 }
 
 impl Fleet {
-    /// Takes one entry. Whether a later life of a known server begins with it: nothing that was known of the earlier one
-    /// holds on.
+    /// Inserts or updates the entry of a server. Returns true if it starts a later incarnation of a
+    /// known server: nothing that was known of the earlier one applies to it.
     pub fn upsert(&mut self, replica: Replica, now: Moment) -> bool {
         self.default_versions
             .entry(replica.service.clone())
@@ -163,18 +166,20 @@
         }
     }
 
-    /// Takes an entry that may be older than what is known of its server. Returns true if it counts: nothing is known
-    /// that it could take back. A life that leaves does so for good, so a word of that is never too old.
+    /// Checks an entry that may be older than what is known of its server. Returns true if it is to
+    /// be applied: it can't undo anything that is known. An incarnation drains for good, so an
+    /// entry that says so is never too old. An entry that contradicts what is known starts a
+    /// dispute.
     pub fn accept_outdated(&mut self, replica: &Replica) -> bool {
         let is_same = |known: &Replica| known.is_life_of(replica);
-        let (counts, is_disputed) =
+        let (is_accepted, is_disputed) =
             match (self.servers.get_mut(&replica.id), self.removed.get(&replica.id)) {
                 (Some(server), _) if is_same(&server.replica) => {
                     server.lapsed = false;
-                    let counts = server.replica == *replica || !replica.ready;
-                    (counts, !counts && server.availability.leaves())
+                    let is_accepted = server.replica == *replica || !replica.ready;
+                    (is_accepted, !is_accepted && server.availability.leaves())
                 }
-                // A life that began later was written after the restore.
+                // An incarnation that started later was written after the restore.
                 (Some(server), _) => (replica.born > server.replica.born, false),
                 (None, Some(removed)) if is_same(&removed.replica) => (false, true),
                 (None, _) => (true, false),
@@ -182,20 +187,22 @@
         if is_disputed {
             self.disputed.insert(replica.id.clone(), replica.incarnation());
         }
-        counts
+        is_accepted
     }
 
-    /// Returns the lives that leave or have gone, and that a copy of the store calls ready.
+    /// Returns the incarnations that are draining or gone, and that a restored copy of the store
+    /// lists as ready.
     pub fn disputed(&self) -> impl Iterator<Item = &Incarnation> {
         self.disputed.values()
     }
 
-    /// Ends disputes: what the store says counts.
+    /// Ends all disputes: from now on the store is right.
     pub fn settle_disputes(&mut self) {
         self.disputed.clear();
     }
 
-    /// Takes another VM's word that a life of a server leaves or has gone, until its entry says otherwise.
+    /// Applies the report of another VM that an incarnation is draining or gone. A later entry
+    /// overrides it.
     pub fn dispute(&mut self, incarnation: &Incarnation, now: Moment) {
         let Incarnation { server, born, address } = incarnation;
         let server = self.servers.get_mut(server);
@@ -207,7 +214,8 @@
         }
     }
 
-    /// An entry went. With `in_outage` it may have lapsed and is kept a while.
+    /// Removes a server whose entry disappeared. With `in_outage` the entry may only have lapsed,
+    /// and the server stays in use until [`Fleet::expire`].
     pub fn remove(&mut self, id: &Id, in_outage: bool, now: Moment) {
         if !in_outage {
             self.move_to_removed(id, now);
@@ -216,7 +224,8 @@
         }
     }
 
-    /// Drops entries that lapsed and did not come back; the store has been back for long enough.
+    /// Removes servers whose entries lapsed and did not come back, and returns their ids. Called
+    /// when the store has been reachable for long enough.
     pub fn expire(&mut self, now: Moment) -> Vec<Id> {
         let lapsed = self.servers.iter().filter(|(_, server)| server.lapsed);
         let gone: Vec<Id> = lapsed.map(|(id, _)| id.clone()).collect();
@@ -226,7 +235,8 @@
         gone
     }
 
-    /// Drops a server, but for what would bind VMs if its entry came back in the same life.
+    /// Removes a server, but remembers what still applies if its entry comes back for the same
+    /// incarnation.
     fn move_to_removed(&mut self, id: &Id, now: Moment) {
         let Some(Server { replica, availability, .. }) = self.servers.remove(id) else { return };
         if self.removed.len() >= MAX_REMOVED {
@@ -237,34 +247,34 @@
         }
     }
 
-    /// A server.
+    /// Returns a server by its id.
     pub fn get(&self, id: &Id) -> Option<&Server> {
         self.servers.get(id)
     }
 
-    /// A server, if the life that `replica` tells of goes on.
+    /// Returns the server of `replica` if it is still the same incarnation.
     pub fn incarnation_mut(&mut self, replica: &Replica) -> Option<&mut Server> {
         self.servers.get_mut(&replica.id).filter(|server| server.replica.is_life_of(replica))
     }
 
-    /// A server.
+    /// Returns a server by its id, to change it.
     pub fn get_mut(&mut self, id: &Id) -> Option<&mut Server> {
         self.servers.get_mut(id)
     }
 
-    /// Takes an order to empty a data centre. Whether it is news.
+    /// Applies an order to evacuate a data centre. Returns true if it is a new one.
     pub fn evacuate(&mut self, data_centre: &DataCentre) -> bool {
         self.evacuation_withdrawn.remove(data_centre);
         self.evacuated.insert(data_centre.clone())
     }
 
-    /// Returns true if the last order to empty a data centre was withdrawn.
+    /// Returns true if the last evacuation of a data centre was withdrawn.
     pub fn was_evacuation_withdrawn(&self, data_centre: &DataCentre) -> bool {
         self.evacuation_withdrawn.contains(data_centre)
     }
 
-    /// The order to empty a data centre is withdrawn. Whether there was one. Its servers may have gone cold meanwhile,
-    /// and their entries that say so may still be on the way.
+    /// Withdraws the evacuation of a data centre. Returns true if there was one. Its servers may
+    /// have become cold meanwhile, and the entries that say so may not have arrived yet.
     pub fn withdraw_evacuation(&mut self, data_centre: &DataCentre, now: Moment) -> bool {
         let was_evacuated = self.evacuated.remove(data_centre);
         if was_evacuated {
@@ -276,16 +286,18 @@
         was_evacuated
     }
 
-    /// How many servers of a service would take work if no order emptied their data centre.
+    /// Returns the number of servers of a service that are evacuated and not draining: they would
+    /// take requests without the order.
     pub fn count_evacuated(&self, service: &Service) -> usize {
         if self.evacuated.is_empty() {
             return 0;
         }
-        let staying = self.of_service(service).filter(|server| !server.availability.leaves());
-        staying.filter(|server| self.is_evacuated(server)).count()
+        let not_draining = self.of_service(service).filter(|server| !server.availability.leaves());
+        not_draining.filter(|server| self.is_evacuated(server)).count()
     }
 
-    /// The servers of a service that take requests, those that are left out among them.
+    /// Returns the servers of a service that may receive requests, including those that are ejected
+    /// after failures: they are still used if no other is left.
     pub fn eligible<'a>(
         &'a self,
         service: &'a Service,
@@ -295,7 +307,8 @@
         self.of_service(service).filter(is_open)
     }
 
-    /// The servers of a service that want rest or are tried after one, and when the next request may go there.
+    /// Returns the servers of a service that are backing off or being probed after a backoff, and
+    /// the time until the next request may go there.
     pub fn backing_off<'a>(
         &'a self,
         service: &'a Service,
@@ -315,41 +328,43 @@
         self.evacuated.contains(&server.replica.data_centre)
     }
 
-    /// Why a server is to get nothing now.
+    /// Returns why a server may not receive requests now.
     fn reason(&self, server: &Server, now: Moment) -> Option<Bar> {
         let by_order = self.is_evacuated(server).then_some(Bar::IsEmptied);
         by_order.or_else(|| server.availability.bar(now))
     }
 
-    /// Why a request that was meant for this life of a server may not leave for it, whatever it was chosen for.
+    /// Returns why a request that was assigned to an incarnation of a server may not be sent there
+    /// any more, whichever way the server was chosen.
     pub fn unavailable_reason(&self, replica: &Replica, now: Moment) -> Option<Bar> {
         let server = self.servers.get(&replica.id).filter(|one| one.replica.is_life_of(replica));
         let reason = server.map_or(Some(Bar::IsGone), |server| self.reason(server, now));
-        // What tries a server after a rest may be this very request.
+        // The probe after a backoff may be this request itself.
         reason.filter(|reason| reason.binds() && !matches!(reason, Bar::IsTried(_)))
     }
 
-    /// The version of a service that is in use when no roll-out says otherwise.
+    /// Returns the version of a service that is in use unless a rollout says otherwise.
     pub fn default_version(&self, service: &Service) -> Option<&Version> {
         self.default_versions.get(service)
     }
 
-    /// Makes a version the usual one.
+    /// Sets the version that is in use unless a rollout says otherwise.
     pub fn set_default_version(&mut self, service: &Service, version: &Version) {
         self.default_versions.insert(service.clone(), version.clone());
     }
 
-    /// Whether any server is known.
+    /// Returns true if no server is known.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// All servers.
+    /// Returns all servers.
     pub fn all(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 
-    /// The mean share of failures among the servers of a service.
+    /// Returns the mean failure rate of the servers of a service that may receive requests, from 0
+    /// to 1.
     pub fn failure_rate(&self, service: &Service, now: Moment) -> f64 {
         let (mut sum, mut count) = (0.0, 0.0);
         for server in self.eligible(service, now) {
--- a/src/forward/settings.rs
+++ b/src/forward/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry VM is told at its start.
+//! Settings that an entry VM reads at its start.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -8,58 +8,58 @@
 /// Settings of one entry VM.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The VM's name.
+    /// Name of the VM, unique among all VMs.
     pub vm: Vm,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
-    /// The regions of data centres.
+    /// Region of each data centre.
     pub regions: HashMap<DataCentre, Region>,
-    /// Its own address.
+    /// IP address of the VM.
     pub ip: IpAddr,
-    /// Its share of a core; larger VMs bear more of what is done for others.
+    /// CPU quota, in thousandths of a core; larger VMs do more of the work for others.
     pub share: Millicores,
-    /// Where callers reach it.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it takes new connections.
+    /// Listen address for the readiness checks of the balancer.
     pub readiness: SocketAddr,
-    /// Where other VMs reach it, by UDP; none if it is to stay alone.
+    /// UDP address for messages from other VMs; `None` if the VM works alone.
     pub links: Option<SocketAddr>,
-    /// The platform's object store.
+    /// Address of the platform's object store.
     pub store: SocketAddr,
-    /// Where counters are served, if anywhere.
+    /// Listen address for the metrics, if they are served.
     pub metrics: Option<SocketAddr>,
-    /// A small model's answer is kept from this confidence of its own on, 0 to 100, however idle servers
-    /// are.
+    /// Confidence, from 0 to 100, from which the response of a small model is kept, however idle
+    /// the servers of larger ones are.
     pub keep_confidence: f64,
-    /// What must hold, and how soon.
+    /// Guarantees of the site.
     pub bounds: Bounds,
 }
 
-/// Times and shares that the operators promise to their users.
+/// Times and fractions that the operators promise to their users.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// A VM without trouble for this long is held to the other bounds.
+    /// The other bounds apply to a VM once it has run without disturbance for this long.
     pub settling_time: Span,
-    /// A change of the configuration is in force everywhere after this.
+    /// Time until a change of the configuration is in force everywhere.
     pub config_propagation: Span,
-    /// A backend server that says that it leaves gets nothing new after this.
+    /// Time after which a draining backend server gets no new requests.
     pub drain_within: Span,
-    /// A data centre that is to be emptied gets nothing new after this.
+    /// Time after which the servers of an evacuated data centre get no new requests.
     pub evacuate_within: Span,
-    /// A key that was taken away is refused everywhere after this; none if it may lag.
+    /// Time after which a revoked key is refused everywhere; `None` if there is no such bound.
     pub key_staleness: Option<Span>,
-    /// A version is out of use this long after it was found bad.
+    /// Time from the verdict that a version is bad until it is out of use.
     pub rollback: Span,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub stop_within: Span,
-    /// Requests of one session follow one another within this.
+    /// Longest time between two requests of one session.
     pub session_gap: Span,
-    /// Sends beyond the first, for each request, over all VMs.
+    /// Retries allowed per request, on average over all VMs.
     pub retry_share: f64,
-    /// Sends beyond that share, in one window, over all VMs.
+    /// Further retries allowed in one window, over all VMs.
     pub retry_extra: f64,
-    /// The window of both.
+    /// Window in which both are counted.
     pub retry_window: Span,
-    /// Share of a service's requests that a bad version may get.
+    /// Fraction of a service's requests that a bad version may get.
     pub max_exposure: f64,
 }
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -1,4 +1,4 @@
-//! The state of one entry VM. All of it lives on one thread.
+//! The state of one entry VM. It is used from a single thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -34,104 +34,107 @@
 use crate::watch::line::{Lines, Value};
 use crate::watch::name::Names;
 
-/// Margin of the age of the proof of freshness, for clocks that run unlike.
+/// Safety margin on the age of the proof of freshness, for differences between clock rates.
 const PROOF_AGE_MARGIN: Span = Span::millis(250);
 
-/// During a planned stop streams are begun for this long: the balancer needs two to three seconds to
-/// notice the stop, and a stream takes some seconds too.
+/// How long new streams are accepted after a planned stop began. The balancer takes two to three
+/// seconds to notice the stop, and a stream itself lasts some seconds.
 const STREAM_ACCEPT_TIME: Span = Span::millis(2800);
 
-/// A VM that was asked for news within this has followers; they ask a few times a second.
+/// A VM that was polled within this time has followers; they poll a few times a second.
 const FOLLOWER_TIMEOUT: Span = Span::secs(2);
 
-/// What a VM must have listed beside the configuration before it sends anything on.
+/// Kinds that a VM must have listed, besides the configuration, before it forwards requests.
 const REQUIRED_KINDS: [Kind; 3] = [Kind::Servers, Kind::Rollouts, Kind::Evacuations];
 
 /// One entry VM.
 pub struct Vm {
-    /// Its settings.
+    /// Settings that were read at the start.
     pub settings: Settings,
-    /// Its clocks.
+    /// Clocks; tests put in their own.
     pub clock: Clock,
-    /// When it began.
+    /// When the process started.
     pub started: Moment,
-    /// Routes and keys in force; none before the first configuration was read.
+    /// Routes and keys in force; `None` before the first configuration was read.
     pub table: RefCell<Option<Rc<Table>>>,
-    /// Newest era of the store that any answer named.
+    /// Newest era of the store that any response named.
     pub era: Rc<Tracker>,
-    /// Era that this VM has entered.
+    /// Era of the store that this VM works in.
     pub active_era: Cell<Option<Era>>,
-    /// The last restore of the store, until owners have had time to write again what the copy lacks.
+    /// The last restore of the store from a copy, until owners have had time to rewrite the objects
+    /// that the copy lacks.
     pub restored: tokio::sync::watch::Sender<Option<Restore>>,
-    /// How new what it knows of the platform's objects is.
+    /// Revisions of the platform's objects that this VM knows, to ignore stale updates.
     pub freshness: RefCell<Known>,
-    /// Backend servers.
+    /// Backend servers, with what this VM knows of each.
     pub fleet: RefCell<Fleet>,
-    /// Roll-outs by service.
+    /// Rollouts by service.
     pub rollouts: RefCell<HashMap<Service, Rollout>>,
-    /// Wakes the task that tells other VMs which servers a copy wrongly calls ready.
+    /// Wakes the task that broadcasts which servers a restored copy wrongly lists as ready.
     pub disputes_changed: Notify,
-    /// Roll-outs of a copy that the store was restored from, while a later order is known.
+    /// Rollouts read from a restored copy of the store while a later order is known.
     pub deferred_rollouts: RefCell<HashMap<Service, Object>>,
-    /// What was seen of roll-outs.
+    /// Observations of rollouts, by service.
     pub trials: RefCell<HashMap<Service, Trials>>,
-    /// Sessions seen of late.
+    /// Sessions that were seen recently.
     pub sessions: RefCell<Sessions>,
-    /// Sessions that keep the old version, as other VMs say.
+    /// Sessions that other VMs report as pinned to the old version.
     pub pinned_sessions: RefCell<Kept>,
-    /// Contents under which servers crashed.
+    /// Request contents under which servers crashed.
     pub poison: RefCell<Exchange>,
-    /// When the last read that proved the configuration the newest was sent.
+    /// When the last read was sent that proved the configuration to be the newest.
     pub proved_at: Cell<Option<Moment>>,
-    /// Whether the last proof failed.
+    /// True if the last attempt to get a proof failed.
     pub store_lost: Cell<bool>,
-    /// When the way to the store came back.
+    /// When the store became reachable again, or was restored.
     pub store_recovered_at: Cell<Option<Moment>>,
-    /// Who reads the store for this VM.
+    /// Which role this VM has in reading the store: by itself, or through another VM.
     pub role: tokio::sync::watch::Sender<Role>,
-    /// Who read what this VM was told last, and by how many VMs that was passed on; none if it reads itself.
+    /// Which VM read the last update from the store, and the number of VMs that relayed it; `None`
+    /// if this VM reads the store itself.
     pub origin: RefCell<Option<Origin>>,
-    /// Whether the VM that this one follows says that the store is lost.
+    /// True if the VM that this one follows reports that the store is lost.
     pub upstream_store_lost: Cell<bool>,
-    /// Whether the last question for servers had no answer.
+    /// True if the last read of the servers got no response.
     pub store_suspect: Cell<bool>,
-    /// Whether this VM reads on the word that the store is lost for others, and has not tried it yet.
+    /// True if this VM became a reader because others report the store as lost, and has not tried
+    /// the store itself yet.
     pub store_untested: Cell<bool>,
-    /// Whether enough others try a store that is lost, so that this VM does so rarely.
+    /// True if enough other VMs probe a lost store, so that this one does so rarely.
     pub probes_rarely: Cell<bool>,
-    /// Wakes the search for a VM that has news: a store that was lost answers.
+    /// Wakes the search for a VM to follow: a store that was lost responds again.
     pub reader_search: Notify,
-    /// Tells that the VMs that the store names are known.
+    /// Notified when the VMs that the store lists are known.
     pub peers_listed: Notify,
-    /// Since when this VM is the first of its group.
+    /// Since when this VM has the highest rank of its group.
     pub first_in_group_since: Cell<Option<Moment>>,
-    /// What this VM knows, for those that ask it.
+    /// Updates that this VM serves to its followers.
     pub feed: RefCell<Feed>,
-    /// Why the last that asked for news got none.
+    /// Why the last VM that polled this one was declined.
     pub last_decline: Cell<Option<Decline>>,
-    /// When this process noticed that it had been held up.
+    /// When this process noticed that it had been stalled or suspended.
     pub stalled_at: Cell<Option<Moment>>,
-    /// When a follower asked last.
+    /// When a follower polled last.
     pub follower_polled_at: Cell<Option<Moment>>,
-    /// Wakes the task that proves freshness.
+    /// Wakes the task that gets proofs of freshness.
     pub proof_requested: Notify,
-    /// Wakes those who wait for a proof.
+    /// Wakes tasks that wait for a proof.
     pub proof_received: Notify,
-    /// Tells followers that the way to the store is back.
+    /// Counts recoveries and restores of the store; tasks that watch the store wait for a change.
     pub store_recoveries: tokio::sync::watch::Sender<u64>,
-    /// Kinds of which all objects have been listed.
+    /// Kinds of which all objects have been listed since the start.
     pub listed: RefCell<HashSet<Kind>>,
-    /// When a planned stop began.
+    /// When a planned stop began; `None` before.
     pub stopping_since: tokio::sync::watch::Sender<Option<Moment>>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: Cell<usize>,
-    /// The other VMs.
+    /// The other VMs, as far as known.
     pub peers: RefCell<Peers>,
-    /// Log lines.
+    /// Buffered log lines.
     pub lines: Lines,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Headers of servers' answers that nothing decodes.
+    /// Names of response headers of servers that nothing decodes.
     pub unknown_headers: RefCell<Names>,
     budgets: RefCell<HashMap<Service, Budget>>,
     prefill_estimators: RefCell<HashMap<Option<Model>, Pace>>,
@@ -139,7 +142,7 @@
 }
 
 impl Vm {
-    /// A VM that knows nothing yet.
+    /// Returns a VM that has not read anything yet.
     pub fn new(settings: Settings, clock: Clock, lines: Lines) -> Vm {
         Vm {
             settings,
@@ -190,42 +193,42 @@
         }
     }
 
-    /// The present moment.
+    /// Returns the current time of the steady clock, which includes time suspended.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// A client of the store with a connection of its own.
+    /// Returns a client of the store with its own connection.
     pub fn store_client(&self) -> Objects {
         Objects::new(self.settings.store, self.era.clone())
     }
 
-    /// Adds a log line.
+    /// Appends a log line; it is written with the next flush.
     pub fn log(&self, event: &str, fields: &[(&str, Value)]) {
         self.lines.add(event, self.clock.date(), self.now(), fields);
     }
 
-    /// The routes in force.
+    /// Returns the routing table in force, if a configuration was read.
     pub fn routes(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// How old the proof is that the configuration is the newest.
+    /// Returns the age of the proof that the configuration is the newest.
     pub fn proof_age(&self, now: Moment) -> Option<Span> {
         self.proved_at.get().map(|at| now.since(at))
     }
 
-    /// Its place in the order of VMs.
+    /// Returns the rank of this VM, by which the VMs choose who reads the store.
     pub fn rank(&self) -> Rank {
         Rank::new(self.settings.share, self.settings.vm.clone())
     }
 
-    /// Whether this VM reads the store for itself, and maybe for others.
+    /// Returns true if this VM reads the store itself, whether or not others follow it.
     pub fn is_reader(&self) -> bool {
         *self.role.borrow() == Role::Reads
     }
 
-    /// Notes that the store answered.
+    /// Records that the store responded, and ends an outage if there was one.
     pub fn on_store_response(&self) {
         self.store_suspect.set(false);
         if self.store_lost.replace(false) {
@@ -235,14 +238,14 @@
         }
     }
 
-    /// Enters an era of the store that an answer named.
+    /// Enters an era of the store that a response named.
     pub fn enter_era(&self, era: Era) {
         self.enter_era_with(era, Some(Restore { at: self.now(), base: None }));
     }
 
-    /// Enters an era of the store. If it is a later one, the store was restored from a copy: entries of
-    /// backend servers may be missing for a while, and all kinds are to be listed again. `restore` is
-    /// none if owners have had time to write again what the copy lacks.
+    /// Enters an era of the store. A later era means that the store was restored from a copy:
+    /// entries of backend servers may be missing for a while, and all kinds are listed again.
+    /// `restore` is `None` if owners have had time to rewrite the objects that the copy lacks.
     pub fn enter_era_with(&self, era: Era, restore: Option<Restore>) {
         self.era.advance(era);
         let before = self.active_era.get();
@@ -259,7 +262,8 @@
         }
     }
 
-    /// Enters the era of a position that was read.
+    /// Enters the era of a position that was read. The first position of an era becomes the base of
+    /// its restore.
     pub fn enter_era_of(&self, position: Position) {
         self.enter_era(position.era);
         let is_first = |restore: &mut Restore| {
@@ -270,25 +274,26 @@
         self.restored.send_if_modified(|restore| restore.as_mut().is_some_and(is_first));
     }
 
-    /// Returns true if an object that last changed at `position` may stem from a copy that the store was
-    /// restored from, and its owner may not have had time to write again.
+    /// Returns true if an object that last changed at `position` may come from a copy that the
+    /// store was restored from, and its owner may not have had time to rewrite it.
     pub fn may_be_outdated(&self, position: Position) -> bool {
         self.restored.borrow().is_some_and(|restore| restore.covers(position, self.now()))
     }
 
-    /// Notes that a proof failed. While another VM reads for this one that changes nothing.
+    /// Records that a read for a proof failed. Ignored while another VM reads for this one.
     pub fn on_proof_failure(&self, why: &str) {
         if self.is_reader() && !self.store_lost.replace(true) {
             self.log("store lost", &[("why", why.into())]);
         }
     }
 
-    /// Takes how the store does from a VM that answered a question of the moment `asked`. What it says of a return
-    /// is dated so that it cannot look later than it was.
-    pub fn on_store_report(&self, store: Store, asked: Moment) {
+    /// Applies the state of the store that another VM reported in response to a poll sent at
+    /// `polled_at`. The reported age of a recovery is counted from that time, so that the recovery
+    /// can't look more recent than it was.
+    pub fn on_store_report(&self, store: Store, polled_at: Moment) {
         if let Store::IsBack(age) = store {
-            let back = Moment(asked.0.saturating_sub(age.0));
-            self.store_recovered_at.set(self.store_recovered_at.get().max(Some(back)));
+            let recovered_at = Moment(polled_at.0.saturating_sub(age.0));
+            self.store_recovered_at.set(self.store_recovered_at.get().max(Some(recovered_at)));
         }
         let lost = store == Store::IsLost;
         if self.upstream_store_lost.replace(lost) != lost {
@@ -297,45 +302,47 @@
         }
     }
 
-    /// How the store does, for those that ask this VM.
+    /// Returns the state of the store that this VM reports to its followers.
     pub fn store_state(&self, now: Moment) -> Store {
         if self.is_store_lost() || self.store_suspect.get() || self.store_untested.get() {
             return Store::IsLost;
         }
-        let back = self.store_recovered_at.get().map(|back| now.since(back));
-        back.filter(|age| *age < LAPSED_ENTRY_GRACE).map_or(Store::Answers, Store::IsBack)
+        let age = self.store_recovered_at.get().map(|at| now.since(at));
+        age.filter(|age| *age < LAPSED_ENTRY_GRACE).map_or(Store::Answers, Store::IsBack)
     }
 
-    /// Whether the store is away, as this VM or the one that it follows found.
+    /// Returns true if this VM, or the one that it follows, found the store unreachable.
     pub fn is_store_lost(&self) -> bool {
         self.store_lost.get() || self.upstream_store_lost.get()
     }
 
-    /// Whether the store is away, or was until a moment ago: entries of backend servers may have
-    /// lapsed meanwhile, and those of servers that live come back.
+    /// Returns true if the store is lost or recovered only recently: entries of backend servers may
+    /// have lapsed meanwhile, and those of live servers come back.
     pub fn was_store_lost_recently(&self, now: Moment) -> bool {
-        let lately = |back: Moment| now.since(back) < LAPSED_ENTRY_GRACE;
-        self.store_lost.get() || self.store_recovered_at.get().is_some_and(lately)
+        let is_recent = |at: Moment| now.since(at) < LAPSED_ENTRY_GRACE;
+        self.store_lost.get() || self.store_recovered_at.get().is_some_and(is_recent)
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store by its outcome.
     pub fn count_store_call<T>(&self, call: &str, result: &Result<T, Trouble>) {
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         self.metrics.store_calls.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Whether other VMs rely on what this one reads.
+    /// Returns true if other VMs poll this one for updates.
     pub fn has_followers(&self, now: Moment) -> bool {
         self.follower_polled_at.get().is_some_and(|at| now.since(at) < FOLLOWER_TIMEOUT)
     }
 
-    /// The longest age of the proof at which a request with a key may be sent on.
+    /// Returns the age of the proof up to which requests with a key may be forwarded; `None` if
+    /// there is no bound.
     pub fn max_proof_age(&self) -> Option<Span> {
         let bound = self.settings.bounds.key_staleness?;
         Some(Span(bound.0.saturating_sub(PROOF_AGE_MARGIN.0)))
     }
 
-    /// Whether a request with a key may be sent on.
+    /// Returns true if requests with a key may be forwarded: a key that was revoked is not used for
+    /// longer than promised.
     pub fn may_use_keys(&self, now: Moment) -> bool {
         match (self.max_proof_age(), self.proof_age(now)) {
             (None, _) => true,
@@ -344,68 +351,69 @@
         }
     }
 
-    /// Whether all objects of a kind have been listed.
+    /// Returns true if all objects of a kind have been listed.
     pub fn has_listed(&self, kind: Kind) -> bool {
         self.listed.borrow().contains(&kind)
     }
 
-    /// Whether it knows routes, backend servers and the orders that bind them.
+    /// Returns true if routes, backend servers, rollouts and evacuations are known.
     pub fn has_required_state(&self) -> bool {
         self.table.borrow().is_some() && REQUIRED_KINDS.iter().all(|kind| self.has_listed(*kind))
     }
 
-    /// Whether the balancer may send new connections.
+    /// Returns true if the balancer may send new connections.
     pub fn is_ready(&self, now: Moment) -> bool {
         self.has_required_state() && !self.is_stopping() && self.may_use_keys(now)
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns true if a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.borrow().is_some()
     }
 
-    /// Whether a request that arrives now could outlast a planned stop.
+    /// Returns true if a request that arrives now could still run at the end of a planned stop.
     pub fn would_outlast(&self, streams: bool, now: Moment) -> bool {
-        let Some(begun) = *self.stopping_since.borrow() else { return false };
-        let taken =
+        let Some(stopping_since) = *self.stopping_since.borrow() else { return false };
+        let accept_time =
             if streams { STREAM_ACCEPT_TIME } else { self.settings.bounds.stop_within.half() };
-        now.since(begun) > taken
+        now.since(stopping_since) > accept_time
     }
 
-    /// Time that a model takes to read so many tokens.
+    /// Returns the estimated time that a model takes to prefill a number of tokens.
     pub fn prefill_time(&self, model: Option<&Model>, tokens: u64) -> Span {
         let prefill_estimators = self.prefill_estimators.borrow();
         let pace = prefill_estimators.get(&model.cloned());
         pace.map_or_else(|| Pace::default().time(tokens), |pace| pace.time(tokens))
     }
 
-    /// Learns how fast a model reads prompts.
+    /// Records the time that a model took to prefill a number of tokens.
     pub fn record_prefill(&self, model: Option<&Model>, tokens: u64, time: Span) {
         self.prefill_estimators.borrow_mut().entry(model.cloned()).or_default().note(tokens, time);
     }
 
-    /// Notes that a request waited so long at a server of a service, beside its own reading.
+    /// Records how long a request waited at a server of a service, its own prefill not counted.
     pub fn record_wait(&self, service: &Service, waited: Span, goal: Span) {
         let mut pressures = self.pressures.borrow_mut();
         pressures.entry(service.clone()).or_default().note(waited, goal, self.now());
     }
 
-    /// Mean wait at the servers of a service of late, as a part of the goal.
+    /// Returns the recent mean wait at the servers of a service, as a fraction of the latency goal.
     pub fn pressure(&self, service: &Service, now: Moment) -> f64 {
         self.pressures.borrow().get(service).map_or(0.0, |pressure| pressure.level(now))
     }
 
-    /// Counts a request's first send to a service.
+    /// Counts the first attempt of a request at a service, which earns retry budget.
     pub fn record_first_attempt(&self, service: &Service, now: Moment) {
         self.budget(service, |budget| budget.first(now));
     }
 
-    /// Takes a repeated send to a service from the budget.
+    /// Takes a retry from the budget of a service. Returns false if none is left.
     pub fn spend_retry(&self, service: &Service, now: Moment) -> bool {
         self.budget(service, |budget| budget.spend(now))
     }
 
-    /// Takes a repeated send that serves no failure from the budget, if enough is left for failures.
+    /// Takes an attempt that is no reaction to a failure from the retry budget of a service.
+    /// Returns false if too little would be left for retries after failures.
     pub fn spend_optional_retry(&self, service: &Service, now: Moment) -> bool {
         self.budget(service, |budget| budget.spend_spare(now))
     }
--- a/src/forward/wake.rs
+++ b/src/forward/wake.rs
@@ -1,8 +1,9 @@
-//! What a VM does when it wakes after it was suspended.
+//! Detects that the machine was suspended and has resumed.
 //!
-//! Ages count the time asleep, so nothing that needs a young proof is done with an old one. Timers of the runtime do not count
-//! that time: they end later by as long as the VM slept. So the next proof is asked for at once, and followers get no news until this
-//! VM has had time to hear some.
+//! Ages include the time suspended, so nothing that needs a recent proof is done with an old one.
+//! Timers of the runtime do not include it: they fire later by the length of the suspension. So the
+//! next proof is requested at once, and followers get no updates until this VM has had time to get
+//! some itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,16 +11,17 @@
 use super::vm::Vm;
 use crate::unit::Span;
 
-/// Time between two looks.
+/// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The two clocks are read one after the other, and a machine steers both; less is no sleep.
+/// Shorter differences are no suspension: the two clocks are read one after the other, and the
+/// system adjusts the rate of both.
 const MIN_SUSPENSION: Span = Span::millis(50);
 
-/// Looks whether the machine slept until the process ends.
+/// Checks for suspensions until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     let Some(mut total) = vm.clock.slept() else {
-        vm.log("no clock counts the time asleep", &[]);
+        vm.log("no clock that counts suspended time; suspensions are not detected", &[]);
         return;
     };
     loop {
@@ -28,7 +30,8 @@
     }
 }
 
-/// Notes a sleep since the last look, when the machine had slept `known` in all. How long it has by now.
+/// Handles a suspension since the last check, when the machine had been suspended for `total` in
+/// total. Returns the total by now.
 pub fn check(vm: &Vm, total: Span) -> Span {
     let slept = vm.clock.slept().unwrap_or(total);
     let suspended = Span(slept.0.saturating_sub(total.0));
