--- a/src/command/ask.rs
+++ b/src/command/ask.rs
@@ -105,7 +105,7 @@
 pub fn bill(flags: &cli::Bill) -> Result<(), Error> {
     let platform = address("platform", flags.platform.as_ref())?;
     let only: Option<Workspace> = optional("workspace", flags.workspace.as_ref())?;
-    let mut entries = block(ledger::collect(&Store::new(platform)))?;
+    let mut entries = block(ledger::read_all(&Store::new(platform)))?;
     entries.retain(|entry| only.as_ref().is_none_or(|only| entry.workspace == *only));
     if flags.json {
         println!("{}", serde_json::to_string(&entries).expect("entries are plain data"));
--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -7,7 +7,7 @@
 use crate::cli;
 use crate::config::{Plan, digest};
 use crate::error::Error;
-use crate::operator::{Confirmed, confirm};
+use crate::operator::{Confirmation, confirm};
 use crate::options::{address, needed, optional};
 use crate::platform::Store;
 use crate::unit::Revision;
@@ -38,11 +38,11 @@
         let date = Clock::default().date();
         let done = confirm(&Store::new(platform), &plan, &who, date).await?;
         let revision = match done {
-            Confirmed::Now(revision) => {
+            Confirmation::Applied(revision) => {
                 println!("Revision {revision} has taken effect; VMs obey it as they hear of it.");
                 revision
             }
-            Confirmed::Before(revision) => {
+            Confirmation::AlreadyApplied(revision) => {
                 println!("This plan was applied before, as revision {revision}; nothing changed.");
                 revision
             }
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -14,7 +14,7 @@
     let wish = wish(&flags.wish)?;
     let platform = address("platform", flags.platform.as_ref())?;
     let plan = block(async {
-        let snapshot = operator::snapshot(&Store::new(platform)).await?;
+        let snapshot = operator::read_snapshot(&Store::new(platform)).await?;
         config::make(&snapshot, &wish)
     })?;
     let json = serde_json::to_string_pretty(&plan).expect("a plan is plain data");
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -21,7 +21,7 @@
 use crate::standin::engine;
 use crate::standin::platform::Switches;
 use crate::unit::{Span, Target, Vm};
-use crate::vm::ROOT;
+use crate::vm::ROOT_KEY;
 use crate::watch::{Slice, show};
 
 /// How long a fault that ends by itself lasts.
@@ -352,7 +352,7 @@
             }
         }
         let store = Store::new(self.world.platform_at);
-        let bills = block(ledger::collect(&store)).unwrap_or_default();
+        let bills = block(ledger::read_all(&store)).unwrap_or_default();
         for bill in &bills {
             self.world.history.note(|| Event::Billed {
                 request: bill.request.clone(),
@@ -361,7 +361,7 @@
             });
         }
         let calls = self.world.platform.calls();
-        let roots = self.world.platform.bodies(ROOT).len();
+        let roots = self.world.platform.bodies(ROOT_KEY).len();
         self.tell(format!(
             "{} bills in the store; {} reads, {} watches, {} writes of the platform, {roots} root",
             bills.len(),
--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -12,7 +12,7 @@
 use crate::decide::rollout::Policy;
 use crate::error::Error;
 use crate::history::Sink;
-use crate::operator::{Confirmed, confirm, snapshot};
+use crate::operator::{Confirmation, confirm, read_snapshot};
 use crate::platform::Store;
 use crate::standin::engine::{Behaviour, Engine, Traits};
 use crate::standin::platform::{Listed, Platform, RATES};
@@ -101,9 +101,9 @@
 pub fn apply(platform: SocketAddr, wish: &Wish, who: &str) -> Result<Revision, Error> {
     crate::command::block(async move {
         let store = Store::new(platform);
-        let plan = config::make(&snapshot(&store).await?, wish)?;
+        let plan = config::make(&read_snapshot(&store).await?, wish)?;
         let date = Clock::default().date();
-        let (Confirmed::Now(revision) | Confirmed::Before(revision)) =
+        let (Confirmation::Applied(revision) | Confirmation::AlreadyApplied(revision)) =
             confirm(&store, &plan, who, date).await?;
         Ok(revision)
     })
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use crate::engine::wire::{Cancel, End, Generate, NotRun, Reason};
 use crate::history::Event;
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
-use crate::vm::{Errand, Group, Picked, Vm};
+use crate::vm::{Command, Group, SelectedServer, Vm};
 
 /// An engine that sends no frame for this long is given up.
 const SILENT: Span = Span::secs(3);
@@ -21,7 +21,7 @@
 pub struct Attempt<'a> {
     vm: &'a Vm,
     work: Generate,
-    picked: Picked,
+    picked: SelectedServer,
     frames: Frames,
     next: u32,
     ended: bool,
@@ -43,15 +43,15 @@
     prefix: u64,
     revision: Revision,
     steps: &mut Vec<String>,
-) -> Result<Attempt<'a>, (Option<Picked>, Fault)> {
+) -> Result<Attempt<'a>, (Option<SelectedServer>, Fault)> {
     let now = vm.clock.now();
     let group = Group::Version(work.target.clone());
     let picked = {
         let mut fleet = vm.fleet.lock().expect("no panic while held");
-        if fleet.size(&group) <= TOLD || rand::random::<f64>() < TOLD_SHARE {
-            steps.extend(fleet.candidates(&group, now));
+        if fleet.server_count(&group) <= TOLD || rand::random::<f64>() < TOLD_SHARE {
+            steps.extend(fleet.describe_candidates(&group, now));
         }
-        fleet.pick(&group, Some(prefix), rand::random(), now)
+        fleet.select_server(&group, Some(prefix), rand::random(), now)
     };
     let Some(picked) = picked else {
         let words = format!("no server of {} can take it", work.target);
@@ -70,7 +70,7 @@
         Ok(frames) => {
             if let Some((running, waiting)) = frames.load {
                 let mut fleet = vm.fleet.lock().expect("no panic while held");
-                fleet.hint(&picked.server, running, waiting, now);
+                fleet.on_load_hint(&picked.server, running, waiting, now);
             }
             steps.push(format!(
                 "{} began on {}, the cheapest of those drawn",
@@ -88,20 +88,20 @@
     }
 }
 
-fn note_fault(vm: &Vm, picked: &Picked, fault: &Fault, now: Moment) {
+fn note_fault(vm: &Vm, picked: &SelectedServer, fault: &Fault, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
-    fleet.ended(&picked.server);
+    fleet.on_request_end(&picked.server);
     match &fault.told {
-        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.leaving(&picked.server),
+        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&picked.server),
         // Full is no failure: the load that it told keeps others away.
         Some(NotRun { reason: Reason::Full, load }) => {
-            fleet.hint(&picked.server, load.0, load.1, now);
+            fleet.on_load_hint(&picked.server, load.0, load.1, now);
             return;
         }
-        _ => fleet.failed(&picked.server, now),
+        _ => fleet.on_failure(&picked.server, now),
     }
     drop(fleet);
-    vm.errand(Errand::Look(picked.server.clone()));
+    vm.send_command(Command::ProbeServer(picked.server.clone()));
 }
 
 fn count(vm: &Vm, target: &Target, outcome: &str) {
@@ -164,12 +164,12 @@
 impl Drop for Attempt<'_> {
     /// An attempt that is dropped before its end is cancelled, whoever dropped it.
     fn drop(&mut self) {
-        self.vm.fleet.lock().expect("no panic while held").ended(&self.picked.server);
+        self.vm.fleet.lock().expect("no panic while held").on_request_end(&self.picked.server);
         if !self.ended {
             count(self.vm, &self.work.target, "cut");
             let (request, attempt): (RequestId, u32) =
                 (self.work.request.clone(), self.work.attempt);
-            self.vm.errand(Errand::Cancel(self.picked.address, Cancel { request, attempt }));
+            self.vm.send_command(Command::Cancel(self.picked.address, Cancel { request, attempt }));
         }
     }
 }
--- a/src/entry/drive/account.rs
+++ b/src/entry/drive/account.rs
@@ -5,10 +5,10 @@
 use super::Drive;
 use crate::decide::cascade::{self, Answer, BINS, Rule};
 use crate::evidence::{Counts, Key};
-use crate::ledger::{Entry, Part, Why};
+use crate::ledger::{Entry, Part, Reason};
 use crate::standin::rating::Sample;
 use crate::unit::{Cost, Moment, RequestId, Span, Target};
-use crate::vm::{Errand, Subject};
+use crate::vm::{Command, Subject};
 use crate::watch::Trace;
 
 impl Drive {
@@ -33,7 +33,7 @@
     pub(super) fn part(&mut self, target: &Target, tokens: u32, whole: bool) {
         let price = self.job.snapshot.version(target).map_or(Cost(0), |version| version.cost);
         self.parts.push(Part {
-            why: if whole { Why::Answer } else { Why::Broken },
+            reason: if whole { Reason::Answer } else { Reason::Broken },
             target: Some(target.clone()),
             tokens,
             cost: price.of_tokens(u64::from(tokens)),
@@ -41,13 +41,13 @@
     }
 
     pub(super) fn trial_key(&self, target: &Target) -> Key {
-        let since = self.vm.trial(&target.model, self.vm.clock.date());
+        let since = self.vm.trial_start(&target.model, self.vm.clock.date());
         Key::Trial { target: target.clone(), since }
     }
 
     /// Counts an answer under a cascade's key; its rating will count there and in its trial.
     fn counted(&self, target: &Target, key: Key) -> Vec<Key> {
-        self.vm.learn(key.clone(), Counts { ended: 1, ..Counts::default() });
+        self.vm.record_evidence(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.trial_key(target), key]
     }
 
@@ -89,18 +89,18 @@
         let rolling = self.job.snapshot.rollout(&target.model);
         let rated = match rolling {
             Some(rollout) => {
-                let (new, usual) = *self.vm.sampling.read().expect("no panic while held");
+                let (new, usual) = *self.vm.sampling_rates.read().expect("no panic while held");
                 let chance = if rollout.to == *target { new } else { usual };
                 rand::random::<f64>() < chance
             }
-            None => self.vm.spend_rating(worth, rand::random()),
+            None => self.vm.try_spend_rating(worth, rand::random()),
         };
         if !rated {
             return;
         }
         let subject = Subject { keys, date: self.vm.clock.date() };
-        self.vm.waiting.lock().expect("no panic while held").note(id.clone(), subject);
-        self.vm.errand(Errand::Rate(Sample {
+        self.vm.pending_samples.lock().expect("no panic while held").insert(id.clone(), subject);
+        self.vm.send_command(Command::SubmitSample(Sample {
             vm: self.vm.settings.vm.clone(),
             request: id,
             answer,
@@ -118,7 +118,7 @@
         };
         self.steps.push(format!("billed {} in {} part(s)", entry.cost(), entry.parts.len()));
         let (sender, safe) = oneshot::channel();
-        self.vm.errand(Errand::Bill(entry, sender));
+        self.vm.send_command(Command::RecordBill(entry, sender));
         safe.await.unwrap_or(false)
     }
 
--- a/src/entry/drive/attempts.rs
+++ b/src/entry/drive/attempts.rs
@@ -48,7 +48,7 @@
             slow: u64::from(late),
             ..Counts::default()
         };
-        self.vm.learn(self.trial_key(target), more);
+        self.vm.record_evidence(self.trial_key(target), more);
         self.burn(target, failed || late);
         if !kept.is_empty() || outcome.is_ok() {
             self.part(target, kept.len() as u32, outcome.is_ok());
@@ -60,7 +60,7 @@
     fn let_in(&mut self, target: &Target, now: Moment) -> Result<(), Stop> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
-        let (in_time, fits) = self.vm.gate(&target.model, |gate| {
+        let (in_time, fits) = self.vm.with_admission(&target.model, |gate| {
             let in_time = gate.can_meet_deadline(now, deadline);
             (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
         });
@@ -85,7 +85,7 @@
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm.gate(&target.model, |gate| gate.on_end(workspace, how, now));
+        self.vm.with_admission(&target.model, |gate| gate.on_end(workspace, how, now));
     }
 
     async fn attempts(
@@ -100,7 +100,7 @@
         loop {
             let vm = self.vm.clone();
             // Held until the engine has taken the work or surely has not.
-            let (snapshot, dispatch) = vm.dispatch();
+            let (snapshot, dispatch) = vm.begin_dispatch();
             self.gate(target, snapshot)?;
             self.take("choose");
             let work = self.work(target, kept.len() as u32, bounces >= BOUNCES);
@@ -129,7 +129,11 @@
                             let now = self.vm.clock.now();
                             let server = attempt.server().clone();
                             self.suspect(&server, attempt.address(), began_at);
-                            self.vm.fleet.lock().expect("no panic while held").failed(&server, now);
+                            self.vm
+                                .fleet
+                                .lock()
+                                .expect("no panic while held")
+                                .on_failure(&server, now);
                             self.steps.push(format!("{server} broke off: {words}"));
                             (Failure::Broken, words)
                         }
@@ -154,7 +158,7 @@
             let now = self.vm.clock.now();
             // A model's answer may be taken up again at its offset.
             let may = retry::is_allowed(failure, true, tries, now, self.job.deadline, LEAST);
-            if !may || !self.vm.spend_retry() {
+            if !may || !self.vm.try_spend_retry() {
                 return Err(Stop::Refused(self.given_up(failure, &words, now)));
             }
             self.steps.push("tries another server".to_owned());
@@ -166,7 +170,7 @@
         let now = self.vm.clock.now();
         let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
         let request = OpenRequest { content: self.job.content, was_stable: ran };
-        poison::broke(&self.vm, server, address, request);
+        poison::on_broken_response(&self.vm, server, address, request);
     }
 
     fn given_up(&self, failure: Failure, words: &str, now: Moment) -> Refusal {
@@ -184,7 +188,7 @@
         if !self.vm.may_start(now) {
             return refuse(Refused::CutOff);
         }
-        if poison::holds_back(&self.vm, &self.job.content) {
+        if poison::is_quarantined(&self.vm, &self.job.content) {
             return refuse(Refused::HeldBack);
         }
         if now >= self.job.deadline {
--- a/src/entry/drive/mod.rs
+++ b/src/entry/drive/mod.rs
@@ -15,7 +15,7 @@
 use crate::decide::cascade::{BINS, Rule, bin};
 use crate::engine::client::Engines;
 use crate::engine::wire::End;
-use crate::ledger::{Part, Why};
+use crate::ledger::{Part, Reason};
 use crate::unit::{Digest, Kind, Moment, RequestId, Target};
 use crate::vm::{Vm, poison};
 
@@ -132,7 +132,7 @@
         may_have_run: false,
         first_token: None,
     };
-    drive.vm.earn();
+    drive.vm.record_first_attempt();
     drive.whole().await;
     drive.trace();
     drop(in_flight);
@@ -162,7 +162,7 @@
             }
         };
         if matches!(last, Out::End(_)) {
-            poison::ran_well(&self.vm, self.job.content);
+            poison::on_success(&self.vm, self.job.content);
         }
         self.count(outcome);
         let _ = self.to.send(last).await;
@@ -221,7 +221,7 @@
             end.confidence
         ));
         if let Some(part) = self.parts.last_mut() {
-            part.why = Why::Rung;
+            part.reason = Reason::Rung;
         }
         self.take("climb");
         let mut kept = Vec::new();
@@ -238,7 +238,7 @@
     }
 
     fn rule(&self) -> Rule {
-        let rules = self.vm.rules.read().expect("no panic while held");
+        let rules = self.vm.cascade_rules.read().expect("no panic while held");
         let key = (self.job.workspace.name.clone(), self.job.kind.clone());
         rules.get(&key).copied().unwrap_or_default()
     }
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -18,7 +18,7 @@
 use crate::engine::client::Engines;
 use crate::evidence::{Counts, Key};
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
-use crate::vm::{Errand, Vm};
+use crate::vm::{Command, Vm};
 
 /// Tokens made ahead of a slow caller.
 const AHEAD: usize = 16;
@@ -81,12 +81,12 @@
     let key = text("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let workspace = key.and_then(|key| snapshot.by_key(&digest(key.as_bytes())));
     let workspace = workspace.ok_or_else(|| Refusal::new(Refused::Unauthorised))?.clone();
-    if !vm.bill_room.load(std::sync::atomic::Ordering::Relaxed) {
+    if !vm.has_bill_room.load(std::sync::atomic::Ordering::Relaxed) {
         return Err(Refusal::new(Refused::NoLedger));
     }
     let demand = Key::Demand { workspace: workspace.name.clone() };
-    vm.learn(demand, Counts { ended: 1, ..Counts::default() });
-    vm.take_rate(&workspace.name, workspace.limit, now)
+    vm.record_evidence(demand, Counts { ended: 1, ..Counts::default() });
+    vm.try_acquire_rate(&workspace.name, workspace.limit, now)
         .map_err(|wait| Refusal::after(Refused::Limited, wait))?;
     let kind = text(header::KIND).and_then(|kind| kind.parse().ok());
     let kind = kind.unwrap_or_else(|| "any".parse().expect("a plain name"));
@@ -116,7 +116,7 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let id = vm.next_request();
+    let id = vm.next_request_id();
     let in_flight = InFlight::new(&vm);
     let prepared = async {
         let bytes = body(&vm, payload).await?;
@@ -297,7 +297,7 @@
 
 async fn catch_up(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
     let (sender, done) = tokio::sync::oneshot::channel();
-    vm.errand(Errand::CatchUp(session.revision, sender));
+    vm.send_command(Command::CatchUp(session.revision, sender));
     let _ = done.await;
     let snapshot = vm.config();
     if snapshot.revision() < session.revision {
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -8,7 +8,7 @@
 use super::channel;
 use super::refusal::{Kind, Refusal};
 use crate::unit::Revision;
-use crate::vm::{Errand, Vm};
+use crate::vm::{Command, Vm};
 use crate::watch::{Slice, WINDOWS, show};
 
 /// Decisions waiting for a slow listener.
@@ -113,7 +113,7 @@
         Some(words) => Some(words),
         None => {
             let (sender, answered) = oneshot::channel();
-            vm.errand(Errand::Explain(id.into_inner(), sender));
+            vm.send_command(Command::Explain(id.into_inner(), sender));
             answered.await.ok().flatten()
         }
     };
@@ -131,7 +131,7 @@
     let date = vm.clock.date();
     let mut slices = vm.burn.lock().expect("no panic while held").slices(date);
     let (sender, answered) = oneshot::channel();
-    vm.errand(Errand::Burn(sender));
+    vm.send_command(Command::CollectBurn(sender));
     for text in answered.await.unwrap_or_default() {
         slices.extend(serde_json::from_str::<Vec<Slice>>(&text).unwrap_or_default());
     }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -18,10 +18,10 @@
 use crate::decide::retry::{self, Failure};
 use crate::engine::client::Engines;
 use crate::history::{Event, Ran};
-use crate::ledger::{Entry, Part, Why};
+use crate::ledger::{Entry, Part, Reason};
 use crate::once::{Answer, Claim, Outcome, Settled, Word};
 use crate::unit::{Cost, Digest, Moment, RequestId, Service, Span, digest};
-use crate::vm::{Asked, Errand, Group, Vm, poison};
+use crate::vm::{Command, Group, KeyUse, Vm, poison};
 
 /// Price of a call, in micro-euros.
 const PRICE: Cost = Cost(10);
@@ -63,7 +63,7 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let id = vm.next_request();
+    let id = vm.next_request_id();
     let in_flight = InFlight::new(&vm);
     let outcome = async {
         let bytes = body(&vm, payload).await?;
@@ -173,7 +173,7 @@
 /// Agrees on who runs a key's call, from the store or from the word of the key's holder.
 async fn hold(vm: &Data<Vm>, claim: &Claim) -> Result<Held, Refusal> {
     let (sender, answered) = oneshot::channel();
-    vm.errand(Errand::Claim(claim.clone(), sender));
+    vm.send_command(Command::Claim(claim.clone(), sender));
     let holder = match answered.await.unwrap_or(Answer::Away) {
         Answer::Granted => return Ok(Held::Key(claim.request.clone())),
         Answer::Running(holder) => return Err(running(vm, &holder)),
@@ -182,9 +182,9 @@
         Answer::Reserved(holder) => Some(holder),
         Answer::Away => None,
     };
-    let asked = Asked { key: claim.key, user: claim.request.clone(), body: claim.body };
+    let key_use = KeyUse { key: claim.key, user: claim.request.clone(), body: claim.body };
     let (sender, answered) = oneshot::channel();
-    vm.errand(Errand::Use(asked, holder.clone().map(|holder| holder.vm), sender));
+    vm.send_command(Command::UseKey(key_use, holder.clone().map(|holder| holder.vm), sender));
     match (answered.await.ok().flatten(), holder) {
         (Some(Word::Granted(reservation)), _) => Ok(Held::Key(reservation)),
         (Some(Word::Taken), _) => Err(Refusal::new(Refused::KeyRunning)),
@@ -199,7 +199,7 @@
 fn give_up(vm: &Data<Vm>, claim: &Claim) -> Refusal {
     let Claim { key, request, body, .. } = claim.clone();
     let outcome = Outcome::NotRun;
-    vm.errand(Errand::Settle(Settled { key, request, body, outcome }));
+    vm.send_command(Command::Settle(Settled { key, request, body, outcome }));
     Refusal::new(Refused::StoreAway)
 }
 
@@ -217,7 +217,7 @@
     };
     let settle = |outcome| {
         let (key, body) = (claim.key, claim.body);
-        vm.errand(Errand::Settle(Settled { key, request: request.clone(), body, outcome }));
+        vm.send_command(Command::Settle(Settled { key, request: request.clone(), body, outcome }));
     };
     let outcome = run(vm, engines, caller, call).await;
     match &outcome {
@@ -236,7 +236,7 @@
 
 /// `POST /v1/reservations/NAME`: sets the key of a call to come aside, while the store answers.
 pub async fn reserve(vm: Data<Vm>, request: HttpRequest, payload: Payload) -> HttpResponse {
-    let id = vm.next_request();
+    let id = vm.next_request_id();
     let outcome = async {
         body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
@@ -249,7 +249,7 @@
         }
         let claim = claim(&vm, &caller, &call, true);
         let (sender, answered) = oneshot::channel();
-        vm.errand(Errand::Claim(claim.clone(), sender));
+        vm.send_command(Command::Claim(claim.clone(), sender));
         match answered.await.unwrap_or(Answer::Away) {
             Answer::Granted => {
                 let mut reserved = vm.reserved.lock().expect("no panic while held");
@@ -301,7 +301,7 @@
     caller: &Caller,
     call: &Call,
 ) -> Result<Reply, Refusal> {
-    vm.earn();
+    vm.record_first_attempt();
     let mut may_have_run = false;
     let outcome = attempts(vm, engines, caller, call, &mut may_have_run).await;
     outcome.map_err(|refusal| match refusal.kind.row().ran {
@@ -323,19 +323,23 @@
     let mut tries = 0;
     loop {
         let now = vm.clock.now();
-        let (snapshot, dispatch) = vm.dispatch();
+        let (snapshot, dispatch) = vm.begin_dispatch();
         if !vm.may_start(now) {
             return Err(Refusal::new(Refused::CutOff));
         }
-        if poison::holds_back(vm, &content) {
+        if poison::is_quarantined(vm, &content) {
             return Err(Refusal::new(Refused::HeldBack));
         }
         let allowed = snapshot.workspace(&caller.workspace.name);
         if !allowed.is_some_and(|workspace| workspace.services.contains(&call.service)) {
             return Err(Refusal::new(Refused::NotAllowed));
         }
-        let picked =
-            vm.fleet.lock().expect("no panic while held").pick(&group, None, rand::random(), now);
+        let picked = vm.fleet.lock().expect("no panic while held").select_server(
+            &group,
+            None,
+            rand::random(),
+            now,
+        );
         let Some(picked) = picked else {
             return Err(Refusal::new(Refused::NoServer));
         };
@@ -353,14 +357,14 @@
         let now = vm.clock.now();
         {
             let mut fleet = vm.fleet.lock().expect("no panic while held");
-            fleet.ended(&picked.server);
+            fleet.on_request_end(&picked.server);
             if sent.is_err() {
-                fleet.failed(&picked.server, now);
+                fleet.on_failure(&picked.server, now);
             }
         }
         let failure = match sent {
             Ok(reply) => {
-                poison::ran_well(vm, content);
+                poison::on_success(vm, content);
                 bill(vm, caller, call).await?;
                 return Ok(reply);
             }
@@ -369,10 +373,10 @@
         if failure == Failure::Broken {
             *may_have_run = true;
             let request = OpenRequest { content, was_stable: false };
-            poison::broke(vm, &picked.server, picked.address, request);
+            poison::on_broken_response(vm, &picked.server, picked.address, request);
         }
         let may = retry::is_allowed(failure, call.repeatable, tries, now, call.deadline, LEAST);
-        if !may || !vm.spend_retry() {
+        if !may || !vm.try_spend_retry() {
             let kind = if failure == Failure::Broken { Refused::Broken } else { Refused::NoServer };
             return Err(Refusal::new(kind));
         }
@@ -427,10 +431,10 @@
         request: call.request.clone(),
         workspace: caller.workspace.name.clone(),
         date: vm.clock.date(),
-        parts: vec![Part { why: Why::Call, target: None, tokens: 0, cost: PRICE }],
+        parts: vec![Part { reason: Reason::Call, target: None, tokens: 0, cost: PRICE }],
     };
     let (sender, safe) = oneshot::channel();
-    vm.errand(Errand::Bill(entry, sender));
+    vm.send_command(Command::RecordBill(entry, sender));
     if safe.await.unwrap_or(false) {
         return Ok(());
     }
--- a/src/experiment/once.rs
+++ b/src/experiment/once.rs
@@ -151,7 +151,7 @@
     }
     world.end();
     let vms = 330;
-    let flushes = f64::from(vms) / ledger::interval(vms as usize).as_secs();
+    let flushes = f64::from(vms) / ledger::flush_interval(vms as usize).as_secs();
     table.notes.push(format!(
         "A store of {STORE_MS} ms, 5 VMs. At {vms} VMs bills take {flushes:.1} writes a second by \
          their interval, and keys at most 20 by their shards' pace."
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -16,7 +16,7 @@
 use crate::entry::session::{self, Session};
 use crate::error::Error;
 use crate::evidence::{Counts, Key, Origin, Table as Evidence};
-use crate::ledger::{Book, Entry, Part, Why};
+use crate::ledger::{Buffer, Entry, Part, Reason};
 use crate::once::{Claim, Outcome, Record, Settled, Shard, digest as claim_digest};
 use crate::peer::wire::{Call, Envelope, Frame, encode};
 use crate::peer::{Gossip, Member, State};
@@ -130,7 +130,7 @@
         workspace: "roasters".parse().expect("a name"),
         date: Date(1_796_213_600_000_000),
         parts: vec![Part {
-            why: Why::Answer,
+            reason: Reason::Answer,
             target: Some("roastmind@v3".parse().expect("a target")),
             tokens: 245,
             cost: Cost(367),
@@ -138,8 +138,8 @@
     }
 }
 
-fn book(entries: usize) -> Book {
-    let mut book = Book::new(origin());
+fn book(entries: usize) -> Buffer {
+    let mut book = Buffer::new(origin());
     (0..entries).for_each(|i| {
         book.record(entry(i as u64));
     });
@@ -297,12 +297,12 @@
             })
         }),
         time("time_per_bill_recorded", [1, 2, 3, 4], |n| {
-            let mut book = Book::new(origin());
+            let mut book = Buffer::new(origin());
             micros(|| {
                 for _ in 0..n {
                     let made = book.record(entry(0));
                     black_box(encode(&made));
-                    book.drop_one(&origin(), made.number);
+                    book.remove(&origin(), made.number);
                 }
             })
         }),
--- a/src/ledger/book.rs
+++ b/src/ledger/buffer.rs
@@ -7,56 +7,56 @@
 
 /// Bills held at most, own and copies: past this, new work is refused before a bill could be lost.
 /// At 300 bytes each this is 60 MB of the 128 MB that control may take.
-const MOST: usize = 200_000;
+const MAX_ENTRIES: usize = 200_000;
 
 /// What one VM holds.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct Buffer {
     own: Origin,
-    next: u64,
-    reached: u64,
+    next_number: u64,
+    chain_end: u64,
     entries: BTreeMap<Origin, BTreeMap<u64, Entry>>,
-    held: usize,
+    count: usize,
 }
 
-impl Book {
-    /// An empty book of one incarnation.
-    pub fn new(own: Origin) -> Book {
-        Book { own, next: 1, reached: 0, entries: BTreeMap::new(), held: 0 }
+impl Buffer {
+    /// An empty buffer of one incarnation.
+    pub fn new(own: Origin) -> Buffer {
+        Buffer { own, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
     }
 
     /// Numbers an entry of this VM's own and holds it.
     pub fn record(&mut self, mut entry: Entry) -> Entry {
-        entry.number = self.next;
-        self.next += 1;
-        self.hold(self.own.clone(), entry.clone());
+        entry.number = self.next_number;
+        self.next_number += 1;
+        self.insert(self.own.clone(), entry.clone());
         entry
     }
 
-    fn hold(&mut self, origin: Origin, entry: Entry) {
+    fn insert(&mut self, origin: Origin, entry: Entry) {
         let entries = self.entries.entry(origin).or_default();
         if entries.insert(entry.number, entry).is_none() {
-            self.held += 1;
+            self.count += 1;
         }
     }
 
     /// Holds copies of another VM's entries; drops those that it says are in the store.
-    pub fn copy(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
+    pub fn insert_copies(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
         for entry in entries {
             if entry.number > flushed {
-                self.hold(origin.clone(), entry);
+                self.insert(origin.clone(), entry);
             }
         }
-        self.drop_up_to(&origin, flushed);
+        self.remove_up_to(&origin, flushed);
     }
 
     /// Drops an origin's entries up to a number: they are in the store.
-    pub fn drop_up_to(&mut self, origin: &Origin, number: u64) {
+    pub fn remove_up_to(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
         };
         let kept = entries.split_off(&(number + 1));
-        self.held -= entries.len();
+        self.count -= entries.len();
         *entries = kept;
         if entries.is_empty() {
             self.entries.remove(origin);
@@ -64,12 +64,12 @@
     }
 
     /// Drops one entry that is in the store.
-    pub fn drop_one(&mut self, origin: &Origin, number: u64) {
+    pub fn remove(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
         };
         if entries.remove(&number).is_some() {
-            self.held -= 1;
+            self.count -= 1;
         }
         if entries.is_empty() {
             self.entries.remove(origin);
@@ -77,46 +77,46 @@
     }
 
     /// Notes how far this VM's chain in the store reaches.
-    pub fn reach(&mut self, number: u64) {
-        self.reached = self.reached.max(number);
+    pub fn record_chain_end(&mut self, number: u64) {
+        self.chain_end = self.chain_end.max(number);
     }
 
     /// The number that the chain reaches, if these entries simply follow it.
-    pub fn chain_after(&self, entries: &[Entry]) -> Option<u64> {
-        let follows = entries.first().is_some_and(|entry| entry.number > self.reached);
-        follows.then_some(self.reached)
+    pub fn chain_end_before(&self, entries: &[Entry]) -> Option<u64> {
+        let follows = entries.first().is_some_and(|entry| entry.number > self.chain_end);
+        follows.then_some(self.chain_end)
     }
 
     /// An origin's entries held here.
-    pub fn of(&self, origin: &Origin) -> Vec<Entry> {
+    pub fn entries_of(&self, origin: &Origin) -> Vec<Entry> {
         let entries = self.entries.get(origin);
         entries.map(|entries| entries.values().cloned().collect()).unwrap_or_default()
     }
 
     /// Origins whose entries are held here, apart from this VM.
-    pub fn others(&self) -> Vec<Origin> {
+    pub fn other_origins(&self) -> Vec<Origin> {
         self.entries.keys().filter(|origin| **origin != self.own).cloned().collect()
     }
 
     /// This VM's life.
-    pub fn own(&self) -> &Origin {
+    pub fn own_origin(&self) -> &Origin {
         &self.own
     }
 
     /// The highest number of this VM's own entries up to which all are in the store.
-    pub fn flushed(&self) -> u64 {
+    pub fn flushed_up_to(&self) -> u64 {
         let first = self.entries.get(&self.own).and_then(|entries| entries.keys().next());
-        first.map_or(self.next, |first| *first) - 1
+        first.map_or(self.next_number, |first| *first) - 1
     }
 
     /// Entries held.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn count(&self) -> usize {
+        self.count
     }
 
     /// Whether another bill surely finds room.
     pub fn has_room(&self) -> bool {
-        self.held < MOST
+        self.count < MAX_ENTRIES
     }
 }
 
@@ -141,25 +141,25 @@
 
     #[test]
     fn numbers_rise_and_flushed_ones_are_dropped() {
-        let mut book = Book::new(origin());
+        let mut buffer = Buffer::new(origin());
         for id in ["r1", "r2", "r3"] {
-            book.record(entry(id));
+            buffer.record(entry(id));
         }
-        assert_eq!(book.flushed(), 0);
-        book.drop_up_to(&origin(), 2);
-        assert_eq!((book.flushed(), book.held()), (2, 1));
+        assert_eq!(buffer.flushed_up_to(), 0);
+        buffer.remove_up_to(&origin(), 2);
+        assert_eq!((buffer.flushed_up_to(), buffer.count()), (2, 1));
     }
 
     #[test]
     fn a_repeated_copy_is_held_once() {
-        let mut book = Book::new(origin());
+        let mut buffer = Buffer::new(origin());
         let other = Origin { vm: "b".parse().unwrap(), incarnation: Incarnation(1) };
         let one = Entry { number: 5, ..entry("r5") };
-        book.copy(other.clone(), vec![one.clone()], 0);
-        book.copy(other.clone(), vec![one.clone()], 0);
-        assert_eq!(book.held(), 1);
-        book.copy(other.clone(), vec![one], 5);
-        assert_eq!(book.held(), 0);
-        assert!(book.others().is_empty());
+        buffer.insert_copies(other.clone(), vec![one.clone()], 0);
+        buffer.insert_copies(other.clone(), vec![one.clone()], 0);
+        assert_eq!(buffer.count(), 1);
+        buffer.insert_copies(other.clone(), vec![one], 5);
+        assert_eq!(buffer.count(), 0);
+        assert!(buffer.other_origins().is_empty());
     }
 }
--- a/src/ledger/entry.rs
+++ b/src/ledger/entry.rs
@@ -4,10 +4,10 @@
 
 use crate::unit::{Cost, Date, RequestId, Target, Workspace};
 
-/// Why a part of a request ran.
+/// Reason a part of a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Why {
+pub enum Reason {
     /// The caller got it.
     Answer,
     /// A cheaper rung's answer that was climbed from.
@@ -21,8 +21,9 @@
 /// A part of a request that ran.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Why it ran.
-    pub why: Why,
+    /// Reason it ran.
+    #[serde(rename = "why")]
+    pub reason: Reason,
     /// The version; none for a service's call.
     pub target: Option<Target>,
     /// Tokens generated.
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,9 +1,9 @@
 //! Bills: each request once, whatever dies, repeats or is lost.
 
-mod book;
+mod buffer;
 mod entry;
 mod writer;
 
-pub use book::Book;
-pub use entry::{Entry, Part, Why};
-pub use writer::{collect, flush, interval};
+pub use buffer::Buffer;
+pub use entry::{Entry, Part, Reason};
+pub use writer::{flush, flush_interval, read_all};
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -11,29 +11,29 @@
 use crate::unit::Span;
 
 /// Writes a second that bills may take of the platform's hundred, over the whole fleet.
-const WRITES: f64 = 8.0;
+const MAX_WRITES_PER_SECOND: f64 = 8.0;
 
 /// Shortest time between two writes of one VM.
-const SHORTEST: Span = Span::millis(500);
+const MIN_FLUSH_INTERVAL: Span = Span::millis(500);
 
 /// Entries of one chunk at most, well within 1 MB.
-const CHUNK: usize = 2000;
+const MAX_CHUNK_ENTRIES: usize = 2000;
 
 /// Tries against others' chunks before giving up until the next flush.
-const TRIES: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// Time between the flushes of one VM in a fleet of `vms`.
-pub fn interval(vms: usize) -> Span {
-    let stretched = Span((vms as f64 / WRITES * 1e6) as u64);
-    stretched.max(SHORTEST)
+pub fn flush_interval(vms: usize) -> Span {
+    let stretched = Span((vms as f64 / MAX_WRITES_PER_SECOND * 1e6) as u64);
+    stretched.max(MIN_FLUSH_INTERVAL)
 }
 
-fn folder(origin: &Origin) -> String {
+fn chain_prefix(origin: &Origin) -> String {
     format!("ledger/{}.{}/", origin.vm, origin.incarnation)
 }
 
 fn chunk_key(origin: &Origin, first: u64) -> String {
-    format!("{}{first:012}", folder(origin))
+    format!("{}{first:012}", chain_prefix(origin))
 }
 
 fn late_key(origin: &Origin, number: u64) -> String {
@@ -41,7 +41,7 @@
 }
 
 /// Brings all of `entries` to the store, each exactly once, and returns the number up to which the
-/// chain now reaches. `known` is a number that the chain is known to reach, if any.
+/// chain now reaches. `known_end` is a number that the chain is known_end to reach, if any.
 ///
 /// # Errors
 /// If the platform does not answer; a later call with the same entries changes nothing twice.
@@ -49,54 +49,55 @@
     store: &Store,
     origin: &Origin,
     entries: &[Entry],
-    known: Option<u64>,
+    known_end: Option<u64>,
 ) -> Result<u64, Error> {
-    let mut reached = match known {
-        Some(known) => known,
+    let mut chain_end = match known_end {
+        Some(known_end) => known_end,
         None => match last_chunk(store, origin).await? {
-            Some(chunk) => settle(store, origin, entries, &chunk).await?,
+            Some(chunk) => write_missing(store, origin, entries, &chunk).await?,
             None => 0,
         },
     };
-    for _ in 0..TRIES {
-        let rest: Vec<&Entry> = entries.iter().filter(|e| e.number > reached).take(CHUNK).collect();
+    for _ in 0..MAX_ATTEMPTS {
+        let rest: Vec<&Entry> =
+            entries.iter().filter(|e| e.number > chain_end).take(MAX_CHUNK_ENTRIES).collect();
         let Some(last) = rest.last() else {
-            return Ok(reached);
+            return Ok(chain_end);
         };
-        let key = chunk_key(origin, reached + 1);
+        let key = chunk_key(origin, chain_end + 1);
         let body = serde_json::to_vec(&rest).expect("entries are plain data");
         match store.create(&key, body.clone()).await {
-            Ok(Written::Done) => reached = last.number,
+            Ok(Written::Done) => chain_end = last.number,
             Ok(Written::Conflict) => {
-                let chunk = read(store, &key).await?;
-                reached = settle(store, origin, entries, &chunk).await?;
+                let chunk = read_chunk(store, &key).await?;
+                chain_end = write_missing(store, origin, entries, &chunk).await?;
             }
             // The write may have taken effect: what stands there now tells.
-            Err(fault) => match store.get(&key).await? {
-                Some(object) if object.body == body => reached = last.number,
-                _ => return Err(fault),
+            Err(error) => match store.get(&key).await? {
+                Some(object) if object.body == body => chain_end = last.number,
+                _ => return Err(error),
             },
         }
     }
-    Ok(reached)
+    Ok(chain_end)
 }
 
 async fn last_chunk(store: &Store, origin: &Origin) -> Result<Option<Vec<Entry>>, Error> {
-    let keys = store.list(&folder(origin)).await?;
+    let keys = store.list(&chain_prefix(origin)).await?;
     match keys.last() {
-        Some(key) => read(store, key).await.map(Some),
+        Some(key) => read_chunk(store, key).await.map(Some),
         None => Ok(None),
     }
 }
 
-async fn read(store: &Store, key: &str) -> Result<Vec<Entry>, Error> {
+async fn read_chunk(store: &Store, key: &str) -> Result<Vec<Entry>, Error> {
     let object = store.get(key).await?;
     let body = object.map(|object| object.body).unwrap_or_default();
-    serde_json::from_slice(&body).map_err(|fault| Error::Store(fault.to_string()))
+    serde_json::from_slice(&body).map_err(|error| Error::Store(error.to_string()))
 }
 
 /// Writes what a chunk in the chain lacks of `entries`; returns the chunk's last number.
-async fn settle(
+async fn write_missing(
     store: &Store,
     origin: &Origin,
     entries: &[Entry],
@@ -105,12 +106,12 @@
     let last = chunk.last().map_or(0, |entry| entry.number);
     let first = chunk.first().map_or(0, |entry| entry.number);
     for entry in entries.iter().filter(|entry| entry.number <= last) {
-        let there = if entry.number >= first {
-            chunk.iter().any(|held| held.number == entry.number)
+        let written = if entry.number >= first {
+            chunk.iter().any(|other| other.number == entry.number)
         } else {
-            in_chain(store, origin, entry.number).await?
+            chain_contains(store, origin, entry.number).await?
         };
-        if !there {
+        if !written {
             let body = serde_json::to_vec(&[entry]).expect("an entry is plain data");
             store.create(&late_key(origin, entry.number), body).await?;
         }
@@ -119,13 +120,13 @@
 }
 
 /// Whether an earlier chunk of the chain holds that number.
-async fn in_chain(store: &Store, origin: &Origin, number: u64) -> Result<bool, Error> {
-    let keys = store.list(&folder(origin)).await?;
+async fn chain_contains(store: &Store, origin: &Origin, number: u64) -> Result<bool, Error> {
+    let keys = store.list(&chain_prefix(origin)).await?;
     let wanted = chunk_key(origin, number);
     let Some(key) = keys.iter().rev().find(|key| **key <= wanted) else {
         return Ok(false);
     };
-    let chunk = read(store, key).await?;
+    let chunk = read_chunk(store, key).await?;
     Ok(chunk.iter().any(|entry| entry.number == number))
 }
 
@@ -133,11 +134,11 @@
 ///
 /// # Errors
 /// If the platform does not answer.
-pub async fn collect(store: &Store) -> Result<Vec<Entry>, Error> {
+pub async fn read_all(store: &Store) -> Result<Vec<Entry>, Error> {
     let mut all = Vec::new();
     for prefix in ["ledger/", "ledger-late/"] {
         for key in store.list(prefix).await? {
-            all.extend(read(store, &key).await?);
+            all.extend(read_chunk(store, &key).await?);
         }
     }
     Ok(all)
@@ -150,9 +151,12 @@
     #[test]
     fn the_fleet_stays_under_its_share_of_writes() {
         for vms in [1, 9, 33, 330, 1000] {
-            let writes = vms as f64 / interval(vms).as_secs();
-            assert!(writes <= WRITES + 1e-6, "{vms} VMs write {writes} times a second");
+            let writes = vms as f64 / flush_interval(vms).as_secs();
+            assert!(
+                writes <= MAX_WRITES_PER_SECOND + 1e-6,
+                "{vms} VMs write {writes} times a second"
+            );
         }
-        assert_eq!(interval(330), Span(41_250_000));
+        assert_eq!(flush_interval(330), Span(41_250_000));
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -4,29 +4,29 @@
 use crate::error::Error;
 use crate::platform::{Object, Store, Written};
 use crate::unit::{Date, Revision};
-use crate::vm::{ROOT, fetch, piece_key};
+use crate::vm::{ROOT_KEY, fetch_snapshot, piece_key};
 
 /// Tries of a confirm whose answer was lost.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 /// How a confirm ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Confirmed {
+pub enum Confirmation {
     /// It took effect with this revision.
-    Now(Revision),
+    Applied(Revision),
     /// It had taken effect before, with this revision.
-    Before(Revision),
+    AlreadyApplied(Revision),
 }
 
 /// The root in the store, and the object that holds it.
 ///
 /// # Errors
 /// If the platform does not answer.
-pub async fn root(store: &Store) -> Result<(Root, Option<Object>), Error> {
-    match store.get(ROOT).await? {
+pub async fn read_root(store: &Store) -> Result<(Root, Option<Object>), Error> {
+    match store.get(ROOT_KEY).await? {
         Some(object) => {
             let root = serde_json::from_slice(&object.body)
-                .map_err(|fault| Error::Store(format!("its root does not read: {fault}")))?;
+                .map_err(|error| Error::Store(format!("its root does not read: {error}")))?;
             Ok((root, Some(object)))
         }
         None => Ok((Root::default(), None)),
@@ -37,9 +37,9 @@
 ///
 /// # Errors
 /// If the platform does not answer.
-pub async fn snapshot(store: &Store) -> Result<Snapshot, Error> {
-    let (root, _) = root(store).await?;
-    fetch(store, root, &Snapshot::default()).await
+pub async fn read_snapshot(store: &Store) -> Result<Snapshot, Error> {
+    let (root, _) = read_root(store).await?;
+    fetch_snapshot(store, root, &Snapshot::default()).await
 }
 
 /// Applies exactly this plan, once, if its revision still holds.
@@ -51,12 +51,12 @@
     plan: &Plan,
     who: &str,
     date: Date,
-) -> Result<Confirmed, Error> {
+) -> Result<Confirmation, Error> {
     let mut last = Error::Store("no try was made".to_owned());
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match try_confirm(store, plan, who, date).await {
-            Err(fault @ Error::Store(_)) => last = fault,
-            settled => return settled,
+            Err(error @ Error::Store(_)) => last = error,
+            result => return result,
         }
     }
     Err(last)
@@ -67,14 +67,14 @@
     plan: &Plan,
     who: &str,
     date: Date,
-) -> Result<Confirmed, Error> {
-    let (current, object) = root(store).await?;
+) -> Result<Confirmation, Error> {
+    let (current, object) = read_root(store).await?;
     // A plan's record tells that it was applied, whoever lost the answer.
     if let Some(record) = current.log.iter().find(|record| record.plan == plan.id) {
-        return Ok(Confirmed::Before(record.revision));
+        return Ok(Confirmation::AlreadyApplied(record.revision));
     }
     if current.revision != plan.base {
-        return Err(Error::Moved(since(&current, plan.base)));
+        return Err(Error::Moved(changes_since(&current, plan.base)));
     }
     let next = apply(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
@@ -85,27 +85,27 @@
     }
     let body = serde_json::to_vec(&next).expect("a root is plain data");
     let written = match &object {
-        Some(object) => store.replace(ROOT, object.position, body).await?,
-        None => store.create(ROOT, body).await?,
+        Some(object) => store.replace(ROOT_KEY, object.position, body).await?,
+        None => store.create(ROOT_KEY, body).await?,
     };
     if written == Written::Conflict {
         // Perhaps by this very plan, whose answer was lost.
-        let (current, _) = root(store).await?;
+        let (current, _) = read_root(store).await?;
         let record = current.log.iter().find(|record| record.plan == plan.id);
         return match record {
-            Some(record) => Ok(Confirmed::Before(record.revision)),
-            None => Err(Error::Moved(since(&current, plan.base))),
+            Some(record) => Ok(Confirmation::AlreadyApplied(record.revision)),
+            None => Err(Error::Moved(changes_since(&current, plan.base))),
         };
     }
-    Ok(Confirmed::Now(next.revision))
+    Ok(Confirmation::Applied(next.revision))
 }
 
-fn since(root: &Root, base: Revision) -> String {
+fn changes_since(root: &Root, base: Revision) -> String {
     let later = root.log.iter().filter(|record| record.revision > base);
-    let told: Vec<String> = later
+    let changes: Vec<String> = later
         .map(|record| {
             format!("Revision {} by {}: {}.", record.revision, record.who, record.what.join("; "))
         })
         .collect();
-    told.join(" ")
+    changes.join(" ")
 }
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -11,72 +11,72 @@
 /// Other VMs that hold a copy of each bill.
 const COPIES: usize = 2;
 
-/// Tries to make a batch safe before its callers are told that it is not.
-const TRIES: usize = 5;
+/// Tries to make a batch safe before its callers are informed that it is not.
+const MAX_ATTEMPTS: usize = 5;
 
 /// Wait between two tries.
-const AGAIN: Span = Span::millis(150);
+const RETRY_DELAY: Span = Span::millis(150);
 
 /// Bills in one batch.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 
 /// Bills of a VM that is gone this long are brought to the store by those who hold copies.
-const GONE_FOR: Span = Span::secs(1);
+const ORPHAN_DELAY: Span = Span::secs(1);
 
 /// Wait between two looks for bills of the gone.
-const FINISH_EVERY: Span = Span::secs(2);
+const ORPHAN_SCAN_INTERVAL: Span = Span::secs(2);
 
-type Safe = (Entry, oneshot::Sender<bool>);
+type PendingBill = (Entry, oneshot::Sender<bool>);
 
 /// Takes bills as they come, many to a message.
-pub async fn stand(control: Control, mut bills: mpsc::UnboundedReceiver<Safe>) {
+pub async fn replicate_bills(control: Control, mut bills: mpsc::UnboundedReceiver<PendingBill>) {
     while let Some(first) = bills.recv().await {
         let mut batch = vec![first];
-        while batch.len() < BATCH {
+        while batch.len() < MAX_BATCH {
             let Ok(more) = bills.try_recv() else { break };
             batch.push(more);
         }
         let (entries, replies): (Vec<Entry>, Vec<_>) = batch.into_iter().unzip();
         let entries: Vec<Entry> = {
-            let mut book = control.book.borrow_mut();
-            entries.into_iter().map(|entry| book.record(entry)).collect()
+            let mut unflushed = control.unflushed.borrow_mut();
+            entries.into_iter().map(|entry| unflushed.record(entry)).collect()
         };
         let control = control.clone();
         actix_web::rt::spawn(async move {
             let began = control.vm.clock.now();
-            let safe = make_safe(&control, &entries).await;
+            let durable = make_durable(&control, &entries).await;
             let took = control.vm.clock.now().since(began);
             control.vm.metrics.bill.observe(took.as_secs());
             for reply in replies {
-                let _ = reply.send(safe);
+                let _ = reply.send(durable);
             }
         });
     }
 }
 
 /// The VMs to hold copies: in other data centres first, where there are some.
-fn holders(control: &Control) -> Vec<Member> {
-    let others = control.others();
+fn copy_holders(control: &Control) -> Vec<Member> {
+    let others = control.other_vms();
     let duty = format!("bills/{}", control.vm.settings.vm);
-    let mut members = Control::in_order(&duty, &others);
+    let mut members = Control::ranked_members(&duty, &others);
     let home = control.vm.settings.data_centre.clone();
     // The sort is stable, so the rank decides within each half; suspects come last.
     members.sort_by_key(|m| (m.state != State::Alive, m.data_centre == home));
     members
 }
 
-async fn make_safe(control: &Control, entries: &[Entry]) -> bool {
+async fn make_durable(control: &Control, entries: &[Entry]) -> bool {
     let mut held = Vec::new();
     // A VM that did not take its copy is asked again only after those that were not asked yet.
     let mut failed: Vec<Vm> = Vec::new();
-    for _ in 0..TRIES {
-        let mut all = holders(control);
+    for _ in 0..MAX_ATTEMPTS {
+        let mut all = copy_holders(control);
         all.sort_by_key(|member| failed.contains(&member.vm));
         let wanted = COPIES.min(all.len());
         held.retain(|vm| all.iter().any(|member| member.vm == *vm));
         let fresh = all.iter().filter(|member| !held.contains(&member.vm));
         let lacking: Vec<&Member> = fresh.take(wanted.saturating_sub(held.len())).collect();
-        let calls = lacking.iter().map(|member| copy(control, member, entries));
+        let calls = lacking.iter().map(|member| send_copy(control, member, entries));
         let done = futures_util::future::join_all(calls).await;
         for (member, done) in lacking.iter().zip(done) {
             if done { held.push(member.vm.clone()) } else { failed.push(member.vm.clone()) }
@@ -87,13 +87,13 @@
         if wanted == 0 && flush_own(control).await {
             return true;
         }
-        tokio::time::sleep(AGAIN.duration()).await;
+        tokio::time::sleep(RETRY_DELAY.duration()).await;
     }
     flush_own(control).await
 }
 
-async fn copy(control: &Control, to: &Member, entries: &[Entry]) -> bool {
-    let flushed = control.book.borrow().flushed();
+async fn send_copy(control: &Control, to: &Member, entries: &[Entry]) -> bool {
+    let flushed = control.unflushed.borrow().flushed_up_to();
     let call = Call::Bills {
         origin: control.vm.settings.vm.clone(),
         incarnation: control.vm.incarnation,
@@ -106,59 +106,59 @@
 /// Brings this VM's own bills to the store; whether all that were recorded are there.
 pub async fn flush_own(control: &Control) -> bool {
     let own = control.vm.origin();
-    let entries = control.book.borrow().of(&own);
+    let entries = control.unflushed.borrow().entries_of(&own);
     if entries.is_empty() {
         return true;
     }
-    let known = control.book.borrow().chain_after(&entries);
+    let known = control.unflushed.borrow().chain_end_before(&entries);
     match ledger::flush(&control.store, &own, &entries, known).await {
-        Ok(reached) => {
-            let mut book = control.book.borrow_mut();
-            book.reach(reached);
-            let done = entries.iter().filter(|entry| entry.number <= reached);
-            done.for_each(|entry| book.drop_one(&own, entry.number));
-            reached >= entries.last().map_or(0, |entry| entry.number)
+        Ok(chain_end) => {
+            let mut unflushed = control.unflushed.borrow_mut();
+            unflushed.record_chain_end(chain_end);
+            let done = entries.iter().filter(|entry| entry.number <= chain_end);
+            done.for_each(|entry| unflushed.remove(&own, entry.number));
+            chain_end >= entries.last().map_or(0, |entry| entry.number)
         }
-        Err(fault) => {
+        Err(error) => {
             control.vm.metrics.store_failures.inc();
-            log::debug!("bills wait: {fault}");
+            log::debug!("bills wait: {error}");
             false
         }
     }
 }
 
 /// Flushes at the fleet's pace, and renews copies when their holders change.
-pub async fn keep(control: Control) {
-    let mut told: Vec<Vm> = Vec::new();
+pub async fn flush_periodically(control: Control) {
+    let mut informed: Vec<Vm> = Vec::new();
     loop {
-        let vms = control.others().len() + 1;
-        tokio::time::sleep(ledger::interval(vms).duration()).await;
+        let vms = control.other_vms().len() + 1;
+        tokio::time::sleep(ledger::flush_interval(vms).duration()).await;
         flush_own(&control).await;
         let own = control.vm.origin();
-        let rest = control.book.borrow().of(&own);
-        let near: Vec<Member> = holders(&control).into_iter().take(COPIES).collect();
-        for member in &near {
-            let entries: &[Entry] = if told.contains(&member.vm) { &[] } else { &rest };
-            copy(&control, member, entries).await;
+        let rest = control.unflushed.borrow().entries_of(&own);
+        let holders: Vec<Member> = copy_holders(&control).into_iter().take(COPIES).collect();
+        for member in &holders {
+            let entries: &[Entry] = if informed.contains(&member.vm) { &[] } else { &rest };
+            send_copy(&control, member, entries).await;
         }
-        told = near.into_iter().map(|member| member.vm).collect();
-        let book = control.book.borrow();
+        informed = holders.into_iter().map(|member| member.vm).collect();
+        let unflushed = control.unflushed.borrow();
         control.vm.metrics.peer_bytes.set(control.links.sent() as i64);
-        control.vm.metrics.bills_held.set(book.held() as i64);
-        control.vm.bill_room.store(book.has_room(), std::sync::atomic::Ordering::Relaxed);
+        control.vm.metrics.bills_held.set(unflushed.count() as i64);
+        control.vm.has_bill_room.store(unflushed.has_room(), std::sync::atomic::Ordering::Relaxed);
     }
 }
 
 /// Brings the bills of VMs that are gone to the store.
-pub async fn finish(control: Control) {
+pub async fn flush_orphaned(control: Control) {
     loop {
-        tokio::time::sleep(FINISH_EVERY.duration()).await;
+        tokio::time::sleep(ORPHAN_SCAN_INTERVAL.duration()).await;
         let now = control.vm.clock.now();
-        let others = control.book.borrow().others();
+        let others = control.unflushed.borrow().other_origins();
         for origin in others {
-            let gone = control.gossip(|g| match g.member(&origin.vm) {
+            let gone = control.with_gossip(|g| match g.member(&origin.vm) {
                 Some(member) => {
-                    let long = g.time_in_state(&origin.vm, now).is_some_and(|t| t >= GONE_FOR);
+                    let long = g.time_in_state(&origin.vm, now).is_some_and(|t| t >= ORPHAN_DELAY);
                     member.incarnation > origin.incarnation || (!member.state.present() && long)
                 }
                 None => true,
@@ -166,10 +166,10 @@
             if !gone {
                 continue;
             }
-            let entries = control.book.borrow().of(&origin);
+            let entries = control.unflushed.borrow().entries_of(&origin);
             if ledger::flush(&control.store, &origin, &entries, None).await.is_ok() {
-                let mut book = control.book.borrow_mut();
-                entries.iter().for_each(|entry| book.drop_one(&origin, entry.number));
+                let mut unflushed = control.unflushed.borrow_mut();
+                entries.iter().for_each(|entry| unflushed.remove(&origin, entry.number));
             }
         }
     }
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -1,6 +1,6 @@
 //! Finds the owner of a key's shard and asks it; any VM may own if the others do not answer.
 
-use super::Asked;
+use super::KeyUse;
 use super::control::Control;
 use crate::once::{Answer, Claim, Digest, Outcome, Settled, Word, shard_of};
 use crate::peer::Member;
@@ -8,19 +8,19 @@
 use crate::unit::Vm;
 
 /// Other VMs asked before this one takes the shard itself.
-const ASKED: usize = 2;
+const MAX_OWNERS_ASKED: usize = 2;
 
 /// Owners of a shard in order, this VM in its place.
-fn owners(control: &Control, shard: u64) -> Vec<Member> {
-    let present: Vec<Member> = control.gossip(|g| g.present().cloned().collect());
-    Control::in_order(&format!("once/{shard}"), &present)
+fn ranked_owners(control: &Control, shard: u64) -> Vec<Member> {
+    let present: Vec<Member> = control.with_gossip(|g| g.present().cloned().collect());
+    Control::ranked_members(&format!("once/{shard}"), &present)
 }
 
 /// Claims a key.
 pub async fn claim(control: &Control, claim: Claim) -> Answer {
-    let me = &control.vm.settings.vm;
-    for member in owners(control, shard_of(claim.key)).into_iter().take(ASKED) {
-        if member.vm == *me {
+    let own_vm = &control.vm.settings.vm;
+    for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNERS_ASKED) {
+        if member.vm == *own_vm {
             break;
         }
         if let Some(Reply::Claim(answer)) =
@@ -34,9 +34,9 @@
 
 /// Notes how a claimed call ended.
 pub async fn settle(control: &Control, settled: Settled) {
-    let me = &control.vm.settings.vm;
-    let owners = owners(control, shard_of(settled.key));
-    if let Some(first) = owners.first().filter(|first| first.vm != *me) {
+    let own_vm = &control.vm.settings.vm;
+    let owners = ranked_owners(control, shard_of(settled.key));
+    if let Some(first) = owners.first().filter(|first| first.vm != *own_vm) {
         let call = Call::Settle(settled.clone());
         if control.call(first.address, call).await == Some(Reply::Done) {
             return;
@@ -46,7 +46,7 @@
 }
 
 /// Releases the keys set aside here that no call has used: after this life nobody could.
-pub async fn release(control: &Control) {
+pub async fn release_unused_keys(control: &Control) {
     let unused = control.vm.reserved.lock().expect("no panic while held").release();
     if unused.is_empty() {
         return;
@@ -60,19 +60,23 @@
 }
 
 /// Asks for a key that is set aside: this VM, its holder, or all others.
-pub async fn ask_holder(control: &Control, asked: Asked, holder: Option<Vm>) -> Option<Word> {
-    let Asked { key, user, body } = asked;
+pub async fn use_reserved_key(
+    control: &Control,
+    key_use: KeyUse,
+    holder: Option<Vm>,
+) -> Option<Word> {
+    let KeyUse { key, user, body } = key_use;
     let now = control.vm.clock.now();
     let own = control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
     if own.is_some() {
         return own;
     }
-    let mut others = control.others();
+    let mut others = control.other_vms();
     others.retain(|member| holder.as_ref().is_none_or(|holder| member.vm == *holder));
     let call = Call::Use { key, user, body };
-    let asks = others.iter().map(|member| control.call(member.address, call.clone()));
-    let words = futures_util::future::join_all(asks).await;
-    words.into_iter().find_map(|reply| match reply {
+    let calls = others.iter().map(|member| control.call(member.address, call.clone()));
+    let replies = futures_util::future::join_all(calls).await;
+    replies.into_iter().find_map(|reply| match reply {
         Some(Reply::Use(word)) => word,
         _ => None,
     })
--- a/src/vm/clock.rs
+++ b/src/vm/clock.rs
@@ -11,27 +11,27 @@
 use crate::unit::{Date, Moment, Span};
 
 /// Moments begin here, so that none is nought.
-const FIRST: u64 = 1_000_000;
+const FIRST_MOMENT_US: u64 = 1_000_000;
 
 /// What the clocks of a machine tell at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
     /// Time that the machine was awake since its start.
-    pub awake: Duration,
+    pub monotonic: Duration,
     /// The same with the time that it slept, if there is a clock that counts it.
-    pub all: Option<Duration>,
+    pub boottime: Option<Duration>,
 }
 
 impl Reading {
     /// The present reading of this machine's clocks.
-    pub fn of_machine() -> Reading {
+    pub fn current() -> Reading {
         let read = |clock| clock_gettime(clock).ok().map(Duration::from);
-        let awake = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
-        Reading { awake, all: read(ClockId::CLOCK_BOOTTIME) }
+        let monotonic = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
+        Reading { monotonic, boottime: read(ClockId::CLOCK_BOOTTIME) }
     }
 
     fn elapsed(self) -> Duration {
-        self.all.unwrap_or(self.awake)
+        self.boottime.unwrap_or(self.monotonic)
     }
 }
 
@@ -44,7 +44,7 @@
 
 impl Default for Clock {
     fn default() -> Clock {
-        Clock::new(Reading::of_machine)
+        Clock::new(Reading::current)
     }
 }
 
@@ -57,13 +57,13 @@
     /// The present moment. It counts the time that the machine slept.
     pub fn now(&self) -> Moment {
         let since = (self.read)().elapsed().saturating_sub(self.start);
-        Moment(FIRST + since.as_micros() as u64)
+        Moment(FIRST_MOMENT_US + since.as_micros() as u64)
     }
 
     /// How long the machine has slept since it was started; none if no clock counts it.
     pub fn slept(&self) -> Option<Span> {
-        let Reading { awake, all } = (self.read)();
-        Some(Span(all?.saturating_sub(awake).as_micros() as u64))
+        let Reading { monotonic, boottime } = (self.read)();
+        Some(Span(boottime?.saturating_sub(monotonic).as_micros() as u64))
     }
 
     /// The present date.
--- a/src/vm/errand.rs
+++ b/src/vm/command.rs
@@ -10,7 +10,7 @@
 
 /// A call that wants to use a key.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct KeyUse {
     /// The key.
     pub key: Digest,
     /// The request that would run.
@@ -20,27 +20,27 @@
 }
 
 /// An errand.
-pub enum Errand {
+pub enum Command {
     /// Make a bill safe; answered when it stands in other VMs or in the store.
-    Bill(Entry, oneshot::Sender<bool>),
+    RecordBill(Entry, oneshot::Sender<bool>),
     /// Claim a key.
     Claim(Claim, oneshot::Sender<Answer>),
     /// Ask for a key that is set aside: its holder, or everyone if the holder is not known.
-    Use(Asked, Option<Vm>, oneshot::Sender<Option<Word>>),
+    UseKey(KeyUse, Option<Vm>, oneshot::Sender<Option<Word>>),
     /// Note how a claimed call ended.
     Settle(Settled),
     /// Have an answer rated.
-    Rate(Sample),
+    SubmitSample(Sample),
     /// Catch up with a later revision that a token names.
     CatchUp(Revision, oneshot::Sender<()>),
     /// Give up work on an engine.
     Cancel(std::net::SocketAddr, crate::engine::wire::Cancel),
     /// Ask a server for its load at once.
-    Look(Server),
+    ProbeServer(Server),
     /// Ask all VMs for a request's decision record.
     Explain(String, oneshot::Sender<Option<String>>),
     /// Tell others of contents under which servers crash.
-    Tell(poison::Outgoing),
+    SendPoison(poison::Outgoing),
     /// Ask all VMs for their burn counts.
-    Burn(oneshot::Sender<Vec<String>>),
+    CollectBurn(oneshot::Sender<Vec<String>>),
 }
--- a/src/vm/spread.rs
+++ b/src/vm/config_watch.rs
@@ -11,26 +11,26 @@
 use crate::unit::Span;
 
 /// Watchers in each data centre.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 /// How long a watch waits at the platform.
-const WATCH: Span = Span::secs(2);
+const WATCH_TIMEOUT: Span = Span::secs(2);
 
 /// A VM whose knowledge of the store is older reads for itself; a change is in force within 15 s
 /// though all watchers hear nothing.
-const STALE: Span = Span::secs(12);
+const MAX_STALENESS: Span = Span::secs(12);
 
 /// A watcher reads the root itself this often: a watch that reports nothing proves nothing.
-const READ_EVERY: Span = Span::secs(5);
+const READ_INTERVAL: Span = Span::secs(5);
 
 /// Wait after a call that failed, and between looks at who watches.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Time between reads of the list of VMs by an accepter.
-const LIST_EVERY: Span = Span::secs(3);
+const LIST_INTERVAL: Span = Span::secs(3);
 
 /// The root's key.
-pub const ROOT: &str = "config/root";
+pub const ROOT_KEY: &str = "config/root";
 
 /// A piece's key.
 pub fn piece_key(digest: &str) -> String {
@@ -38,71 +38,71 @@
 }
 
 /// Watches the root for as long as it is this VM's turn.
-pub async fn watch(control: Control) {
-    let mut known = None;
-    let mut listed = control.vm.clock.now();
-    let mut read = listed;
+pub async fn watch_root(control: Control) {
+    let mut position = None;
+    let mut last_listed = control.vm.clock.now();
+    let mut last_read = last_listed;
     loop {
         let now = control.vm.clock.now();
-        let stale = control.gossip(|g| g.age(now)).is_none_or(|age| age >= STALE);
+        let stale = control.with_gossip(|g| g.age(now)).is_none_or(|age| age >= MAX_STALENESS);
         if !is_watcher(&control) && !stale {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        if control.gossip(|g| g.is_accepter()) && now.since(listed) >= LIST_EVERY {
-            listed = now;
-            read_list(&control).await;
+        if control.with_gossip(|g| g.is_accepter()) && now.since(last_listed) >= LIST_INTERVAL {
+            last_listed = now;
+            read_vm_list(&control).await;
         }
         let sent = control.vm.clock.now();
-        let due = sent.since(read) >= READ_EVERY;
-        let answer = match known.filter(|_| !due) {
-            Some(position) => control.store.watch(ROOT, position, WATCH).await,
+        let due = sent.since(last_read) >= READ_INTERVAL;
+        let answer = match position.filter(|_| !due) {
+            Some(from) => control.store.watch(ROOT_KEY, from, WATCH_TIMEOUT).await,
             None => {
-                read = sent;
-                control.store.get(ROOT).await
+                last_read = sent;
+                control.store.get(ROOT_KEY).await
             }
         };
         match answer {
             Ok(Some(object)) => {
-                if take(&control, &object.body).await.is_ok() {
-                    known = Some(object.position);
-                    control.gossip(|g| g.store_contact(sent));
+                if apply_root(&control, &object.body).await.is_ok() {
+                    position = Some(object.position);
+                    control.with_gossip(|g| g.store_contact(sent));
                 } else {
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Ok(None) => {
-                control.gossip(|g| g.store_contact(sent));
-                if known.is_none() {
-                    tokio::time::sleep(PAUSE).await;
+                control.with_gossip(|g| g.store_contact(sent));
+                if position.is_none() {
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
-            Err(fault) => {
+            Err(error) => {
                 control.vm.metrics.store_failures.inc();
-                log::debug!("{fault}");
-                tokio::time::sleep(PAUSE).await;
+                log::debug!("{error}");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
-        control.follow();
+        control.publish_snapshot();
     }
 }
 
 fn is_watcher(control: &Control) -> bool {
     let home = &control.vm.settings.data_centre;
     let duty = format!("watch/{home}");
-    control.gossip(|g| {
-        let near = g.present().filter(|member| member.data_centre == *home);
-        let order = ranked(&duty, near.map(|member| &member.vm));
-        order.iter().take(WATCHERS).any(|vm| **vm == control.vm.settings.vm)
+    control.with_gossip(|g| {
+        let local = g.present().filter(|member| member.data_centre == *home);
+        let order = ranked(&duty, local.map(|member| &member.vm));
+        order.iter().take(WATCHERS_PER_DATA_CENTRE).any(|vm| **vm == control.vm.settings.vm)
     })
 }
 
-async fn read_list(control: &Control) {
+async fn read_vm_list(control: &Control) {
     if let Ok(list) = control.store.vms().await
         && !list.is_empty()
     {
         let names: BTreeSet<_> = list.into_iter().map(|listed| listed.vm).collect();
-        control.gossip(|g| g.listed(&names));
+        control.with_gossip(|g| g.listed(&names));
     }
 }
 
@@ -111,23 +111,23 @@
 /// # Errors
 /// If the platform does not answer.
 pub async fn read_root(control: &Control) -> Result<(), Error> {
-    if let Some(object) = control.store.get(ROOT).await? {
-        take(control, &object.body).await?;
-        control.follow();
+    if let Some(object) = control.store.get(ROOT_KEY).await? {
+        apply_root(control, &object.body).await?;
+        control.publish_snapshot();
     }
     Ok(())
 }
 
 /// Takes a root as the store tells it, and fetches the pieces that are missing here.
-async fn take(control: &Control, body: &[u8]) -> Result<(), Error> {
+async fn apply_root(control: &Control, body: &[u8]) -> Result<(), Error> {
     let root: Root =
-        serde_json::from_slice(body).map_err(|fault| Error::Store(fault.to_string()))?;
-    let held = control.gossip(|g| g.snapshot.clone());
+        serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))?;
+    let held = control.with_gossip(|g| g.snapshot.clone());
     if root.revision <= held.revision() {
         return Ok(());
     }
-    let snapshot = fetch(&control.store, root, &held).await?;
-    control.gossip(|g| g.adopt(snapshot));
+    let snapshot = fetch_snapshot(&control.store, root, &held).await?;
+    control.with_gossip(|g| g.adopt(snapshot));
     Ok(())
 }
 
@@ -135,7 +135,7 @@
 ///
 /// # Errors
 /// If the platform does not answer or a piece does not read.
-pub async fn fetch(
+pub async fn fetch_snapshot(
     store: &crate::platform::Store,
     root: Root,
     held: &Snapshot,
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -9,11 +9,11 @@
 use actix::{Actor, AsyncContext, Context};
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Errand, bills, claims, poison, ratings};
+use super::{Command, bills, claims, poison, ratings};
 use crate::engine::client::Engines;
 use crate::evidence::Origin;
 use crate::history::Event;
-use crate::ledger::Book;
+use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
 use crate::peer::{Incoming, Links, Member, ranked};
@@ -21,10 +21,10 @@
 use crate::unit::{Revision, Vm};
 
 /// Time between two ticks of the gossip.
-const TICK: Duration = Duration::from_millis(50);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Seeds are greeted again after this while no other VM is known.
-const GREET_EVERY: Duration = Duration::from_millis(500);
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the tasks of the control thread share.
 #[derive(Clone)]
@@ -36,11 +36,11 @@
     /// The platform.
     pub store: Store,
     /// Unflushed bills.
-    pub book: Rc<RefCell<Book>>,
+    pub unflushed: Rc<RefCell<Buffer>>,
     /// Shards of keys.
     pub owner: Owner,
     /// Work for the bill task.
-    pub bills: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
+    pub bill_queue: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
     /// The rating service, if there is one.
     pub ratings: Option<Ratings>,
     /// Engines and services.
@@ -52,13 +52,13 @@
     pub async fn run(
         self,
         mut incoming: mpsc::UnboundedReceiver<Incoming>,
-        mut errands: mpsc::UnboundedReceiver<Errand>,
+        mut commands: mpsc::UnboundedReceiver<Command>,
     ) {
         let ticker = Ticker(self.clone()).start();
         loop {
             tokio::select! {
-                Some(arrived) = incoming.recv() => self.arrived(arrived),
-                Some(errand) = errands.recv() => self.errand(errand),
+                Some(arrived) = incoming.recv() => self.on_incoming(arrived),
+                Some(command) = commands.recv() => self.on_command(command),
                 else => break,
             }
         }
@@ -67,27 +67,27 @@
 
     fn tick(&self) {
         let now = self.vm.clock.now();
-        let out = self.gossip(|gossip| gossip.tick(now));
+        let out = self.with_gossip(|gossip| gossip.tick(now));
         self.send_all(out);
-        self.follow();
+        self.publish_snapshot();
     }
 
     /// Calls `change` on the gossip.
-    pub fn gossip<T>(&self, change: impl FnOnce(&mut crate::peer::Gossip) -> T) -> T {
+    pub fn with_gossip<T>(&self, change: impl FnOnce(&mut crate::peer::Gossip) -> T) -> T {
         change(&mut self.vm.gossip.lock().expect("no panic while held"))
     }
 
     /// Brings the hot path's view up to the gossip's.
-    pub fn follow(&self) {
+    pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
         let (snapshot, permit, accepted) =
-            self.gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
+            self.with_gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
             self.vm.metrics.accept(accepted);
             self.vm.history.note(|| Event::Accepted { revision: accepted });
         }
-        let obeyed = self.vm.obeyed();
-        self.gossip(|g| g.obey(obeyed));
+        let enforced = self.vm.enforced_revision();
+        self.with_gossip(|g| g.obey(enforced));
         if snapshot.revision() <= self.vm.config().revision() {
             self.vm.set_permit(permit);
             return;
@@ -122,7 +122,7 @@
     }
 
     fn send(&self, to: SocketAddr, frame: Frame) {
-        self.vm.metrics.messages.with_label_values(&[kind(&frame)]).inc();
+        self.vm.metrics.messages.with_label_values(&[frame_label(&frame)]).inc();
         let bytes = encode(&Envelope { from: self.vm.settings.vm.clone(), body: frame });
         let links = self.links.clone();
         actix_web::rt::spawn(async move { links.send(to, bytes).await });
@@ -134,15 +134,15 @@
         decode(&self.links.call(to, bytes).await?)
     }
 
-    fn arrived(&self, arrived: Incoming) {
+    fn on_incoming(&self, arrived: Incoming) {
         match arrived {
             Incoming::Frame(bytes) => {
                 let Some(envelope) = decode::<Envelope<Frame>>(&bytes) else {
                     return;
                 };
                 let now = self.vm.clock.now();
-                let out = self.gossip(|g| g.receive(&envelope.from, envelope.body, now));
-                self.follow();
+                let out = self.with_gossip(|g| g.receive(&envelope.from, envelope.body, now));
+                self.publish_snapshot();
                 self.send_all(out);
             }
             Incoming::Call(bytes, reply) => {
@@ -151,23 +151,23 @@
                 };
                 let control = self.clone();
                 actix_web::rt::spawn(async move {
-                    let answer = control.answer(envelope.body).await;
+                    let answer = control.on_call(envelope.body).await;
                     let _ = reply.send(encode(&answer));
                 });
             }
         }
     }
 
-    async fn answer(&self, call: Call) -> Reply {
+    async fn on_call(&self, call: Call) -> Reply {
         match call {
             Call::Bills { origin, incarnation, entries, flushed } => {
                 let origin = Origin { vm: origin, incarnation };
-                self.book.borrow_mut().copy(origin, entries, flushed);
+                self.unflushed.borrow_mut().insert_copies(origin, entries, flushed);
                 Reply::Done
             }
             Call::Claim(claim) => Reply::Claim(self.owner.claim(claim).await),
-            Call::Poison(news) => {
-                poison::hear(&self.vm, &news);
+            Call::Poison(message) => {
+                poison::on_message(&self.vm, &message);
                 Reply::Done
             }
             Call::Settle(settled) => {
@@ -190,59 +190,61 @@
         }
     }
 
-    fn errand(&self, errand: Errand) {
+    fn on_command(&self, command: Command) {
         let control = self.clone();
-        match errand {
-            Errand::Bill(entry, reply) => {
-                let _ = self.bills.send((entry, reply));
+        match command {
+            Command::RecordBill(entry, reply) => {
+                let _ = self.bill_queue.send((entry, reply));
             }
-            Errand::Claim(claim, reply) => {
+            Command::Claim(claim, reply) => {
                 actix_web::rt::spawn(async move {
                     let _ = reply.send(claims::claim(&control, claim).await);
                 });
             }
-            Errand::Settle(settled) => {
+            Command::Settle(settled) => {
                 actix_web::rt::spawn(async move { claims::settle(&control, settled).await });
             }
-            Errand::Use(asked, holder, reply) => {
+            Command::UseKey(key_use, holder, reply) => {
                 actix_web::rt::spawn(async move {
-                    let _ = reply.send(claims::ask_holder(&control, asked, holder).await);
+                    let _ = reply.send(claims::use_reserved_key(&control, key_use, holder).await);
                 });
             }
-            Errand::Tell(word) => poison::tell(&control, word),
-            Errand::Rate(sample) => ratings::give(control, sample),
-            Errand::CatchUp(revision, reply) => {
+            Command::SendPoison(outgoing) => poison::send_outgoing(&control, outgoing),
+            Command::SubmitSample(sample) => ratings::enqueue(control, sample),
+            Command::CatchUp(revision, reply) => {
                 actix_web::rt::spawn(async move {
                     control.catch_up(revision).await;
                     let _ = reply.send(());
                 });
             }
-            Errand::Cancel(to, cancel) => {
+            Command::Cancel(to, cancel) => {
                 actix_web::rt::spawn(async move { control.engines.cancel(to, &cancel).await });
             }
-            Errand::Look(server) => {
-                actix_web::rt::spawn(async move { super::duty::look(&control, &server).await });
+            Command::ProbeServer(server) => {
+                actix_web::rt::spawn(
+                    async move { super::duty::probe_server(&control, &server).await },
+                );
             }
-            Errand::Explain(request, reply) => {
+            Command::Explain(request, reply) => {
                 actix_web::rt::spawn(async move {
                     let call = Call::Explain { request };
-                    let found = control.ask_all(call).await.into_iter().next();
+                    let found = control.call_all(call).await.into_iter().next();
                     let _ = reply.send(found);
                 });
             }
-            Errand::Burn(reply) => {
+            Command::CollectBurn(reply) => {
                 actix_web::rt::spawn(async move {
-                    let _ = reply.send(control.ask_all(Call::Burn).await);
+                    let _ = reply.send(control.call_all(Call::Burn).await);
                 });
             }
         }
     }
 
     /// Asks every other VM and gathers the texts.
-    async fn ask_all(&self, call: Call) -> Vec<String> {
-        let others = self.others();
-        let asked = others.iter().map(|member| self.call(member.address, call.clone()));
-        let replies = futures_util::future::join_all(asked).await;
+    async fn call_all(&self, call: Call) -> Vec<String> {
+        let others = self.other_vms();
+        let calls = others.iter().map(|member| self.call(member.address, call.clone()));
+        let replies = futures_util::future::join_all(calls).await;
         let text = |reply| match reply {
             Some(Reply::Text(text)) => text,
             _ => None,
@@ -251,54 +253,54 @@
     }
 
     /// Members in the order of their claim to a duty.
-    pub fn in_order(duty: &str, members: &[Member]) -> Vec<Member> {
+    pub fn ranked_members(duty: &str, members: &[Member]) -> Vec<Member> {
         let order = ranked(duty, members.iter().map(|member| &member.vm));
         let find = |vm: &Vm| members.iter().find(|member| member.vm == *vm).cloned();
         order.into_iter().filter_map(find).collect()
     }
 
     /// The other VMs that may be working.
-    pub fn others(&self) -> Vec<Member> {
-        let me = &self.vm.settings.vm;
-        self.gossip(|g| g.present().filter(|member| member.vm != *me).cloned().collect())
+    pub fn other_vms(&self) -> Vec<Member> {
+        let own_vm = &self.vm.settings.vm;
+        self.with_gossip(|g| g.present().filter(|member| member.vm != *own_vm).cloned().collect())
     }
 
     /// Asks a few VMs and the store for a revision that a token names.
     async fn catch_up(&self, revision: Revision) {
-        let want = self.gossip(|g| g.want());
-        for member in self.others() {
+        let want = self.with_gossip(|g| g.want());
+        for member in self.other_vms() {
             self.send(member.address, want.clone());
         }
         for _ in 0..20 {
             if self.vm.config().revision() >= revision {
                 return;
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(GOSSIP_INTERVAL).await;
         }
-        let _ = super::spread::read_root(self).await;
+        let _ = super::config_watch::read_root(self).await;
     }
 
     /// Greets the seeds until another VM is known.
-    pub async fn greet(self) {
+    pub async fn join(self) {
         loop {
-            if self.others().is_empty() {
+            if self.other_vms().is_empty() {
                 for seed in self.vm.settings.seeds.clone() {
                     if seed != self.vm.settings.peer {
-                        let frame = self.gossip(|g| g.greet());
+                        let frame = self.with_gossip(|g| g.greet());
                         self.send(seed, frame);
                     }
                 }
             }
-            tokio::time::sleep(GREET_EVERY).await;
+            tokio::time::sleep(JOIN_RETRY_INTERVAL).await;
         }
     }
 
     /// Hands over what others need and leaves.
     pub async fn leave(&self) {
-        claims::release(self).await;
+        claims::release_unused_keys(self).await;
         bills::flush_own(self).await;
         let now = self.vm.clock.now();
-        let out = self.gossip(|g| g.leave(now));
+        let out = self.with_gossip(|g| g.leave(now));
         for (to, frame) in out {
             let bytes = encode(&Envelope { from: self.vm.settings.vm.clone(), body: frame });
             self.links.send(to.address, bytes).await;
@@ -313,11 +315,11 @@
     type Context = Context<Ticker>;
 
     fn started(&mut self, context: &mut Context<Ticker>) {
-        context.run_interval(TICK, |ticker, _| ticker.0.tick());
+        context.run_interval(GOSSIP_INTERVAL, |ticker, _| ticker.0.tick());
     }
 }
 
-fn kind(frame: &Frame) -> &'static str {
+fn frame_label(frame: &Frame) -> &'static str {
     match frame {
         Frame::Probe { .. } => "probe",
         Frame::Ack { .. } => "ack",
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -1,7 +1,7 @@
 //! Duties in the background: looking at servers, stepping roll-outs, learning.
 
-mod learn;
-mod look;
+mod policy;
+mod probe;
 mod rollout;
 mod service;
 
@@ -14,32 +14,32 @@
 use crate::peer::ranked;
 use crate::unit::Model;
 
-pub use learn::learn;
-pub use look::{look, look_in_turn};
+pub use policy::update_policies;
+pub use probe::{probe_server, probe_servers};
 pub use rollout::step_rollouts;
 pub use service::watch_service;
 
 /// Time between two looks at roll-outs.
-const STEP_EVERY: Duration = Duration::from_millis(500);
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Windows of a version in service that its next is compared with.
-const WINDOWS_KEPT: u64 = 12;
+const BASELINE_WINDOWS: u64 = 12;
 
-fn is_mine(control: &Control, model: &Model) -> bool {
+fn is_responsible(control: &Control, model: &Model) -> bool {
     let now = control.vm.clock.now();
-    let me = &control.vm.settings.vm;
+    let own_vm = &control.vm.settings.vm;
     let duty = format!("rollout/{model}");
     control.vm.may_start(now)
-        && control.gossip(|g| {
+        && control.with_gossip(|g| {
             let order = ranked(&duty, g.present().map(|member| &member.vm));
-            order.first().is_some_and(|first| *first == me)
+            order.first().is_some_and(|first| *first == own_vm)
         })
 }
 
-fn arm(tally: Counts) -> Arm {
+fn arm(counts: Counts) -> Arm {
     Arm {
-        errors: Count::of(tally.ended, tally.failed),
-        slow: Count::of(tally.ended, tally.slow),
-        poor: Count::of(tally.rated, tally.poor),
+        errors: Count::of(counts.ended, counts.failed),
+        slow: Count::of(counts.ended, counts.slow),
+        poor: Count::of(counts.rated, counts.poor),
     }
 }
--- a/src/vm/duty/learn.rs
+++ b/src/vm/duty/policy.rs
@@ -3,61 +3,65 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use super::WINDOWS_KEPT;
+use super::BASELINE_WINDOWS;
 use crate::config::{Snapshot, VersionEntry};
 use crate::decide::cascade::{self, Belief, Rungs};
 use crate::decide::{limit, rollout};
 use crate::evidence::{Counts, Key};
 use crate::unit::{Kind, Model, Rate, Target, Workspace};
 use crate::vm::control::Control;
-use crate::vm::state::WINDOW;
+use crate::vm::state::TRIAL_WINDOW_US;
 
 /// Time between two solutions of cascades, limits' parts and sampling.
-const LEARN_EVERY: Duration = Duration::from_millis(500);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Learns the rules of cascades, the parts of limits and the sampling of ratings.
-pub async fn learn(control: Control) {
+pub async fn update_policies(control: Control) {
     let mut demand: BTreeMap<Workspace, (u64, u64, f64, f64)> = BTreeMap::new();
-    let mut learnt: HashMap<Workspace, Learnt> = HashMap::new();
+    let mut cascades: HashMap<Workspace, CascadeState> = HashMap::new();
     loop {
-        tokio::time::sleep(LEARN_EVERY).await;
+        tokio::time::sleep(UPDATE_INTERVAL).await;
         let snapshot = control.vm.config();
-        learn_rules(&control, &snapshot, &mut learnt);
-        learn_parts(&control, &snapshot, &mut demand);
-        learn_sampling(&control, &snapshot);
-        forget(&control, &snapshot);
+        update_cascade_rules(&control, &snapshot, &mut cascades);
+        update_rate_shares(&control, &snapshot, &mut demand);
+        update_sampling_rates(&control, &snapshot);
+        remove_old_trials(&control, &snapshot);
     }
 }
 
-/// What was learnt of one workspace: the sums seen last, and what is believed since.
+/// What was cascades of one workspace: the sums seen last, and what is believed since.
 #[derive(Default)]
-struct Learnt {
-    sums: BTreeMap<Key, Counts>,
+struct CascadeState {
+    last_sums: BTreeMap<Key, Counts>,
     beliefs: BTreeMap<Kind, Belief>,
-    watches: BTreeMap<Kind, cascade::DriftDetector>,
+    detectors: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
-fn learn_rules(control: &Control, snapshot: &Snapshot, learnt: &mut HashMap<Workspace, Learnt>) {
+fn update_cascade_rules(
+    control: &Control,
+    snapshot: &Snapshot,
+    cascades: &mut HashMap<Workspace, CascadeState>,
+) {
     for workspace in &snapshot.declared.workspaces {
         if workspace.cascades.is_empty() {
             continue;
         }
-        let known = learnt.entry(workspace.name.clone()).or_default();
-        absorb(control, &workspace.name, known);
+        let state = cascades.entry(workspace.name.clone()).or_default();
+        update_beliefs(control, &workspace.name, state);
         for declared in &workspace.cascades {
-            let Some(rungs) = rungs(snapshot, &declared.rungs) else { continue };
-            let beliefs: Vec<Belief> = known.beliefs.values().cloned().collect();
+            let Some(rungs) = cascade_rungs(snapshot, &declared.rungs) else { continue };
+            let beliefs: Vec<Belief> = state.beliefs.values().cloned().collect();
             let rules = cascade::solve(&beliefs, &rungs, declared.target);
-            let mut held = control.vm.rules.write().expect("no panic while held");
-            for (kind, rule) in known.beliefs.keys().zip(rules) {
-                held.insert((workspace.name.clone(), kind.clone()), rule);
+            let mut installed = control.vm.cascade_rules.write().expect("no panic while held");
+            for (kind, rule) in state.beliefs.keys().zip(rules) {
+                installed.insert((workspace.name.clone(), kind.clone()), rule);
             }
         }
     }
 }
 
 /// Price and quality of a cascade's first and last rung, for an answer of a thousand tokens.
-pub fn rungs(snapshot: &Snapshot, models: &[Model]) -> Option<Rungs> {
+pub fn cascade_rungs(snapshot: &Snapshot, models: &[Model]) -> Option<Rungs> {
     let entry = |model: &Model| -> Option<VersionEntry> {
         let version = snapshot.serving(model)?;
         snapshot.version(&Target { model: model.clone(), version }).cloned()
@@ -73,20 +77,20 @@
 }
 
 /// Adds what evidence has grown by to what is believed; older ratings fade.
-fn absorb(control: &Control, workspace: &Workspace, known: &mut Learnt) {
+fn update_beliefs(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
     let of_workspace = |key: &Key| match key {
         Key::Cheap { workspace: w, .. } | Key::Strong { workspace: w, .. } => w == workspace,
         _ => false,
     };
-    let sums = control.gossip(|g| g.evidence.sums(of_workspace));
+    let sums = control.with_gossip(|g| g.evidence.sums(of_workspace));
     for (key, sum) in &sums {
-        let before = known.sums.get(key).copied().unwrap_or_default();
+        let before = state.last_sums.get(key).copied().unwrap_or_default();
         let ended = sum.ended.saturating_sub(before.ended) as f64;
         let rated = sum.rated.saturating_sub(before.rated);
         let poor = sum.poor.saturating_sub(before.poor);
         let (Key::Cheap { kind, bin, .. } | Key::Strong { kind, bin, .. }) = key else { continue };
         let bin = usize::from(*bin).min(cascade::BINS);
-        let belief = known.beliefs.entry(kind.clone()).or_default();
+        let belief = state.beliefs.entry(kind.clone()).or_default();
         belief.decay(cascade::RATING_DECAY.powf(rated as f64));
         let cell = match key {
             Key::Cheap { .. } => {
@@ -103,64 +107,64 @@
         for i in 0..rated {
             cell.add(i >= poor);
         }
-        if !matches!(key, Key::Cheap { .. }) || known.sums.is_empty() {
+        if !matches!(key, Key::Cheap { .. }) || state.last_sums.is_empty() {
             continue;
         }
-        let rules = control.vm.rules.read().expect("no panic while held");
+        let rules = control.vm.cascade_rules.read().expect("no panic while held");
         let rule = rules.get(&(workspace.clone(), kind.clone()));
         let expected = rule.map_or(0.0, |rule| rule.cheap[bin.min(cascade::BINS - 1)]);
-        let watch = known.watches.entry(kind.clone()).or_default();
-        let alarms = (0..rated).filter(|i| expected > 0.0 && watch.record(expected, *i >= poor));
+        let detector = state.detectors.entry(kind.clone()).or_default();
+        let alarms = (0..rated).filter(|i| expected > 0.0 && detector.record(expected, *i >= poor));
         if alarms.count() > 0 {
             belief.discount();
         }
     }
-    known.sums = sums;
+    state.last_sums = sums;
 }
 
-fn learn_parts(
+fn update_rate_shares(
     control: &Control,
     snapshot: &Snapshot,
     demand: &mut BTreeMap<Workspace, (u64, u64, f64, f64)>,
 ) {
     let origin = control.vm.origin();
-    let vms = control.others().len() + 1;
+    let vms = control.other_vms().len() + 1;
     for workspace in &snapshot.declared.workspaces {
         let key = Key::Demand { workspace: workspace.name.clone() };
-        let (own, all) =
-            control.gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
+        let (own, all) = control
+            .with_gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
         let held = demand.entry(workspace.name.clone()).or_default();
         // Recent demand counts; a VM that was busy an hour ago needs no part now.
         held.2 = held.2 * 0.9 + own.saturating_sub(held.0) as f64;
         held.3 = held.3 * 0.9 + all.saturating_sub(held.1) as f64;
         held.0 = own;
         held.1 = all;
-        let part: Rate = limit::local_share(workspace.limit, held.2, held.3, vms);
-        let mut parts = control.vm.parts.write().expect("no panic while held");
-        parts.insert(workspace.name.clone(), part);
+        let share: Rate = limit::local_share(workspace.limit, held.2, held.3, vms);
+        let mut shares = control.vm.rate_shares.write().expect("no panic while held");
+        shares.insert(workspace.name.clone(), share);
     }
 }
 
-fn learn_sampling(control: &Control, snapshot: &Snapshot) {
+fn update_sampling_rates(control: &Control, snapshot: &Snapshot) {
     let usual = control.vm.settings.rated_share;
     let rollout = snapshot.root.rollouts.iter().max_by_key(|rollout| rollout.share);
-    let sampling = match rollout {
+    let rates = match rollout {
         Some(rollout) => {
             let key = Key::Trial { target: rollout.to.clone(), since: rollout.begun.0 };
-            let rated = control.gossip(|g| g.evidence.sum(&key).rated);
+            let rated = control.with_gossip(|g| g.evidence.sum(&key).rated);
             rollout::rating_shares(rollout.share, 1.0, usual, rated as f64)
         }
         None => (usual, usual),
     };
-    *control.vm.sampling.write().expect("no panic while held") = sampling;
+    *control.vm.sampling_rates.write().expect("no panic while held") = rates;
 }
 
 /// Drops evidence of trials that no decision looks at any more.
-fn forget(control: &Control, snapshot: &Snapshot) {
+fn remove_old_trials(control: &Control, snapshot: &Snapshot) {
     let date = control.vm.clock.date();
-    let oldest = date.0.saturating_sub((WINDOWS_KEPT + 1) * WINDOW);
+    let oldest = date.0.saturating_sub((BASELINE_WINDOWS + 1) * TRIAL_WINDOW_US);
     let running: Vec<u64> = snapshot.root.rollouts.iter().map(|r| r.begun.0).collect();
-    control.gossip(|g| {
+    control.with_gossip(|g| {
         g.evidence.remove_where(|key| match key {
             Key::Trial { since, .. } => *since < oldest && !running.contains(since),
             _ => false,
--- a/src/vm/duty/service.rs
+++ b/src/vm/duty/service.rs
@@ -1,19 +1,19 @@
 //! Watches versions long in service.
 
-use super::{STEP_EVERY, WINDOWS_KEPT, arm, is_mine};
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 use crate::config::{Change, Plan, Snapshot};
 use crate::decide::sequential;
 use crate::evidence::{Counts, Key};
 use crate::operator::confirm;
 use crate::unit::Target;
+use crate::vm::config_watch;
 use crate::vm::control::Control;
-use crate::vm::spread;
-use crate::vm::state::WINDOW;
+use crate::vm::state::TRIAL_WINDOW_US;
 
 /// Watches versions long in service: the present window against the ones before.
 pub async fn watch_service(control: Control) {
     loop {
-        tokio::time::sleep(STEP_EVERY).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         let snapshot = control.vm.config();
         let date = control.vm.clock.date();
         for model in &snapshot.declared.models {
@@ -21,8 +21,8 @@
                 continue;
             };
             let target = Target { model: model.name.clone(), version };
-            let fall_back = snapshot.root.previous.get(&model.name);
-            let usable = fall_back.is_some_and(|version| {
+            let previous_version = snapshot.root.previous.get(&model.name);
+            let usable = previous_version.is_some_and(|version| {
                 let previous = Target { model: model.name.clone(), version: version.clone() };
                 !snapshot.root.withdrawn.contains(&previous)
             });
@@ -30,11 +30,11 @@
             if !usable || snapshot.rollout(&model.name).is_some() {
                 continue;
             }
-            if !is_mine(&control, &model.name) {
+            if !is_responsible(&control, &model.name) {
                 continue;
             }
-            let window = date.0 / WINDOW * WINDOW;
-            let (now, before) = windows(&control, &target, window);
+            let window = date.0 / TRIAL_WINDOW_US * TRIAL_WINDOW_US;
+            let (now, before) = ratings_by_window(&control, &target, window);
             let usual = arm(before).poor;
             if usual.all < 50.0 {
                 continue;
@@ -52,21 +52,21 @@
     }
 }
 
-fn windows(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
-    control.gossip(|g| {
-        let oldest = window.saturating_sub(WINDOWS_KEPT * WINDOW);
+fn ratings_by_window(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
+    control.with_gossip(|g| {
+        let oldest = window.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
         let of_target = g.evidence.sums(
             |key| matches!(key, Key::Trial { target: t, since } if t == target && *since >= oldest),
         );
         let mut now = Counts::default();
         let mut before = Counts::default();
-        for (key, tally) in of_target {
+        for (key, counts) in of_target {
             let Key::Trial { since, .. } = key else {
                 continue;
             };
             let sum = if since == window { &mut now } else { &mut before };
-            sum.rated += tally.rated;
-            sum.poor += tally.poor;
+            sum.rated += counts.rated;
+            sum.poor += counts.poor;
         }
         (now, before)
     })
@@ -74,13 +74,13 @@
 
 async fn withdraw(control: &Control, snapshot: &Snapshot, target: &Target, now: Counts) {
     let reason = format!("it turned bad in service: {} of {} rated poor", now.poor, now.rated);
-    let words = vec![format!("withdraw {target}: {reason}")];
+    let descriptions = vec![format!("withdraw {target}: {reason}")];
     let change = Change::Withdraw { target: target.clone(), reason };
-    let plan = Plan::new(snapshot.revision(), vec![change], words.clone(), Vec::new());
+    let plan = Plan::new(snapshot.revision(), vec![change], descriptions.clone(), Vec::new());
     let who = control.vm.settings.vm.to_string();
     let date = control.vm.clock.date();
     if confirm(&control.store, &plan, &who, date).await.is_ok() {
-        log::warn!("{who} {}", words[0]);
-        let _ = spread::read_root(control).await;
+        log::warn!("{who} {}", descriptions[0]);
+        let _ = config_watch::read_root(control).await;
     }
 }
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -10,7 +10,7 @@
 use crate::unit::{DataCentre, Moment, Revision, Server, Service, Span, Target};
 
 /// Latency to another data centre, one way.
-const BETWEEN: Span = Span::millis(1);
+const CROSS_DATA_CENTRE_LATENCY: Span = Span::millis(1);
 
 /// What a server can be chosen for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -23,7 +23,7 @@
 
 /// A chosen server.
 #[derive(Clone, Debug)]
-pub struct Picked {
+pub struct SelectedServer {
     /// Its name.
     pub server: Server,
     /// Where it listens.
@@ -31,53 +31,54 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct ServerState {
     address: SocketAddr,
     slots: f64,
-    life: Machine,
+    state_machine: Machine,
     load: Load,
     reported_at: Moment,
-    own: f64,
-    own_then: f64,
+    in_flight: f64,
+    in_flight_at_report: f64,
     failed_at: Option<Moment>,
-    distance: Span,
+    latency: Span,
     number: u64,
-    places: Vec<(Group, usize)>,
+    positions: Vec<(Group, usize)>,
 }
 
 /// All backend servers of the configuration.
 #[derive(Debug, Default)]
 pub struct Fleet {
     revision: Option<Revision>,
-    servers: HashMap<Server, Known>,
+    servers: HashMap<Server, ServerState>,
     groups: HashMap<Group, (Vec<Replica>, Vec<Server>)>,
 }
 
 impl Fleet {
-    /// Follows the configuration; what is known of servers that stay is kept.
+    /// Follows the configuration; what is state of servers that stay is kept.
     pub fn sync(&mut self, snapshot: &Snapshot, home: &DataCentre) {
         if self.revision == Some(snapshot.revision()) {
             return;
         }
         self.revision = Some(snapshot.revision());
-        let mut before = std::mem::take(&mut self.servers);
+        let mut previous = std::mem::take(&mut self.servers);
         self.groups.clear();
         for (i, entry) in snapshot.declared.servers.iter().enumerate() {
-            let mut known = before.remove(&entry.name).unwrap_or_else(|| fresh(entry));
-            known.address = entry.address;
-            known.slots = f64::from(entry.slots);
-            known.number = i as u64;
-            known.distance = if entry.data_centre == *home { Span(0) } else { BETWEEN };
-            known.places.clear();
+            let mut state = previous.remove(&entry.name).unwrap_or_else(|| new_state(entry));
+            state.address = entry.address;
+            state.slots = f64::from(entry.slots);
+            state.number = i as u64;
+            state.latency =
+                if entry.data_centre == *home { Span(0) } else { CROSS_DATA_CENTRE_LATENCY };
+            state.positions.clear();
             if !snapshot.root.drained.contains(&entry.data_centre) {
                 for group in groups_of(entry) {
                     let (replicas, names) = self.groups.entry(group.clone()).or_default();
-                    known.places.push((group, replicas.len()));
-                    replicas.push(replica(&known));
+                    state.positions.push((group, replicas.len()));
+                    replicas.push(replica(&state));
                     names.push(entry.name.clone());
                 }
             }
-            self.servers.insert(entry.name.clone(), known);
+            self.servers.insert(entry.name.clone(), state);
         }
         let names: Vec<Server> = self.servers.keys().cloned().collect();
         for name in names {
@@ -86,150 +87,151 @@
     }
 
     /// Chooses a server and counts the request on it.
-    pub fn pick(
+    pub fn select_server(
         &mut self,
         group: &Group,
         prefix: Option<u64>,
         point: u64,
         now: Moment,
-    ) -> Option<Picked> {
+    ) -> Option<SelectedServer> {
         let (replicas, names) = self.groups.get(group)?;
         let at = choose(replicas, prefix, point, now)?;
         let server = names[at].clone();
-        let known = self.servers.get_mut(&server)?;
-        known.own += 1.0;
-        let address = known.address;
+        let state = self.servers.get_mut(&server)?;
+        state.in_flight += 1.0;
+        let address = state.address;
         self.refresh(&server);
-        Some(Picked { server, address })
+        Some(SelectedServer { server, address })
     }
 
     /// A request on a server ended.
-    pub fn ended(&mut self, server: &Server) {
-        if let Some(known) = self.servers.get_mut(server) {
-            known.own = (known.own - 1.0).max(0.0);
+    pub fn on_request_end(&mut self, server: &Server) {
+        if let Some(state) = self.servers.get_mut(server) {
+            state.in_flight = (state.in_flight - 1.0).max(0.0);
             self.refresh(server);
         }
     }
 
     /// A server reported its load.
-    pub fn report(&mut self, server: &Server, load: Load, now: Moment) {
-        let Some(known) = self.servers.get_mut(server) else {
+    pub fn on_load_report(&mut self, server: &Server, load: Load, now: Moment) {
+        let Some(state) = self.servers.get_mut(server) else {
             return;
         };
         let event = if load.leaving { "leave" } else { "report" };
-        let _ = known.life.take(event);
-        known.load = load;
-        known.reported_at = now;
-        known.own_then = known.own;
-        if !known.load.leaving {
-            known.failed_at = None;
+        let _ = state.state_machine.take(event);
+        state.load = load;
+        state.reported_at = now;
+        state.in_flight_at_report = state.in_flight;
+        if !state.load.leaving {
+            state.failed_at = None;
         }
         self.refresh(server);
     }
 
     /// A server's answer told its load: requests running and waiting.
-    pub fn hint(&mut self, server: &Server, running: u32, waiting: u32, now: Moment) {
-        let Some(known) = self.servers.get_mut(server) else {
+    pub fn on_load_hint(&mut self, server: &Server, running: u32, waiting: u32, now: Moment) {
+        let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        known.load.running = running;
-        known.load.waiting = waiting;
-        known.reported_at = now;
-        known.own_then = known.own;
+        state.load.running = running;
+        state.load.waiting = waiting;
+        state.reported_at = now;
+        state.in_flight_at_report = state.in_flight;
         self.refresh(server);
     }
 
     /// A server did not take a request, or broke one off.
-    pub fn failed(&mut self, server: &Server, now: Moment) {
-        let Some(known) = self.servers.get_mut(server) else {
+    pub fn on_failure(&mut self, server: &Server, now: Moment) {
+        let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = known.life.take("fail");
-        known.failed_at = Some(now);
+        let _ = state.state_machine.take("fail");
+        state.failed_at = Some(now);
         self.refresh(server);
     }
 
     /// A server said that it is leaving.
-    pub fn leaving(&mut self, server: &Server) {
-        let Some(known) = self.servers.get_mut(server) else {
+    pub fn on_drain(&mut self, server: &Server) {
+        let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = known.life.take("leave");
+        let _ = state.state_machine.take("leave");
         self.refresh(server);
     }
 
     /// Name and address of each server.
     pub fn addresses(&self) -> Vec<(Server, SocketAddr)> {
-        self.servers.iter().map(|(name, known)| (name.clone(), known.address)).collect()
+        self.servers.iter().map(|(name, state)| (name.clone(), state.address)).collect()
     }
 
     /// Where a server listens.
     pub fn address(&self, server: &Server) -> Option<SocketAddr> {
-        self.servers.get(server).map(|known| known.address)
+        self.servers.get(server).map(|state| state.address)
     }
 
     /// Whether a server reports a version as loaded.
     pub fn has_loaded(&self, server: &Server, target: &Target) -> bool {
-        self.servers.get(server).is_some_and(|known| known.load.loaded.contains(target))
+        self.servers.get(server).is_some_and(|state| state.load.loaded.contains(target))
     }
 
     /// Servers of a group.
-    pub fn size(&self, group: &Group) -> usize {
+    pub fn server_count(&self, group: &Group) -> usize {
         self.groups.get(group).map_or(0, |(replicas, _)| replicas.len())
     }
 
     /// Why a request could or could not go to each server of a group, in words.
-    pub fn candidates(&self, group: &Group, now: Moment) -> Vec<String> {
+    pub fn describe_candidates(&self, group: &Group, now: Moment) -> Vec<String> {
         let Some((replicas, names)) = self.groups.get(group) else {
             return Vec::new();
         };
-        let word = |(replica, name): (&Replica, &Server)| {
-            let state = self.servers.get(name).map_or("unknown", |known| known.life.state());
-            let ruled = if !replica.accepting {
+        let describe = |(replica, name): (&Replica, &Server)| {
+            let state =
+                self.servers.get(name).map_or("unknown", |server| server.state_machine.state());
+            let verdict = if !replica.accepting {
                 format!("ruled out: {state} or not loaded")
             } else if !replica.usable(now) {
                 "ruled out: failed a moment ago".to_owned()
             } else {
                 format!("load {:.0}, own {:.0}", replica.reported, replica.own)
             };
-            format!("{name}: {ruled}")
+            format!("{name}: {verdict}")
         };
-        replicas.iter().zip(names).map(word).collect()
+        replicas.iter().zip(names).map(describe).collect()
     }
 
     fn refresh(&mut self, server: &Server) {
-        let Some(known) = self.servers.get(server) else {
+        let Some(state) = self.servers.get(server) else {
             return;
         };
-        for (group, at) in &known.places {
+        for (group, at) in &state.positions {
             let Some((replicas, _)) = self.groups.get_mut(group) else {
                 continue;
             };
-            let mut fresh = replica(known);
+            let mut fresh = replica(state);
             if let Group::Version(target) = group
-                && known.reported_at > Moment(0)
-                && !known.load.loaded.is_empty()
+                && state.reported_at > Moment(0)
+                && !state.load.loaded.is_empty()
             {
-                fresh.accepting &= known.load.loaded.contains(target);
+                fresh.accepting &= state.load.loaded.contains(target);
             }
             replicas[*at] = fresh;
         }
     }
 }
 
-fn fresh(entry: &ServerEntry) -> Known {
-    Known {
+fn new_state(entry: &ServerEntry) -> ServerState {
+    ServerState {
         address: entry.address,
         slots: f64::from(entry.slots),
-        life: Machine::new(chart::named("server")),
+        state_machine: Machine::new(chart::named("server")),
         load: Load::default(),
         reported_at: Moment(0),
-        own: 0.0,
-        own_then: 0.0,
+        in_flight: 0.0,
+        in_flight_at_report: 0.0,
         failed_at: None,
-        distance: Span(0),
+        latency: Span(0),
         number: 0,
-        places: Vec::new(),
+        positions: Vec::new(),
     }
 }
 
@@ -238,16 +240,16 @@
     versions.chain(entry.service.iter().cloned().map(Group::Service)).collect()
 }
 
-fn replica(known: &Known) -> Replica {
+fn replica(state: &ServerState) -> Replica {
     Replica {
-        id: known.number,
-        slots: known.slots,
-        reported: f64::from(known.load.running + known.load.waiting),
-        reported_at: known.reported_at,
-        own: known.own,
-        own_at_report: known.own_then,
-        accepting: !matches!(known.life.state(), "leaving" | "gone"),
-        failed_at: known.failed_at,
-        latency: known.distance,
+        id: state.number,
+        slots: state.slots,
+        reported: f64::from(state.load.running + state.load.waiting),
+        reported_at: state.reported_at,
+        own: state.in_flight,
+        own_at_report: state.in_flight_at_report,
+        accepting: !matches!(state.state_machine.state(), "leaving" | "gone"),
+        failed_at: state.failed_at,
+        latency: state.latency,
     }
 }
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -3,22 +3,22 @@
 mod bills;
 mod claims;
 mod clock;
+mod command;
+mod config_watch;
 mod control;
 mod duty;
-mod errand;
 mod fleet;
 pub mod poison;
 mod ratings;
 mod run;
 mod settings;
-mod spread;
 mod state;
 
 pub use clock::{Clock, Reading};
-pub use errand::{Asked, Errand};
-pub use fleet::{Fleet, Group, Picked};
-pub use ratings::{Subject, Waiting};
+pub use command::{Command, KeyUse};
+pub use config_watch::{ROOT_KEY, fetch_snapshot, piece_key};
+pub use fleet::{Fleet, Group, SelectedServer};
+pub use ratings::{PendingSamples, Subject};
 pub use run::{Handle, start};
 pub use settings::{Secret, SessionKeys, Settings};
-pub use spread::{ROOT, fetch, piece_key};
 pub use state::Vm;
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -10,13 +10,13 @@
 use crate::unit::{Date, RequestId, Span};
 
 /// Time between two exchanges with the rating service.
-const EXCHANGE: Duration = Duration::from_millis(250);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Samples that wait for a rating at most; the oldest are given up.
-const WAITING: usize = 20_000;
+const MAX_PENDING_SAMPLES: usize = 20_000;
 
 /// Weight of the latest rating in the usual lag.
-const LATEST: f64 = 0.1;
+const SMOOTHING_FACTOR: f64 = 0.1;
 
 /// What a sample's rating counts for.
 #[derive(Clone, Debug)]
@@ -29,21 +29,21 @@
 
 thread_local! {
     // One control thread serves one VM, so its queue needs no lock.
-    static OUT: RefCell<Vec<Sample>> = const { RefCell::new(Vec::new()) };
+    static OUTBOX: RefCell<Vec<Sample>> = const { RefCell::new(Vec::new()) };
 }
 
 /// Samples that wait, and the usual lag of ratings.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct PendingSamples {
     subjects: HashMap<RequestId, Subject>,
     order: VecDeque<RequestId>,
     lag: f64,
 }
 
-impl Waiting {
+impl PendingSamples {
     /// Notes what the rating of a request will count for.
-    pub fn note(&mut self, request: RequestId, subject: Subject) {
-        if self.order.len() >= WAITING
+    pub fn insert(&mut self, request: RequestId, subject: Subject) {
+        if self.order.len() >= MAX_PENDING_SAMPLES
             && let Some(oldest) = self.order.pop_front()
         {
             self.subjects.remove(&oldest);
@@ -52,10 +52,11 @@
         self.subjects.insert(request, subject);
     }
 
-    fn take(&mut self, request: &RequestId, now: Date) -> Option<Subject> {
+    fn remove(&mut self, request: &RequestId, now: Date) -> Option<Subject> {
         let subject = self.subjects.remove(request)?;
         let lag = now.since(subject.date).as_secs();
-        self.lag = if self.lag == 0.0 { lag } else { self.lag + LATEST * (lag - self.lag) };
+        self.lag =
+            if self.lag == 0.0 { lag } else { self.lag + SMOOTHING_FACTOR * (lag - self.lag) };
         Some(subject)
     }
 
@@ -66,9 +67,9 @@
 }
 
 /// Queues a sample.
-pub fn give(control: Control, sample: Sample) {
+pub fn enqueue(control: Control, sample: Sample) {
     if control.ratings.is_some() {
-        OUT.with_borrow_mut(|out| out.push(sample));
+        OUTBOX.with_borrow_mut(|outbox| outbox.push(sample));
     }
 }
 
@@ -78,19 +79,23 @@
         return;
     };
     loop {
-        tokio::time::sleep(EXCHANGE).await;
-        let samples = OUT.with_borrow_mut(std::mem::take);
+        tokio::time::sleep(EXCHANGE_INTERVAL).await;
+        let samples = OUTBOX.with_borrow_mut(std::mem::take);
         if !samples.is_empty() {
             ratings.give(&samples).await;
         }
         let date = control.vm.clock.date();
         for rating in ratings.take(&control.vm.settings.vm).await {
-            let subject =
-                control.vm.waiting.lock().expect("no panic while held").take(&rating.request, date);
+            let subject = control
+                .vm
+                .pending_samples
+                .lock()
+                .expect("no panic while held")
+                .remove(&rating.request, date);
             let Some(subject) = subject else { continue };
             let more = Counts { rated: 1, poor: u64::from(!rating.pass), ..Counts::default() };
             for key in subject.keys {
-                control.vm.learn(key, more);
+                control.vm.record_evidence(key, more);
             }
         }
     }
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -13,32 +13,32 @@
 use tokio::sync::mpsc;
 
 use super::control::Control;
-use super::{Clock, Settings, Vm, bills, duty, poison, ratings, spread};
+use super::{Clock, Settings, Vm, bills, config_watch, duty, poison, ratings};
 use crate::engine::client::Engines;
 use crate::entry;
 use crate::error::Error;
 use crate::history::{Event, Sink};
-use crate::ledger::Book;
+use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::{Gossip, Links, Member, State};
 use crate::platform::{Ratings, Store};
 use crate::unit::{Incarnation, Moment};
 
 /// Connections that may wait to be taken.
-const BACKLOG: u32 = 4096;
+const LISTEN_BACKLOG: u32 = 4096;
 
 /// Connections of one worker.
-const CONNECTIONS: usize = 20_000;
+const MAX_WORKER_CONNECTIONS: usize = 20_000;
 
 /// A caller's request head must come within this; longer than pauses that a VM wakes from, since the
 /// library counts them as the caller's.
-const HEAD_WITHIN: Duration = Duration::from_secs(60);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time between two looks whether the last request has ended.
-const LOOK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// After a planned stop, connections that are idle get this long, in seconds.
-const IDLE_SECS: u64 = 1;
+const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
 /// A VM that runs on this thread.
 pub struct Handle {
@@ -69,39 +69,39 @@
         beat: 0,
         state: State::Alive,
     };
-    let (errands, asked) = mpsc::unbounded_channel();
+    let (command_sender, commands) = mpsc::unbounded_channel();
     let gossip = Gossip::new(me, clock.now());
-    let vm = Arc::new(Vm::new(settings, clock, gossip, history, errands));
+    let vm = Arc::new(Vm::new(settings, clock, gossip, history, command_sender));
     let store = Store::new(vm.settings.platform);
-    let (bill, billed) = mpsc::unbounded_channel();
+    let (bill_queue, bills) = mpsc::unbounded_channel();
     let control = Control {
         vm: vm.clone(),
         links,
         owner: Owner::start(&store, clock),
         store,
-        book: Rc::new(RefCell::new(Book::new(vm.origin()))),
-        bills: bill,
+        unflushed: Rc::new(RefCell::new(Buffer::new(vm.origin()))),
+        bill_queue,
         ratings: vm.settings.rating.map(Ratings::new),
         engines: Engines::new(),
     };
-    actix_web::rt::spawn(control.clone().run(incoming, asked));
-    actix_web::rt::spawn(control.clone().greet());
-    actix_web::rt::spawn(bills::stand(control.clone(), billed));
-    actix_web::rt::spawn(bills::keep(control.clone()));
-    actix_web::rt::spawn(bills::finish(control.clone()));
-    actix_web::rt::spawn(spread::watch(control.clone()));
-    actix_web::rt::spawn(duty::look_in_turn(control.clone()));
+    actix_web::rt::spawn(control.clone().run(incoming, commands));
+    actix_web::rt::spawn(control.clone().join());
+    actix_web::rt::spawn(bills::replicate_bills(control.clone(), bills));
+    actix_web::rt::spawn(bills::flush_periodically(control.clone()));
+    actix_web::rt::spawn(bills::flush_orphaned(control.clone()));
+    actix_web::rt::spawn(config_watch::watch_root(control.clone()));
+    actix_web::rt::spawn(duty::probe_servers(control.clone()));
     actix_web::rt::spawn(duty::step_rollouts(control.clone()));
     actix_web::rt::spawn(duty::watch_service(control.clone()));
-    actix_web::rt::spawn(duty::learn(control.clone()));
+    actix_web::rt::spawn(duty::update_policies(control.clone()));
     actix_web::rt::spawn(ratings::exchange(control.clone()));
-    actix_web::rt::spawn(poison::remind(control.clone()));
-    let server = door(vm.clone(), listener)?;
+    actix_web::rt::spawn(poison::send_reminders(control.clone()));
+    let server = serve_http(vm.clone(), listener)?;
     log::info!("{} {} serves callers at {address}", vm.settings.vm, vm.incarnation);
     Ok(Handle { vm, address, control, server })
 }
 
-fn door(vm: Arc<Vm>, listener: TcpListener) -> Result<ServerHandle, Error> {
+fn serve_http(vm: Arc<Vm>, listener: TcpListener) -> Result<ServerHandle, Error> {
     let address = vm.settings.listen.to_string();
     let workers = vm.settings.workers;
     let app = move || {
@@ -111,12 +111,12 @@
     };
     let server = HttpServer::new(app)
         .on_connect(crate::standin::no_delay)
-        .client_request_timeout(HEAD_WITHIN)
+        .client_request_timeout(REQUEST_HEAD_TIMEOUT)
         .workers(workers)
-        .backlog(BACKLOG)
-        .max_connections(CONNECTIONS)
+        .backlog(LISTEN_BACKLOG)
+        .max_connections(MAX_WORKER_CONNECTIONS)
         .disable_signals()
-        .shutdown_timeout(IDLE_SECS)
+        .shutdown_timeout(SHUTDOWN_TIMEOUT_SECS)
         .listen(listener)
         .map_err(|fault| Error::Bind(address, fault.to_string()))?
         .run();
@@ -136,7 +136,7 @@
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
         while vm.running.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         let cut = vm.running.load(Ordering::SeqCst);
         self.control.leave().await;
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -8,7 +8,7 @@
 use crate::unit::{DataCentre, Fault, Size, Span, Vm};
 
 /// Shortest secret.
-const SHORTEST: usize = 16;
+const MIN_SECRET_LENGTH: usize = 16;
 
 /// A secret, which is never shown.
 #[derive(Clone, PartialEq, Eq)]
@@ -31,8 +31,8 @@
     type Err = Fault;
 
     fn from_str(text: &str) -> Result<Self, Fault> {
-        if text.len() < SHORTEST {
-            return Err(Fault(format!("use at least {SHORTEST} characters.")));
+        if text.len() < MIN_SECRET_LENGTH {
+            return Err(Fault(format!("use at least {MIN_SECRET_LENGTH} characters.")));
         }
         Ok(Secret(text.as_bytes().to_vec()))
     }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::mpsc;
 
-use super::ratings::Waiting;
-use super::{Clock, Errand, Fleet, Settings};
+use super::ratings::PendingSamples;
+use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
 use crate::decide::cascade::{Credit, Rule};
@@ -48,27 +48,27 @@
     /// Requests in flight.
     pub running: AtomicUsize,
     /// Whether another bill surely finds room.
-    pub bill_room: AtomicBool,
+    pub has_bill_room: AtomicBool,
     /// Samples that wait for their rating.
-    pub waiting: Mutex<Waiting>,
+    pub pending_samples: Mutex<PendingSamples>,
     /// Rules of cascades, by workspace and kind.
-    pub rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
+    pub cascade_rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
     /// Chance that an answer of a version rolled out, or another, is rated.
-    pub sampling: RwLock<(f64, f64)>,
+    pub sampling_rates: RwLock<(f64, f64)>,
     /// Parts of workspaces' limits on this VM.
-    pub parts: RwLock<HashMap<Workspace, Rate>>,
+    pub rate_shares: RwLock<HashMap<Workspace, Rate>>,
     /// Contents under which servers crash.
     pub poison: Mutex<Exchange>,
     /// Keys set aside on this VM.
     pub reserved: Mutex<Reserved>,
-    gates: Mutex<HashMap<Model, AdmissionController>>,
+    admission: Mutex<HashMap<Model, AdmissionController>>,
     dispatches: Mutex<BTreeMap<Revision, usize>>,
     buckets: Mutex<HashMap<Workspace, TokenBucket>>,
-    retries: Mutex<Budget>,
-    ratings: Mutex<Credit>,
+    retry_budget: Mutex<Budget>,
+    rating_credit: Mutex<Credit>,
     permit_until: AtomicU64,
-    numbers: AtomicU64,
-    errands: mpsc::UnboundedSender<Errand>,
+    next_request_number: AtomicU64,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Vm {
@@ -78,7 +78,7 @@
         clock: Clock,
         gossip: Gossip,
         history: Sink,
-        errands: mpsc::UnboundedSender<Errand>,
+        commands: mpsc::UnboundedSender<Command>,
     ) -> Vm {
         Vm {
             incarnation: gossip.me().incarnation,
@@ -93,21 +93,21 @@
             history,
             stopping: AtomicBool::new(false),
             running: AtomicUsize::new(0),
-            bill_room: AtomicBool::new(true),
-            waiting: Mutex::default(),
-            rules: RwLock::default(),
-            sampling: RwLock::new((1.0, 0.0)),
-            parts: RwLock::default(),
+            has_bill_room: AtomicBool::new(true),
+            pending_samples: Mutex::default(),
+            cascade_rules: RwLock::default(),
+            sampling_rates: RwLock::new((1.0, 0.0)),
+            rate_shares: RwLock::default(),
             poison: Mutex::default(),
             reserved: Mutex::default(),
-            gates: Mutex::default(),
+            admission: Mutex::default(),
             dispatches: Mutex::default(),
             buckets: Mutex::default(),
-            retries: Mutex::default(),
-            ratings: Mutex::default(),
+            retry_budget: Mutex::default(),
+            rating_credit: Mutex::default(),
             permit_until: AtomicU64::new(0),
-            numbers: AtomicU64::new(0),
-            errands,
+            next_request_number: AtomicU64::new(0),
+            commands,
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// The configuration in force here, held for a dispatch: until the returned dispatch is
     /// dropped, this VM does not tell others that it obeys a later revision.
-    pub fn dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
+    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
         loop {
             let snapshot = self.config();
             let dispatch = Dispatch::new(self, snapshot.revision());
@@ -130,7 +130,7 @@
     }
 
     /// The revision that all work which this VM sends from now on obeys.
-    pub fn obeyed(&self) -> Revision {
+    pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
@@ -157,51 +157,55 @@
     }
 
     /// A request id that no other VM or life gives.
-    pub fn next_request(&self) -> RequestId {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+    pub fn next_request_id(&self) -> RequestId {
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{:x}-{number:x}", self.settings.vm, self.incarnation.0);
         id.parse().expect("a VM's name leaves room for the numbers")
     }
 
     /// Sends an errand to the control thread.
-    pub fn errand(&self, errand: Errand) {
-        let _ = self.errands.send(errand);
+    pub fn send_command(&self, command: Command) {
+        let _ = self.commands.send(command);
     }
 
     /// Adds to the VM's own evidence.
-    pub fn learn(&self, key: Key, more: Counts) {
+    pub fn record_evidence(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
     }
 
     /// Takes a request of a workspace's rate on this VM, or says how long to wait.
-    pub fn take_rate(
+    pub fn try_acquire_rate(
         &self,
         workspace: &Workspace,
         limit: Rate,
         now: Moment,
     ) -> Result<(), crate::unit::Span> {
-        let part = self.parts.read().expect("no panic while held").get(workspace).copied();
-        let rate = part.unwrap_or(limit);
+        let share = self.rate_shares.read().expect("no panic while held").get(workspace).copied();
+        let rate = share.unwrap_or(limit);
         let mut buckets = self.buckets.lock().expect("no panic while held");
         let bucket =
             buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
         bucket.take(rate, now)
     }
 
-    /// Calls `act` on the gate towards the pool of a model.
-    pub fn gate<T>(&self, model: &Model, act: impl FnOnce(&mut AdmissionController) -> T) -> T {
-        let mut gates = self.gates.lock().expect("no panic while held");
-        match gates.get_mut(model) {
-            Some(gate) => act(gate),
-            None => act(gates
+    /// Calls `f` on the gate towards the pool of a model.
+    pub fn with_admission<T>(
+        &self,
+        model: &Model,
+        f: impl FnOnce(&mut AdmissionController) -> T,
+    ) -> T {
+        let mut controllers = self.admission.lock().expect("no panic while held");
+        match controllers.get_mut(model) {
+            Some(controller) => f(controller),
+            None => f(controllers
                 .entry(model.clone())
-                .or_insert(AdmissionController::new(self.slots(model)))),
+                .or_insert(AdmissionController::new(self.total_slots(model)))),
         }
     }
 
     /// Slots of all servers that run some version of a model.
-    fn slots(&self, model: &Model) -> f64 {
+    fn total_slots(&self, model: &Model) -> f64 {
         let snapshot = self.config();
         let servers = snapshot.declared.servers.iter();
         let of_model = servers.filter(|s| s.versions.iter().any(|target| target.model == *model));
@@ -209,27 +213,27 @@
     }
 
     /// Counts a first attempt for the budgets of retries and ratings.
-    pub fn earn(&self) {
-        self.retries.lock().expect("no panic while held").deposit();
-        self.ratings.lock().expect("no panic while held").earn(self.settings.rated_share);
+    pub fn record_first_attempt(&self) {
+        self.retry_budget.lock().expect("no panic while held").deposit();
+        self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
     /// Whether to have an answer rated; `worth` is how much its rating tells.
-    pub fn spend_rating(&self, worth: f64, point: f64) -> bool {
-        self.ratings.lock().expect("no panic while held").spend(worth, point)
+    pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
+        self.rating_credit.lock().expect("no panic while held").spend(worth, point)
     }
 
     /// Takes a retry of the budget.
-    pub fn spend_retry(&self) -> bool {
-        self.retries.lock().expect("no panic while held").try_spend()
+    pub fn try_spend_retry(&self) -> bool {
+        self.retry_budget.lock().expect("no panic while held").try_spend()
     }
 
     /// The trial that a request of a model belongs to: its roll-out's, or a window of time.
-    pub fn trial(&self, model: &crate::unit::Model, date: Date) -> u64 {
+    pub fn trial_start(&self, model: &crate::unit::Model, date: Date) -> u64 {
         let snapshot = self.config();
         match snapshot.rollout(model) {
             Some(rollout) => rollout.begun.0,
-            None => date.0 / WINDOW * WINDOW,
+            None => date.0 / TRIAL_WINDOW_US * TRIAL_WINDOW_US,
         }
     }
 }
@@ -261,4 +265,4 @@
 }
 
 /// Length of the windows that a version in service is watched in, in microseconds.
-pub const WINDOW: u64 = 600_000_000;
+pub const TRIAL_WINDOW_US: u64 = 600_000_000;
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -26,7 +26,7 @@
         fn $read() -> Reading {
             let awake = Duration::from_micros($awake.load(Ordering::SeqCst));
             let asleep = Duration::from_micros($asleep.load(Ordering::SeqCst));
-            Reading { awake, all: Some(awake + asleep) }
+            Reading { monotonic: awake, boottime: Some(awake + asleep) }
         }
     };
 }
@@ -116,7 +116,7 @@
 }
 
 fn without() -> Reading {
-    Reading { awake: Duration::from_secs(7), all: None }
+    Reading { monotonic: Duration::from_secs(7), boottime: None }
 }
 
 #[test]
