--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -1,15 +1,15 @@
-//! Bills that are not in the store yet: a VM's own, and copies of others'.
+//! Buffer of bills that are not in the store yet: a VM's own, and copies of those of other VMs.
 
 use std::collections::BTreeMap;
 
 use super::Entry;
 use crate::evidence::Origin;
 
-/// Bills held at most, own and copies: past this, new work is refused before a bill could be lost.
-/// At 300 bytes each this is 60 MB of the 128 MB that control may take.
+/// Maximum number of bills held, own and copies: beyond it new work is refused before a bill could
+/// be lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
 const MAX_ENTRIES: usize = 200_000;
 
-/// What one VM holds.
+/// The unflushed bills that one VM holds.
 #[derive(Clone, Debug)]
 pub struct Buffer {
     own: Origin,
@@ -20,12 +20,12 @@
 }
 
 impl Buffer {
-    /// An empty buffer of one incarnation.
+    /// Creates an empty buffer for one incarnation of a VM.
     pub fn new(own: Origin) -> Buffer {
         Buffer { own, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
     }
 
-    /// Numbers an entry of this VM's own and holds it.
+    /// Assigns the next number to an entry of this VM and inserts it.
     pub fn record(&mut self, mut entry: Entry) -> Entry {
         entry.number = self.next_number;
         self.next_number += 1;
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Holds copies of another VM's entries; drops those that it says are in the store.
+    /// Inserts copies of another VM's entries, and removes those up to `flushed`, which are in the
+    /// store.
     pub fn insert_copies(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
         for entry in entries {
             if entry.number > flushed {
@@ -50,7 +51,7 @@
         self.remove_up_to(&origin, flushed);
     }
 
-    /// Drops an origin's entries up to a number: they are in the store.
+    /// Removes the entries of an origin up to a number, because they are in the store.
     pub fn remove_up_to(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Drops one entry that is in the store.
+    /// Removes one entry that is in the store.
     pub fn remove(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -76,45 +77,45 @@
         }
     }
 
-    /// Notes how far this VM's chain in the store reaches.
+    /// Records the last number of this VM's chain in the store.
     pub fn record_chain_end(&mut self, number: u64) {
         self.chain_end = self.chain_end.max(number);
     }
 
-    /// The number that the chain reaches, if these entries simply follow it.
+    /// Returns the last number of the chain in the store if all of these entries come after it.
     pub fn chain_end_before(&self, entries: &[Entry]) -> Option<u64> {
         let follows = entries.first().is_some_and(|entry| entry.number > self.chain_end);
         follows.then_some(self.chain_end)
     }
 
-    /// An origin's entries held here.
+    /// Returns the entries of an origin that are held here.
     pub fn entries_of(&self, origin: &Origin) -> Vec<Entry> {
         let entries = self.entries.get(origin);
         entries.map(|entries| entries.values().cloned().collect()).unwrap_or_default()
     }
 
-    /// Origins whose entries are held here, apart from this VM.
+    /// Returns the origins whose entries are held here, except this VM.
     pub fn other_origins(&self) -> Vec<Origin> {
         self.entries.keys().filter(|origin| **origin != self.own).cloned().collect()
     }
 
-    /// This VM's life.
+    /// Returns the name and incarnation of this VM.
     pub fn own_origin(&self) -> &Origin {
         &self.own
     }
 
-    /// The highest number of this VM's own entries up to which all are in the store.
+    /// Returns the highest number up to which all entries of this VM are in the store.
     pub fn flushed_up_to(&self) -> u64 {
         let first = self.entries.get(&self.own).and_then(|entries| entries.keys().next());
         first.map_or(self.next_number, |first| *first) - 1
     }
 
-    /// Entries held.
+    /// Returns the number of entries held.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Whether another bill surely finds room.
+    /// Returns true if there is room for another entry.
     pub fn has_room(&self) -> bool {
         self.count < MAX_ENTRIES
     }
--- a/src/ledger/entry.rs
+++ b/src/ledger/entry.rs
@@ -1,54 +1,54 @@
-//! One bill and its parts.
+//! The bill of a request and its parts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::unit::{Cost, Date, RequestId, Target, Workspace};
 
-/// Reason a part of a request ran.
+/// Reason why a part of a request is billed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reason {
-    /// The caller got it.
+    /// Its answer was sent to the caller.
     Answer,
-    /// A cheaper rung's answer that was climbed from.
+    /// Its answer came from a cheaper rung of a cascade, which then escalated.
     Rung,
-    /// It broke off; what is known of it is billed.
+    /// It broke off; the known part is billed.
     Broken,
-    /// A service's call.
+    /// It was a call of a plain service.
     Call,
 }
 
 /// A part of a request that ran.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Reason it ran.
+    /// Reason why it is billed.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The version; none for a service's call.
+    /// The version that ran; none for a call of a plain service.
     pub target: Option<Target>,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub tokens: u32,
-    /// Its price.
+    /// Its cost.
     pub cost: Cost,
 }
 
 /// The bill of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number among those of the VM's incarnation, from 1.
+    /// Sequence number among the bills of one incarnation of a VM, from 1.
     pub number: u64,
-    /// The request.
+    /// The billed request.
     pub request: RequestId,
-    /// Who pays.
+    /// The workspace that pays.
     pub workspace: Workspace,
-    /// When the request ended.
+    /// Time at which the request ended.
     pub date: Date,
-    /// What ran.
+    /// The parts of the request that ran.
     pub parts: Vec<Part>,
 }
 
 impl Entry {
-    /// The price of all parts.
+    /// Returns the total cost of all parts.
     pub fn cost(&self) -> Cost {
         self.parts.iter().fold(Cost(0), |sum, part| sum + part.cost)
     }
--- a/src/ledger/mod.rs
+++ b/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! Bills: each request once, whatever dies, repeats or is lost.
+//! Bills: each request is billed exactly once, despite crashes, retries and lost messages.
 
 mod buffer;
 mod entry;
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -1,8 +1,8 @@
 //! Writes bills to the store: a chain of objects for each origin, each created once.
 //!
-//! A chunk's key is the number after the last one of the chunk before, so whoever writes next,
-//! the VM itself or a peer for it, writes the same key and one of them wins. What the winner's
-//! chunk lacks is written under a key of its own by whoever holds it.
+//! The key of a chunk is the number after the last one of the chunk before. So the VM itself and a
+//! peer that flushes for it write the same key, and only one of them succeeds. Entries that the
+//! successful chunk lacks are written under keys of their own by the VM that holds them.
 
 use super::Entry;
 use crate::error::Error;
@@ -10,19 +10,21 @@
 use crate::platform::{Store, Written};
 use crate::unit::Span;
 
-/// Writes a second that bills may take of the platform's hundred, over the whole fleet.
+/// Writes per second that bills may take over the whole fleet, of the 100 that the platform
+/// accepts.
 const MAX_WRITES_PER_SECOND: f64 = 8.0;
 
-/// Shortest time between two writes of one VM.
+/// Shortest time between two flushes of one VM.
 const MIN_FLUSH_INTERVAL: Span = Span::millis(500);
 
-/// Entries of one chunk at most, well within 1 MB.
+/// Maximum number of entries in a chunk, which keeps it well below 1 MB.
 const MAX_CHUNK_ENTRIES: usize = 2000;
 
-/// Tries against others' chunks before giving up until the next flush.
+/// Maximum number of chunk writes in one flush. If other VMs keep writing the same chain, the rest
+/// waits for the next flush.
 const MAX_ATTEMPTS: usize = 16;
 
-/// Time between the flushes of one VM in a fleet of `vms`.
+/// Returns the time between two flushes of one VM in a fleet of `vms`.
 pub fn flush_interval(vms: usize) -> Span {
     let stretched = Span((vms as f64 / MAX_WRITES_PER_SECOND * 1e6) as u64);
     stretched.max(MIN_FLUSH_INTERVAL)
@@ -40,11 +42,12 @@
     format!("ledger-late/{}.{}/{number:012}", origin.vm, origin.incarnation)
 }
 
-/// Brings all of `entries` to the store, each exactly once, and returns the number up to which the
-/// chain now reaches. `known_end` is a number that the chain is known_end to reach, if any.
+/// Writes all of `entries` to the store, each exactly once, and returns the last number of the
+/// chain. `known_end` is a number that the chain is known to have reached, if any.
 ///
 /// # Errors
-/// If the platform does not answer; a later call with the same entries changes nothing twice.
+/// If the platform does not answer; a later call with the same entries is safe and bills none
+/// twice.
 pub async fn flush(
     store: &Store,
     origin: &Origin,
@@ -72,7 +75,7 @@
                 let chunk = read_chunk(store, &key).await?;
                 chain_end = write_missing(store, origin, entries, &chunk).await?;
             }
-            // The write may have taken effect: what stands there now tells.
+            // The write may have taken effect although its response was lost; compare the object.
             Err(error) => match store.get(&key).await? {
                 Some(object) if object.body == body => chain_end = last.number,
                 _ => return Err(error),
@@ -96,7 +99,8 @@
     serde_json::from_slice(&body).map_err(|error| Error::Store(error.to_string()))
 }
 
-/// Writes what a chunk in the chain lacks of `entries`; returns the chunk's last number.
+/// Writes the entries that the chain lacks up to the end of `chunk`, its last one, under keys of
+/// their own. Returns the last number of `chunk`.
 async fn write_missing(
     store: &Store,
     origin: &Origin,
@@ -119,7 +123,7 @@
     Ok(last)
 }
 
-/// Whether an earlier chunk of the chain holds that number.
+/// Returns true if a chunk of the chain holds an entry with this number.
 async fn chain_contains(store: &Store, origin: &Origin, number: u64) -> Result<bool, Error> {
     let keys = store.list(&chain_prefix(origin)).await?;
     let wanted = chunk_key(origin, number);
@@ -130,10 +134,10 @@
     Ok(chunk.iter().any(|entry| entry.number == number))
 }
 
-/// All bills in the store.
+/// Reads all bills in the store.
 ///
 /// # Errors
-/// If the platform does not answer.
+/// If the platform does not answer, or an object is invalid.
 pub async fn read_all(store: &Store) -> Result<Vec<Entry>, Error> {
     let mut all = Vec::new();
     for prefix in ["ledger/", "ledger-late/"] {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' acts on the store: reading what is in force, confirming a plan.
+//! Operations on the configuration in the store: reading it, and confirming a plan.
 
 use crate::config::{Change, Plan, Root, Snapshot, apply};
 use crate::error::Error;
@@ -6,53 +6,55 @@
 use crate::unit::{Date, Revision};
 use crate::vm::{ROOT_KEY, fetch_snapshot, piece_key};
 
-/// Tries of a confirm whose answer was lost.
+/// Attempts to confirm a plan whose response was lost.
 const MAX_ATTEMPTS: usize = 5;
 
-/// How a confirm ended.
+/// How the confirmation of a plan ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It took effect with this revision.
+    /// It took effect now, as this revision.
     Applied(Revision),
-    /// It had taken effect before, with this revision.
+    /// It had taken effect before, as this revision.
     AlreadyApplied(Revision),
 }
 
-/// The root in the store, and the object that holds it.
+/// Reads the root in the store, and the object that holds it; none if the store has no root yet.
 ///
 /// # Errors
-/// If the platform does not answer.
+/// If the platform does not answer, or the root is invalid.
 pub async fn read_root(store: &Store) -> Result<(Root, Option<Object>), Error> {
     match store.get(ROOT_KEY).await? {
         Some(object) => {
-            let root = serde_json::from_slice(&object.body)
-                .map_err(|error| Error::Store(format!("its root does not read: {error}")))?;
+            let root = serde_json::from_slice(&object.body).map_err(|error| {
+                Error::Store(format!("its configuration root is invalid: {error}"))
+            })?;
             Ok((root, Some(object)))
         }
         None => Ok((Root::default(), None)),
     }
 }
 
-/// What is in force, resolved.
+/// Reads the configuration in the store, with all its pieces.
 ///
 /// # Errors
-/// If the platform does not answer.
+/// If the platform does not answer, or the root or a piece is invalid.
 pub async fn read_snapshot(store: &Store) -> Result<Snapshot, Error> {
     let (root, _) = read_root(store).await?;
     fetch_snapshot(store, root, &Snapshot::default()).await
 }
 
-/// Applies exactly this plan, once, if its revision still holds.
+/// Applies a plan exactly once, if the configuration still has the revision that it was made for.
 ///
 /// # Errors
-/// Who changed what since, or that the platform does not answer.
+/// If the configuration has changed since (the error names who changed what), or the platform does
+/// not answer.
 pub async fn confirm(
     store: &Store,
     plan: &Plan,
     who: &str,
     date: Date,
 ) -> Result<Confirmation, Error> {
-    let mut last = Error::Store("no try was made".to_owned());
+    let mut last = Error::Store("no attempt was made".to_owned());
     for _ in 0..MAX_ATTEMPTS {
         match try_confirm(store, plan, who, date).await {
             Err(error @ Error::Store(_)) => last = error,
@@ -69,7 +71,7 @@
     date: Date,
 ) -> Result<Confirmation, Error> {
     let (current, object) = read_root(store).await?;
-    // A plan's record tells that it was applied, whoever lost the answer.
+    // The record of a plan shows that it was applied, even if the response was lost.
     if let Some(record) = current.log.iter().find(|record| record.plan == plan.id) {
         return Ok(Confirmation::AlreadyApplied(record.revision));
     }
@@ -79,7 +81,7 @@
     let next = apply(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
         if let Change::Put(piece) = change {
-            // Pieces are kept under their digest: one that is there is the same.
+            // Pieces are stored under their digest, so an existing one has the same content.
             store.create(&piece_key(&piece.digest), piece.body.clone().into_bytes()).await?;
         }
     }
@@ -89,7 +91,7 @@
         None => store.create(ROOT_KEY, body).await?,
     };
     if written == Written::Conflict {
-        // Perhaps by this very plan, whose answer was lost.
+        // The conflict may be with this very plan, if the response to an earlier attempt was lost.
         let (current, _) = read_root(store).await?;
         let record = current.log.iter().find(|record| record.plan == plan.id);
         return match record {
@@ -100,6 +102,7 @@
     Ok(Confirmation::Applied(next.revision))
 }
 
+/// Describes the changes after a revision, for the error message.
 fn changes_since(root: &Root, base: Revision) -> String {
     let later = root.log.iter().filter(|record| record.revision > base);
     let changes: Vec<String> = later
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -1,4 +1,4 @@
-//! Makes bills safe in other VMs at once, and brings them to the store in time.
+//! Replicates bills to other VMs at once, and writes them to the store later.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -8,27 +8,28 @@
 use crate::peer::{Member, State};
 use crate::unit::{Span, Vm};
 
-/// Other VMs that hold a copy of each bill.
+/// Number of other VMs that hold a copy of each bill.
 const COPIES: usize = 2;
 
-/// Tries to make a batch safe before its callers are informed that it is not.
+/// Attempts to make a batch durable before its callers are told that it is not.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Wait between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Span = Span::millis(150);
 
-/// Bills in one batch.
+/// Maximum number of bills in one batch.
 const MAX_BATCH: usize = 256;
 
-/// Bills of a VM that is gone this long are brought to the store by those who hold copies.
+/// Once a VM has been gone for this long, the holders of copies write its bills to the store.
 const ORPHAN_DELAY: Span = Span::secs(1);
 
-/// Wait between two looks for bills of the gone.
+/// Time between two scans for bills of VMs that are gone.
 const ORPHAN_SCAN_INTERVAL: Span = Span::secs(2);
 
+/// A bill, and the channel that reports whether it was made durable.
 type PendingBill = (Entry, oneshot::Sender<bool>);
 
-/// Takes bills as they come, many to a message.
+/// Receives bills and makes them durable in batches, many bills to a message.
 pub async fn replicate_bills(control: Control, mut bills: mpsc::UnboundedReceiver<PendingBill>) {
     while let Some(first) = bills.recv().await {
         let mut batch = vec![first];
@@ -54,20 +55,24 @@
     }
 }
 
-/// The VMs to hold copies: in other data centres first, where there are some.
+/// Returns the VMs that may hold copies, in order of preference: those of other data centres come
+/// first.
 fn copy_holders(control: &Control) -> Vec<Member> {
     let others = control.other_vms();
     let duty = format!("bills/{}", control.vm.settings.vm);
     let mut members = Control::ranked_members(&duty, &others);
     let home = control.vm.settings.data_centre.clone();
-    // The sort is stable, so the rank decides within each half; suspects come last.
+    // The sort is stable, so the rank decides within each group; suspected VMs come last.
     members.sort_by_key(|m| (m.state != State::Alive, m.data_centre == home));
     members
 }
 
+/// Copies bills to other VMs, or flushes them to the store if that fails or there is no other VM.
+///
+/// Returns true if the bills are durable.
 async fn make_durable(control: &Control, entries: &[Entry]) -> bool {
     let mut held = Vec::new();
-    // A VM that did not take its copy is asked again only after those that were not asked yet.
+    // A VM that failed to store its copy is retried only after those that were not tried yet.
     let mut failed: Vec<Vm> = Vec::new();
     for _ in 0..MAX_ATTEMPTS {
         let mut all = copy_holders(control);
@@ -103,7 +108,7 @@
     control.call(to.address, call).await == Some(Reply::Done)
 }
 
-/// Brings this VM's own bills to the store; whether all that were recorded are there.
+/// Writes this VM's own bills to the store. Returns true if all recorded bills are there.
 pub async fn flush_own(control: &Control) -> bool {
     let own = control.vm.origin();
     let entries = control.unflushed.borrow().entries_of(&own);
@@ -121,13 +126,14 @@
         }
         Err(error) => {
             control.vm.metrics.store_failures.inc();
-            log::debug!("bills wait: {error}");
+            log::debug!("flushing bills failed, will retry: {error}");
             false
         }
     }
 }
 
-/// Flushes at the fleet's pace, and renews copies when their holders change.
+/// Flushes this VM's bills at the interval for the size of the fleet, and sends copies of the
+/// unflushed ones to VMs that have become holders.
 pub async fn flush_periodically(control: Control) {
     let mut informed: Vec<Vm> = Vec::new();
     loop {
@@ -149,7 +155,7 @@
     }
 }
 
-/// Brings the bills of VMs that are gone to the store.
+/// Writes the bills of VMs that are gone to the store, from the copies held here.
 pub async fn flush_orphaned(control: Control) {
     loop {
         tokio::time::sleep(ORPHAN_SCAN_INTERVAL.duration()).await;
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -1,4 +1,5 @@
-//! Finds the owner of a key's shard and asks it; any VM may own if the others do not answer.
+//! Sends claims of idempotency keys to the owner of their shard; any VM may own a shard if the
+//! others do not answer.
 
 use super::KeyUse;
 use super::control::Control;
@@ -7,16 +8,16 @@
 use crate::peer::wire::{Call, Reply};
 use crate::unit::Vm;
 
-/// Other VMs asked before this one takes the shard itself.
+/// Number of other VMs tried before this one acts as the owner of the shard.
 const MAX_OWNERS_ASKED: usize = 2;
 
-/// Owners of a shard in order, this VM in its place.
+/// Returns the candidates for owner of a shard in rank order, including this VM.
 fn ranked_owners(control: &Control, shard: u64) -> Vec<Member> {
     let present: Vec<Member> = control.with_gossip(|g| g.present().cloned().collect());
     Control::ranked_members(&format!("once/{shard}"), &present)
 }
 
-/// Claims a key.
+/// Claims a key at the owner of its shard.
 pub async fn claim(control: &Control, claim: Claim) -> Answer {
     let own_vm = &control.vm.settings.vm;
     for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNERS_ASKED) {
@@ -32,7 +33,7 @@
     control.owner.claim(claim).await
 }
 
-/// Notes how a claimed call ended.
+/// Records at the owner of the shard how a claimed call ended.
 pub async fn settle(control: &Control, settled: Settled) {
     let own_vm = &control.vm.settings.vm;
     let owners = ranked_owners(control, shard_of(settled.key));
@@ -45,7 +46,8 @@
     control.owner.settle(settled);
 }
 
-/// Releases the keys set aside here that no call has used: after this life nobody could.
+/// Releases the keys reserved here that no call has used: only this incarnation could grant them,
+/// so they would stay unusable after it ends.
 pub async fn release_unused_keys(control: &Control) {
     let unused = control.vm.reserved.lock().expect("no panic while held").release();
     if unused.is_empty() {
@@ -55,11 +57,14 @@
         let (body, outcome) = (Digest::default(), Outcome::NotRun);
         settle(control, Settled { key, request, body, outcome }).await;
     }
-    // Outcomes wait this long for a claim to share their link with.
+    // The owner delays outcomes by up to this time to write them together with a claim.
     tokio::time::sleep(crate::once::SETTLE_WITHIN * 2).await;
 }
 
-/// Asks for a key that is set aside: this VM, its holder, or all others.
+/// Requests the use of a reserved key: from this VM, then from its holder, or from all other VMs if
+/// the holder is not known.
+///
+/// Returns none if no VM that answered holds a reservation.
 pub async fn use_reserved_key(
     control: &Control,
     key_use: KeyUse,
--- a/src/vm/clock.rs
+++ b/src/vm/clock.rs
@@ -1,8 +1,10 @@
-//! The clocks of a process; only the edges read them, and hand the time on.
+//! The clocks of a process; only its I/O code reads them and passes the time on.
 //!
-//! A VM may be suspended for seconds. The clock that the standard library calls monotonic stands still meanwhile, so that what a
-//! VM believes would look as young on waking as it was before; a key that was taken away 20 s ago would count as proved a second
-//! ago. So moments come from the clock that counts the time asleep. Where there is none they come from the steady one.
+//! A VM may be suspended for seconds. `CLOCK_MONOTONIC`, which `std::time::Instant` uses, stands
+//! still meanwhile, so that state would look as fresh after a resume as before it: a key that was
+//! revoked 20 s ago would count as verified a second ago. Moments therefore come from
+//! `CLOCK_BOOTTIME`, which counts suspended time, and from `CLOCK_MONOTONIC` only where the former
+//! does not exist.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -10,20 +12,20 @@
 
 use crate::unit::{Date, Moment, Span};
 
-/// Moments begin here, so that none is nought.
+/// The first moment, in microseconds; not 0, because `Moment(0)` means "never".
 const FIRST_MOMENT_US: u64 = 1_000_000;
 
-/// What the clocks of a machine tell at one moment.
+/// One reading of both clocks of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
-    /// Time that the machine was awake since its start.
+    /// `CLOCK_MONOTONIC`: time since boot without suspended time.
     pub monotonic: Duration,
-    /// The same with the time that it slept, if there is a clock that counts it.
+    /// `CLOCK_BOOTTIME`: time since boot including suspended time, if the system has this clock.
     pub boottime: Option<Duration>,
 }
 
 impl Reading {
-    /// The present reading of this machine's clocks.
+    /// Reads this machine's clocks.
     pub fn current() -> Reading {
         let read = |clock| clock_gettime(clock).ok().map(Duration::from);
         let monotonic = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
@@ -35,7 +37,7 @@
     }
 }
 
-/// A process's clocks.
+/// The clocks of a process, with moments counted from its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     read: fn() -> Reading,
@@ -49,24 +51,24 @@
 }
 
 impl Clock {
-    /// Clocks that are read so.
+    /// Creates clocks that are read with `read`.
     pub fn new(read: fn() -> Reading) -> Clock {
         Clock { read, start: read().elapsed() }
     }
 
-    /// The present moment. It counts the time that the machine slept.
+    /// Returns the present moment. Time for which the machine was suspended counts.
     pub fn now(&self) -> Moment {
         let since = (self.read)().elapsed().saturating_sub(self.start);
         Moment(FIRST_MOMENT_US + since.as_micros() as u64)
     }
 
-    /// How long the machine has slept since it was started; none if no clock counts it.
+    /// Returns how long the machine has been suspended since boot; none if no clock counts it.
     pub fn slept(&self) -> Option<Span> {
         let Reading { monotonic, boottime } = (self.read)();
         Some(Span(boottime?.saturating_sub(monotonic).as_micros() as u64))
     }
 
-    /// The present date.
+    /// Returns the present wall-clock time.
     pub fn date(&self) -> Date {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Date(since.as_micros() as u64)
--- a/src/vm/command.rs
+++ b/src/vm/command.rs
@@ -1,4 +1,4 @@
-//! What the threads that serve callers ask of the control thread.
+//! Commands that the threads serving callers send to the control thread.
 
 use tokio::sync::oneshot;
 
@@ -8,39 +8,39 @@
 use crate::standin::rating::Sample;
 use crate::unit::{RequestId, Revision, Server, Vm};
 
-/// A call that wants to use a key.
+/// A request to run a call under a reserved key.
 #[derive(Clone, Debug)]
 pub struct KeyUse {
-    /// The key.
+    /// Digest of the key.
     pub key: Digest,
     /// The request that would run.
     pub user: RequestId,
-    /// Digest of its body.
+    /// Digest of the call's body.
     pub body: Digest,
 }
 
-/// An errand.
+/// A command to the control thread, with the channel for its reply where it has one.
 pub enum Command {
-    /// Make a bill safe; answered when it stands in other VMs or in the store.
+    /// Make a bill durable; the reply is true once it is held by other VMs or the store.
     RecordBill(Entry, oneshot::Sender<bool>),
-    /// Claim a key.
+    /// Claim an idempotency key.
     Claim(Claim, oneshot::Sender<Answer>),
-    /// Ask for a key that is set aside: its holder, or everyone if the holder is not known.
+    /// Use a reserved key: ask its holder, or all VMs if the holder is not known.
     UseKey(KeyUse, Option<Vm>, oneshot::Sender<Option<Word>>),
-    /// Note how a claimed call ended.
+    /// Record how a claimed call ended.
     Settle(Settled),
-    /// Have an answer rated.
+    /// Submit an answer to the rating service.
     SubmitSample(Sample),
-    /// Catch up with a later revision that a token names.
+    /// Catch up with a later revision that a session token names.
     CatchUp(Revision, oneshot::Sender<()>),
-    /// Give up work on an engine.
+    /// Cancel a request on an engine.
     Cancel(std::net::SocketAddr, crate::engine::wire::Cancel),
-    /// Ask a server for its load at once.
+    /// Probe the load of a server at once.
     ProbeServer(Server),
-    /// Ask all VMs for a request's decision record.
+    /// Ask all VMs for the decision record of a request.
     Explain(String, oneshot::Sender<Option<String>>),
-    /// Tell others of contents under which servers crash.
+    /// Send other VMs a message about contents that crash servers.
     SendPoison(poison::Outgoing),
-    /// Ask all VMs for their burn counts.
+    /// Collect the counts for the burn report from all VMs.
     CollectBurn(oneshot::Sender<Vec<String>>),
 }
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -1,4 +1,5 @@
-//! Brings the configuration from the store: a few watchers per data centre, others by their peers.
+//! Reads the configuration from the store: a few VMs per data centre watch it, the others get it
+//! from their peers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,34 +11,35 @@
 use crate::peer::ranked;
 use crate::unit::Span;
 
-/// Watchers in each data centre.
+/// VMs of each data centre that watch the store.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// How long a watch waits at the platform.
+/// Longest time that the platform holds a watch open without a change.
 const WATCH_TIMEOUT: Span = Span::secs(2);
 
-/// A VM whose knowledge of the store is older reads for itself; a change is in force within 15 s
-/// though all watchers hear nothing.
+/// Age of the configuration from which a VM reads the store itself, so that a change is in force
+/// within 15 s even if none of the watchers receives it.
 const MAX_STALENESS: Span = Span::secs(12);
 
-/// A watcher reads the root itself this often: a watch that reports nothing proves nothing.
+/// Time between two plain reads of the root by a watcher: a watch without events does not prove
+/// that nothing changed.
 const READ_INTERVAL: Span = Span::secs(5);
 
-/// Wait after a call that failed, and between looks at who watches.
+/// Delay after a failed call, and between two checks whether this VM is a watcher.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between reads of the list of VMs by an accepter.
+/// Time between two reads of the list of VMs, on the VMs that collect adoptions.
 const LIST_INTERVAL: Span = Span::secs(3);
 
-/// The root's key.
+/// Key of the root of the configuration in the store.
 pub const ROOT_KEY: &str = "config/root";
 
-/// A piece's key.
+/// Returns the key of a piece of the configuration in the store.
 pub fn piece_key(digest: &str) -> String {
     format!("config/piece/{digest}")
 }
 
-/// Watches the root for as long as it is this VM's turn.
+/// Watches the root while this VM is a watcher, or while its configuration is stale.
 pub async fn watch_root(control: Control) {
     let mut position = None;
     let mut last_listed = control.vm.clock.now();
@@ -87,6 +89,7 @@
     }
 }
 
+/// Returns true if this VM is one of the watchers of its data centre.
 fn is_watcher(control: &Control) -> bool {
     let home = &control.vm.settings.data_centre;
     let duty = format!("watch/{home}");
@@ -106,10 +109,10 @@
     }
 }
 
-/// Reads the root once.
+/// Reads the root once and applies it.
 ///
 /// # Errors
-/// If the platform does not answer.
+/// If the platform does not answer, or the root or one of its pieces is invalid.
 pub async fn read_root(control: &Control) -> Result<(), Error> {
     if let Some(object) = control.store.get(ROOT_KEY).await? {
         apply_root(control, &object.body).await?;
@@ -118,7 +121,8 @@
     Ok(())
 }
 
-/// Takes a root as the store tells it, and fetches the pieces that are missing here.
+/// Applies a root read from the store if it is newer, after fetching the pieces that are missing
+/// here.
 async fn apply_root(control: &Control, body: &[u8]) -> Result<(), Error> {
     let root: Root =
         serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))?;
@@ -131,10 +135,10 @@
     Ok(())
 }
 
-/// Resolves a root with the pieces of `held` and the store.
+/// Resolves a root with the pieces of `held`, and reads the remaining ones from the store.
 ///
 /// # Errors
-/// If the platform does not answer or a piece does not read.
+/// If the platform does not answer, or a piece is missing or invalid.
 pub async fn fetch_snapshot(
     store: &crate::platform::Store,
     root: Root,
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: takes what arrives from peers and from the threads that serve callers.
+//! The control thread: handles messages from peers and commands from the threads that serve
+//! callers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,35 +21,35 @@
 use crate::platform::{Ratings, Store};
 use crate::unit::{Revision, Vm};
 
-/// Time between two ticks of the gossip.
+/// Time between two ticks of the gossip protocol.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Seeds are greeted again after this while no other VM is known.
+/// Time between two attempts to join through the seeds while no other VM is known.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the tasks of the control thread share.
+/// State shared by the tasks of the control thread.
 #[derive(Clone)]
 pub struct Control {
-    /// The VM.
+    /// State shared with the threads that serve callers.
     pub vm: Arc<super::Vm>,
-    /// Links to other VMs.
+    /// Transport to other VMs.
     pub links: Links,
-    /// The platform.
+    /// The platform's store.
     pub store: Store,
-    /// Unflushed bills.
+    /// Bills that are not in the store yet, own and copies.
     pub unflushed: Rc<RefCell<Buffer>>,
-    /// Shards of keys.
+    /// Handle to the tasks of this VM that own shards of idempotency keys.
     pub owner: Owner,
-    /// Work for the bill task.
+    /// Queue of the task that makes bills durable.
     pub bill_queue: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
     /// The rating service, if there is one.
     pub ratings: Option<Ratings>,
-    /// Engines and services.
+    /// Client of the backend servers.
     pub engines: Engines,
 }
 
 impl Control {
-    /// Runs until the process ends.
+    /// Handles messages and commands until both channels are closed.
     pub async fn run(
         self,
         mut incoming: mpsc::UnboundedReceiver<Incoming>,
@@ -72,12 +73,13 @@
         self.publish_snapshot();
     }
 
-    /// Calls `change` on the gossip.
+    /// Calls `change` with the gossip state locked.
     pub fn with_gossip<T>(&self, change: impl FnOnce(&mut crate::peer::Gossip) -> T) -> T {
         change(&mut self.vm.gossip.lock().expect("no panic while held"))
     }
 
-    /// Brings the hot path's view up to the gossip's.
+    /// Publishes the configuration and the permit of the gossip state to the threads that serve
+    /// callers.
     pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
         let (snapshot, permit, accepted) =
@@ -99,11 +101,11 @@
             .expect("no panic while held")
             .sync(&snapshot, &self.vm.settings.data_centre);
         *self.vm.snapshot.write().expect("no panic while held") = snapshot;
-        // The permit comes last: renewed earlier, it would let work start under the old revision.
+        // The permit is set last: renewed earlier, it would let work start under the old revision.
         self.vm.set_permit(permit);
         self.vm.metrics.revision.set(revision.0 as i64);
         log::info!(
-            "{} {} revision {revision} is in force here",
+            "{} {} applied configuration revision {revision}",
             self.vm.settings.vm,
             self.vm.incarnation
         );
@@ -114,7 +116,7 @@
         });
     }
 
-    /// Sends frames; each goes its own way and none waits for another.
+    /// Sends frames concurrently, each in a task of its own.
     pub fn send_all(&self, out: Vec<(Member, Frame)>) {
         for (to, frame) in out {
             self.send(to.address, frame);
@@ -128,7 +130,7 @@
         actix_web::rt::spawn(async move { links.send(to, bytes).await });
     }
 
-    /// Sends a call and waits for its answer.
+    /// Sends a call and waits for its reply; none if it does not arrive or does not decode.
     pub async fn call(&self, to: SocketAddr, call: Call) -> Option<Reply> {
         let bytes = encode(&Envelope { from: self.vm.settings.vm.clone(), body: call });
         decode(&self.links.call(to, bytes).await?)
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Asks every other VM and gathers the texts.
+    /// Calls every other VM and returns the texts of those that replied with one.
     async fn call_all(&self, call: Call) -> Vec<String> {
         let others = self.other_vms();
         let calls = others.iter().map(|member| self.call(member.address, call.clone()));
@@ -252,20 +254,22 @@
         replies.into_iter().filter_map(text).collect()
     }
 
-    /// Members in the order of their claim to a duty.
+    /// Orders members by their rank for a duty; the first one is responsible for it.
     pub fn ranked_members(duty: &str, members: &[Member]) -> Vec<Member> {
         let order = ranked(duty, members.iter().map(|member| &member.vm));
         let find = |vm: &Vm| members.iter().find(|member| member.vm == *vm).cloned();
         order.into_iter().filter_map(find).collect()
     }
 
-    /// The other VMs that may be working.
+    /// Returns the other VMs that may be working: those that are not known to be dead or to have
+    /// left.
     pub fn other_vms(&self) -> Vec<Member> {
         let own_vm = &self.vm.settings.vm;
         self.with_gossip(|g| g.present().filter(|member| member.vm != *own_vm).cloned().collect())
     }
 
-    /// Asks a few VMs and the store for a revision that a token names.
+    /// Asks the other VMs for a revision that a session token names, then reads the store if none
+    /// had it within a second.
     async fn catch_up(&self, revision: Revision) {
         let want = self.with_gossip(|g| g.want());
         for member in self.other_vms() {
@@ -280,7 +284,7 @@
         let _ = super::config_watch::read_root(self).await;
     }
 
-    /// Greets the seeds until another VM is known.
+    /// Sends join messages to the seeds whenever no other VM is known.
     pub async fn join(self) {
         loop {
             if self.other_vms().is_empty() {
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Hands over what others need and leaves.
+    /// Releases unused keys, flushes bills and announces to the other VMs that this one leaves.
     pub async fn leave(&self) {
         claims::release_unused_keys(self).await;
         bills::flush_own(self).await;
@@ -308,7 +312,7 @@
     }
 }
 
-/// Drives the gossip at its pace.
+/// Actor that ticks the gossip protocol.
 struct Ticker(Control);
 
 impl Actor for Ticker {
@@ -319,6 +323,7 @@
     }
 }
 
+/// Returns the value of the metric label `kind` for a frame.
 fn frame_label(frame: &Frame) -> &'static str {
     match frame {
         Frame::Probe { .. } => "probe",
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -1,4 +1,4 @@
-//! Duties in the background: looking at servers, stepping roll-outs, learning.
+//! Background duties: probing servers, stepping rollouts, updating policies from evidence.
 
 mod policy;
 mod probe;
@@ -19,12 +19,13 @@
 pub use rollout::step_rollouts;
 pub use service::watch_service;
 
-/// Time between two looks at roll-outs.
+/// Time between two checks of rollouts and of versions in service.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Windows of a version in service that its next is compared with.
+/// Number of earlier windows of a version in service that serve as its baseline.
 const BASELINE_WINDOWS: u64 = 12;
 
+/// Returns true if this VM may start work and is first in rank for the rollouts of a model.
 fn is_responsible(control: &Control, model: &Model) -> bool {
     let now = control.vm.clock.now();
     let own_vm = &control.vm.settings.vm;
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -1,4 +1,5 @@
-//! Learns the rules of cascades, the parts of limits and the sampling of ratings.
+//! Updates the rules of cascades, the shares of rate limits and the sampling rates of ratings from
+//! evidence.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,12 +13,15 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Time between two solutions of cascades, limits' parts and sampling.
+/// Time between two updates.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Learns the rules of cascades, the parts of limits and the sampling of ratings.
+/// Factor by which the recent demand of a workspace decays at each update.
+const DEMAND_DECAY: f64 = 0.9;
+
+/// Updates the policies of this VM at each interval until the process ends.
 pub async fn update_policies(control: Control) {
-    let mut demand: BTreeMap<Workspace, (u64, u64, f64, f64)> = BTreeMap::new();
+    let mut demand: BTreeMap<Workspace, Demand> = BTreeMap::new();
     let mut cascades: HashMap<Workspace, CascadeState> = HashMap::new();
     loop {
         tokio::time::sleep(UPDATE_INTERVAL).await;
@@ -29,7 +33,7 @@
     }
 }
 
-/// What was cascades of one workspace: the sums seen last, and what is believed since.
+/// Cascade state of one workspace: the sums read last, and the beliefs derived from all of them.
 #[derive(Default)]
 struct CascadeState {
     last_sums: BTreeMap<Key, Counts>,
@@ -60,7 +64,10 @@
     }
 }
 
-/// Price and quality of a cascade's first and last rung, for an answer of a thousand tokens.
+/// Returns the cost and quality of the first and last rung of a cascade, for an answer of 1000
+/// tokens.
+///
+/// Returns none if one of them has no version in service.
 pub fn cascade_rungs(snapshot: &Snapshot, models: &[Model]) -> Option<Rungs> {
     let entry = |model: &Model| -> Option<VersionEntry> {
         let version = snapshot.serving(model)?;
@@ -76,7 +83,7 @@
     })
 }
 
-/// Adds what evidence has grown by to what is believed; older ratings fade.
+/// Adds the growth of the evidence to the beliefs, in which older ratings decay.
 fn update_beliefs(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
     let of_workspace = |key: &Key| match key {
         Key::Cheap { workspace: w, .. } | Key::Strong { workspace: w, .. } => w == workspace,
@@ -122,10 +129,19 @@
     state.last_sums = sums;
 }
 
+/// Demand of one workspace: total requests counted last, and decayed sums of recent ones.
+#[derive(Default)]
+struct Demand {
+    own: u64,
+    all: u64,
+    recent_own: f64,
+    recent_all: f64,
+}
+
 fn update_rate_shares(
     control: &Control,
     snapshot: &Snapshot,
-    demand: &mut BTreeMap<Workspace, (u64, u64, f64, f64)>,
+    demand: &mut BTreeMap<Workspace, Demand>,
 ) {
     let origin = control.vm.origin();
     let vms = control.other_vms().len() + 1;
@@ -133,13 +149,14 @@
         let key = Key::Demand { workspace: workspace.name.clone() };
         let (own, all) = control
             .with_gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
-        let held = demand.entry(workspace.name.clone()).or_default();
-        // Recent demand counts; a VM that was busy an hour ago needs no part now.
-        held.2 = held.2 * 0.9 + own.saturating_sub(held.0) as f64;
-        held.3 = held.3 * 0.9 + all.saturating_sub(held.1) as f64;
-        held.0 = own;
-        held.1 = all;
-        let share: Rate = limit::local_share(workspace.limit, held.2, held.3, vms);
+        let known = demand.entry(workspace.name.clone()).or_default();
+        // The decay makes recent demand count: a VM that was busy an hour ago needs no share now.
+        known.recent_own = known.recent_own * DEMAND_DECAY + own.saturating_sub(known.own) as f64;
+        known.recent_all = known.recent_all * DEMAND_DECAY + all.saturating_sub(known.all) as f64;
+        known.own = own;
+        known.all = all;
+        let share: Rate =
+            limit::local_share(workspace.limit, known.recent_own, known.recent_all, vms);
         let mut shares = control.vm.rate_shares.write().expect("no panic while held");
         shares.insert(workspace.name.clone(), share);
     }
@@ -159,7 +176,7 @@
     *control.vm.sampling_rates.write().expect("no panic while held") = rates;
 }
 
-/// Drops evidence of trials that no decision looks at any more.
+/// Removes the evidence of trials that no decision uses any more.
 fn remove_old_trials(control: &Control, snapshot: &Snapshot) {
     let date = control.vm.clock.date();
     let oldest = date.0.saturating_sub((BASELINE_WINDOWS + 1) * TRIAL_WINDOW_US);
--- a/src/vm/duty/probe.rs
+++ b/src/vm/duty/probe.rs
@@ -1,17 +1,17 @@
-//! Looks at backend servers.
+//! Probes the load of backend servers.
 
 use std::time::Duration;
 
 use crate::unit::Server;
 use crate::vm::control::Control;
 
-/// Servers that are looked at in one round at most.
+/// Maximum number of servers probed in one round.
 const MAX_PROBES: usize = 32;
 
-/// Time between two rounds of looks at servers.
+/// Time between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks one server for its load.
+/// Probes the load of one server and records the result.
 pub async fn probe_server(control: &Control, server: &Server) {
     let address = control.vm.fleet.lock().expect("no panic while held").address(server);
     let Some(address) = address else { return };
@@ -24,15 +24,16 @@
     }
 }
 
-/// Servers that a VM looks at in one round, of so many.
+/// Returns how many of `servers` a VM probes in one round.
 ///
-/// With few servers it is all of them. With many it is fewer and fewer: load is told with each
-/// answer and each refusal too, and looking must not grow with servers times VMs.
+/// Few servers are all probed. With many servers the number falls: each response and refusal
+/// reports the load too, and the total of probes must not grow with the number of servers times
+/// VMs.
 fn probes_per_round(servers: usize) -> usize {
     (MAX_PROBES * MAX_PROBES / servers.max(1)).clamp(1, MAX_PROBES)
 }
 
-/// Asks servers for their load in turn, again and again.
+/// Probes the engines round-robin until the process ends.
 pub async fn probe_servers(control: Control) {
     let mut offset = 0;
     loop {
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -1,4 +1,4 @@
-//! Steps the roll-outs that fall to this VM.
+//! Steps the rollouts that this VM is responsible for.
 
 use std::collections::HashMap;
 
@@ -14,10 +14,10 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Weight of the latest rate in the usual one.
+/// Weight of the latest request rate in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// What a stepper remembers between two steps; another VM that takes over does without.
+/// State kept between two steps of a rollout; a VM that takes the rollout over starts without it.
 #[derive(Default)]
 struct StepState {
     rated: u64,
@@ -27,7 +27,7 @@
     rate: f64,
 }
 
-/// Steps the roll-outs that fall to this VM.
+/// Steps the rollouts that this VM is responsible for, until the process ends.
 pub async fn step_rollouts(control: Control) {
     let mut states: HashMap<Target, StepState> = HashMap::new();
     loop {
@@ -56,7 +56,7 @@
     let inputs = collect_inputs(control, snapshot, rollout, state);
     let policy = &control.vm.settings.rollout;
     let (event, share, reason) = match rollout::decide(policy, &inputs) {
-        // Sessions may be let in, or kept out, without a change of share.
+        // Sessions may be admitted or excluded without a change of share.
         Action::Stay if rollout.sessions != rollout::takes_sessions(policy, &inputs) => {
             ("grow", rollout.share, "sessions".to_owned())
         }
@@ -75,6 +75,7 @@
     write_step(control, snapshot, rollout, event, (share, sessions), &reason).await;
 }
 
+/// Writes a step of a rollout to the store and reads the configuration again.
 async fn write_step(
     control: &Control,
     snapshot: &Snapshot,
@@ -98,13 +99,16 @@
         Ok(Confirmation::Applied(revision) | Confirmation::AlreadyApplied(revision)) => {
             log::info!("{who} revision {revision}: {}", descriptions[0]);
         }
-        // Another VM or an operator was first; the next look sees what they did.
-        Err(error) => log::debug!("{error}"),
+        // Another VM or an operator changed the configuration first; the next step starts from
+        // that.
+        Err(error) => log::debug!("rollout step not written: {error}"),
     }
     let _ = config_watch::read_root(control).await;
 }
 
-/// Orders the next server to load the version, one at a time to spare the weight store.
+/// Orders servers to load the version, one at a time to limit the load on the weight store.
+///
+/// Returns true once all servers have loaded it.
 async fn preload(control: &Control, snapshot: &Snapshot, rollout: &Rollout) -> bool {
     for server in snapshot.servers_of(&rollout.to) {
         let loaded = {
@@ -114,7 +118,7 @@
         if loaded {
             continue;
         }
-        // A server that does not check orders gets one only from a VM whose duty is sure.
+        // A server that does not check the fence of orders gets one only from the responsible VM.
         if !server.checks_orders && !is_responsible(control, &rollout.to.model) {
             return false;
         }
@@ -164,14 +168,14 @@
         held: rollout.state == "held",
         at_share: date.since(rollout.since),
         rate: state.rate,
-        // Evidence and the step itself need a moment to travel.
+        // Evidence and the step itself take time to reach all VMs.
         lag: Span(lag.0 + Span::millis(1500).0),
         since_rating: date.since(state.rated_at),
         prior: 1.0 - declared,
     }
 }
 
-/// Ratings of a version in the windows before a roll-out began.
+/// Returns the ratings of a version in the windows before a rollout began.
 fn ratings_before(control: &Control, from: &Target, begun: u64) -> Count {
     let oldest = begun.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
     let earlier = |key: &Key| match key {
--- a/src/vm/duty/service.rs
+++ b/src/vm/duty/service.rs
@@ -1,4 +1,4 @@
-//! Watches versions long in service.
+//! Withdraws versions whose quality falls while they are in service.
 
 use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 use crate::config::{Change, Plan, Snapshot};
@@ -10,7 +10,8 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Watches versions long in service: the present window against the ones before.
+/// Compares the current window of each version in service with the windows before, and withdraws
+/// the version if its ratings became worse and there is a previous version to return to.
 pub async fn watch_service(control: Control) {
     loop {
         tokio::time::sleep(STEP_INTERVAL).await;
@@ -26,7 +27,8 @@
                 let previous = Target { model: model.name.clone(), version: version.clone() };
                 !snapshot.root.withdrawn.contains(&previous)
             });
-            // Without a version to fall back on, operators are told by the burn report.
+            // Without a previous version to return to, the burn report shows the fault to
+            // operators.
             if !usable || snapshot.rollout(&model.name).is_some() {
                 continue;
             }
@@ -44,7 +46,8 @@
             let policy = &control.vm.settings.rollout;
             let limit = rate + 2.0 * spread + policy.tolerance;
             let evidence = sequential::evidence(arm(now).poor, limit);
-            // Windows come and go all day, so each may err a hundred times less often.
+            // There are many windows a day, so each may err a hundred times less often than a
+            // rollout.
             if evidence >= (100.0 / policy.alpha).ln() {
                 withdraw(&control, &snapshot, &target, now).await;
             }
@@ -52,6 +55,7 @@
     }
 }
 
+/// Returns the ratings of a version in the current window, and in the windows before it.
 fn ratings_by_window(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
     control.with_gossip(|g| {
         let oldest = window.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers as this VM sees them.
+//! State of the backend servers as this VM knows it, and the choice of a server for a request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use crate::engine::wire::Load;
 use crate::unit::{DataCentre, Moment, Revision, Server, Service, Span, Target};
 
-/// Latency to another data centre, one way.
+/// One-way latency assumed to a server in another data centre.
 const CROSS_DATA_CENTRE_LATENCY: Span = Span::millis(1);
 
-/// What a server can be chosen for.
+/// A set of servers from which one is selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Group {
-    /// A version.
+    /// Servers that run a version of a model.
     Version(Target),
-    /// A plain service.
+    /// Servers of a plain service.
     Service(Service),
 }
 
-/// A chosen server.
+/// The server selected for a request.
 #[derive(Clone, Debug)]
 pub struct SelectedServer {
-    /// Its name.
+    /// Name of the server.
     pub server: Server,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
 }
 
@@ -37,11 +37,13 @@
     state_machine: Machine,
     load: Load,
     reported_at: Moment,
+    /// Requests of this VM that are open at the server.
     in_flight: f64,
     in_flight_at_report: f64,
     failed_at: Option<Moment>,
     latency: Span,
     number: u64,
+    /// Groups of the server, with the index of its replica in each.
     positions: Vec<(Group, usize)>,
 }
 
@@ -54,7 +56,8 @@
 }
 
 impl Fleet {
-    /// Follows the configuration; what is state of servers that stay is kept.
+    /// Updates the servers to the configuration. The state of servers that remain is kept; servers
+    /// of drained data centres are in no group.
     pub fn sync(&mut self, snapshot: &Snapshot, home: &DataCentre) {
         if self.revision == Some(snapshot.revision()) {
             return;
@@ -86,7 +89,9 @@
         }
     }
 
-    /// Chooses a server and counts the request on it.
+    /// Selects a server of a group and counts the request as in flight there.
+    ///
+    /// `point` is a random number that spreads the choice. Returns none if no server can take it.
     pub fn select_server(
         &mut self,
         group: &Group,
@@ -104,7 +109,7 @@
         Some(SelectedServer { server, address })
     }
 
-    /// A request on a server ended.
+    /// Records that a request at a server ended.
     pub fn on_request_end(&mut self, server: &Server) {
         if let Some(state) = self.servers.get_mut(server) {
             state.in_flight = (state.in_flight - 1.0).max(0.0);
@@ -112,7 +117,7 @@
         }
     }
 
-    /// A server reported its load.
+    /// Records the load that a server reported when probed.
     pub fn on_load_report(&mut self, server: &Server, load: Load, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -128,7 +133,7 @@
         self.refresh(server);
     }
 
-    /// A server's answer told its load: requests running and waiting.
+    /// Records the running and waiting requests that a server sent with a response.
     pub fn on_load_hint(&mut self, server: &Server, running: u32, waiting: u32, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -140,7 +145,7 @@
         self.refresh(server);
     }
 
-    /// A server did not take a request, or broke one off.
+    /// Records that a server did not accept a request, or failed in the middle of one.
     pub fn on_failure(&mut self, server: &Server, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -150,7 +155,7 @@
         self.refresh(server);
     }
 
-    /// A server said that it is leaving.
+    /// Records that a server announced that it is draining.
     pub fn on_drain(&mut self, server: &Server) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -159,27 +164,28 @@
         self.refresh(server);
     }
 
-    /// Name and address of each server.
+    /// Returns the name and address of each server.
     pub fn addresses(&self) -> Vec<(Server, SocketAddr)> {
         self.servers.iter().map(|(name, state)| (name.clone(), state.address)).collect()
     }
 
-    /// Where a server listens.
+    /// Returns the address of a server; none if it is not in the configuration.
     pub fn address(&self, server: &Server) -> Option<SocketAddr> {
         self.servers.get(server).map(|state| state.address)
     }
 
-    /// Whether a server reports a version as loaded.
+    /// Returns true if a server reported a version as loaded.
     pub fn has_loaded(&self, server: &Server, target: &Target) -> bool {
         self.servers.get(server).is_some_and(|state| state.load.loaded.contains(target))
     }
 
-    /// Servers of a group.
+    /// Returns the number of servers in a group.
     pub fn server_count(&self, group: &Group) -> usize {
         self.groups.get(group).map_or(0, |(replicas, _)| replicas.len())
     }
 
-    /// Why a request could or could not go to each server of a group, in words.
+    /// Describes for each server of a group why a request can or cannot go there, for decision
+    /// records.
     pub fn describe_candidates(&self, group: &Group, now: Moment) -> Vec<String> {
         let Some((replicas, names)) = self.groups.get(group) else {
             return Vec::new();
@@ -190,15 +196,16 @@
             let verdict = if !replica.accepting {
                 format!("ruled out: {state} or not loaded")
             } else if !replica.usable(now) {
-                "ruled out: failed a moment ago".to_owned()
+                "ruled out: failed recently".to_owned()
             } else {
-                format!("load {:.0}, own {:.0}", replica.reported, replica.own)
+                format!("load {:.0}, in flight from this VM {:.0}", replica.reported, replica.own)
             };
             format!("{name}: {verdict}")
         };
         replicas.iter().zip(names).map(describe).collect()
     }
 
+    /// Rebuilds the replicas of a server in its groups after its state changed.
     fn refresh(&mut self, server: &Server) {
         let Some(state) = self.servers.get(server) else {
             return;
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -1,4 +1,4 @@
-//! One entry VM: its shared state, and the tasks that keep it.
+//! One entry VM: its shared state and its background tasks.
 
 mod bills;
 mod claims;
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -1,4 +1,5 @@
-//! Contents under which backend servers crash, as the VMs of the product know them; [`crate::decide::poison`] decides.
+//! Contents that crash backend servers: checks for crashes and exchanges findings with other VMs.
+//! The decisions are in [`crate::decide::poison`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,33 +17,37 @@
 use crate::peer::{Member, ranked};
 use crate::unit::{Date, Digest, Server, Span};
 
-/// Up to this number each VM tells each other what it sees of a content.
+/// Up to this number of other VMs, each VM sends what it observes of a content to all of them.
 const FULL_MESH_LIMIT: usize = 12;
 
-/// Of more, so many gather what is known of it.
+/// With more VMs, the number of VMs that aggregate the observations of one content.
 const AGGREGATORS: usize = 3;
 
-/// A declared server says nothing of its lives. What VMs see of its end within this time is one end: they see it some
-/// milliseconds apart, and a server needs seconds to come back.
+/// Length of a window in which crashes of a server count as one. A declared server does not report
+/// its incarnation; VMs observe a crash some milliseconds apart, and a server needs seconds to
+/// restart.
 const INCARNATION_WINDOW: Span = Span::secs(4);
 
-/// Time between two reminders of what is held back, and the VMs that each VM reminds: one that has just started hears none
-/// in three seconds once in 400 times.
+/// Time between two reminders of the quarantined contents.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Number of random VMs that each VM sends a reminder to. With 2 a second, a VM that has just
+/// started receives none in three seconds once in 400 times.
 const REMINDER_FANOUT: usize = 2;
 
-/// The life of a server that was seen to have ended at a date.
+/// Returns the incarnation of a server that was observed to have crashed at a date.
 fn incarnation_at(server: &Server, date: Date) -> ServerIncarnation {
     ServerIncarnation::new(server.as_str(), Some(date.0 / INCARNATION_WINDOW.0))
 }
 
-/// Whether requests with a content are not sent on.
+/// Returns true if a content is quarantined, so that requests with it are not sent to servers.
 pub fn is_quarantined(vm: &Vm, content: &Digest) -> bool {
     let poison = vm.poison.lock().expect("no panic while held");
     poison.quarantine_crashes(content, vm.clock.now()).is_some()
 }
 
-/// A request's answer broke off at a server: finds effects whether that has crashed.
+/// Checks, after a response broke off, whether its server has crashed; if so, records the crash for
+/// the content of the request.
 pub fn on_broken_response(
     vm: &Arc<Vm>,
     server: &Server,
@@ -52,7 +57,11 @@
     let (vm, server) = (vm.clone(), server.clone());
     actix_web::rt::spawn(async move {
         let found = check::check(address).await;
-        log::info!("{} {server} was checked: {found:?}, {}", vm.settings.vm, request.content);
+        log::info!(
+            "{} checked {server} after a broken response: {found:?}, content {}",
+            vm.settings.vm,
+            request.content
+        );
         if found == Found::IsGone {
             let incarnation = incarnation_at(&server, vm.clock.date());
             let now = vm.clock.now();
@@ -64,14 +73,14 @@
     });
 }
 
-/// A request ran to a good end.
+/// Records that a request with a content succeeded.
 pub fn on_success(vm: &Vm, content: Digest) {
     let now = vm.clock.now();
     let effects = vm.poison.lock().expect("no panic while held").on_success(content, now);
     apply_effects(vm, effects);
 }
 
-/// Takes what another VM tells.
+/// Handles a message of another VM.
 pub fn on_message(vm: &Vm, message: &Message) {
     let now = vm.clock.now();
     let effects =
@@ -83,10 +92,13 @@
     for transition in effects.transitions {
         match transition {
             Transition::Quarantined(content, ends) => {
-                log::warn!("{} content {content} is held back: {ends} ends", vm.settings.vm);
+                log::warn!(
+                    "{} content {content} quarantined after {ends} server crashes",
+                    vm.settings.vm
+                );
             }
             Transition::Released(content) => {
-                log::info!("{} content {content} is free", vm.settings.vm)
+                log::info!("{} content {content} released from quarantine", vm.settings.vm)
             }
         }
     }
@@ -96,7 +108,7 @@
         .for_each(|outgoing| vm.send_command(Command::SendPoison(outgoing)));
 }
 
-/// Tells those whom a word is for.
+/// Sends a message to its recipients.
 pub fn send_outgoing(control: &Control, outgoing: Outgoing) {
     let others = control.other_vms();
     let to = match outgoing.to {
@@ -107,6 +119,7 @@
     to.into_iter().for_each(|member| send(control, member, outgoing.message.clone()));
 }
 
+/// Returns the other VMs that aggregate the observations of a content.
 fn aggregators(control: &Control, others: Vec<Member>, content: Digest) -> Vec<Member> {
     let own_vm = &control.vm.settings.vm;
     let names = others.iter().map(|member| &member.vm).chain([own_vm]);
@@ -120,7 +133,8 @@
     actix_web::rt::spawn(async move { control.call(to.address, Call::Poison(message)).await });
 }
 
-/// Reminds others of what is held back for as long as the process runs, so that a VM that starts knows it.
+/// Sends the quarantined contents to a few random VMs at each interval, so that a VM that starts
+/// learns of them.
 pub async fn send_reminders(control: Control) {
     loop {
         tokio::time::sleep(REMINDER_INTERVAL).await;
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -1,4 +1,4 @@
-//! Gives samples to the rating service and turns ratings into evidence.
+//! Sends samples to the rating service and adds the ratings to the evidence.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -12,18 +12,18 @@
 /// Time between two exchanges with the rating service.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Samples that wait for a rating at most; the oldest are given up.
+/// Maximum number of samples that wait for a rating; beyond it the oldest is dropped.
 const MAX_PENDING_SAMPLES: usize = 20_000;
 
-/// Weight of the latest rating in the usual lag.
+/// Weight of the latest rating in the moving average of the lag.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// What a sample's rating counts for.
+/// The counters that the rating of a sample is added to.
 #[derive(Clone, Debug)]
 pub struct Subject {
     /// Counters to add to.
     pub keys: Vec<Key>,
-    /// When the answer was given.
+    /// Time at which the answer was sent.
     pub date: Date,
 }
 
@@ -32,7 +32,7 @@
     static OUTBOX: RefCell<Vec<Sample>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Samples that wait, and the usual lag of ratings.
+/// Samples that wait for a rating, and the average lag of ratings.
 #[derive(Debug, Default)]
 pub struct PendingSamples {
     subjects: HashMap<RequestId, Subject>,
@@ -41,7 +41,7 @@
 }
 
 impl PendingSamples {
-    /// Notes what the rating of a request will count for.
+    /// Inserts a sample with the counters that its rating will be added to.
     pub fn insert(&mut self, request: RequestId, subject: Subject) {
         if self.order.len() >= MAX_PENDING_SAMPLES
             && let Some(oldest) = self.order.pop_front()
@@ -60,20 +60,20 @@
         Some(subject)
     }
 
-    /// The usual time from an answer to its rating.
+    /// Returns the average time from an answer to its rating.
     pub fn lag(&self) -> Span {
         Span((self.lag * 1e6) as u64)
     }
 }
 
-/// Queues a sample.
+/// Queues a sample for the next exchange; drops it if there is no rating service.
 pub fn enqueue(control: Control, sample: Sample) {
     if control.ratings.is_some() {
         OUTBOX.with_borrow_mut(|outbox| outbox.push(sample));
     }
 }
 
-/// Exchanges samples and ratings for as long as the process runs.
+/// Exchanges samples and ratings with the rating service, if there is one, until the process ends.
 pub async fn exchange(control: Control) {
     let Some(ratings) = control.ratings.clone() else {
         return;
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -1,4 +1,4 @@
-//! Starts a VM's tasks and its door, and stops them.
+//! Starts and stops the tasks and the HTTP server of a VM.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -24,27 +24,27 @@
 use crate::platform::{Ratings, Store};
 use crate::unit::{Incarnation, Moment};
 
-/// Connections that may wait to be taken.
+/// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
 
-/// Connections of one worker.
+/// Maximum number of connections of one worker.
 const MAX_WORKER_CONNECTIONS: usize = 20_000;
 
-/// A caller's request head must come within this; longer than pauses that a VM wakes from, since the
-/// library counts them as the caller's.
+/// Time within which a caller must send the head of a request. It is longer than any suspension
+/// that a VM resumes from, since the HTTP library counts suspended time as the caller's.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks whether the last request has ended.
+/// Time between two checks during a stop whether all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// After a planned stop, connections that are idle get this long, in seconds.
+/// Time that open connections get after a planned stop, in seconds.
 const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
 /// A VM that runs on this thread.
 pub struct Handle {
     /// The VM.
     pub vm: Arc<Vm>,
-    /// Where callers reach it.
+    /// The address on which it serves callers.
     pub address: SocketAddr,
     control: Control,
     server: ServerHandle,
@@ -97,10 +97,11 @@
     actix_web::rt::spawn(ratings::exchange(control.clone()));
     actix_web::rt::spawn(poison::send_reminders(control.clone()));
     let server = serve_http(vm.clone(), listener)?;
-    log::info!("{} {} serves callers at {address}", vm.settings.vm, vm.incarnation);
+    log::info!("{} {} listening for callers on {address}", vm.settings.vm, vm.incarnation);
     Ok(Handle { vm, address, control, server })
 }
 
+/// Starts the HTTP server for callers.
 fn serve_http(vm: Arc<Vm>, listener: TcpListener) -> Result<ServerHandle, Error> {
     let address = vm.settings.listen.to_string();
     let workers = vm.settings.workers;
@@ -126,13 +127,13 @@
 }
 
 impl Handle {
-    /// A planned stop: refuse new work, finish what runs, hand over, leave.
+    /// Stops as planned: refuses new work, waits for running requests, hands over state and leaves.
     ///
-    /// Returns the requests that were still running when the time was up.
+    /// Returns the number of requests that were still running when the time limit was reached.
     pub async fn stop(self) -> usize {
         let vm = &self.vm;
         vm.history.note(|| Event::Stopping { vm: vm.settings.vm.clone() });
-        log::info!("{} {} stops as planned", vm.settings.vm, vm.incarnation);
+        log::info!("{} {} planned stop begun", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
         while vm.running.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
@@ -145,7 +146,7 @@
         cut
     }
 
-    /// Ends at once, as a crash would: nothing is handed over.
+    /// Stops at once, as in a crash: nothing is handed over.
     pub fn kill(self) {
         self.vm.history.note(|| Event::Killed { vm: self.vm.settings.vm.clone() });
         self.vm.set_permit(Moment(0));
@@ -153,7 +154,7 @@
         self.control.links.close();
     }
 
-    /// The VM's links, for faults in tests.
+    /// Returns the VM's transport to other VMs, for fault injection in tests.
     pub fn links(&self) -> &Links {
         &self.control.links
     }
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -1,4 +1,4 @@
-//! The checked settings of a VM's process.
+//! The validated settings of a VM process.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 use crate::decide::rollout::Policy;
 use crate::unit::{DataCentre, Fault, Size, Span, Vm};
 
-/// Shortest secret.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET_LENGTH: usize = 16;
 
-/// A secret, which is never shown.
+/// A secret, whose value is never printed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Vec<u8>);
 
 impl Secret {
-    /// The secret's bytes.
+    /// Returns the bytes of the secret.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -38,7 +38,8 @@
     }
 }
 
-/// Keys of session tokens: the first signs, all are accepted, so that they can be rotated.
+/// Keys of session tokens by name: the first one signs, all are accepted, so that they can be
+/// rotated.
 #[derive(Clone, Debug)]
 pub struct SessionKeys(pub Vec<(String, Secret)>);
 
@@ -49,44 +50,44 @@
         let key = |part: &str| -> Result<(String, Secret), Fault> {
             let (name, secret) = part
                 .split_once(':')
-                .ok_or_else(|| Fault("write NAME:SECRET, parted by commas.".to_owned()))?;
+                .ok_or_else(|| Fault("write NAME:SECRET, separated by commas.".to_owned()))?;
             Ok((name.to_owned(), secret.parse()?))
         };
         text.split(',').map(key).collect::<Result<_, _>>().map(SessionKeys)
     }
 }
 
-/// All settings of a VM's process.
+/// All settings of a VM process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The VM's name.
     pub vm: Vm,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Where callers reach it.
+    /// The address on which it serves callers.
     pub listen: SocketAddr,
-    /// Where other VMs reach it.
+    /// The address on which it receives messages of other VMs.
     pub peer: SocketAddr,
-    /// The platform's object API.
+    /// The address of the platform's object API.
     pub platform: SocketAddr,
-    /// The service that rates answers.
+    /// The address of the rating service, if there is one.
     pub rating: Option<SocketAddr>,
-    /// Addresses of other VMs to join by.
+    /// Addresses of other VMs through which it joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
-    /// Longest that a planned stop waits for requests in flight.
+    /// Longest time that a planned stop waits for requests in flight.
     pub stop_within: Span,
-    /// Largest body of a request.
+    /// Largest accepted body of a request.
     pub body_limit: Size,
-    /// Share of answers that are rated.
+    /// Share of answers that are rated, from 0 to 1.
     pub rated_share: f64,
-    /// What bounds roll-outs.
+    /// The limits of risk and pace of rollouts.
     pub rollout: Policy,
-    /// The key that makes VMs one fleet.
+    /// The key shared by the VMs of one fleet, which authenticates their messages.
     pub fleet_key: Secret,
     /// Keys of session tokens.
     pub session_keys: SessionKeys,
-    /// The operators' key.
+    /// The key of operators; without one, only requests from the same machine are accepted.
     pub operator_key: Option<Secret>,
 }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -1,4 +1,4 @@
-//! What all threads of a VM share.
+//! State shared by all threads of a VM.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -23,56 +23,58 @@
 
 /// An entry VM.
 pub struct Vm {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// This life.
+    /// This lifetime of the process.
     pub incarnation: Incarnation,
-    /// Its clocks.
+    /// Clocks of the process.
     pub clock: Clock,
-    /// The configuration in force here, for the hot path.
+    /// The configuration in force on this VM, for the hot path.
     pub snapshot: RwLock<Arc<Snapshot>>,
-    /// Peers, evidence, configuration.
+    /// Gossip state: members, evidence and configuration.
     pub gossip: Mutex<Gossip>,
-    /// Backend servers.
+    /// State of the backend servers.
     pub fleet: Mutex<Fleet>,
-    /// Decision records.
+    /// Decision records of recent requests.
     pub traces: Mutex<Traces>,
-    /// Burn of objectives.
+    /// Burn rates of the objectives.
     pub burn: Mutex<Burn>,
-    /// Counters.
+    /// Metrics of this VM.
     pub metrics: Metrics,
-    /// Events, if a history is kept.
+    /// Event history, if one is kept.
     pub history: Sink,
-    /// Whether a planned stop has begun.
+    /// True once a planned stop has begun.
     pub stopping: AtomicBool,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: AtomicUsize,
-    /// Whether another bill surely finds room.
+    /// True while the buffer of unflushed bills has room.
     pub has_bill_room: AtomicBool,
-    /// Samples that wait for their rating.
+    /// Samples that wait for a rating.
     pub pending_samples: Mutex<PendingSamples>,
-    /// Rules of cascades, by workspace and kind.
+    /// Rules of cascades, by workspace and kind of request.
     pub cascade_rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
-    /// Chance that an answer of a version rolled out, or another, is rated.
+    /// Probability that an answer is rated: of the version being rolled out, and of any other.
     pub sampling_rates: RwLock<(f64, f64)>,
-    /// Parts of workspaces' limits on this VM.
+    /// This VM's shares of the rate limits of workspaces.
     pub rate_shares: RwLock<HashMap<Workspace, Rate>>,
-    /// Contents under which servers crash.
+    /// Contents that crash servers.
     pub poison: Mutex<Exchange>,
-    /// Keys set aside on this VM.
+    /// Idempotency keys reserved on this VM.
     pub reserved: Mutex<Reserved>,
     admission: Mutex<HashMap<Model, AdmissionController>>,
+    /// Number of open dispatches by the revision that they follow.
     dispatches: Mutex<BTreeMap<Revision, usize>>,
     buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
     rating_credit: Mutex<Credit>,
+    /// Moment until which new work may start, in microseconds; 0 if none may.
     permit_until: AtomicU64,
     next_request_number: AtomicU64,
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Vm {
-    /// A VM that has no configuration yet.
+    /// Creates a VM that has no configuration yet.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -111,70 +113,74 @@
         }
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force on this VM.
     pub fn config(&self) -> Arc<Snapshot> {
         self.snapshot.read().expect("no panic while held").clone()
     }
 
-    /// The configuration in force here, held for a dispatch: until the returned dispatch is
-    /// dropped, this VM does not tell others that it obeys a later revision.
+    /// Returns the configuration in force on this VM with a guard: until the guard is dropped, this
+    /// VM does not report to other VMs that all its work follows a later revision.
     pub fn begin_dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
         loop {
             let snapshot = self.config();
             let dispatch = Dispatch::new(self, snapshot.revision());
-            // A revision that came in between could have been told already.
+            // A later revision applied before the guard existed may have been reported already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
             }
         }
     }
 
-    /// The revision that all work which this VM sends from now on obeys.
+    /// Returns the revision that all work which this VM sends from now on follows, or a later one:
+    /// the revision in force, or that of the oldest open dispatch.
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
     }
 
-    /// Whether new work may start now.
+    /// Returns true if new work may start now.
     pub fn may_start(&self, now: Moment) -> bool {
         now.0 < self.permit_until.load(Ordering::Relaxed)
     }
 
-    /// Sets until when new work may start.
+    /// Sets the moment until which new work may start.
     pub fn set_permit(&self, until: Moment) {
         self.permit_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns true once a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// This VM's life.
+    /// Returns the name and incarnation of this VM.
     pub fn origin(&self) -> Origin {
         Origin { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
-    /// A request id that no other VM or life gives.
+    /// Returns a request id that is unique over all VMs and incarnations.
     pub fn next_request_id(&self) -> RequestId {
         let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{:x}-{number:x}", self.settings.vm, self.incarnation.0);
         id.parse().expect("a VM's name leaves room for the numbers")
     }
 
-    /// Sends an errand to the control thread.
+    /// Sends a command to the control thread.
     pub fn send_command(&self, command: Command) {
         let _ = self.commands.send(command);
     }
 
-    /// Adds to the VM's own evidence.
+    /// Adds counts to the evidence that this VM collects itself.
     pub fn record_evidence(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
     }
 
-    /// Takes a request of a workspace's rate on this VM, or says how long to wait.
+    /// Charges one request to a workspace's share of its rate limit on this VM.
+    ///
+    /// # Errors
+    /// The time to wait, if the share is used up.
     pub fn try_acquire_rate(
         &self,
         workspace: &Workspace,
@@ -189,7 +195,7 @@
         bucket.take(rate, now)
     }
 
-    /// Calls `f` on the gate towards the pool of a model.
+    /// Calls `f` with the admission controller of the pool of a model.
     pub fn with_admission<T>(
         &self,
         model: &Model,
@@ -204,7 +210,7 @@
         }
     }
 
-    /// Slots of all servers that run some version of a model.
+    /// Returns the slots of all servers that run any version of a model.
     fn total_slots(&self, model: &Model) -> f64 {
         let snapshot = self.config();
         let servers = snapshot.declared.servers.iter();
@@ -212,23 +218,25 @@
         of_model.map(|server| f64::from(server.slots)).sum()
     }
 
-    /// Counts a first attempt for the budgets of retries and ratings.
+    /// Records a first attempt, which adds to the budgets of retries and ratings.
     pub fn record_first_attempt(&self) {
         self.retry_budget.lock().expect("no panic while held").deposit();
         self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
-    /// Whether to have an answer rated; `worth` is how much its rating tells.
+    /// Returns true if an answer is to be rated. `worth` is the value of its rating, `point` a
+    /// random number from 0 to 1.
     pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
         self.rating_credit.lock().expect("no panic while held").spend(worth, point)
     }
 
-    /// Takes a retry of the budget.
+    /// Spends one retry of the budget. Returns false if none is left.
     pub fn try_spend_retry(&self) -> bool {
         self.retry_budget.lock().expect("no panic while held").try_spend()
     }
 
-    /// The trial that a request of a model belongs to: its roll-out's, or a window of time.
+    /// Returns the start, in microseconds, of the trial that a request of a model counts for: that
+    /// of the running rollout, or else of the current window.
     pub fn trial_start(&self, model: &crate::unit::Model, date: Date) -> u64 {
         let snapshot = self.config();
         match snapshot.rollout(model) {
@@ -238,7 +246,7 @@
     }
 }
 
-/// A piece of work between its decision and its receipt by a back end.
+/// Guard of a piece of work between the decision on it and its receipt by a backend server.
 pub struct Dispatch<'a> {
     vm: &'a Vm,
     revision: Revision,
@@ -264,5 +272,5 @@
     }
 }
 
-/// Length of the windows that a version in service is watched in, in microseconds.
+/// Length of the windows in which a version in service is compared, in microseconds.
 pub const TRIAL_WINDOW_US: u64 = 600_000_000;
--- a/tests/pause.rs
+++ b/tests/pause.rs
@@ -1,4 +1,6 @@
-//! A real process that is stopped for longer than its permit, and wakes believing that it may work.
+//! Real processes that are suspended with SIGSTOP and resumed. The tests guard against a VM that,
+//! resumed after its permit has expired, still works on an old configuration, and against one that
+//! counts the time of its own suspension as a delay of its callers.
 
 #![cfg(unix)]
 
@@ -11,10 +13,10 @@
 use kitepulley::demo::{Shape, World, intend, key};
 use serde_json::{Value, json};
 
-/// Longest wait for something that must come.
-const LONGEST: Duration = Duration::from_secs(40);
+/// Timeout of conditions that must become true.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A `serve` process, ended with its test.
+/// A `serve` process, killed when it is dropped.
 struct Process {
     child: Child,
     address: SocketAddr,
@@ -74,10 +76,10 @@
     }
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut is_true: impl FnMut() -> bool) {
     let began = Instant::now();
-    while !is() {
-        assert!(began.elapsed() < LONGEST, "{what} did not come");
+    while !is_true() {
+        assert!(began.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -86,13 +88,13 @@
 fn a_vm_that_slept_past_its_permit_starts_nothing_on_a_version_withdrawn_meanwhile() {
     let world = World::start(&Shape { vms: 0, engines: 3, ..Shape::default() }).unwrap();
     let first = Process::start("vm1", world.platform_at, None);
-    until("the first VM", || first.get("/readyz").is_some_and(|(status, _)| status == 200));
+    wait_until("the first VM", || first.get("/readyz").is_some_and(|(status, _)| status == 200));
     let others: Vec<Process> = ["vm2", "vm3"]
         .iter()
         .map(|name| Process::start(name, world.platform_at, Some(first.peer)))
         .collect();
     for other in &others {
-        until("another VM", || other.get("/readyz").is_some_and(|(status, _)| status == 200));
+        wait_until("another VM", || other.get("/readyz").is_some_and(|(status, _)| status == 200));
     }
     let ask = json!({"model": "roastmind@v3", "max_tokens": 4,
         "messages": [{"role": "user", "content": "hi"}]});
@@ -105,31 +107,34 @@
         let status = process.get("/operator/status").map(|(_, value)| value);
         status.is_some_and(|value| value["accepted"].as_u64() >= Some(revision.0))
     };
-    // Not while it could still be working: only when it is dead to the others and has lapsed.
+    // The other VMs may accept the revision only once the suspended VM counts as dead and its
+    // permit has expired, since it could still be working until then.
     assert!(!others.iter().any(accepted));
-    until("acceptance", || others.iter().any(accepted));
+    wait_until("acceptance of the withdrawal", || others.iter().any(accepted));
 
     first.signal(libc::SIGCONT);
     for _ in 0..40 {
         if let Some((status, value)) = first.send("/v1/chat/completions", Some(ask.clone())) {
-            assert!(status != 200, "it worked on a withdrawn version");
+            assert!(status != 200, "the resumed VM served a withdrawn version");
             assert_eq!(value["ran"], "no", "{status} {value}");
         }
         std::thread::sleep(Duration::from_millis(25));
     }
-    until("its return", || first.get("/readyz").is_some_and(|(status, _)| status == 200));
+    wait_until("the return of the resumed VM", || {
+        first.get("/readyz").is_some_and(|(status, _)| status == 200)
+    });
     let refused = first.send("/v1/chat/completions", Some(ask)).expect("it answers");
     assert_eq!((refused.0, refused.1["kind"].as_str()), (410, Some("withdrawn")));
     world.end();
 }
 
-/// Connections that were opened while the process was stopped are served, not told that their heads
-/// came late: the time that they waited is the process's own.
+/// Guards against 408 for connections that were opened while the process was suspended: the HTTP
+/// library counts the suspended time against the timeout for the head of a request.
 #[test]
 fn connections_that_were_opened_while_a_vm_slept_are_served() {
     let world = World::start(&Shape { vms: 0, engines: 1, ..Shape::default() }).unwrap();
     let vm = Process::start("vm1", world.platform_at, None);
-    until("the VM", || vm.get("/readyz").is_some_and(|(status, _)| status == 200));
+    wait_until("the VM", || vm.get("/readyz").is_some_and(|(status, _)| status == 200));
     vm.signal(libc::SIGSTOP);
     std::thread::sleep(Duration::from_millis(6500));
     let mut streams: Vec<TcpStream> =
