--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -127,7 +127,7 @@
         listen: loopback,
         peer: loopback,
         platform,
-        rating: None,
+        rating_service: None,
         seeds: Vec::new(),
         workers: 1,
         stop_within: Span::secs(20),
@@ -223,7 +223,7 @@
         let vm = format!("vm{}", self.born);
         let data_centre = DATA_CENTRES[self.born % DATA_CENTRES.len()];
         let settings = Settings {
-            rating: Some(self.rating_at),
+            rating_service: Some(self.rating_at),
             seeds: self.nodes.values().map(|node| node.peer).collect(),
             ..settings(&vm, data_centre, self.platform_at)
         };
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -197,7 +197,7 @@
 
 fn fleet(servers: usize) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.sync(&resolved(&declared(1, servers)), &"dc1".parse().expect("a name"));
+    fleet.apply_snapshot(&resolved(&declared(1, servers)), &"dc1".parse().expect("a name"));
     fleet
 }
 
--- a/src/forward/wake.rs
+++ b/src/forward/wake.rs
@@ -18,7 +18,7 @@
 
 /// Looks whether the machine slept until the process ends.
 pub async fn run(vm: Rc<Vm>) {
-    let Some(mut total) = vm.clock.slept() else {
+    let Some(mut total) = vm.clock.suspended_time() else {
         vm.log("no clock counts the time asleep", &[]);
         return;
     };
@@ -30,7 +30,7 @@
 
 /// Notes a sleep since the last look, when the machine had slept `known` in all. How long it has by now.
 pub fn check(vm: &Vm, total: Span) -> Span {
-    let slept = vm.clock.slept().unwrap_or(total);
+    let slept = vm.clock.suspended_time().unwrap_or(total);
     let suspended = Span(slept.0.saturating_sub(total.0));
     if suspended < MIN_SUSPENSION {
         return total;
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -62,13 +62,13 @@
         },
     };
     for _ in 0..MAX_ATTEMPTS {
-        let rest: Vec<&Entry> =
+        let remaining: Vec<&Entry> =
             entries.iter().filter(|e| e.number > chain_end).take(MAX_CHUNK_ENTRIES).collect();
-        let Some(last) = rest.last() else {
+        let Some(last) = remaining.last() else {
             return Ok(chain_end);
         };
         let key = chunk_key(origin, chain_end + 1);
-        let body = serde_json::to_vec(&rest).expect("entries are plain data");
+        let body = serde_json::to_vec(&remaining).expect("entries are plain data");
         match store.create(&key, body.clone()).await {
             Ok(Written::Done) => chain_end = last.number,
             Ok(Written::Conflict) => {
--- a/src/options.rs
+++ b/src/options.rs
@@ -123,7 +123,7 @@
         listen: needed("listen", flags.listen.as_ref())?,
         peer: needed("peer", flags.peer.as_ref())?,
         platform: needed("platform", flags.platform.as_ref())?,
-        rating: optional("rating", flags.rating.as_ref())?,
+        rating_service: optional("rating", flags.rating.as_ref())?,
         seeds: list("seed", flags.seed.as_ref())?,
         workers: or("workers", flags.workers.as_ref(), 2)?,
         stop_within: or("stop-within", flags.stop_within.as_ref(), Span::secs(30))?,
@@ -146,7 +146,7 @@
     if settings.platform == settings.listen {
         return fault("--platform and --listen name the same address; give the VM its own.");
     }
-    if settings.rating == Some(settings.platform) {
+    if settings.rating_service == Some(settings.platform) {
         return fault("--rating and --platform name the same address; each is its own service.");
     }
     if settings.rollout.doubling == Span(0) {
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -61,9 +61,9 @@
     let others = control.other_vms();
     let duty = format!("bills/{}", control.vm.settings.vm);
     let mut members = Control::ranked_members(&duty, &others);
-    let home = control.vm.settings.data_centre.clone();
+    let own_data_centre = control.vm.settings.data_centre.clone();
     // The sort is stable, so the rank decides within each group; suspected VMs come last.
-    members.sort_by_key(|m| (m.state != State::Alive, m.data_centre == home));
+    members.sort_by_key(|m| (m.state != State::Alive, m.data_centre == own_data_centre));
     members
 }
 
@@ -71,22 +71,22 @@
 ///
 /// Returns true if the bills are durable.
 async fn make_durable(control: &Control, entries: &[Entry]) -> bool {
-    let mut held = Vec::new();
+    let mut holders = Vec::new();
     // A VM that failed to store its copy is retried only after those that were not tried yet.
     let mut failed: Vec<Vm> = Vec::new();
     for _ in 0..MAX_ATTEMPTS {
         let mut all = copy_holders(control);
         all.sort_by_key(|member| failed.contains(&member.vm));
         let wanted = COPIES.min(all.len());
-        held.retain(|vm| all.iter().any(|member| member.vm == *vm));
-        let fresh = all.iter().filter(|member| !held.contains(&member.vm));
-        let lacking: Vec<&Member> = fresh.take(wanted.saturating_sub(held.len())).collect();
-        let calls = lacking.iter().map(|member| send_copy(control, member, entries));
+        holders.retain(|vm| all.iter().any(|member| member.vm == *vm));
+        let candidates = all.iter().filter(|member| !holders.contains(&member.vm));
+        let targets: Vec<&Member> = candidates.take(wanted.saturating_sub(holders.len())).collect();
+        let calls = targets.iter().map(|member| send_copy(control, member, entries));
         let done = futures_util::future::join_all(calls).await;
-        for (member, done) in lacking.iter().zip(done) {
-            if done { held.push(member.vm.clone()) } else { failed.push(member.vm.clone()) }
+        for (member, done) in targets.iter().zip(done) {
+            if done { holders.push(member.vm.clone()) } else { failed.push(member.vm.clone()) }
         }
-        if held.len() >= wanted && wanted > 0 {
+        if holders.len() >= wanted && wanted > 0 {
             return true;
         }
         if wanted == 0 && flush_own(control).await {
@@ -135,19 +135,20 @@
 /// Flushes this VM's bills at the interval for the size of the fleet, and sends copies of the
 /// unflushed ones to VMs that have become holders.
 pub async fn flush_periodically(control: Control) {
-    let mut informed: Vec<Vm> = Vec::new();
+    let mut previous_holders: Vec<Vm> = Vec::new();
     loop {
         let vms = control.other_vms().len() + 1;
         tokio::time::sleep(ledger::flush_interval(vms).duration()).await;
         flush_own(&control).await;
         let own = control.vm.origin();
-        let rest = control.unflushed.borrow().entries_of(&own);
+        let remaining = control.unflushed.borrow().entries_of(&own);
         let holders: Vec<Member> = copy_holders(&control).into_iter().take(COPIES).collect();
         for member in &holders {
-            let entries: &[Entry] = if informed.contains(&member.vm) { &[] } else { &rest };
+            let entries: &[Entry] =
+                if previous_holders.contains(&member.vm) { &[] } else { &remaining };
             send_copy(&control, member, entries).await;
         }
-        informed = holders.into_iter().map(|member| member.vm).collect();
+        previous_holders = holders.into_iter().map(|member| member.vm).collect();
         let unflushed = control.unflushed.borrow();
         control.vm.metrics.peer_bytes.set(control.links.sent() as i64);
         control.vm.metrics.bills_held.set(unflushed.count() as i64);
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -72,9 +72,10 @@
 ) -> Option<Word> {
     let KeyUse { key, user, body } = key_use;
     let now = control.vm.clock.now();
-    let own = control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
-    if own.is_some() {
-        return own;
+    let own_reply =
+        control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
+    if own_reply.is_some() {
+        return own_reply;
     }
     let mut others = control.other_vms();
     others.retain(|member| holder.as_ref().is_none_or(|holder| member.vm == *holder));
@@ -82,7 +83,7 @@
     let calls = others.iter().map(|member| control.call(member.address, call.clone()));
     let replies = futures_util::future::join_all(calls).await;
     replies.into_iter().find_map(|reply| match reply {
-        Some(Reply::Use(word)) => word,
+        Some(Reply::Use(decision)) => decision,
         _ => None,
     })
 }
--- a/src/vm/clock.rs
+++ b/src/vm/clock.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns how long the machine has been suspended since boot; none if no clock counts it.
-    pub fn slept(&self) -> Option<Span> {
+    pub fn suspended_time(&self) -> Option<Span> {
         let Reading { monotonic, boottime } = (self.read)();
         Some(Span(boottime?.saturating_sub(monotonic).as_micros() as u64))
     }
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -91,10 +91,10 @@
 
 /// Returns true if this VM is one of the watchers of its data centre.
 fn is_watcher(control: &Control) -> bool {
-    let home = &control.vm.settings.data_centre;
-    let duty = format!("watch/{home}");
+    let own_data_centre = &control.vm.settings.data_centre;
+    let duty = format!("watch/{own_data_centre}");
     control.with_gossip(|g| {
-        let local = g.present().filter(|member| member.data_centre == *home);
+        let local = g.present().filter(|member| member.data_centre == *own_data_centre);
         let order = ranked(&duty, local.map(|member| &member.vm));
         order.iter().take(WATCHERS_PER_DATA_CENTRE).any(|vm| **vm == control.vm.settings.vm)
     })
@@ -126,25 +126,25 @@
 async fn apply_root(control: &Control, body: &[u8]) -> Result<(), Error> {
     let root: Root =
         serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))?;
-    let held = control.with_gossip(|g| g.snapshot.clone());
-    if root.revision <= held.revision() {
+    let cached = control.with_gossip(|g| g.snapshot.clone());
+    if root.revision <= cached.revision() {
         return Ok(());
     }
-    let snapshot = fetch_snapshot(&control.store, root, &held).await?;
+    let snapshot = fetch_snapshot(&control.store, root, &cached).await?;
     control.with_gossip(|g| g.adopt(snapshot));
     Ok(())
 }
 
-/// Resolves a root with the pieces of `held`, and reads the remaining ones from the store.
+/// Resolves a root with the pieces of `cached`, and reads the remaining ones from the store.
 ///
 /// # Errors
 /// If the platform does not answer, or a piece is missing or invalid.
 pub async fn fetch_snapshot(
     store: &crate::platform::Store,
     root: Root,
-    held: &Snapshot,
+    cached: &Snapshot,
 ) -> Result<Snapshot, Error> {
-    let mut pieces = held.pieces.clone();
+    let mut pieces = cached.pieces.clone();
     for (name, digest) in &root.pieces {
         if pieces.contains_key(digest) {
             continue;
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -58,7 +58,7 @@
         let ticker = Ticker(self.clone()).start();
         loop {
             tokio::select! {
-                Some(arrived) = incoming.recv() => self.on_incoming(arrived),
+                Some(message) = incoming.recv() => self.on_incoming(message),
                 Some(command) = commands.recv() => self.on_command(command),
                 else => break,
             }
@@ -99,7 +99,7 @@
             .fleet
             .lock()
             .expect("no panic while held")
-            .sync(&snapshot, &self.vm.settings.data_centre);
+            .apply_snapshot(&snapshot, &self.vm.settings.data_centre);
         *self.vm.snapshot.write().expect("no panic while held") = snapshot;
         // The permit is set last: renewed earlier, it would let work start under the old revision.
         self.vm.set_permit(permit);
@@ -136,8 +136,8 @@
         decode(&self.links.call(to, bytes).await?)
     }
 
-    fn on_incoming(&self, arrived: Incoming) {
-        match arrived {
+    fn on_incoming(&self, message: Incoming) {
+        match message {
             Incoming::Frame(bytes) => {
                 let Some(envelope) = decode::<Envelope<Frame>>(&bytes) else {
                     return;
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -1,9 +1,9 @@
 //! Background duties: probing servers, stepping rollouts, updating policies from evidence.
 
+mod monitor;
 mod policy;
 mod probe;
 mod rollout;
-mod service;
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 use crate::peer::ranked;
 use crate::unit::Model;
 
+pub use monitor::monitor_versions;
 pub use policy::update_policies;
 pub use probe::{probe_server, probe_servers};
 pub use rollout::step_rollouts;
-pub use service::watch_service;
 
 /// Time between two checks of rollouts and of versions in service.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
--- a/src/vm/duty/service.rs
+++ b/src/vm/duty/monitor.rs
@@ -12,7 +12,7 @@
 
 /// Compares the current window of each version in service with the windows before, and withdraws
 /// the version if its ratings became worse and there is a previous version to return to.
-pub async fn watch_service(control: Control) {
+pub async fn monitor_versions(control: Control) {
     loop {
         tokio::time::sleep(STEP_INTERVAL).await;
         let snapshot = control.vm.config();
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -176,10 +176,10 @@
 }
 
 /// Returns the ratings of a version in the windows before a rollout began.
-fn ratings_before(control: &Control, from: &Target, begun: u64) -> Count {
-    let oldest = begun.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
+fn ratings_before(control: &Control, from: &Target, rollout_start: u64) -> Count {
+    let oldest = rollout_start.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
     let earlier = |key: &Key| match key {
-        Key::Trial { target, since } => target == from && (oldest..begun).contains(since),
+        Key::Trial { target, since } => target == from && (oldest..rollout_start).contains(since),
         _ => false,
     };
     let sums = control.with_gossip(|g| g.evidence.sums(earlier));
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -42,7 +42,7 @@
     in_flight_at_report: f64,
     failed_at: Option<Moment>,
     latency: Span,
-    number: u64,
+    replica_id: u64,
     /// Groups of the server, with the index of its replica in each.
     positions: Vec<(Group, usize)>,
 }
@@ -58,7 +58,7 @@
 impl Fleet {
     /// Updates the servers to the configuration. The state of servers that remain is kept; servers
     /// of drained data centres are in no group.
-    pub fn sync(&mut self, snapshot: &Snapshot, home: &DataCentre) {
+    pub fn apply_snapshot(&mut self, snapshot: &Snapshot, own_data_centre: &DataCentre) {
         if self.revision == Some(snapshot.revision()) {
             return;
         }
@@ -69,9 +69,12 @@
             let mut state = previous.remove(&entry.name).unwrap_or_else(|| new_state(entry));
             state.address = entry.address;
             state.slots = f64::from(entry.slots);
-            state.number = i as u64;
-            state.latency =
-                if entry.data_centre == *home { Span(0) } else { CROSS_DATA_CENTRE_LATENCY };
+            state.replica_id = i as u64;
+            state.latency = if entry.data_centre == *own_data_centre {
+                Span(0)
+            } else {
+                CROSS_DATA_CENTRE_LATENCY
+            };
             state.positions.clear();
             if !snapshot.root.drained.contains(&entry.data_centre) {
                 for group in groups_of(entry) {
@@ -214,14 +217,14 @@
             let Some((replicas, _)) = self.groups.get_mut(group) else {
                 continue;
             };
-            let mut fresh = replica(state);
+            let mut updated = replica(state);
             if let Group::Version(target) = group
                 && state.reported_at > Moment(0)
                 && !state.load.loaded.is_empty()
             {
-                fresh.accepting &= state.load.loaded.contains(target);
+                updated.accepting &= state.load.loaded.contains(target);
             }
-            replicas[*at] = fresh;
+            replicas[*at] = updated;
         }
     }
 }
@@ -237,7 +240,7 @@
         in_flight_at_report: 0.0,
         failed_at: None,
         latency: Span(0),
-        number: 0,
+        replica_id: 0,
         positions: Vec::new(),
     }
 }
@@ -249,7 +252,7 @@
 
 fn replica(state: &ServerState) -> Replica {
     Replica {
-        id: state.number,
+        id: state.replica_id,
         slots: state.slots,
         reported: f64::from(state.load.running + state.load.waiting),
         reported_at: state.reported_at,
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -56,9 +56,9 @@
 /// If an address cannot be bound.
 pub fn start(settings: Settings, history: Sink) -> Result<Handle, Error> {
     let clock = Clock::default();
-    let fault = |e: std::io::Error| Error::Bind(settings.listen.to_string(), e.to_string());
-    let listener = TcpListener::bind(settings.listen).map_err(fault)?;
-    let address = listener.local_addr().map_err(fault)?;
+    let bind_error = |e: std::io::Error| Error::Bind(settings.listen.to_string(), e.to_string());
+    let listener = TcpListener::bind(settings.listen).map_err(bind_error)?;
+    let address = listener.local_addr().map_err(bind_error)?;
     let (to_control, incoming) = mpsc::unbounded_channel();
     let links = Links::bind(settings.peer, settings.fleet_key.bytes(), to_control)?;
     let me = Member {
@@ -81,7 +81,7 @@
         store,
         unflushed: Rc::new(RefCell::new(Buffer::new(vm.origin()))),
         bill_queue,
-        ratings: vm.settings.rating.map(Ratings::new),
+        ratings: vm.settings.rating_service.map(Ratings::new),
         engines: Engines::new(),
     };
     actix_web::rt::spawn(control.clone().run(incoming, commands));
@@ -92,7 +92,7 @@
     actix_web::rt::spawn(config_watch::watch_root(control.clone()));
     actix_web::rt::spawn(duty::probe_servers(control.clone()));
     actix_web::rt::spawn(duty::step_rollouts(control.clone()));
-    actix_web::rt::spawn(duty::watch_service(control.clone()));
+    actix_web::rt::spawn(duty::monitor_versions(control.clone()));
     actix_web::rt::spawn(duty::update_policies(control.clone()));
     actix_web::rt::spawn(ratings::exchange(control.clone()));
     actix_web::rt::spawn(poison::send_reminders(control.clone()));
@@ -119,7 +119,7 @@
         .disable_signals()
         .shutdown_timeout(SHUTDOWN_TIMEOUT_SECS)
         .listen(listener)
-        .map_err(|fault| Error::Bind(address, fault.to_string()))?
+        .map_err(|error| Error::Bind(address, error.to_string()))?
         .run();
     let handle = server.handle();
     actix_web::rt::spawn(server);
@@ -133,7 +133,7 @@
     pub async fn stop(self) -> usize {
         let vm = &self.vm;
         vm.history.note(|| Event::Stopping { vm: vm.settings.vm.clone() });
-        log::info!("{} {} planned stop begun", vm.settings.vm, vm.incarnation);
+        log::info!("{} {} planned stop started", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
         while vm.running.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -71,7 +71,7 @@
     /// The address of the platform's object API.
     pub platform: SocketAddr,
     /// The address of the rating service, if there is one.
-    pub rating: Option<SocketAddr>,
+    pub rating_service: Option<SocketAddr>,
     /// Addresses of other VMs through which it joins the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Number of threads that serve callers.
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -122,10 +122,10 @@
 #[test]
 fn without_such_a_clock_the_steady_one_goes_on() {
     let clock = Clock::new(without);
-    assert_eq!((clock.now(), clock.slept()), (Moment(1_000_000), None));
+    assert_eq!((clock.now(), clock.suspended_time()), (Moment(1_000_000), None));
     let real = Clock::default();
     let first = real.now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(real.now() >= first + Span::millis(20));
-    assert!(real.slept().is_some(), "Linux counts the time asleep");
+    assert!(real.suspended_time().is_some(), "Linux counts the time asleep");
 }
