--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -12,7 +12,7 @@
 use crate::decide::rollout::Policy;
 use crate::error::Error;
 use crate::history::Sink;
-use crate::operator::{Confirmed, confirm, snapshot};
+use crate::operator::{Confirmation, confirm, read_snapshot};
 use crate::platform::Store;
 use crate::standin::engine::{Behaviour, Engine, Traits};
 use crate::standin::platform::{Listed, Platform, RATES};
@@ -101,9 +101,9 @@
 pub fn apply(platform: SocketAddr, wish: &Wish, who: &str) -> Result<Revision, Error> {
     crate::command::block(async move {
         let store = Store::new(platform);
-        let plan = config::make(&snapshot(&store).await?, wish)?;
+        let plan = config::make(&read_snapshot(&store).await?, wish)?;
         let date = Clock::default().date();
-        let (Confirmed::Now(revision) | Confirmed::Before(revision)) =
+        let (Confirmation::Applied(revision) | Confirmation::AlreadyApplied(revision)) =
             confirm(&store, &plan, who, date).await?;
         Ok(revision)
     })
@@ -127,7 +127,7 @@
         listen: loopback,
         peer: loopback,
         platform,
-        rating: None,
+        rating_service: None,
         seeds: Vec::new(),
         workers: 1,
         stop_within: Span::secs(20),
@@ -223,7 +223,7 @@
         let vm = format!("vm{}", self.born);
         let data_centre = DATA_CENTRES[self.born % DATA_CENTRES.len()];
         let settings = Settings {
-            rating: Some(self.rating_at),
+            rating_service: Some(self.rating_at),
             seeds: self.nodes.values().map(|node| node.peer).collect(),
             ..settings(&vm, data_centre, self.platform_at)
         };
--- a/src/forward/wake.rs
+++ b/src/forward/wake.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::vm::Vm;
 use crate::unit::Span;
+use super::vm::Vm;
 
 /// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -20,7 +20,7 @@
 
 /// Checks for suspensions until the process ends.
 pub async fn run(vm: Rc<Vm>) {
-    let Some(mut total) = vm.clock.slept() else {
+    let Some(mut total) = vm.clock.suspended_time() else {
         vm.log("no clock that counts suspended time; suspensions are not detected", &[]);
         return;
     };
@@ -33,7 +33,7 @@
 /// Handles a suspension since the last check, when the machine had been suspended for `total` in
 /// total. Returns the total by now.
 pub fn check(vm: &Vm, total: Span) -> Span {
-    let slept = vm.clock.slept().unwrap_or(total);
+    let slept = vm.clock.suspended_time().unwrap_or(total);
     let suspended = Span(slept.0.saturating_sub(total.0));
     if suspended < MIN_SUSPENSION {
         return total;
--- /dev/null
+++ b/src/ledger/buffer.rs
@@ -0,0 +1,166 @@
+//! Buffer of bills that are not in the store yet: a VM's own, and copies of those of other VMs.
+
+use std::collections::BTreeMap;
+
+use super::Entry;
+use crate::evidence::Origin;
+
+/// Maximum number of bills held, own and copies: beyond it new work is refused before a bill could
+/// be lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
+const MAX_ENTRIES: usize = 200_000;
+
+/// The unflushed bills that one VM holds.
+#[derive(Clone, Debug)]
+pub struct Buffer {
+    own: Origin,
+    next_number: u64,
+    chain_end: u64,
+    entries: BTreeMap<Origin, BTreeMap<u64, Entry>>,
+    count: usize,
+}
+
+impl Buffer {
+    /// Creates an empty buffer for one incarnation of a VM.
+    pub fn new(own: Origin) -> Buffer {
+        Buffer { own, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
+    }
+
+    /// Assigns the next number to an entry of this VM and inserts it.
+    pub fn record(&mut self, mut entry: Entry) -> Entry {
+        entry.number = self.next_number;
+        self.next_number += 1;
+        self.insert(self.own.clone(), entry.clone());
+        entry
+    }
+
+    fn insert(&mut self, origin: Origin, entry: Entry) {
+        let entries = self.entries.entry(origin).or_default();
+        if entries.insert(entry.number, entry).is_none() {
+            self.count += 1;
+        }
+    }
+
+    /// Inserts copies of another VM's entries, and removes those up to `flushed`, which are in the
+    /// store.
+    pub fn insert_copies(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
+        for entry in entries {
+            if entry.number > flushed {
+                self.insert(origin.clone(), entry);
+            }
+        }
+        self.remove_up_to(&origin, flushed);
+    }
+
+    /// Removes the entries of an origin up to a number, because they are in the store.
+    pub fn remove_up_to(&mut self, origin: &Origin, number: u64) {
+        let Some(entries) = self.entries.get_mut(origin) else {
+            return;
+        };
+        let kept = entries.split_off(&(number + 1));
+        self.count -= entries.len();
+        *entries = kept;
+        if entries.is_empty() {
+            self.entries.remove(origin);
+        }
+    }
+
+    /// Removes one entry that is in the store.
+    pub fn remove(&mut self, origin: &Origin, number: u64) {
+        let Some(entries) = self.entries.get_mut(origin) else {
+            return;
+        };
+        if entries.remove(&number).is_some() {
+            self.count -= 1;
+        }
+        if entries.is_empty() {
+            self.entries.remove(origin);
+        }
+    }
+
+    /// Records the last number of this VM's chain in the store.
+    pub fn record_chain_end(&mut self, number: u64) {
+        self.chain_end = self.chain_end.max(number);
+    }
+
+    /// Returns the last number of the chain in the store if all of these entries come after it.
+    pub fn chain_end_before(&self, entries: &[Entry]) -> Option<u64> {
+        let follows = entries.first().is_some_and(|entry| entry.number > self.chain_end);
+        follows.then_some(self.chain_end)
+    }
+
+    /// Returns the entries of an origin that are held here.
+    pub fn entries_of(&self, origin: &Origin) -> Vec<Entry> {
+        let entries = self.entries.get(origin);
+        entries.map(|entries| entries.values().cloned().collect()).unwrap_or_default()
+    }
+
+    /// Returns the origins whose entries are held here, except this VM.
+    pub fn other_origins(&self) -> Vec<Origin> {
+        self.entries.keys().filter(|origin| **origin != self.own).cloned().collect()
+    }
+
+    /// Returns the name and incarnation of this VM.
+    pub fn own_origin(&self) -> &Origin {
+        &self.own
+    }
+
+    /// Returns the highest number up to which all entries of this VM are in the store.
+    pub fn flushed_up_to(&self) -> u64 {
+        let first = self.entries.get(&self.own).and_then(|entries| entries.keys().next());
+        first.map_or(self.next_number, |first| *first) - 1
+    }
+
+    /// Returns the number of entries held.
+    pub fn count(&self) -> usize {
+        self.count
+    }
+
+    /// Returns true if there is room for another entry.
+    pub fn has_room(&self) -> bool {
+        self.count < MAX_ENTRIES
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+    use crate::unit::{Date, Incarnation};
+
+    fn origin() -> Origin {
+        Origin { vm: "a".parse().unwrap(), incarnation: Incarnation(1) }
+    }
+
+    fn entry(request: &str) -> Entry {
+        Entry {
+            number: 0,
+            request: request.parse().unwrap(),
+            workspace: "w".parse().unwrap(),
+            date: Date(0),
+            parts: Vec::new(),
+        }
+    }
+
+    #[test]
+    fn numbers_rise_and_flushed_ones_are_dropped() {
+        let mut buffer = Buffer::new(origin());
+        for id in ["r1", "r2", "r3"] {
+            buffer.record(entry(id));
+        }
+        assert_eq!(buffer.flushed_up_to(), 0);
+        buffer.remove_up_to(&origin(), 2);
+        assert_eq!((buffer.flushed_up_to(), buffer.count()), (2, 1));
+    }
+
+    #[test]
+    fn a_repeated_copy_is_held_once() {
+        let mut buffer = Buffer::new(origin());
+        let other = Origin { vm: "b".parse().unwrap(), incarnation: Incarnation(1) };
+        let one = Entry { number: 5, ..entry("r5") };
+        buffer.insert_copies(other.clone(), vec![one.clone()], 0);
+        buffer.insert_copies(other.clone(), vec![one.clone()], 0);
+        assert_eq!(buffer.count(), 1);
+        buffer.insert_copies(other.clone(), vec![one], 5);
+        assert_eq!(buffer.count(), 0);
+        assert!(buffer.other_origins().is_empty());
+    }
+}
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -1,26 +1,27 @@
-//! Finds the owner of a key's shard and asks it; any VM may own if the others do not answer.
+//! Sends claims of idempotency keys to the owner of their shard; any VM may own a shard if the
+//! others do not answer.
 
-use super::Asked;
+use super::KeyUse;
 use super::control::Control;
 use crate::once::{Answer, Claim, Digest, Outcome, Settled, Word, shard_of};
 use crate::peer::Member;
 use crate::peer::wire::{Call, Reply};
 use crate::unit::Vm;
 
-/// Other VMs asked before this one takes the shard itself.
-const ASKED: usize = 2;
+/// Number of other VMs tried before this one acts as the owner of the shard.
+const MAX_OWNERS_ASKED: usize = 2;
 
-/// Owners of a shard in order, this VM in its place.
-fn owners(control: &Control, shard: u64) -> Vec<Member> {
-    let present: Vec<Member> = control.gossip(|g| g.present().cloned().collect());
-    Control::in_order(&format!("once/{shard}"), &present)
+/// Returns the candidates for owner of a shard in rank order, including this VM.
+fn ranked_owners(control: &Control, shard: u64) -> Vec<Member> {
+    let present: Vec<Member> = control.with_gossip(|g| g.present().cloned().collect());
+    Control::ranked_members(&format!("once/{shard}"), &present)
 }
 
-/// Claims a key.
+/// Claims a key at the owner of its shard.
 pub async fn claim(control: &Control, claim: Claim) -> Answer {
-    let me = &control.vm.settings.vm;
-    for member in owners(control, shard_of(claim.key)).into_iter().take(ASKED) {
-        if member.vm == *me {
+    let own_vm = &control.vm.settings.vm;
+    for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNERS_ASKED) {
+        if member.vm == *own_vm {
             break;
         }
         if let Some(Reply::Claim(answer)) =
@@ -32,11 +33,11 @@
     control.owner.claim(claim).await
 }
 
-/// Notes how a claimed call ended.
+/// Records at the owner of the shard how a claimed call ended.
 pub async fn settle(control: &Control, settled: Settled) {
-    let me = &control.vm.settings.vm;
-    let owners = owners(control, shard_of(settled.key));
-    if let Some(first) = owners.first().filter(|first| first.vm != *me) {
+    let own_vm = &control.vm.settings.vm;
+    let owners = ranked_owners(control, shard_of(settled.key));
+    if let Some(first) = owners.first().filter(|first| first.vm != *own_vm) {
         let call = Call::Settle(settled.clone());
         if control.call(first.address, call).await == Some(Reply::Done) {
             return;
@@ -45,8 +46,9 @@
     control.owner.settle(settled);
 }
 
-/// Releases the keys set aside here that no call has used: after this life nobody could.
-pub async fn release(control: &Control) {
+/// Releases the keys reserved here that no call has used: only this incarnation could grant them,
+/// so they would stay unusable after it ends.
+pub async fn release_unused_keys(control: &Control) {
     let unused = control.vm.reserved.lock().expect("no panic while held").release();
     if unused.is_empty() {
         return;
@@ -55,25 +57,33 @@
         let (body, outcome) = (Digest::default(), Outcome::NotRun);
         settle(control, Settled { key, request, body, outcome }).await;
     }
-    // Outcomes wait this long for a claim to share their link with.
+    // The owner delays outcomes by up to this time to write them together with a claim.
     tokio::time::sleep(crate::once::SETTLE_WITHIN * 2).await;
 }
 
-/// Asks for a key that is set aside: this VM, its holder, or all others.
-pub async fn ask_holder(control: &Control, asked: Asked, holder: Option<Vm>) -> Option<Word> {
-    let Asked { key, user, body } = asked;
+/// Requests the use of a reserved key: from this VM, then from its holder, or from all other VMs if
+/// the holder is not known.
+///
+/// Returns none if no VM that answered holds a reservation.
+pub async fn use_reserved_key(
+    control: &Control,
+    key_use: KeyUse,
+    holder: Option<Vm>,
+) -> Option<Word> {
+    let KeyUse { key, user, body } = key_use;
     let now = control.vm.clock.now();
-    let own = control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
-    if own.is_some() {
-        return own;
+    let own_reply =
+        control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
+    if own_reply.is_some() {
+        return own_reply;
     }
-    let mut others = control.others();
+    let mut others = control.other_vms();
     others.retain(|member| holder.as_ref().is_none_or(|holder| member.vm == *holder));
     let call = Call::Use { key, user, body };
-    let asks = others.iter().map(|member| control.call(member.address, call.clone()));
-    let words = futures_util::future::join_all(asks).await;
-    words.into_iter().find_map(|reply| match reply {
-        Some(Reply::Use(word)) => word,
+    let calls = others.iter().map(|member| control.call(member.address, call.clone()));
+    let replies = futures_util::future::join_all(calls).await;
+    replies.into_iter().find_map(|reply| match reply {
+        Some(Reply::Use(decision)) => decision,
         _ => None,
     })
 }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -1,4 +1,4 @@
-//! What all threads of a VM share.
+//! State shared by all threads of a VM.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -6,8 +6,8 @@
 
 use tokio::sync::mpsc;
 
-use super::ratings::Waiting;
-use super::{Clock, Errand, Fleet, Settings};
+use super::ratings::PendingSamples;
+use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
 use crate::decide::cascade::{Credit, Rule};
@@ -23,62 +23,64 @@
 
 /// An entry VM.
 pub struct Vm {
-    /// Its settings.
+    /// Settings of the process.
     pub settings: Settings,
-    /// This life.
+    /// This lifetime of the process.
     pub incarnation: Incarnation,
-    /// Its clocks.
+    /// Clocks of the process.
     pub clock: Clock,
-    /// The configuration in force here, for the hot path.
+    /// The configuration in force on this VM, for the hot path.
     pub snapshot: RwLock<Arc<Snapshot>>,
-    /// Peers, evidence, configuration.
+    /// Gossip state: members, evidence and configuration.
     pub gossip: Mutex<Gossip>,
-    /// Backend servers.
+    /// State of the backend servers.
     pub fleet: Mutex<Fleet>,
-    /// Decision records.
+    /// Decision records of recent requests.
     pub traces: Mutex<Traces>,
-    /// Burn of objectives.
+    /// Burn rates of the objectives.
     pub burn: Mutex<Burn>,
-    /// Counters.
+    /// Metrics of this VM.
     pub metrics: Metrics,
-    /// Events, if a history is kept.
+    /// Event history, if one is kept.
     pub history: Sink,
-    /// Whether a planned stop has begun.
+    /// True once a planned stop has begun.
     pub stopping: AtomicBool,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub running: AtomicUsize,
-    /// Whether another bill surely finds room.
-    pub bill_room: AtomicBool,
-    /// Samples that wait for their rating.
-    pub waiting: Mutex<Waiting>,
-    /// Rules of cascades, by workspace and kind.
-    pub rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
-    /// Chance that an answer of a version rolled out, or another, is rated.
-    pub sampling: RwLock<(f64, f64)>,
-    /// Parts of workspaces' limits on this VM.
-    pub parts: RwLock<HashMap<Workspace, Rate>>,
-    /// Contents under which servers crash.
+    /// True while the buffer of unflushed bills has room.
+    pub has_bill_room: AtomicBool,
+    /// Samples that wait for a rating.
+    pub pending_samples: Mutex<PendingSamples>,
+    /// Rules of cascades, by workspace and kind of request.
+    pub cascade_rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
+    /// Probability that an answer is rated: of the version being rolled out, and of any other.
+    pub sampling_rates: RwLock<(f64, f64)>,
+    /// This VM's shares of the rate limits of workspaces.
+    pub rate_shares: RwLock<HashMap<Workspace, Rate>>,
+    /// Contents that crash servers.
     pub poison: Mutex<Exchange>,
-    /// Keys set aside on this VM.
+    /// Idempotency keys reserved on this VM.
     pub reserved: Mutex<Reserved>,
-    gates: Mutex<HashMap<Model, AdmissionController>>,
+    admission: Mutex<HashMap<Model, AdmissionController>>,
+    /// Number of open dispatches by the revision that they follow.
     dispatches: Mutex<BTreeMap<Revision, usize>>,
     buckets: Mutex<HashMap<Workspace, TokenBucket>>,
-    retries: Mutex<Budget>,
-    ratings: Mutex<Credit>,
+    retry_budget: Mutex<Budget>,
+    rating_credit: Mutex<Credit>,
+    /// Moment until which new work may start, in microseconds; 0 if none may.
     permit_until: AtomicU64,
-    numbers: AtomicU64,
-    errands: mpsc::UnboundedSender<Errand>,
+    next_request_number: AtomicU64,
+    commands: mpsc::UnboundedSender<Command>,
 }
 
 impl Vm {
-    /// A VM that has no configuration yet.
+    /// Creates a VM that has no configuration yet.
     pub fn new(
         settings: Settings,
         clock: Clock,
         gossip: Gossip,
         history: Sink,
-        errands: mpsc::UnboundedSender<Errand>,
+        commands: mpsc::UnboundedSender<Command>,
     ) -> Vm {
         Vm {
             incarnation: gossip.me().incarnation,
@@ -93,148 +95,158 @@
             history,
             stopping: AtomicBool::new(false),
             running: AtomicUsize::new(0),
-            bill_room: AtomicBool::new(true),
-            waiting: Mutex::default(),
-            rules: RwLock::default(),
-            sampling: RwLock::new((1.0, 0.0)),
-            parts: RwLock::default(),
+            has_bill_room: AtomicBool::new(true),
+            pending_samples: Mutex::default(),
+            cascade_rules: RwLock::default(),
+            sampling_rates: RwLock::new((1.0, 0.0)),
+            rate_shares: RwLock::default(),
             poison: Mutex::default(),
             reserved: Mutex::default(),
-            gates: Mutex::default(),
+            admission: Mutex::default(),
             dispatches: Mutex::default(),
             buckets: Mutex::default(),
-            retries: Mutex::default(),
-            ratings: Mutex::default(),
+            retry_budget: Mutex::default(),
+            rating_credit: Mutex::default(),
             permit_until: AtomicU64::new(0),
-            numbers: AtomicU64::new(0),
-            errands,
+            next_request_number: AtomicU64::new(0),
+            commands,
         }
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force on this VM.
     pub fn config(&self) -> Arc<Snapshot> {
         self.snapshot.read().expect("no panic while held").clone()
     }
 
-    /// The configuration in force here, held for a dispatch: until the returned dispatch is
-    /// dropped, this VM does not tell others that it obeys a later revision.
-    pub fn dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
+    /// Returns the configuration in force on this VM with a guard: until the guard is dropped, this
+    /// VM does not report to other VMs that all its work follows a later revision.
+    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
         loop {
             let snapshot = self.config();
             let dispatch = Dispatch::new(self, snapshot.revision());
-            // A revision that came in between could have been told already.
+            // A later revision applied before the guard existed may have been reported already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
             }
         }
     }
 
-    /// The revision that all work which this VM sends from now on obeys.
-    pub fn obeyed(&self) -> Revision {
+    /// Returns the revision that all work which this VM sends from now on follows, or a later one:
+    /// the revision in force, or that of the oldest open dispatch.
+    pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
     }
 
-    /// Whether new work may start now.
+    /// Returns true if new work may start now.
     pub fn may_start(&self, now: Moment) -> bool {
         now.0 < self.permit_until.load(Ordering::Relaxed)
     }
 
-    /// Sets until when new work may start.
+    /// Sets the moment until which new work may start.
     pub fn set_permit(&self, until: Moment) {
         self.permit_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns true once a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// This VM's life.
+    /// Returns the name and incarnation of this VM.
     pub fn origin(&self) -> Origin {
         Origin { vm: self.settings.vm.clone(), incarnation: self.incarnation }
     }
 
-    /// A request id that no other VM or life gives.
-    pub fn next_request(&self) -> RequestId {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+    /// Returns a request id that is unique over all VMs and incarnations.
+    pub fn next_request_id(&self) -> RequestId {
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{}-{:x}-{number:x}", self.settings.vm, self.incarnation.0);
         id.parse().expect("a VM's name leaves room for the numbers")
     }
 
-    /// Sends an errand to the control thread.
-    pub fn errand(&self, errand: Errand) {
-        let _ = self.errands.send(errand);
+    /// Sends a command to the control thread.
+    pub fn send_command(&self, command: Command) {
+        let _ = self.commands.send(command);
     }
 
-    /// Adds to the VM's own evidence.
-    pub fn learn(&self, key: Key, more: Counts) {
+    /// Adds counts to the evidence that this VM collects itself.
+    pub fn record_evidence(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
     }
 
-    /// Takes a request of a workspace's rate on this VM, or says how long to wait.
-    pub fn take_rate(
+    /// Charges one request to a workspace's share of its rate limit on this VM.
+    ///
+    /// # Errors
+    /// The time to wait, if the share is used up.
+    pub fn try_acquire_rate(
         &self,
         workspace: &Workspace,
         limit: Rate,
         now: Moment,
     ) -> Result<(), crate::unit::Span> {
-        let part = self.parts.read().expect("no panic while held").get(workspace).copied();
-        let rate = part.unwrap_or(limit);
+        let share = self.rate_shares.read().expect("no panic while held").get(workspace).copied();
+        let rate = share.unwrap_or(limit);
         let mut buckets = self.buckets.lock().expect("no panic while held");
         let bucket =
             buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
         bucket.take(rate, now)
     }
 
-    /// Calls `act` on the gate towards the pool of a model.
-    pub fn gate<T>(&self, model: &Model, act: impl FnOnce(&mut AdmissionController) -> T) -> T {
-        let mut gates = self.gates.lock().expect("no panic while held");
-        match gates.get_mut(model) {
-            Some(gate) => act(gate),
-            None => act(gates
+    /// Calls `f` with the admission controller of the pool of a model.
+    pub fn with_admission<T>(
+        &self,
+        model: &Model,
+        f: impl FnOnce(&mut AdmissionController) -> T,
+    ) -> T {
+        let mut controllers = self.admission.lock().expect("no panic while held");
+        match controllers.get_mut(model) {
+            Some(controller) => f(controller),
+            None => f(controllers
                 .entry(model.clone())
-                .or_insert(AdmissionController::new(self.slots(model)))),
+                .or_insert(AdmissionController::new(self.total_slots(model)))),
         }
     }
 
-    /// Slots of all servers that run some version of a model.
-    fn slots(&self, model: &Model) -> f64 {
+    /// Returns the slots of all servers that run any version of a model.
+    fn total_slots(&self, model: &Model) -> f64 {
         let snapshot = self.config();
         let servers = snapshot.declared.servers.iter();
         let of_model = servers.filter(|s| s.versions.iter().any(|target| target.model == *model));
         of_model.map(|server| f64::from(server.slots)).sum()
     }
 
-    /// Counts a first attempt for the budgets of retries and ratings.
-    pub fn earn(&self) {
-        self.retries.lock().expect("no panic while held").deposit();
-        self.ratings.lock().expect("no panic while held").earn(self.settings.rated_share);
+    /// Records a first attempt, which adds to the budgets of retries and ratings.
+    pub fn record_first_attempt(&self) {
+        self.retry_budget.lock().expect("no panic while held").deposit();
+        self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
-    /// Whether to have an answer rated; `worth` is how much its rating tells.
-    pub fn spend_rating(&self, worth: f64, point: f64) -> bool {
-        self.ratings.lock().expect("no panic while held").spend(worth, point)
+    /// Returns true if an answer is to be rated. `worth` is the value of its rating, `point` a
+    /// random number from 0 to 1.
+    pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
+        self.rating_credit.lock().expect("no panic while held").spend(worth, point)
     }
 
-    /// Takes a retry of the budget.
-    pub fn spend_retry(&self) -> bool {
-        self.retries.lock().expect("no panic while held").try_spend()
+    /// Spends one retry of the budget. Returns false if none is left.
+    pub fn try_spend_retry(&self) -> bool {
+        self.retry_budget.lock().expect("no panic while held").try_spend()
     }
 
-    /// The trial that a request of a model belongs to: its roll-out's, or a window of time.
-    pub fn trial(&self, model: &crate::unit::Model, date: Date) -> u64 {
+    /// Returns the start, in microseconds, of the trial that a request of a model counts for: that
+    /// of the running rollout, or else of the current window.
+    pub fn trial_start(&self, model: &crate::unit::Model, date: Date) -> u64 {
         let snapshot = self.config();
         match snapshot.rollout(model) {
             Some(rollout) => rollout.begun.0,
-            None => date.0 / WINDOW * WINDOW,
+            None => date.0 / TRIAL_WINDOW_US * TRIAL_WINDOW_US,
         }
     }
 }
 
-/// A piece of work between its decision and its receipt by a back end.
+/// Guard of a piece of work between the decision on it and its receipt by a backend server.
 pub struct Dispatch<'a> {
     vm: &'a Vm,
     revision: Revision,
@@ -260,5 +272,5 @@
     }
 }
 
-/// Length of the windows that a version in service is watched in, in microseconds.
-pub const WINDOW: u64 = 600_000_000;
+/// Length of the windows in which a version in service is compared, in microseconds.
+pub const TRIAL_WINDOW_US: u64 = 600_000_000;
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -28,7 +28,7 @@
         fn $read() -> Reading {
             let awake = Duration::from_micros($awake.load(Ordering::SeqCst));
             let asleep = Duration::from_micros($asleep.load(Ordering::SeqCst));
-            Reading { awake, all: Some(awake + asleep) }
+            Reading { monotonic: awake, boottime: Some(awake + asleep) }
         }
     };
 }
@@ -119,16 +119,16 @@
 }
 
 fn without() -> Reading {
-    Reading { awake: Duration::from_secs(7), all: None }
+    Reading { monotonic: Duration::from_secs(7), boottime: None }
 }
 
 #[test]
 fn without_such_a_clock_the_steady_one_goes_on() {
     let clock = Clock::new(without);
-    assert_eq!((clock.now(), clock.slept()), (Moment(1_000_000), None));
+    assert_eq!((clock.now(), clock.suspended_time()), (Moment(1_000_000), None));
     let real = Clock::default();
     let first = real.now();
     std::thread::sleep(Duration::from_millis(20));
     assert!(real.now() >= first + Span::millis(20));
-    assert!(real.slept().is_some(), "Linux counts the time asleep");
+    assert!(real.suspended_time().is_some(), "Linux counts the time asleep");
 }
