--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -114,7 +114,8 @@
             None => self.http.get(url),
         };
         request = request.insert_header(("authorization", format!("Bearer {}", self.key)));
-        for (name, value) in [(header::KEY, &ask.key), (header::SESSION, &ask.session)] {
+        for (name, value) in [(header::IDEMPOTENCY_KEY, &ask.key), (header::SESSION, &ask.session)]
+        {
             if let Some(value) = value {
                 request = request.insert_header((name, value.as_str()));
             }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -11,11 +11,11 @@
 use crate::vm::{Errand, Group, Picked, Vm};
 
 /// An engine that sends no frame for this long is given up.
-const SILENT: Span = Span::secs(3);
+const FRAME_TIMEOUT: Span = Span::secs(3);
 
 /// Records tell of each candidate if there are so few, and else of a share of requests.
-const TOLD: usize = 32;
-const TOLD_SHARE: f64 = 0.01;
+const MAX_TRACED_CANDIDATES: usize = 32;
+const TRACED_SHARE: f64 = 0.01;
 
 /// An attempt that runs.
 pub struct Attempt<'a> {
@@ -23,12 +23,12 @@
     work: Generate,
     picked: Picked,
     frames: Frames,
-    next: u32,
-    ended: bool,
+    next_offset: u32,
+    is_complete: bool,
 }
 
 /// What an attempt gives next.
-pub enum Piece {
+pub enum Chunk {
     /// A token.
     Token(String),
     /// The end.
@@ -48,7 +48,7 @@
     let group = Group::Version(work.target.clone());
     let picked = {
         let mut fleet = vm.fleet.lock().expect("no panic while held");
-        if fleet.size(&group) <= TOLD || rand::random::<f64>() < TOLD_SHARE {
+        if fleet.size(&group) <= MAX_TRACED_CANDIDATES || rand::random::<f64>() < TRACED_SHARE {
             steps.extend(fleet.candidates(&group, now));
         }
         fleet.pick(&group, Some(prefix), rand::random(), now)
@@ -76,19 +76,19 @@
                 "{} began on {}, the cheapest of those drawn",
                 work.target, picked.server
             ));
-            let next = work.offset;
-            Ok(Attempt { vm, work, picked, frames, next, ended: false })
+            let next_offset = work.offset;
+            Ok(Attempt { vm, work, picked, frames, next_offset, is_complete: false })
         }
         Err(fault) => {
-            note_fault(vm, &picked, &fault, now);
+            record_fault(vm, &picked, &fault, now);
             steps.push(format!("{} on {}: {}", work.target, picked.server, fault.words));
-            count(vm, &work.target, "refused");
+            count_attempt(vm, &work.target, "refused");
             Err((Some(picked), fault))
         }
     }
 }
 
-fn note_fault(vm: &Vm, picked: &Picked, fault: &Fault, now: Moment) {
+fn record_fault(vm: &Vm, picked: &Picked, fault: &Fault, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
     fleet.ended(&picked.server);
     match &fault.told {
@@ -104,7 +104,7 @@
     vm.errand(Errand::Look(picked.server.clone()));
 }
 
-fn count(vm: &Vm, target: &Target, outcome: &str) {
+fn count_attempt(vm: &Vm, target: &Target, outcome: &str) {
     vm.metrics.attempts.with_label_values(&[target.to_string().as_str(), outcome]).inc();
 }
 
@@ -123,40 +123,40 @@
     ///
     /// # Errors
     /// In words, if the stream broke before its end.
-    pub async fn next(&mut self, deadline: Moment) -> Result<Piece, String> {
-        let left = deadline.since(self.vm.clock.now()).min(SILENT);
+    pub async fn next(&mut self, deadline: Moment) -> Result<Chunk, String> {
+        let left = deadline.since(self.vm.clock.now()).min(FRAME_TIMEOUT);
         let until = Duration::from_micros(left.0);
-        match tokio::time::timeout(until, self.own()).await {
-            Ok(piece) => piece,
+        match tokio::time::timeout(until, self.read_chunk()).await {
+            Ok(chunk) => chunk,
             Err(_) => Err(format!("it sent nothing for {left}")),
         }
     }
 
-    async fn own(&mut self) -> Result<Piece, String> {
+    async fn read_chunk(&mut self) -> Result<Chunk, String> {
         loop {
             let frame = match self.frames.next().await {
                 None => return Err("the stream ended without its end".to_owned()),
                 Some(frame) => frame?,
             };
             let own = frame.request == self.work.request && frame.attempt == self.work.attempt;
-            let old = frame.end.is_none() && frame.offset < self.next;
+            let old = frame.end.is_none() && frame.offset < self.next_offset;
             if !own || old {
                 self.vm.metrics.stray_frames.inc();
                 continue;
             }
-            if frame.offset > self.next {
-                return Err(format!("tokens {} to {} are missing", self.next, frame.offset));
+            if frame.offset > self.next_offset {
+                return Err(format!("tokens {} to {} are missing", self.next_offset, frame.offset));
             }
             if let Some(end) = frame.end {
-                if end.tokens != self.next {
+                if end.tokens != self.next_offset {
                     return Err("its end does not fit its tokens".to_owned());
                 }
-                self.ended = true;
-                count(self.vm, &self.work.target, "whole");
-                return Ok(Piece::End(end));
+                self.is_complete = true;
+                count_attempt(self.vm, &self.work.target, "whole");
+                return Ok(Chunk::End(end));
             }
-            self.next += 1;
-            return Ok(Piece::Token(frame.text));
+            self.next_offset += 1;
+            return Ok(Chunk::Token(frame.text));
         }
     }
 }
@@ -165,8 +165,8 @@
     /// An attempt that is dropped before its end is cancelled, whoever dropped it.
     fn drop(&mut self) {
         self.vm.fleet.lock().expect("no panic while held").ended(&self.picked.server);
-        if !self.ended {
-            count(self.vm, &self.work.target, "cut");
+        if !self.is_complete {
+            count_attempt(self.vm, &self.work.target, "cut");
             let (request, attempt): (RequestId, u32) =
                 (self.work.request.clone(), self.work.attempt);
             self.vm.errand(Errand::Cancel(self.picked.address, Cancel { request, attempt }));
--- a/src/entry/drive/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::oneshot;
 
-use super::Drive;
+use super::Dispatch;
 use crate::decide::cascade::{self, Answer, BINS, Rule};
 use crate::evidence::{Counts, Key};
 use crate::ledger::{Entry, Part, Why};
@@ -11,15 +11,15 @@
 use crate::vm::{Errand, Subject};
 use crate::watch::Trace;
 
-impl Drive {
+impl Dispatch {
     /// Whether the first token came after what the workspace's first objective allows.
-    pub(super) fn late(&self, began: Moment, first: Option<Moment>) -> bool {
+    pub(super) fn is_late(&self, began: Moment, first: Option<Moment>) -> bool {
         let objective = self.job.workspace.objectives.first();
         let allowed = objective.map_or(Span::secs(2), |o| Span::millis(o.first_token_ms));
         first.is_some_and(|first| first.since(began) > allowed)
     }
 
-    pub(super) fn burn(&self, target: &Target, bad: bool) {
+    pub(super) fn record_burn(&self, target: &Target, bad: bool) {
         let date = self.vm.clock.date();
         let mut burn = self.vm.burn.lock().expect("no panic while held");
         for (i, objective) in self.job.workspace.objectives.iter().enumerate() {
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(super) fn part(&mut self, target: &Target, tokens: u32, whole: bool) {
+    pub(super) fn add_bill_part(&mut self, target: &Target, tokens: u32, whole: bool) {
         let price = self.job.snapshot.version(target).map_or(Cost(0), |version| version.cost);
         self.parts.push(Part {
             why: if whole { Why::Answer } else { Why::Broken },
@@ -46,7 +46,7 @@
     }
 
     /// Counts an answer under a cascade's key; its rating will count there and in its trial.
-    fn counted(&self, target: &Target, key: Key) -> Vec<Key> {
+    fn count_answer(&self, target: &Target, key: Key) -> Vec<Key> {
         self.vm.learn(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.trial_key(target), key]
     }
@@ -57,11 +57,11 @@
             kind: self.job.kind.clone(),
             bin: bin as u8,
         };
-        let keys = self.counted(target, key);
+        let keys = self.count_answer(target, key);
         let id = format!("{}.cheap", self.job.request);
         let worth = cascade::rating_value(rule, Answer::Cheap(bin));
         if let Ok(id) = id.parse() {
-            self.rate(target, id, keys, worth, kept.concat());
+            self.sample_for_rating(target, id, keys, worth, kept.concat());
         }
     }
 
@@ -71,14 +71,14 @@
             kind: self.job.kind.clone(),
             bin: bin as u8,
         };
-        let keys = self.counted(target, key);
+        let keys = self.count_answer(target, key);
         let answer = if bin == BINS { Answer::Direct } else { Answer::Climbed };
         let worth = cascade::rating_value(rule, answer);
-        self.rate(target, self.job.request.clone(), keys, worth, kept.concat());
+        self.sample_for_rating(target, self.job.request.clone(), keys, worth, kept.concat());
     }
 
     /// Has an answer rated: by a roll-out's sampling, or where a rating tells most.
-    pub(super) fn rate(
+    pub(super) fn sample_for_rating(
         &self,
         target: &Target,
         id: RequestId,
@@ -108,7 +108,7 @@
     }
 
     pub(super) async fn bill(&mut self) -> bool {
-        self.take("bill");
+        self.record_event("bill");
         let entry = Entry {
             number: 0,
             request: self.job.request.clone(),
@@ -122,7 +122,7 @@
         safe.await.unwrap_or(false)
     }
 
-    pub(super) fn trace(&mut self) {
+    pub(super) fn store_trace(&mut self) {
         let trace = Trace {
             request: self.job.request.clone(),
             workspace: self.job.workspace.name.clone(),
--- a/src/entry/drive/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -3,45 +3,45 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Drive, Stop};
+use super::{Abort, Dispatch};
 use crate::config::{Allowed, Snapshot};
 use crate::decide::admission::Outcome;
 use crate::decide::poison::{OpenRequest, STABLE_AFTER};
 use crate::decide::retry::{self, Failure};
 use crate::engine::wire::{End, Generate};
-use crate::entry::attempt::{self, Attempt, Piece};
+use crate::entry::attempt::{self, Attempt, Chunk};
 use crate::entry::refusal::{Kind as Refused, Refusal};
 use crate::evidence::Counts;
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
 
 /// A retry needs at least this much of the deadline.
-const LEAST: Span = Span::millis(20);
+const MIN_RETRY_TIME: Span = Span::millis(20);
 
 /// Full engines that a request may meet before it waits at one.
-const BOUNCES: u32 = 3;
+const MAX_FULL_REFUSALS: u32 = 3;
 
 /// How following an attempt failed.
-enum Followed {
-    Gone,
-    Broke(String),
+enum StreamError {
+    ClientGone,
+    Broken(String),
 }
 
-impl Drive {
+impl Dispatch {
     /// Generates an answer, on other servers where one breaks off, each token once.
     pub(super) async fn stream(
         &mut self,
         target: &Target,
         kept: &mut Vec<String>,
         send: bool,
-    ) -> Result<End, Stop> {
+    ) -> Result<End, Abort> {
         let began = self.vm.clock.now();
         let mut first = None;
-        self.let_in(target, began)?;
-        let outcome = self.attempts(target, kept, send, &mut first).await;
-        let late = self.late(began, first);
-        self.let_out(target, &outcome, late);
-        let failed = matches!(&outcome, Err(Stop::Refused(_)));
+        self.admit(target, began)?;
+        let outcome = self.try_servers(target, kept, send, &mut first).await;
+        let late = self.is_late(began, first);
+        self.record_admission_end(target, &outcome, late);
+        let failed = matches!(&outcome, Err(Abort::Refused(_)));
         let more = Counts {
             ended: 1,
             failed: u64::from(failed),
@@ -49,22 +49,22 @@
             ..Counts::default()
         };
         self.vm.learn(self.trial_key(target), more);
-        self.burn(target, failed || late);
+        self.record_burn(target, failed || late);
         if !kept.is_empty() || outcome.is_ok() {
-            self.part(target, kept.len() as u32, outcome.is_ok());
+            self.add_bill_part(target, kept.len() as u32, outcome.is_ok());
         }
         outcome
     }
 
     /// Asks the gate of the model's pool; a refusal there is early and true.
-    fn let_in(&mut self, target: &Target, now: Moment) -> Result<(), Stop> {
+    fn admit(&mut self, target: &Target, now: Moment) -> Result<(), Abort> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
         let (in_time, fits) = self.vm.gate(&target.model, |gate| {
             let in_time = gate.can_meet_deadline(now, deadline);
             (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
         });
-        let refuse = |kind, words| Err(Stop::Refused(Refusal::because(kind, words)));
+        let refuse = |kind, words| Err(Abort::Refused(Refusal::with_detail(kind, words)));
         match (in_time, fits) {
             (_, true) => Ok(()),
             (false, _) => refuse(Refused::Late, "it could not be expected to end in time"),
@@ -72,12 +72,12 @@
         }
     }
 
-    fn let_out(&self, target: &Target, outcome: &Result<End, Stop>, late: bool) {
+    fn record_admission_end(&self, target: &Target, outcome: &Result<End, Abort>, late: bool) {
         let how = match outcome {
             Ok(_) if late => Outcome::Bad,
             Ok(_) => Outcome::Good,
-            Err(Stop::Gone) => Outcome::Unrelated,
-            Err(Stop::Refused(refusal)) => match refusal.kind {
+            Err(Abort::ClientGone) => Outcome::Unrelated,
+            Err(Abort::Refused(refusal)) => match refusal.kind {
                 Refused::NoServer => Outcome::Full,
                 Refused::Broken | Refused::Late => Outcome::Bad,
                 _ => Outcome::Unrelated,
@@ -88,99 +88,115 @@
         self.vm.gate(&target.model, |gate| gate.on_end(workspace, how, now));
     }
 
-    async fn attempts(
+    async fn try_servers(
         &mut self,
         target: &Target,
         kept: &mut Vec<String>,
         send: bool,
         first: &mut Option<Moment>,
-    ) -> Result<End, Stop> {
-        let mut tries = 0;
-        let mut bounces = 0;
+    ) -> Result<End, Abort> {
+        let mut attempts = 0;
+        let mut full_refusals = 0;
         loop {
             let vm = self.vm.clone();
             // Held until the engine has taken the work or surely has not.
-            let (snapshot, dispatch) = vm.dispatch();
-            self.gate(target, snapshot)?;
-            self.take("choose");
-            let work = self.work(target, kept.len() as u32, bounces >= BOUNCES);
+            let (snapshot, dispatch_guard) = vm.dispatch();
+            self.check_still_allowed(target, snapshot)?;
+            self.record_event("choose");
+            let work = self.generate_request(
+                target,
+                kept.len() as u32,
+                full_refusals >= MAX_FULL_REFUSALS,
+            );
             self.attempts += 1;
-            tries += 1;
+            attempts += 1;
             let mut steps = Vec::new();
             let revision = self.job.snapshot.revision();
-            let started =
-                attempt::start(&vm, &self.engines, work, self.job.prefix, revision, &mut steps)
-                    .await;
-            drop(dispatch);
+            let started = attempt::start(
+                &vm,
+                &self.engines,
+                work,
+                self.job.prefix_hash,
+                revision,
+                &mut steps,
+            )
+            .await;
+            drop(dispatch_guard);
             self.steps.append(&mut steps);
             let (failure, words) = match started {
                 Ok(mut attempt) => {
-                    self.take("send");
-                    let mut began_at = None;
-                    let followed =
-                        self.follow(&mut attempt, target, kept, send, &mut began_at).await;
-                    if let Some(began_at) = began_at {
-                        first.get_or_insert(began_at);
+                    self.record_event("send");
+                    let mut first_token_at = None;
+                    let streamed = self
+                        .relay_stream(&mut attempt, target, kept, send, &mut first_token_at)
+                        .await;
+                    if let Some(first_token_at) = first_token_at {
+                        first.get_or_insert(first_token_at);
                     }
-                    match followed {
+                    match streamed {
                         Ok(end) => return Ok(end),
-                        Err(Followed::Gone) => return Err(Stop::Gone),
-                        Err(Followed::Broke(words)) => {
+                        Err(StreamError::ClientGone) => return Err(Abort::ClientGone),
+                        Err(StreamError::Broken(words)) => {
                             let now = self.vm.clock.now();
                             let server = attempt.server().clone();
-                            self.suspect(&server, attempt.address(), began_at);
+                            self.report_broken(&server, attempt.address(), first_token_at);
                             self.vm.fleet.lock().expect("no panic while held").failed(&server, now);
                             self.steps.push(format!("{server} broke off: {words}"));
                             (Failure::Broken, words)
                         }
                     }
                 }
-                Err((_, fault)) if fault.is_full() && bounces < BOUNCES => {
+                Err((_, fault)) if fault.is_full() && full_refusals < MAX_FULL_REFUSALS => {
                     // Nothing ran and little time was lost: it costs no retry.
-                    bounces += 1;
-                    tries -= 1;
-                    self.take("fail");
+                    full_refusals += 1;
+                    attempts -= 1;
+                    self.record_event("fail");
                     continue;
                 }
                 Err((picked, fault)) => {
                     if let Some(picked) = picked.filter(|_| fault.failure == Failure::Broken) {
-                        self.suspect(&picked.server, picked.address, None);
+                        self.report_broken(&picked.server, picked.address, None);
                     }
                     (fault.failure, fault.words)
                 }
             };
-            self.take("fail");
+            self.record_event("fail");
             self.may_have_run |= failure == Failure::Broken;
             let now = self.vm.clock.now();
             // A model's answer may be taken up again at its offset.
-            let may = retry::is_allowed(failure, true, tries, now, self.job.deadline, LEAST);
+            let may =
+                retry::is_allowed(failure, true, attempts, now, self.job.deadline, MIN_RETRY_TIME);
             if !may || !self.vm.spend_retry() {
-                return Err(Stop::Refused(self.given_up(failure, &words, now)));
+                return Err(Abort::Refused(self.final_refusal(failure, &words, now)));
             }
             self.steps.push("tries another server".to_owned());
         }
     }
 
     /// An answer broke off at a server, after its first token came at a moment, if it did.
-    fn suspect(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
+    fn report_broken(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
         let now = self.vm.clock.now();
         let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
         let request = OpenRequest { content: self.job.content, was_stable: ran };
         poison::broke(&self.vm, server, address, request);
     }
 
-    fn given_up(&self, failure: Failure, words: &str, now: Moment) -> Refusal {
+    fn final_refusal(&self, failure: Failure, words: &str, now: Moment) -> Refusal {
         if failure == Failure::Broken || !self.parts.is_empty() {
-            return Refusal::because(Refused::Broken, words);
+            return Refusal::with_detail(Refused::Broken, words);
         }
         let kind = if now >= self.job.deadline { Refused::Late } else { Refused::NoServer };
-        Refusal::because(kind, words)
+        Refusal::with_detail(kind, words)
     }
 
     /// Checks, right before work starts, what may have changed since the request was admitted.
-    fn gate(&mut self, target: &Target, snapshot: Arc<Snapshot>) -> Result<(), Stop> {
+    fn check_still_allowed(
+        &mut self,
+        target: &Target,
+        snapshot: Arc<Snapshot>,
+    ) -> Result<(), Abort> {
         let now = self.vm.clock.now();
-        let refuse = |kind| Err(Stop::Refused(Refusal::new(kind)));
+        let refuse = |kind| Err(Abort::Refused(Refusal::new(kind)));
         if !self.vm.may_start(now) {
             return refuse(Refused::CutOff);
         }
@@ -206,7 +222,7 @@
         }
     }
 
-    fn work(&self, target: &Target, offset: u32, wait: bool) -> Generate {
+    fn generate_request(&self, target: &Target, offset: u32, wait: bool) -> Generate {
         Generate {
             request: self.job.request.clone(),
             attempt: self.attempts,
@@ -220,36 +236,36 @@
         }
     }
 
-    async fn follow(
+    async fn relay_stream(
         &mut self,
         attempt: &mut Attempt<'_>,
         target: &Target,
         kept: &mut Vec<String>,
         send: bool,
-        began_at: &mut Option<Moment>,
-    ) -> Result<End, Followed> {
+        first_token_at: &mut Option<Moment>,
+    ) -> Result<End, StreamError> {
         let to = self.to.clone();
         let mut began = false;
         loop {
-            let piece = tokio::select! {
-                piece = attempt.next(self.job.deadline) => piece,
-                () = to.closed() => return Err(Followed::Gone),
+            let chunk = tokio::select! {
+                chunk = attempt.next(self.job.deadline) => chunk,
+                () = to.closed() => return Err(StreamError::ClientGone),
             };
-            match piece.map_err(Followed::Broke)? {
-                Piece::Token(text) => {
+            match chunk.map_err(StreamError::Broken)? {
+                Chunk::Token(text) => {
                     if !began {
                         began = true;
-                        *began_at = Some(self.vm.clock.now());
-                        self.take("first");
+                        *first_token_at = Some(self.vm.clock.now());
+                        self.record_event("first");
                     }
                     kept.push(text.clone());
                     if send {
-                        self.head(target).await.map_err(|_| Followed::Gone)?;
-                        self.token(text).await.map_err(|_| Followed::Gone)?;
+                        self.send_head(target).await.map_err(|_| StreamError::ClientGone)?;
+                        self.send_token(text).await.map_err(|_| StreamError::ClientGone)?;
                     }
                 }
-                Piece::End(end) => {
-                    self.take(if began { "last" } else { "first" });
+                Chunk::End(end) => {
+                    self.record_event(if began { "last" } else { "first" });
                     return Ok(end);
                 }
             }
--- a/src/entry/drive/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -20,13 +20,13 @@
 use crate::vm::{Vm, poison};
 
 /// What the drive tells the door.
-pub enum Out {
+pub enum Output {
     /// The answer begins, on that version.
-    Head(Target),
+    Started(Target),
     /// A token of it.
     Token(String),
     /// It is whole; so many tokens.
-    End(u32),
+    Completed(u32),
     /// It was refused before it began, or broke off after.
     Refused(Refusal),
 }
@@ -53,13 +53,13 @@
     /// What may answer it.
     pub route: Route,
     /// Why that may answer it, in words.
-    pub why: String,
+    pub reason: String,
     /// Whether it belongs to a session that was begun before.
     pub in_session: bool,
     /// The prompt.
     pub prompt: String,
     /// Digest of the prompt's beginning.
-    pub prefix: u64,
+    pub prefix_hash: u64,
     /// What is asked, whoever of the workspace asks it.
     pub content: Digest,
     /// Longest answer.
@@ -75,114 +75,116 @@
 }
 
 /// Counts a request as in flight for as long as it lives.
-pub struct InFlight(Data<Vm>);
+pub struct InFlightGuard(Data<Vm>);
 
-impl InFlight {
+impl InFlightGuard {
     /// Counts one more.
-    pub fn new(vm: &Data<Vm>) -> InFlight {
+    pub fn new(vm: &Data<Vm>) -> InFlightGuard {
         vm.running.fetch_add(1, Ordering::SeqCst);
-        InFlight(vm.clone())
+        InFlightGuard(vm.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-struct Drive {
+struct Dispatch {
     vm: Data<Vm>,
     engines: Engines,
     job: Job,
-    to: mpsc::Sender<Out>,
-    life: Machine,
+    to: mpsc::Sender<Output>,
+    lifecycle: Machine,
     steps: Vec<String>,
     parts: Vec<Part>,
     attempts: u32,
-    headed: bool,
+    head_sent: bool,
     /// Whether an attempt ended so that it may have run, though it gave nothing.
     may_have_run: bool,
     first_token: Option<Moment>,
 }
 
 /// How a rung ended without an answer.
-enum Stop {
+enum Abort {
     /// The caller is gone.
-    Gone,
+    ClientGone,
     /// A refusal.
     Refused(Refusal),
 }
 
 /// Runs a request to its end; the caller hears of it through `to`.
-pub async fn run(vm: Data<Vm>, engines: Engines, job: Job, to: mpsc::Sender<Out>) {
-    let in_flight = InFlight::new(&vm);
-    let life = Machine::new(chart::named("request"));
-    let why = job.why.clone();
-    let mut drive = Drive {
+pub async fn run(vm: Data<Vm>, engines: Engines, job: Job, to: mpsc::Sender<Output>) {
+    let in_flight = InFlightGuard::new(&vm);
+    let lifecycle = Machine::new(chart::named("request"));
+    let reason = job.reason.clone();
+    let mut dispatch = Dispatch {
         vm,
         engines,
         job,
         to,
-        life,
-        steps: vec![why],
+        lifecycle,
+        steps: vec![reason],
         parts: Vec::new(),
         attempts: 0,
-        headed: false,
+        head_sent: false,
         may_have_run: false,
         first_token: None,
     };
-    drive.vm.earn();
-    drive.whole().await;
-    drive.trace();
+    dispatch.vm.earn();
+    dispatch.complete().await;
+    dispatch.store_trace();
     drop(in_flight);
 }
 
-impl Drive {
-    async fn whole(&mut self) {
-        let ended = self.climb().await;
+impl Dispatch {
+    async fn complete(&mut self) {
+        let ended = self.run_route().await;
         let served = !self.parts.is_empty();
         let billed = if served { self.bill().await } else { true };
         let (last, outcome) = match ended {
-            Ok(_) if !billed => (Out::Refused(Refusal::new(Refused::Unbilled)), "unbilled"),
-            Ok(end) => (Out::End(end.tokens), "whole"),
-            Err(Stop::Gone) => {
+            Ok(_) if !billed => (Output::Refused(Refusal::new(Refused::Unbilled)), "unbilled"),
+            Ok(end) => (Output::Completed(end.tokens), "whole"),
+            Err(Abort::ClientGone) => {
                 self.steps.push("the caller went away".to_owned());
-                self.count("gone");
+                self.count_request("gone");
                 return;
             }
-            Err(Stop::Refused(refusal)) => {
+            Err(Abort::Refused(refusal)) => {
                 // A refusal after something ran, or may have, must not claim that nothing did, whichever attempt came last.
                 let ran = served || self.may_have_run;
-                let refusal = if ran { broken(&refusal) } else { refusal };
+                let refusal = if ran { broken_refusal(&refusal) } else { refusal };
                 let name = refusal.kind.row().name;
                 self.steps.push(format!("refused: {name}"));
                 self.vm.metrics.refusals.with_label_values(&[name]).inc();
-                (Out::Refused(refusal), "refused")
+                (Output::Refused(refusal), "refused")
             }
         };
-        if matches!(last, Out::End(_)) {
+        if matches!(last, Output::Completed(_)) {
             poison::ran_well(&self.vm, self.job.content);
         }
-        self.count(outcome);
+        self.count_request(outcome);
         let _ = self.to.send(last).await;
     }
 
-    fn count(&self, outcome: &str) {
+    fn count_request(&self, outcome: &str) {
         let workspace = self.job.workspace.name.as_str();
         self.vm.metrics.requests.with_label_values(&[workspace, outcome]).inc();
     }
 
-    fn take(&mut self, event: &str) {
-        if self.life.take(event).is_err() {
+    fn record_event(&mut self, event: &str) {
+        if self.lifecycle.take(event).is_err() {
             self.vm.metrics.misfits.inc();
         }
     }
 
     /// Climbs the rungs until one's answer is kept.
-    async fn climb(&mut self) -> Result<End, Stop> {
+    async fn run_route(&mut self) -> Result<End, Abort> {
         let (cheap, strong) = match self.job.route.clone() {
-            Route::Fixed(target) | Route::Model(target) => return self.rung(&target, None).await,
+            Route::Fixed(target) | Route::Model(target) => {
+                return self.run_target(&target, None).await;
+            }
             Route::Cascade(cheap, strong) => (cheap, strong),
         };
         let rule = self.rule();
@@ -191,14 +193,14 @@
         let explore = rand::random::<f64>() < rule.explore;
         if strong_first && !explore {
             self.steps.push(format!("the cascade begins with {strong}: its rule says so"));
-            return self.direct(&strong).await;
+            return self.run_strong(&strong).await;
         }
         let mut kept = Vec::new();
-        let end = match self.rung(&cheap, Some(&mut kept)).await {
+        let end = match self.run_target(&cheap, Some(&mut kept)).await {
             Ok(end) => end,
-            Err(Stop::Refused(refusal)) if refusal.kind != Refused::Late => {
+            Err(Abort::Refused(refusal)) if refusal.kind != Refused::Late => {
                 self.steps.push(format!("climbs to {strong}: {cheap} gave no answer"));
-                return self.direct(&strong).await;
+                return self.run_strong(&strong).await;
             }
             Err(stop) => return Err(stop),
         };
@@ -210,9 +212,9 @@
                 "keeps the answer of {cheap}: confidence {:.2}, expected to pass {expected:.2}",
                 end.confidence
             ));
-            self.head(&cheap).await?;
+            self.send_head(&cheap).await?;
             for token in kept {
-                self.token(token).await?;
+                self.send_token(token).await?;
             }
             return Ok(end);
         }
@@ -223,16 +225,16 @@
         if let Some(part) = self.parts.last_mut() {
             part.why = Why::Rung;
         }
-        self.take("climb");
+        self.record_event("climb");
         let mut kept = Vec::new();
-        let end = self.sent(&strong, &mut kept).await?;
+        let end = self.stream_to_client(&strong, &mut kept).await?;
         self.rate_strong(&strong, bin, &rule, &kept);
         Ok(end)
     }
 
-    async fn direct(&mut self, strong: &Target) -> Result<End, Stop> {
+    async fn run_strong(&mut self, strong: &Target) -> Result<End, Abort> {
         let mut kept = Vec::new();
-        let end = self.sent(strong, &mut kept).await?;
+        let end = self.stream_to_client(strong, &mut kept).await?;
         self.rate_strong(strong, BINS, &self.rule(), &kept);
         Ok(end)
     }
@@ -244,47 +246,55 @@
     }
 
     /// Runs a rung whose tokens go to the caller at once, and keeps them for a rating.
-    async fn sent(&mut self, target: &Target, kept: &mut Vec<String>) -> Result<End, Stop> {
+    async fn stream_to_client(
+        &mut self,
+        target: &Target,
+        kept: &mut Vec<String>,
+    ) -> Result<End, Abort> {
         self.stream(target, kept, true).await
     }
 
     /// Runs a rung; with `hold`, its tokens wait there for the decision.
-    async fn rung(&mut self, target: &Target, hold: Option<&mut Vec<String>>) -> Result<End, Stop> {
-        match hold {
+    async fn run_target(
+        &mut self,
+        target: &Target,
+        withheld: Option<&mut Vec<String>>,
+    ) -> Result<End, Abort> {
+        match withheld {
             Some(kept) => self.stream(target, kept, false).await,
             None => {
                 let mut kept = Vec::new();
                 let end = self.stream(target, &mut kept, true).await?;
                 let keys = vec![self.trial_key(target)];
-                self.rate(target, self.job.request.clone(), keys, 1.0, kept.concat());
+                self.sample_for_rating(target, self.job.request.clone(), keys, 1.0, kept.concat());
                 Ok(end)
             }
         }
     }
 
-    async fn head(&mut self, target: &Target) -> Result<(), Stop> {
-        if self.headed {
+    async fn send_head(&mut self, target: &Target) -> Result<(), Abort> {
+        if self.head_sent {
             return Ok(());
         }
-        self.headed = true;
-        self.to.send(Out::Head(target.clone())).await.map_err(|_| Stop::Gone)
+        self.head_sent = true;
+        self.to.send(Output::Started(target.clone())).await.map_err(|_| Abort::ClientGone)
     }
 
-    async fn token(&mut self, text: String) -> Result<(), Stop> {
+    async fn send_token(&mut self, text: String) -> Result<(), Abort> {
         if self.first_token.is_none() {
             let now = self.vm.clock.now();
             self.first_token = Some(now);
             self.vm.metrics.first_token.observe(now.since(self.job.arrived).as_secs());
         }
         self.vm.metrics.tokens.inc();
-        self.to.send(Out::Token(text)).await.map_err(|_| Stop::Gone)
+        self.to.send(Output::Token(text)).await.map_err(|_| Abort::ClientGone)
     }
 }
 
 /// A refusal for a request of which something ran, or may have.
-fn broken(refusal: &Refusal) -> Refusal {
+fn broken_refusal(refusal: &Refusal) -> Refusal {
     match refusal.kind {
         Refused::Broken | Refused::Unbilled => refusal.clone(),
-        other => Refusal::because(Refused::Broken, other.row().sentence),
+        other => Refusal::with_detail(Refused::Broken, other.row().title),
     }
 }
--- a/src/entry/header.rs
+++ b/src/entry/header.rs
@@ -1,7 +1,7 @@
 //! Names of headers.
 
 /// A call that may not be repeated bears its caller's key here.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Request id.
 pub const REQUEST: &str = "x-kitepulley-request";
 /// Session token; `new` asks for one.
@@ -21,6 +21,6 @@
 /// Priority from 0 to 9.
 pub const PRIORITY: &str = "x-kitepulley-priority";
 /// Trace context, carried through.
-pub const TRACE: &str = "traceparent";
+pub const TRACEPARENT: &str = "traceparent";
 /// Seconds after which to come back.
-pub const RETRY: &str = "retry-after";
+pub const RETRY_AFTER: &str = "retry-after";
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -10,10 +10,10 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use super::drive::{self, InFlight, Job, Out, Route};
+use super::dispatch::{self, InFlightGuard, Job, Output, Route};
 use super::refusal::{Kind as Refused, Refusal};
 use super::session::{self, Session};
-use super::{header, stream::guarded};
+use super::{header, stream::in_flight_body};
 use crate::config::{Allowed, Snapshot, WorkspaceEntry, digest};
 use crate::engine::client::Engines;
 use crate::evidence::{Counts, Key};
@@ -21,19 +21,19 @@
 use crate::vm::{Errand, Vm};
 
 /// Tokens made ahead of a slow caller.
-const AHEAD: usize = 16;
+const CHANNEL_CAPACITY: usize = 16;
 
 /// Longest answer if the caller sets none.
-const MAX_TOKENS: u32 = 256;
+const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// The longest answer that may be asked for.
-const MOST_TOKENS: u32 = 32_000;
+const MAX_TOKENS_LIMIT: u32 = 32_000;
 
 /// How long a caller waits if it does not say.
-const PATIENCE: Span = Span::secs(60);
+const DEFAULT_TIMEOUT: Span = Span::secs(60);
 
 /// Characters of a prompt that make its prefix.
-const PREFIX: usize = 256;
+const PREFIX_CHARS: usize = 256;
 
 #[derive(Deserialize)]
 struct Chat {
@@ -62,7 +62,7 @@
     /// Its kind of work.
     pub kind: Kind,
     /// How long it waits.
-    pub patience: Span,
+    pub timeout: Span,
     /// Higher goes first.
     pub priority: u8,
 }
@@ -87,20 +87,21 @@
     let demand = Key::Demand { workspace: workspace.name.clone() };
     vm.learn(demand, Counts { ended: 1, ..Counts::default() });
     vm.take_rate(&workspace.name, workspace.limit, now)
-        .map_err(|wait| Refusal::after(Refused::Limited, wait))?;
+        .map_err(|wait| Refusal::with_retry_after(Refused::Limited, wait))?;
     let kind = text(header::KIND).and_then(|kind| kind.parse().ok());
     let kind = kind.unwrap_or_else(|| "any".parse().expect("a plain name"));
-    let patience = text(header::DEADLINE).and_then(|ms| ms.parse().ok()).map(Span::millis);
+    let timeout = text(header::DEADLINE).and_then(|ms| ms.parse().ok()).map(Span::millis);
     let priority = text(header::PRIORITY).and_then(|n| n.parse().ok()).unwrap_or(5);
-    Ok(Caller { snapshot, workspace, kind, patience: patience.unwrap_or(PATIENCE), priority })
+    Ok(Caller { snapshot, workspace, kind, timeout: timeout.unwrap_or(DEFAULT_TIMEOUT), priority })
 }
 
 /// Reads a body up to the limit.
-pub async fn body(vm: &Data<Vm>, mut payload: Payload) -> Result<Bytes, Refusal> {
+pub async fn read_body(vm: &Data<Vm>, mut payload: Payload) -> Result<Bytes, Refusal> {
     let limit = vm.settings.body_limit.0 as usize;
     let mut whole = Vec::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|fault| Refusal::because(Refused::Malformed, fault.to_string()))?;
+        let part =
+            part.map_err(|fault| Refusal::with_detail(Refused::Malformed, fault.to_string()))?;
         if whole.len() + part.len() > limit {
             return Err(Refusal::new(Refused::TooLarge));
         }
@@ -117,28 +118,28 @@
     payload: Payload,
 ) -> HttpResponse {
     let id = vm.next_request();
-    let in_flight = InFlight::new(&vm);
+    let in_flight = InFlightGuard::new(&vm);
     let prepared = async {
-        let bytes = body(&vm, payload).await?;
+        let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
         prepare(&vm, &request, caller, &bytes, id.clone()).await
     };
-    let (job, stream, born) = match prepared.await {
+    let (job, stream, new_session) = match prepared.await {
         Ok(prepared) => prepared,
         Err(refusal) => {
             vm.metrics.refusals.with_label_values(&[refusal.kind.row().name]).inc();
-            return refusal.answer(vm.settings.vm.as_str(), Some(&id));
+            return refusal.to_response(vm.settings.vm.as_str(), Some(&id));
         }
     };
     let revision = job.snapshot.revision();
-    let (sender, mut receiver) = mpsc::channel(AHEAD);
-    actix_web::rt::spawn(drive::run(vm.clone(), engines.get_ref().clone(), job, sender));
+    let (sender, mut receiver) = mpsc::channel(CHANNEL_CAPACITY);
+    actix_web::rt::spawn(dispatch::run(vm.clone(), engines.get_ref().clone(), job, sender));
     let target = match receiver.recv().await {
-        Some(Out::Head(target)) => target,
-        Some(Out::Refused(refusal)) => {
-            return refusal.answer(vm.settings.vm.as_str(), Some(&id));
+        Some(Output::Started(target)) => target,
+        Some(Output::Refused(refusal)) => {
+            return refusal.to_response(vm.settings.vm.as_str(), Some(&id));
         }
-        _ => return Refusal::new(Refused::Broken).answer(vm.settings.vm.as_str(), Some(&id)),
+        _ => return Refusal::new(Refused::Broken).to_response(vm.settings.vm.as_str(), Some(&id)),
     };
     let mut answer = HttpResponse::Ok();
     answer
@@ -146,17 +147,17 @@
         .insert_header((header::VM, vm.settings.vm.as_str()))
         .insert_header((header::VERSION, target.to_string()))
         .insert_header((header::REVISION, revision.to_string()));
-    if let Some(session) = born {
+    if let Some(session) = new_session {
         let session = Session { target: target.clone(), ..session };
-        let token = session::seal(&session, &vm.settings.session_keys);
+        let token = session::encode_token(&session, &vm.settings.session_keys);
         answer.insert_header((header::SESSION, token));
     }
     if stream {
-        let (to, from) = mpsc::channel(AHEAD);
+        let (to, from) = mpsc::channel(CHANNEL_CAPACITY);
         actix_web::rt::spawn(write_events(receiver, to, id, target));
-        return answer.content_type("text/event-stream").streaming(guarded(from, in_flight));
+        return answer.content_type("text/event-stream").streaming(in_flight_body(from, in_flight));
     }
-    match gather(&mut receiver).await {
+    match collect_answer(&mut receiver).await {
         Ok((text, tokens)) => answer.json(json!({
             "id": id,
             "object": "chat.completion",
@@ -168,18 +169,18 @@
             }],
             "usage": {"completion_tokens": tokens},
         })),
-        Err(refusal) => refusal.answer(vm.settings.vm.as_str(), Some(&id)),
+        Err(refusal) => refusal.to_response(vm.settings.vm.as_str(), Some(&id)),
     }
 }
 
-async fn gather(from: &mut mpsc::Receiver<Out>) -> Result<(String, u32), Refusal> {
+async fn collect_answer(from: &mut mpsc::Receiver<Output>) -> Result<(String, u32), Refusal> {
     let mut text = String::new();
     loop {
         match from.recv().await {
-            Some(Out::Token(token)) => text.push_str(&token),
-            Some(Out::End(tokens)) => return Ok((text, tokens)),
-            Some(Out::Refused(refusal)) => return Err(refusal),
-            Some(Out::Head(_)) => {}
+            Some(Output::Token(token)) => text.push_str(&token),
+            Some(Output::Completed(tokens)) => return Ok((text, tokens)),
+            Some(Output::Refused(refusal)) => return Err(refusal),
+            Some(Output::Started(_)) => {}
             None => return Err(Refusal::new(Refused::Broken)),
         }
     }
@@ -187,7 +188,7 @@
 
 /// Writes server-sent events; a broken answer is told in-band and has no `[DONE]`.
 async fn write_events(
-    mut from: mpsc::Receiver<Out>,
+    mut from: mpsc::Receiver<Output>,
     to: mpsc::Sender<Result<Bytes, std::io::Error>>,
     id: RequestId,
     target: Target,
@@ -199,20 +200,20 @@
     let mut last = false;
     while !last {
         let next = from.recv().await;
-        last = matches!(next, Some(Out::End(_) | Out::Refused(_)));
+        last = matches!(next, Some(Output::Completed(_) | Output::Refused(_)));
         let text = match next {
-            Some(Out::Token(token)) => {
+            Some(Output::Token(token)) => {
                 let content = serde_json::to_string(&token).expect("text is plain data");
                 format!("{head}{{\"content\":{content}}},\"finish_reason\":null}}]}}\n\n")
             }
-            Some(Out::End(tokens)) => format!(
+            Some(Output::Completed(tokens)) => format!(
                 "{head}{{}},\"finish_reason\":\"stop\"}}],\
                  \"usage\":{{\"completion_tokens\":{tokens}}}}}\n\ndata: [DONE]\n\n"
             ),
-            Some(Out::Refused(refusal)) => {
-                format!("data: {}\n\n", json!({"error": refusal.body()}))
+            Some(Output::Refused(refusal)) => {
+                format!("data: {}\n\n", json!({"error": refusal.to_json()}))
             }
-            Some(Out::Head(_)) => continue,
+            Some(Output::Started(_)) => continue,
             None => return,
         };
         if to.send(Ok(text.into())).await.is_err() {
@@ -228,22 +229,22 @@
     bytes: &[u8],
     id: RequestId,
 ) -> Result<(Job, bool, Option<Session>), Refusal> {
-    let malformed = |what: String| Refusal::because(Refused::Malformed, what);
+    let malformed = |what: String| Refusal::with_detail(Refused::Malformed, what);
     let text = std::str::from_utf8(bytes).map_err(|fault| malformed(fault.to_string()))?;
     let chat: Chat = serde_json::from_str(text).map_err(|fault| malformed(fault.to_string()))?;
     if chat.messages.is_empty() {
         return Err(malformed("`messages` is empty".to_owned()));
     }
-    let prompt = prompt(&chat.messages);
+    let prompt = prompt_text(&chat.messages);
     let now = vm.clock.now();
-    let point = point(&id);
+    let point = rollout_point(&id);
     let in_header = request.headers().get(header::SESSION).and_then(|value| value.to_str().ok());
     let in_body = chat.metadata.as_ref().and_then(|m| m["session"].as_str());
     let mut snapshot = caller.snapshot;
     let mut workspace = caller.workspace;
-    let (route, in_session, born) = match in_header.or(in_body) {
+    let (route, in_session, new_session) = match in_header.or(in_body) {
         Some("new") => {
-            let route = route(&snapshot, &workspace, &chat.model, point, true)?;
+            let route = resolve_route(&snapshot, &workspace, &chat.model, point, true)?;
             let target = match &route {
                 Route::Fixed(t) | Route::Model(t) | Route::Cascade(_, t) => t.clone(),
             };
@@ -252,12 +253,12 @@
                 workspace: workspace.name.clone(),
                 target,
                 revision: snapshot.revision(),
-                born: vm.clock.date(),
+                created_at: vm.clock.date(),
             };
             (route, false, Some(session))
         }
         Some(token) => {
-            let session = session::open(token, &vm.settings.session_keys, vm.clock.date());
+            let session = session::decode_token(token, &vm.settings.session_keys, vm.clock.date());
             let session = session.ok_or_else(|| Refusal::new(Refused::BadSession))?;
             if session.workspace != workspace.name {
                 return Err(Refusal::new(Refused::BadSession));
@@ -274,25 +275,25 @@
             }
             (Route::Fixed(session.target.clone()), true, Some(session))
         }
-        None => (route(&snapshot, &workspace, &chat.model, point, false)?, false, None),
+        None => (resolve_route(&snapshot, &workspace, &chat.model, point, false)?, false, None),
     };
     let job = Job {
         request: id,
-        prefix: prefix(&workspace, &prompt),
-        content: content(&workspace, &chat.model, &prompt),
-        why: why(&snapshot, &route, in_session, point),
+        prefix_hash: prefix_hash(&workspace, &prompt),
+        content: content_digest(&workspace, &chat.model, &prompt),
+        reason: route_reason(&snapshot, &route, in_session, point),
         workspace,
         snapshot,
         route,
         in_session,
         prompt,
-        max_tokens: chat.max_tokens.unwrap_or(MAX_TOKENS).clamp(1, MOST_TOKENS),
+        max_tokens: chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).clamp(1, MAX_TOKENS_LIMIT),
         kind: caller.kind,
         priority: caller.priority,
         arrived: now,
-        deadline: now + caller.patience,
+        deadline: now + caller.timeout,
     };
-    Ok((job, chat.stream, born))
+    Ok((job, chat.stream, new_session))
 }
 
 async fn catch_up(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
@@ -307,15 +308,15 @@
 }
 
 /// What may answer a request for `name`: a cascade, a model, or a model at a version.
-fn route(
+fn resolve_route(
     snapshot: &Snapshot,
     workspace: &WorkspaceEntry,
     name: &str,
     point: f64,
-    begins: bool,
+    begins_session: bool,
 ) -> Result<Route, Refusal> {
     if let Some(cascade) = snapshot.cascade(workspace, name) {
-        let choose = |model| snapshot.choose(workspace, model, point, begins);
+        let choose = |model| snapshot.choose(workspace, model, point, begins_session);
         let rungs: Vec<Target> = cascade.rungs.iter().filter_map(choose).collect();
         return match rungs.as_slice() {
             [] => Err(Refusal::new(Refused::NotAllowed)),
@@ -335,12 +336,12 @@
     if snapshot.model(&model).is_none() {
         return Err(Refusal::new(Refused::UnknownModel));
     }
-    let chosen = snapshot.choose(workspace, &model, point, begins);
+    let chosen = snapshot.choose(workspace, &model, point, begins_session);
     chosen.map(Route::Model).ok_or_else(|| Refusal::new(Refused::NotAllowed))
 }
 
 /// Why a route was taken, in words.
-fn why(snapshot: &Snapshot, route: &Route, in_session: bool, point: f64) -> String {
+fn route_reason(snapshot: &Snapshot, route: &Route, in_session: bool, point: f64) -> String {
     let target = match route {
         Route::Fixed(target) if in_session => return format!("its session keeps {target}"),
         Route::Fixed(target) => return format!("the caller named {target}"),
@@ -358,7 +359,7 @@
     }
 }
 
-fn prompt(messages: &[Message]) -> String {
+fn prompt_text(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
         prompt.push_str(&message.role);
@@ -377,30 +378,30 @@
 }
 
 /// A random point from 0 to 1 that follows from the request's id.
-fn point(id: &RequestId) -> f64 {
+fn rollout_point(id: &RequestId) -> f64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn prefix(workspace: &WorkspaceEntry, prompt: &str) -> u64 {
+fn prefix_hash(workspace: &WorkspaceEntry, prompt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.name.hash(&mut hasher);
-    let end = prompt.char_indices().nth(PREFIX).map_or(prompt.len(), |(at, _)| at);
+    let end = prompt.char_indices().nth(PREFIX_CHARS).map_or(prompt.len(), |(at, _)| at);
     prompt[..end].hash(&mut hasher);
     hasher.finish()
 }
 
 /// What a request asks: the workspace, the model as its caller names it and the whole prompt.
-fn content(workspace: &WorkspaceEntry, model: &str, prompt: &str) -> Digest {
+fn content_digest(workspace: &WorkspaceEntry, model: &str, prompt: &str) -> Digest {
     unit::digest(&[workspace.name.as_str().as_bytes(), model.as_bytes(), prompt.as_bytes()])
 }
 
 /// `GET /v1/models`.
-pub async fn list(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
+pub async fn list_models(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
     let caller = match admit(&vm, &request) {
         Ok(caller) => caller,
-        Err(refusal) => return refusal.answer(vm.settings.vm.as_str(), None),
+        Err(refusal) => return refusal.to_response(vm.settings.vm.as_str(), None),
     };
     let mut names: Vec<String> =
         caller.workspace.cascades.iter().map(|cascade| cascade.name.to_string()).collect();
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -5,17 +5,17 @@
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 
-use super::channel;
+use super::channel_body;
 use super::refusal::{Kind, Refusal};
 use crate::unit::Revision;
 use crate::vm::{Errand, Vm};
 use crate::watch::{Slice, WINDOWS, show};
 
 /// Decisions waiting for a slow listener.
-const AHEAD: usize = 256;
+const CHANNEL_CAPACITY: usize = 256;
 
 /// Whether an operator asks: by key, or without one from this machine only.
-fn refused(vm: &Vm, request: &HttpRequest) -> Option<HttpResponse> {
+fn check_access(vm: &Vm, request: &HttpRequest) -> Option<HttpResponse> {
     let granted = match &vm.settings.operator_key {
         Some(key) => {
             let given = request.headers().get("authorization");
@@ -26,7 +26,7 @@
     };
     (!granted).then(|| {
         let words = "the operators' key, or a call from the VM itself, is needed";
-        Refusal::because(Kind::Unauthorised, words).answer(vm.settings.vm.as_str(), None)
+        Refusal::with_detail(Kind::Unauthorised, words).to_response(vm.settings.vm.as_str(), None)
     })
 }
 
@@ -60,14 +60,14 @@
 }
 
 /// Any other path.
-pub async fn nothing(vm: Data<Vm>) -> HttpResponse {
-    Refusal::new(Kind::NotFound).answer(vm.settings.vm.as_str(), None)
+pub async fn not_found(vm: Data<Vm>) -> HttpResponse {
+    Refusal::new(Kind::NotFound).to_response(vm.settings.vm.as_str(), None)
 }
 
 /// `GET /operator/status`.
 pub async fn status(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(refused) = refused(&vm, &request) {
-        return refused;
+    if let Some(check_access) = check_access(&vm, &request) {
+        return check_access;
     }
     let now = vm.clock.now();
     let snapshot = vm.config();
@@ -102,8 +102,8 @@
 
 /// `GET /operator/explain/REQUEST`, from any VM.
 pub async fn explain(vm: Data<Vm>, request: HttpRequest, id: Path<String>) -> HttpResponse {
-    if let Some(refused) = refused(&vm, &request) {
-        return refused;
+    if let Some(check_access) = check_access(&vm, &request) {
+        return check_access;
     }
     let own = {
         let traces = vm.traces.lock().expect("no panic while held");
@@ -125,8 +125,8 @@
 
 /// `GET /operator/burn`, over all VMs.
 pub async fn burn(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(refused) = refused(&vm, &request) {
-        return refused;
+    if let Some(check_access) = check_access(&vm, &request) {
+        return check_access;
     }
     let date = vm.clock.date();
     let mut slices = vm.burn.lock().expect("no panic while held").slices(date);
@@ -143,12 +143,12 @@
 
 /// `GET /operator/decisions`: records as they are made, as server-sent events.
 pub async fn decisions(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(refused) = refused(&vm, &request) {
-        return refused;
+    if let Some(check_access) = check_access(&vm, &request) {
+        return check_access;
     }
-    let (sender, mut records) = mpsc::channel::<String>(AHEAD);
+    let (sender, mut records) = mpsc::channel::<String>(CHANNEL_CAPACITY);
     vm.traces.lock().expect("no panic while held").listen(sender);
-    let (to, from) = mpsc::channel(AHEAD);
+    let (to, from) = mpsc::channel(CHANNEL_CAPACITY);
     actix_web::rt::spawn(async move {
         while let Some(record) = records.recv().await {
             if to.send(Ok(format!("data: {record}\n\n").into())).await.is_err() {
@@ -156,5 +156,5 @@
             }
         }
     });
-    HttpResponse::Ok().content_type("text/event-stream").streaming(channel(from))
+    HttpResponse::Ok().content_type("text/event-stream").streaming(channel_body(from))
 }
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -77,20 +77,20 @@
     /// Whether the request ran.
     pub ran: Ran,
     /// Seconds after which to try again; none if trying again is no use.
-    pub again: Option<u64>,
+    pub retry_after_s: Option<u64>,
     /// A whole sentence that says what to do.
-    pub sentence: &'static str,
+    pub title: &'static str,
 }
 
 macro_rules! rows {
-    ($($kind:ident $name:literal $status:literal $ran:ident $again:expr, $sentence:literal;)*) => {
+    ($($kind:ident $name:literal $status:literal $ran:ident $retry_after:expr, $title:literal;)*) => {
         &[$(Row {
             kind: Kind::$kind,
             name: $name,
             status: $status,
             ran: Ran::$ran,
-            again: $again,
-            sentence: $sentence,
+            retry_after_s: $retry_after,
+            title: $title,
         }),*]
     };
 }
@@ -138,7 +138,7 @@
     /// The kind.
     pub kind: Kind,
     /// When to come back, if it is known better than the table does.
-    pub again: Option<Span>,
+    pub delay: Option<Span>,
     /// What in particular, if there is more to say.
     pub detail: Option<String>,
 }
@@ -146,32 +146,32 @@
 impl Refusal {
     /// A refusal of that kind.
     pub fn new(kind: Kind) -> Refusal {
-        Refusal { kind, again: None, detail: None }
+        Refusal { kind, delay: None, detail: None }
     }
 
     /// With a detail.
-    pub fn because(kind: Kind, detail: impl Into<String>) -> Refusal {
+    pub fn with_detail(kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal { detail: Some(detail.into()), ..Refusal::new(kind) }
     }
 
     /// With a time to come back.
-    pub fn after(kind: Kind, again: Span) -> Refusal {
-        Refusal { again: Some(again), ..Refusal::new(kind) }
+    pub fn with_retry_after(kind: Kind, delay: Span) -> Refusal {
+        Refusal { delay: Some(delay), ..Refusal::new(kind) }
     }
 
     /// Whole seconds after which to come back.
     pub fn retry_after(&self) -> Option<u64> {
-        let told = self.again.map(|span| (span.as_secs().ceil() as u64).max(1));
-        told.or(self.kind.row().again)
+        let seconds = self.delay.map(|span| (span.as_secs().ceil() as u64).max(1));
+        seconds.or(self.kind.row().retry_after_s)
     }
 
     /// The body, for an answer or in-band in a stream.
-    pub fn body(&self) -> serde_json::Value {
+    pub fn to_json(&self) -> serde_json::Value {
         let row = self.kind.row();
         json!({
             "type": format!("urn:kitepulley:{}", row.name),
             "kind": row.name,
-            "title": row.sentence,
+            "title": row.title,
             "status": row.status,
             "detail": self.detail,
             "ran": row.ran,
@@ -181,17 +181,17 @@
     }
 
     /// The answer; `request` is none if the request was refused before it had an id.
-    pub fn answer(&self, vm: &str, request: Option<&RequestId>) -> HttpResponse {
+    pub fn to_response(&self, vm: &str, request: Option<&RequestId>) -> HttpResponse {
         let status = StatusCode::from_u16(self.kind.row().status).expect("a status of the table");
-        let mut answer = HttpResponse::build(status);
-        answer.insert_header((header::VM, vm));
+        let mut response = HttpResponse::build(status);
+        response.insert_header((header::VM, vm));
         if let Some(request) = request {
-            answer.insert_header((header::REQUEST, request.as_str()));
+            response.insert_header((header::REQUEST, request.as_str()));
         }
         if let Some(seconds) = self.retry_after() {
-            answer.insert_header((header::RETRY, seconds.to_string()));
+            response.insert_header((header::RETRY_AFTER, seconds.to_string()));
         }
-        answer.content_type("application/problem+json").body(self.body().to_string())
+        response.content_type("application/problem+json").body(self.to_json().to_string())
     }
 }
 
@@ -203,7 +203,7 @@
     fn each_row_is_a_sentence_and_its_name_is_used_once() {
         let mut names = std::collections::BTreeSet::new();
         for row in TABLE {
-            assert!(row.sentence.ends_with('.'), "{}", row.name);
+            assert!(row.title.ends_with('.'), "{}", row.name);
             assert!(names.insert(row.name), "{}", row.name);
         }
     }
@@ -211,7 +211,7 @@
     #[test]
     fn what_may_have_run_is_never_offered_again_without_its_key() {
         for row in TABLE.iter().filter(|row| row.ran != Ran::No) {
-            assert!(row.again.is_none() || row.kind == Kind::KeyRunning, "{}", row.name);
+            assert!(row.retry_after_s.is_none() || row.kind == Kind::KeyRunning, "{}", row.name);
         }
     }
 }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -9,9 +9,9 @@
 use actix_web::{HttpRequest, HttpResponse};
 use tokio::sync::oneshot;
 
-use super::drive::InFlight;
+use super::dispatch::InFlightGuard;
 use super::header;
-use super::models::{Caller, admit, body};
+use super::models::{Caller, admit, read_body};
 use super::refusal::{Kind as Refused, Refusal};
 use crate::config::ServiceEntry;
 use crate::decide::poison::OpenRequest;
@@ -19,24 +19,24 @@
 use crate::engine::client::Engines;
 use crate::history::{Event, Ran};
 use crate::ledger::{Entry, Part, Why};
-use crate::once::{Answer, Claim, Outcome, Settled, Word};
+use crate::once::{Answer, Claim, KeyGrant, Outcome, Settlement};
 use crate::unit::{Cost, Digest, Moment, RequestId, Service, Span, digest};
 use crate::vm::{Asked, Errand, Group, Vm, poison};
 
 /// Price of a call, in micro-euros.
-const PRICE: Cost = Cost(10);
+const CALL_PRICE: Cost = Cost(10);
 
 /// Largest answer of a service.
-const LARGEST: usize = 4_000_000;
+const MAX_RESPONSE_BYTES: usize = 4_000_000;
 
 /// Largest answer that is kept with a key, so that a chain's links stay small.
-const KEPT: usize = 2_000;
+const MAX_STORED_BODY_BYTES: usize = 2_000;
 
 /// Longest key.
-const LONGEST_KEY: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// A retry needs at least this much of the deadline.
-const LEAST: Span = Span::millis(20);
+const MIN_RETRY_TIME: Span = Span::millis(20);
 
 struct Call {
     request: RequestId,
@@ -46,13 +46,13 @@
     body: Bytes,
     headers: Vec<(&'static str, String)>,
     key: Option<String>,
-    repeatable: bool,
+    is_idempotent: bool,
     deadline: Moment,
 }
 
-struct Reply {
+struct Response {
     status: u16,
-    kind: String,
+    content_type: String,
     body: Bytes,
 }
 
@@ -64,30 +64,30 @@
     payload: Payload,
 ) -> HttpResponse {
     let id = vm.next_request();
-    let in_flight = InFlight::new(&vm);
+    let in_flight = InFlightGuard::new(&vm);
     let outcome = async {
-        let bytes = body(&vm, payload).await?;
+        let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
         let call = prepare(&vm, &request, &caller, bytes, id.clone())?;
-        if call.repeatable {
+        if call.is_idempotent {
             run(&vm, &engines, &caller, &call).await
         } else {
             run_once(&vm, &engines, &caller, &call).await
         }
     };
     let answer = match outcome.await {
-        Ok(reply) => {
-            let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        Ok(response) => {
+            let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status)
                 .insert_header((header::REQUEST, id.as_str()))
                 .insert_header((header::VM, vm.settings.vm.as_str()))
                 .insert_header((header::REVISION, vm.config().revision().to_string()))
-                .content_type(reply.kind)
-                .body(reply.body)
+                .content_type(response.content_type)
+                .body(response.body)
         }
         Err(refusal) => {
             vm.metrics.refusals.with_label_values(&[refusal.kind.row().name]).inc();
-            refusal.answer(vm.settings.vm.as_str(), Some(&id))
+            refusal.to_response(vm.settings.vm.as_str(), Some(&id))
         }
     };
     drop(in_flight);
@@ -112,16 +112,16 @@
         value.map(str::to_owned)
     };
     let path = format!("/{}", request.match_info().get("path").unwrap_or_default());
-    let key = text(header::KEY).filter(|key| key.len() <= LONGEST_KEY);
-    let repeatable = repeatable(entry, &path, request.method()) && key.is_none();
-    if !repeatable && key.is_none() {
+    let key = text(header::IDEMPOTENCY_KEY).filter(|key| key.len() <= MAX_KEY_BYTES);
+    let is_idempotent = is_idempotent(entry, &path, request.method()) && key.is_none();
+    if !is_idempotent && key.is_none() {
         return Err(Refusal::new(Refused::KeyMissing));
     }
     let mut headers = vec![
         (header::REQUEST, id.to_string()),
         (header::WORKSPACE, caller.workspace.name.to_string()),
     ];
-    for name in ["content-type", "accept", header::TRACE, header::KEY] {
+    for name in ["content-type", "accept", header::TRACEPARENT, header::IDEMPOTENCY_KEY] {
         headers.extend(text(name).map(|value| (name, value)));
     }
     let query = request.query_string();
@@ -134,12 +134,12 @@
         body,
         headers,
         key,
-        repeatable,
-        deadline: vm.clock.now() + caller.patience,
+        is_idempotent,
+        deadline: vm.clock.now() + caller.timeout,
     })
 }
 
-fn repeatable(entry: &ServiceEntry, path: &str, method: &Method) -> bool {
+fn is_idempotent(entry: &ServiceEntry, path: &str, method: &Method) -> bool {
     let once = entry.once.iter().any(|prefix| path.starts_with(prefix.as_str()));
     !(once && *method != Method::GET && *method != Method::HEAD)
 }
@@ -163,43 +163,43 @@
 }
 
 /// What a call finds out about its key.
-enum Held {
+enum KeyState {
     /// It holds the key, under that request.
-    Key(RequestId),
+    Acquired(RequestId),
     /// A call with that key ended before.
-    Outcome(Outcome),
+    Ended(Outcome),
 }
 
 /// Agrees on who runs a key's call, from the store or from the word of the key's holder.
-async fn hold(vm: &Data<Vm>, claim: &Claim) -> Result<Held, Refusal> {
+async fn acquire_key(vm: &Data<Vm>, claim: &Claim) -> Result<KeyState, Refusal> {
     let (sender, answered) = oneshot::channel();
     vm.errand(Errand::Claim(claim.clone(), sender));
-    let holder = match answered.await.unwrap_or(Answer::Away) {
-        Answer::Granted => return Ok(Held::Key(claim.request.clone())),
-        Answer::Running(holder) => return Err(running(vm, &holder)),
-        Answer::Ended(outcome) => return Ok(Held::Outcome(outcome)),
-        Answer::OtherBody => return Err(Refusal::new(Refused::KeyReused)),
+    let holder = match answered.await.unwrap_or(Answer::Unavailable) {
+        Answer::Granted => return Ok(KeyState::Acquired(claim.request.clone())),
+        Answer::Running(holder) => return Err(refuse_held_key(vm, &holder)),
+        Answer::Ended(outcome) => return Ok(KeyState::Ended(outcome)),
+        Answer::BodyMismatch => return Err(Refusal::new(Refused::KeyReused)),
         Answer::Reserved(holder) => Some(holder),
-        Answer::Away => None,
+        Answer::Unavailable => None,
     };
     let asked = Asked { key: claim.key, user: claim.request.clone(), body: claim.body };
     let (sender, answered) = oneshot::channel();
     vm.errand(Errand::Use(asked, holder.clone().map(|holder| holder.vm), sender));
     match (answered.await.ok().flatten(), holder) {
-        (Some(Word::Granted(reservation)), _) => Ok(Held::Key(reservation)),
-        (Some(Word::Taken), _) => Err(Refusal::new(Refused::KeyRunning)),
-        (Some(Word::OtherBody), _) => Err(Refusal::new(Refused::KeyReused)),
-        (None, Some(holder)) => Err(running(vm, &holder)),
-        (None, None) => Err(give_up(vm, claim)),
+        (Some(KeyGrant::Granted(reservation)), _) => Ok(KeyState::Acquired(reservation)),
+        (Some(KeyGrant::InUse), _) => Err(Refusal::new(Refused::KeyRunning)),
+        (Some(KeyGrant::BodyMismatch), _) => Err(Refusal::new(Refused::KeyReused)),
+        (None, Some(holder)) => Err(refuse_held_key(vm, &holder)),
+        (None, None) => Err(release_claim(vm, claim)),
     }
 }
 
 /// Releases a claim that was not agreed on: it may yet stand in the store, and must not hold the
 /// key for good.
-fn give_up(vm: &Data<Vm>, claim: &Claim) -> Refusal {
+fn release_claim(vm: &Data<Vm>, claim: &Claim) -> Refusal {
     let Claim { key, request, body, .. } = claim.clone();
     let outcome = Outcome::NotRun;
-    vm.errand(Errand::Settle(Settled { key, request, body, outcome }));
+    vm.errand(Errand::Settle(Settlement { key, request, body, outcome }));
     Refusal::new(Refused::StoreAway)
 }
 
@@ -209,22 +209,22 @@
     engines: &Engines,
     caller: &Caller,
     call: &Call,
-) -> Result<Reply, Refusal> {
+) -> Result<Response, Refusal> {
     let claim = claim(vm, caller, call, false);
-    let request = match hold(vm, &claim).await? {
-        Held::Key(request) => request,
-        Held::Outcome(outcome) => return replay(outcome),
+    let request = match acquire_key(vm, &claim).await? {
+        KeyState::Acquired(request) => request,
+        KeyState::Ended(outcome) => return replay(outcome),
     };
     let settle = |outcome| {
         let (key, body) = (claim.key, claim.body);
-        vm.errand(Errand::Settle(Settled { key, request: request.clone(), body, outcome }));
+        vm.errand(Errand::Settle(Settlement { key, request: request.clone(), body, outcome }));
     };
     let outcome = run(vm, engines, caller, call).await;
     match &outcome {
-        Ok(reply) => settle(Outcome::Ran {
-            status: reply.status,
-            kind: reply.kind.clone(),
-            body: (reply.body.len() <= KEPT).then(|| reply.body.to_vec()),
+        Ok(response) => settle(Outcome::Ran {
+            status: response.status,
+            content_type: response.content_type.clone(),
+            body: (response.body.len() <= MAX_STORED_BODY_BYTES).then(|| response.body.to_vec()),
         }),
         Err(refusal) if refusal.kind.row().ran == Ran::No => {
             settle(Outcome::NotRun);
@@ -238,7 +238,7 @@
 pub async fn reserve(vm: Data<Vm>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let id = vm.next_request();
     let outcome = async {
-        body(&vm, payload).await?;
+        read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
         let call = prepare(&vm, &request, &caller, Bytes::new(), id.clone())?;
         if call.key.is_none() {
@@ -250,44 +250,44 @@
         let claim = claim(&vm, &caller, &call, true);
         let (sender, answered) = oneshot::channel();
         vm.errand(Errand::Claim(claim.clone(), sender));
-        match answered.await.unwrap_or(Answer::Away) {
+        match answered.await.unwrap_or(Answer::Unavailable) {
             Answer::Granted => {
                 let mut reserved = vm.reserved.lock().expect("no panic while held");
                 reserved.add(claim.key, claim.request, vm.clock.now());
                 Ok(())
             }
             Answer::Reserved(_) => Ok(()),
-            Answer::Running(holder) => Err(running(&vm, &holder)),
-            Answer::Ended(_) | Answer::OtherBody => Err(Refusal::new(Refused::KeyReused)),
-            Answer::Away => Err(give_up(&vm, &claim)),
+            Answer::Running(holder) => Err(refuse_held_key(&vm, &holder)),
+            Answer::Ended(_) | Answer::BodyMismatch => Err(Refusal::new(Refused::KeyReused)),
+            Answer::Unavailable => Err(release_claim(&vm, &claim)),
         }
     };
     match outcome.await {
         Ok(()) => HttpResponse::Created()
             .insert_header((header::VM, vm.settings.vm.as_str()))
             .json(serde_json::json!({"reserved": true})),
-        Err(refusal) => refusal.answer(vm.settings.vm.as_str(), Some(&id)),
+        Err(refusal) => refusal.to_response(vm.settings.vm.as_str(), Some(&id)),
     }
 }
 
 /// A call with this key holds it; whether it can still end depends on its VM.
-fn running(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
+fn refuse_held_key(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
-    let lives = gossip
+    let is_alive = gossip
         .member(&holder.vm)
         .is_some_and(|member| member.incarnation == holder.incarnation && member.state.present());
-    Refusal::new(if lives { Refused::KeyRunning } else { Refused::InDoubt })
+    Refusal::new(if is_alive { Refused::KeyRunning } else { Refused::InDoubt })
 }
 
-fn replay(outcome: Outcome) -> Result<Reply, Refusal> {
+fn replay(outcome: Outcome) -> Result<Response, Refusal> {
     match outcome {
-        Outcome::Ran { status, kind, body: Some(body) } => {
-            Ok(Reply { status, kind, body: body.into() })
+        Outcome::Ran { status, content_type, body: Some(body) } => {
+            Ok(Response { status, content_type, body: body.into() })
         }
         Outcome::Ran { status, .. } => {
             let words =
                 format!("it ran and was answered {status}; the answer was too large to keep");
-            Err(Refusal::because(Refused::InDoubt, words))
+            Err(Refusal::with_detail(Refused::InDoubt, words))
         }
         Outcome::NotRun => Err(Refusal::new(Refused::StoreAway)),
         Outcome::InDoubt => Err(Refusal::new(Refused::InDoubt)),
@@ -300,30 +300,30 @@
     engines: &Engines,
     caller: &Caller,
     call: &Call,
-) -> Result<Reply, Refusal> {
+) -> Result<Response, Refusal> {
     vm.earn();
     let mut may_have_run = false;
-    let outcome = attempts(vm, engines, caller, call, &mut may_have_run).await;
+    let outcome = try_servers(vm, engines, caller, call, &mut may_have_run).await;
     outcome.map_err(|refusal| match refusal.kind.row().ran {
         // The last attempt's word is not that of those before it.
-        Ran::No if may_have_run => Refusal::because(Refused::Broken, refusal.kind.row().sentence),
+        Ran::No if may_have_run => Refusal::with_detail(Refused::Broken, refusal.kind.row().title),
         _ => refusal,
     })
 }
 
-async fn attempts(
+async fn try_servers(
     vm: &Data<Vm>,
     engines: &Engines,
     caller: &Caller,
     call: &Call,
     may_have_run: &mut bool,
-) -> Result<Reply, Refusal> {
+) -> Result<Response, Refusal> {
     let group = Group::Service(call.service.clone());
-    let content = content(caller, call);
-    let mut tries = 0;
+    let content = content_digest(caller, call);
+    let mut attempts = 0;
     loop {
         let now = vm.clock.now();
-        let (snapshot, dispatch) = vm.dispatch();
+        let (snapshot, dispatch_guard) = vm.dispatch();
         if !vm.may_start(now) {
             return Err(Refusal::new(Refused::CutOff));
         }
@@ -339,7 +339,7 @@
         let Some(picked) = picked else {
             return Err(Refusal::new(Refused::NoServer));
         };
-        tries += 1;
+        attempts += 1;
         vm.history.note(|| Event::Started {
             vm: vm.settings.vm.clone(),
             request: call.request.clone(),
@@ -348,7 +348,7 @@
             server: picked.server.clone(),
         });
         // A service answers only when it is done, so the dispatch ends with the decision.
-        drop(dispatch);
+        drop(dispatch_guard);
         let sent = send(engines, picked.address, call, now).await;
         let now = vm.clock.now();
         {
@@ -359,10 +359,10 @@
             }
         }
         let failure = match sent {
-            Ok(reply) => {
+            Ok(response) => {
                 poison::ran_well(vm, content);
                 bill(vm, caller, call).await?;
-                return Ok(reply);
+                return Ok(response);
             }
             Err(failure) => failure,
         };
@@ -371,7 +371,14 @@
             let request = OpenRequest { content, was_stable: false };
             poison::broke(vm, &picked.server, picked.address, request);
         }
-        let may = retry::is_allowed(failure, call.repeatable, tries, now, call.deadline, LEAST);
+        let may = retry::is_allowed(
+            failure,
+            call.is_idempotent,
+            attempts,
+            now,
+            call.deadline,
+            MIN_RETRY_TIME,
+        );
         if !may || !vm.spend_retry() {
             let kind = if failure == Failure::Broken { Refused::Broken } else { Refused::NoServer };
             return Err(Refusal::new(kind));
@@ -380,7 +387,7 @@
 }
 
 /// What a call asks, whoever of the workspace asks it and under whichever key.
-fn content(caller: &Caller, call: &Call) -> Digest {
+fn content_digest(caller: &Caller, call: &Call) -> Digest {
     let texts = [
         caller.workspace.name.as_str(),
         call.service.as_str(),
@@ -396,21 +403,21 @@
     to: std::net::SocketAddr,
     call: &Call,
     now: Moment,
-) -> Result<Reply, Failure> {
-    let head = service_head(to, call).ok_or(Failure::NotSent)?;
+) -> Result<Response, Failure> {
+    let head = request_head(to, call).ok_or(Failure::NotSent)?;
     let within = Duration::from_micros(call.deadline.since(now).0);
     let exchange = async {
-        let sent = engines.call(to, head, &call.body, call.repeatable, LARGEST).await;
+        let sent = engines.call(to, head, &call.body, call.is_idempotent, MAX_RESPONSE_BYTES).await;
         let (head, body) = sent?;
-        let kind = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-        let kind = kind.unwrap_or("application/octet-stream").to_owned();
-        Ok(Reply { status: head.status.as_u16(), kind, body })
+        let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+        let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
+        Ok(Response { status: head.status.as_u16(), content_type, body })
     };
     tokio::time::timeout(within, exchange).await.unwrap_or(Err(Failure::Broken))
 }
 
 /// The head of a call of a service; nothing if a caller's path or header cannot be one.
-fn service_head(to: std::net::SocketAddr, call: &Call) -> Option<RequestHead> {
+fn request_head(to: std::net::SocketAddr, call: &Call) -> Option<RequestHead> {
     let mut head = RequestHead::default();
     head.method = call.method.clone();
     head.uri = call.path.parse().ok()?;
@@ -427,7 +434,7 @@
         request: call.request.clone(),
         workspace: caller.workspace.name.clone(),
         date: vm.clock.date(),
-        parts: vec![Part { why: Why::Call, target: None, tokens: 0, cost: PRICE }],
+        parts: vec![Part { why: Why::Call, target: None, tokens: 0, cost: CALL_PRICE }],
     };
     let (sender, safe) = oneshot::channel();
     vm.errand(Errand::Bill(entry, sender));
--- a/src/entry/session.rs
+++ b/src/entry/session.rs
@@ -10,10 +10,10 @@
 use crate::vm::SessionKeys;
 
 /// A session lives this long.
-const LIFE: Span = Span::secs(24 * 3600);
+const SESSION_LIFETIME: Span = Span::secs(24 * 3600);
 
 /// Bytes of a signature.
-const SIGNATURE: usize = 32;
+const SIGNATURE_BYTES: usize = 32;
 
 /// What a token carries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -27,36 +27,36 @@
     /// The revision at its birth; a VM with an older one catches up first.
     pub revision: Revision,
     /// When it was born.
-    pub born: Date,
+    pub created_at: Date,
 }
 
-fn sign(secret: &[u8], body: &[u8]) -> Hmac<Sha256> {
+fn signature(secret: &[u8], body: &[u8]) -> Hmac<Sha256> {
     let mut mac = Hmac::<Sha256>::new_from_slice(secret).expect("any length is a key");
     mac.update(body);
     mac
 }
 
 /// The token of a session.
-pub fn seal(session: &Session, keys: &SessionKeys) -> String {
+pub fn encode_token(session: &Session, keys: &SessionKeys) -> String {
     let body = postcard::to_stdvec(session).expect("a session is plain data");
     let (name, secret) = keys.0.first().expect("settings have a session key");
-    let mac = sign(secret.bytes(), &body).finalize().into_bytes();
+    let mac = signature(secret.bytes(), &body).finalize().into_bytes();
     let bytes = [mac.as_slice(), &body].concat();
     format!("{name}.{}", URL_SAFE_NO_PAD.encode(bytes))
 }
 
 /// The session of a token; nothing if it is forged or expired.
-pub fn open(token: &str, keys: &SessionKeys, now: Date) -> Option<Session> {
+pub fn decode_token(token: &str, keys: &SessionKeys, now: Date) -> Option<Session> {
     let (name, text) = token.split_once('.')?;
     let (_, secret) = keys.0.iter().find(|(known, _)| known == name)?;
     let bytes = URL_SAFE_NO_PAD.decode(text).ok()?;
-    if bytes.len() < SIGNATURE {
+    if bytes.len() < SIGNATURE_BYTES {
         return None;
     }
-    let (mac, body) = bytes.split_at(SIGNATURE);
-    sign(secret.bytes(), body).verify_slice(mac).ok()?;
+    let (mac, body) = bytes.split_at(SIGNATURE_BYTES);
+    signature(secret.bytes(), body).verify_slice(mac).ok()?;
     let session: Session = postcard::from_bytes(body).ok()?;
-    (now.since(session.born) < LIFE).then_some(session)
+    (now.since(session.created_at) < SESSION_LIFETIME).then_some(session)
 }
 
 #[cfg(test)]
@@ -73,27 +73,27 @@
             workspace: "w".parse().unwrap(),
             target: "m@v1".parse().unwrap(),
             revision: Revision(3),
-            born: Date(1_000),
+            created_at: Date(1_000),
         }
     }
 
     #[test]
     fn a_token_opens_with_any_accepted_key() {
         let old = keys("k1:0123456789abcdef0");
-        let token = seal(&session(), &old);
+        let token = encode_token(&session(), &old);
         let rotated = keys("k2:fedcba9876543210f,k1:0123456789abcdef0");
-        assert_eq!(open(&token, &rotated, Date(2_000)), Some(session()));
+        assert_eq!(decode_token(&token, &rotated, Date(2_000)), Some(session()));
     }
 
     #[test]
     fn forged_foreign_and_expired_tokens_are_refused() {
         let keys_here = keys("k1:0123456789abcdef0");
-        let token = seal(&session(), &keys_here);
-        assert_eq!(open(&token, &keys("k1:another-secret-here"), Date(2_000)), None);
-        assert_eq!(open(&token, &keys_here, Date(1_000 + LIFE.0)), None);
+        let token = encode_token(&session(), &keys_here);
+        assert_eq!(decode_token(&token, &keys("k1:another-secret-here"), Date(2_000)), None);
+        assert_eq!(decode_token(&token, &keys_here, Date(1_000 + SESSION_LIFETIME.0)), None);
         let mut forged = token.clone();
         forged.pop();
-        assert_eq!(open(&forged, &keys_here, Date(2_000)), None);
-        assert_eq!(open("garbage", &keys_here, Date(0)), None);
+        assert_eq!(decode_token(&forged, &keys_here, Date(2_000)), None);
+        assert_eq!(decode_token("garbage", &keys_here, Date(0)), None);
     }
 }
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -17,7 +17,7 @@
 use crate::error::Error;
 use crate::evidence::{Counts, Key, Origin, Table as Evidence};
 use crate::ledger::{Book, Entry, Part, Why};
-use crate::once::{Claim, Outcome, Record, Settled, Shard, digest as claim_digest};
+use crate::once::{Claim, Outcome, Record, Settlement, Shard, digest as claim_digest};
 use crate::peer::wire::{Call, Envelope, Frame, encode};
 use crate::peer::{Gossip, Member, State};
 use crate::unit::{Cost, Date, Incarnation, Moment, Revision, Span, Vm};
@@ -160,7 +160,7 @@
 
 fn shard(claims: usize) -> Shard {
     let mut shard = Shard::default();
-    shard.link((0..claims).map(|i| Record::Claim(claim(i))).collect());
+    shard.apply_link((0..claims).map(|i| Record::Claim(claim(i))).collect());
     shard
 }
 
@@ -219,14 +219,14 @@
         memory("memory_per_bill", [20_000, 40_000, 60_000, 80_000], book),
         memory("memory_per_old_claim", [20_000, 40_000, 60_000, 80_000], |n| {
             let mut shard = shard(n);
-            let ended = |i| Settled {
+            let ended = |i| Settlement {
                 key: claim(i).key,
                 request: claim(i).request,
                 body: claim(i).body,
-                outcome: Outcome::Ran { status: 200, kind: String::new(), body: None },
+                outcome: Outcome::Ran { status: 200, content_type: String::new(), body: None },
             };
-            shard.link((0..n).map(|i| Record::Settled(ended(i))).collect());
-            shard.forget(Date(claim(0).date.0 + Span::secs(7200).0));
+            shard.apply_link((0..n).map(|i| Record::Settled(ended(i))).collect());
+            shard.evict(Date(claim(0).date.0 + Span::secs(7200).0));
             shard
         }),
         memory("memory_per_claim", [20_000, 40_000, 60_000, 80_000], shard),
@@ -240,9 +240,9 @@
         workspace: "roasters".parse().expect("a name"),
         target: "roastmind@v3".parse().expect("a target"),
         revision: Revision(3),
-        born: Date(1_000),
+        created_at: Date(1_000),
     };
-    let token = session::seal(&session, &keys);
+    let token = session::encode_token(&session, &keys);
     let from: Vm = "vm1".parse().expect("a name");
     vec![
         time("time_per_decision_replica", [20, 100, 300, 600], |n| {
@@ -256,7 +256,7 @@
         time("time_per_token_check", [1, 2, 3, 4], |n| {
             micros(|| {
                 for _ in 0..n {
-                    black_box(session::open(&token, &keys, Date(2_000)));
+                    black_box(session::decode_token(&token, &keys, Date(2_000)));
                 }
             })
         }),
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -277,7 +277,7 @@
 }
 
 fn unknown(job: &Job, why: &str) -> Reply {
-    refuse(job, Refusal::because(Kind::Broken, why))
+    refuse(job, Refusal::with_detail(Kind::Broken, why))
 }
 
 fn refuse(job: &Job, refusal: Refusal) -> Reply {
@@ -306,8 +306,8 @@
     match outcome::final_response(end, progress.may_have_run) {
         FinalResponse::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
         FinalResponse::Refused => {
-            let again = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
-            refuse(job, Refusal { again, ..Refusal::new(Kind::NoServer) })
+            let delay = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
+            refuse(job, Refusal { delay, ..Refusal::new(Kind::NoServer) })
         }
         FinalResponse::Unknown | FinalResponse::Delivered if !progress.may_have_run => {
             refuse(job, Refusal::new(Kind::Busy))
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -251,7 +251,7 @@
     let route = found?.0;
     record.set_route(&route.name);
     if vm.would_outlast(route.streams, vm.now()) {
-        return Err(Refusal::after(Kind::Stopping, Span(0)));
+        return Err(Refusal::with_retry_after(Kind::Stopping, Span(0)));
     }
     if table.keyed && !route.public && !fresh(vm).await {
         return Err(Refusal::new(Kind::CutOff));
@@ -358,7 +358,7 @@
 fn refusal(vm: &Vm, refused: &Refusal, left: Span) -> HttpResponse {
     let row = refused.kind.row();
     let status = StatusCode::from_u16(row.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
-    let body = refused.body().to_string();
+    let body = refused.to_json().to_string();
     let mut response = Response::with_body(status, BoxBody::new(body));
     let headers = response.headers_mut();
     let mut set = |name: HeaderName, value: &str| {
@@ -368,8 +368,8 @@
     };
     set(actix_http::header::CONTENT_TYPE, "application/problem+json");
     set(HeaderName::from_static(crate::entry::header::VM), vm.settings.vm.as_str());
-    if row.again.is_some() {
-        let again = refused.again.unwrap_or(COME_BACK).min(Span(left.0 / 3));
+    if row.retry_after_s.is_some() {
+        let again = refused.delay.unwrap_or(COME_BACK).min(Span(left.0 / 3));
         set(RETRY_AFTER, &format!("{:.3}", again.as_secs()));
     }
     response
--- a/src/once/claim.rs
+++ b/src/once/claim.rs
@@ -40,7 +40,8 @@
         /// HTTP status.
         status: u16,
         /// The content's type.
-        kind: String,
+        #[serde(rename = "kind")]
+        content_type: String,
         /// The body, if it was small enough to keep.
         body: Option<Vec<u8>>,
     },
@@ -52,7 +53,7 @@
 
 /// An outcome, of a claim's holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Settled {
+pub struct Settlement {
     /// The key.
     pub key: Digest,
     /// The request that held it.
@@ -75,7 +76,9 @@
     /// It ended before.
     Ended(Outcome),
     /// The key was used with another body.
-    OtherBody,
+    #[serde(rename = "OtherBody")]
+    BodyMismatch,
     /// No agreement could be had; the request does not hold the key.
-    Away,
+    #[serde(rename = "Away")]
+    Unavailable,
 }
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -6,7 +6,7 @@
 mod shard;
 
 pub use crate::unit::{Digest, digest};
-pub use claim::{Answer, Claim, Outcome, SHARDS, Settled, shard_of};
-pub use owner::{Owner, SETTLE_WITHIN};
-pub use reserved::{Reserved, Word};
+pub use claim::{Answer, Claim, Outcome, SHARDS, Settlement, shard_of};
+pub use owner::{MAX_SETTLE_DELAY, Owner};
+pub use reserved::{KeyGrant, Reserved};
 pub use shard::{Record, Shard};
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Answer, Claim, Outcome, Record, SHARDS, Settled, Shard, shard_of};
+use super::{Answer, Claim, Outcome, Record, SHARDS, Settlement, Shard, shard_of};
 use crate::error::Error;
 use crate::platform::{Store, Written};
 use crate::unit::{Moment, Span};
@@ -15,33 +15,33 @@
 const LINKS_PER_SECOND: f64 = 5.0;
 
 /// Links that a shard may write at once after a rest.
-const BURST: f64 = 4.0;
+const BURST_LINKS: f64 = 4.0;
 
 /// Outcomes wait this long for a claim to share a link with.
-pub const SETTLE_WITHIN: Duration = Duration::from_millis(300);
+pub const MAX_SETTLE_DELAY: Duration = Duration::from_millis(300);
 
 /// Claims and outcomes in one link, well within 1 MB.
-const LINK: usize = 200;
+const MAX_RECORDS_PER_LINK: usize = 200;
 
 /// Links that are joined into one object, so that a new owner reads a day in few calls.
-const SEGMENT: u64 = 256;
+const LINKS_PER_SEGMENT: u64 = 256;
 
 /// Largest joined object, within the platform's 1 MB.
-const LARGEST: usize = 900_000;
+const MAX_SEGMENT_BYTES: usize = 900_000;
 
 /// Tries of one batch against a store that does not answer.
-const TRIES: usize = 3;
+const MAX_WRITE_ATTEMPTS: usize = 3;
 
 /// What an owner is asked.
-enum Ask {
+enum Command {
     Claim(Claim, oneshot::Sender<Answer>),
-    Settle(Settled),
+    Settle(Settlement),
 }
 
 /// A handle to the tasks of a VM's shards.
 #[derive(Clone)]
 pub struct Owner {
-    shards: Vec<mpsc::UnboundedSender<Ask>>,
+    shards: Vec<mpsc::UnboundedSender<Command>>,
 }
 
 impl Owner {
@@ -60,13 +60,13 @@
     pub async fn claim(&self, claim: Claim) -> Answer {
         let (sender, receiver) = oneshot::channel();
         let shard = &self.shards[shard_of(claim.key) as usize];
-        let _ = shard.send(Ask::Claim(claim, sender));
-        receiver.await.unwrap_or(Answer::Away)
+        let _ = shard.send(Command::Claim(claim, sender));
+        receiver.await.unwrap_or(Answer::Unavailable)
     }
 
     /// Notes how a claimed call ended.
-    pub fn settle(&self, settled: Settled) {
-        let _ = self.shards[shard_of(settled.key) as usize].send(Ask::Settle(settled));
+    pub fn settle(&self, settled: Settlement) {
+        let _ = self.shards[shard_of(settled.key) as usize].send(Command::Settle(settled));
     }
 }
 
@@ -75,9 +75,9 @@
     store: Store,
     clock: Clock,
     shard: Shard,
-    recent: Vec<Vec<Record>>,
-    level: f64,
-    at: Moment,
+    own_links: Vec<Vec<Record>>,
+    write_tokens: f64,
+    refilled_at: Moment,
 }
 
 impl Task {
@@ -87,20 +87,20 @@
             store: store.clone(),
             clock,
             shard: Shard::default(),
-            recent: Vec::new(),
-            level: BURST,
-            at: clock.now(),
+            own_links: Vec::new(),
+            write_tokens: BURST_LINKS,
+            refilled_at: clock.now(),
         }
     }
 
-    async fn run(mut self, mut asks: mpsc::UnboundedReceiver<Ask>) {
+    async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let mut settled = Vec::new();
         loop {
             let first = if settled.is_empty() {
-                asks.recv().await
+                commands.recv().await
             } else {
-                match tokio::time::timeout(SETTLE_WITHIN, asks.recv()).await {
-                    Ok(ask) => ask,
+                match tokio::time::timeout(MAX_SETTLE_DELAY, commands.recv()).await {
+                    Ok(command) => command,
                     Err(_) => {
                         self.write(Vec::new(), &mut settled).await;
                         continue;
@@ -109,28 +109,28 @@
             };
             let Some(first) = first else { return };
             let mut claims = Vec::new();
-            sort(first, &mut claims, &mut settled);
+            enqueue(first, &mut claims, &mut settled);
             if !claims.is_empty() {
-                self.pace().await;
+                self.wait_for_write_token().await;
             }
-            while claims.len() + settled.len() < LINK {
-                let Ok(ask) = asks.try_recv() else { break };
-                sort(ask, &mut claims, &mut settled);
+            while claims.len() + settled.len() < MAX_RECORDS_PER_LINK {
+                let Ok(command) = commands.try_recv() else { break };
+                enqueue(command, &mut claims, &mut settled);
             }
-            if !claims.is_empty() || settled.len() >= LINK {
+            if !claims.is_empty() || settled.len() >= MAX_RECORDS_PER_LINK {
                 self.write(claims, &mut settled).await;
             }
         }
     }
 
     /// Waits until the shard may write again, so that the fleet keeps under its share of writes.
-    async fn pace(&mut self) {
+    async fn wait_for_write_token(&mut self) {
         let now = self.clock.now();
-        let gained = now.since(self.at).as_secs() * LINKS_PER_SECOND;
-        self.level = (self.level + gained).min(BURST) - 1.0;
-        self.at = now;
-        if self.level < 0.0 {
-            let wait = Span((-self.level / LINKS_PER_SECOND * 1e6) as u64);
+        let gained = now.since(self.refilled_at).as_secs() * LINKS_PER_SECOND;
+        self.write_tokens = (self.write_tokens + gained).min(BURST_LINKS) - 1.0;
+        self.refilled_at = now;
+        if self.write_tokens < 0.0 {
+            let wait = Span((-self.write_tokens / LINKS_PER_SECOND * 1e6) as u64);
             tokio::time::sleep(wait.duration()).await;
         }
     }
@@ -138,16 +138,16 @@
     async fn write(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
-        settled: &mut Vec<Settled>,
+        settled: &mut Vec<Settlement>,
     ) {
-        self.shard.forget(self.clock.date());
+        self.shard.evict(self.clock.date());
         self.refresh(&claims).await;
         let mut open = self.answer_known(claims, settled);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             if open.is_empty() && settled.is_empty() {
                 return;
             }
-            match self.try_link(&open, settled).await {
+            match self.try_append(&open, settled).await {
                 Ok(true) => settled.clear(),
                 Ok(false) => {}
                 Err(_) => continue,
@@ -155,11 +155,11 @@
             open = self.answer_known(open, settled);
         }
         for (_, reply) in open {
-            let _ = reply.send(Answer::Away);
+            let _ = reply.send(Answer::Unavailable);
         }
         // Without claims to refuse, outcomes wait for the store to come back.
         if !settled.is_empty() {
-            tokio::time::sleep(SETTLE_WITHIN).await;
+            tokio::time::sleep(MAX_SETTLE_DELAY).await;
         }
     }
 
@@ -173,8 +173,8 @@
             return;
         }
         // Without the store, what is known here must do.
-        if self.read_on().await.is_ok_and(|read| read > 0) {
-            self.recent.clear();
+        if self.read_new_links().await.is_ok_and(|read| read > 0) {
+            self.own_links.clear();
         }
     }
 
@@ -182,17 +182,17 @@
     fn answer_known(
         &self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
-        settled: &[Settled],
+        settled: &[Settlement],
     ) -> Vec<(Claim, oneshot::Sender<Answer>)> {
         let mut open: Vec<(Claim, oneshot::Sender<Answer>)> = Vec::new();
         let mut first: HashMap<super::Digest, Claim> = HashMap::new();
         for (claim, reply) in claims {
             if let Some(answer) = self.shard.answer(&claim) {
-                let _ = reply.send(ended(answer, &claim, settled));
+                let _ = reply.send(with_pending_outcome(answer, &claim, settled));
             } else if let Some(before) = first.get(&claim.key) {
                 let same = before.body == claim.body || before.reserved || claim.reserved;
                 let holder = before.holder.clone();
-                let answer = if same { Answer::Running(holder) } else { Answer::OtherBody };
+                let answer = if same { Answer::Running(holder) } else { Answer::BodyMismatch };
                 let _ = reply.send(answer);
             } else {
                 first.insert(claim.key, claim.clone());
@@ -203,39 +203,39 @@
     }
 
     /// Tries to create the next link; reads on if it was taken. Whether ours took effect.
-    async fn try_link(
+    async fn try_append(
         &mut self,
         open: &[(Claim, oneshot::Sender<Answer>)],
-        settled: &[Settled],
+        settled: &[Settlement],
     ) -> Result<bool, Error> {
         // A shard that was never read has to be: its first free link is not known.
-        if self.shard.next() == 0 && self.read_on().await? > 0 {
+        if self.shard.next_link() == 0 && self.read_new_links().await? > 0 {
             return Ok(false);
         }
         let claims = open.iter().map(|(claim, _)| Record::Claim(claim.clone()));
         let outcomes = settled.iter().cloned().map(Record::Settled);
         let records: Vec<Record> = claims.chain(outcomes).collect();
         let body = serde_json::to_vec(&records).expect("records are plain data");
-        let key = self.key(self.shard.next());
+        let key = self.key(self.shard.next_link());
         match self.store.create(&key, body.clone()).await {
             Ok(Written::Done) => {
-                self.take(records).await;
+                self.append_own(records).await;
                 Ok(true)
             }
             Ok(Written::Conflict) => {
-                self.recent.clear();
-                self.read_on().await?;
+                self.own_links.clear();
+                self.read_new_links().await?;
                 Ok(false)
             }
             // Lost answer: what stands there tells. Request ids make equal bodies ours.
             Err(fault) => match self.store.get(&key).await? {
                 Some(object) if object.body == body => {
-                    self.take(records).await;
+                    self.append_own(records).await;
                     Ok(true)
                 }
                 Some(_) => {
-                    self.recent.clear();
-                    self.read_on().await?;
+                    self.own_links.clear();
+                    self.read_new_links().await?;
                     Ok(false)
                 }
                 None => Err(fault),
@@ -252,53 +252,53 @@
     }
 
     /// Reads the chain from where this shard stands: whole segments first, then links.
-    async fn read_on(&mut self) -> Result<u64, Error> {
-        let before = self.shard.next();
-        while self.shard.next().is_multiple_of(SEGMENT) {
-            let segment = self.shard.next() / SEGMENT;
+    async fn read_new_links(&mut self) -> Result<u64, Error> {
+        let before = self.shard.next_link();
+        while self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
+            let segment = self.shard.next_link() / LINKS_PER_SEGMENT;
             let Some(object) = self.store.get(&self.segment_key(segment)).await? else { break };
             let links: Vec<Vec<Record>> = parse(&object.body)?;
-            links.into_iter().for_each(|records| self.shard.link(records));
+            links.into_iter().for_each(|records| self.shard.apply_link(records));
         }
         let mut links = Vec::new();
-        while let Some(object) = self.store.get(&self.key(self.shard.next())).await? {
+        while let Some(object) = self.store.get(&self.key(self.shard.next_link())).await? {
             let records: Vec<Record> = parse(&object.body)?;
             links.push(records.clone());
-            self.shard.link(records);
-            if self.shard.next().is_multiple_of(SEGMENT) {
+            self.shard.apply_link(records);
+            if self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
                 let links = std::mem::take(&mut links);
                 // Only a segment that was read from its beginning is known whole.
-                if links.len() as u64 == SEGMENT {
-                    self.join(links).await;
+                if links.len() as u64 == LINKS_PER_SEGMENT {
+                    self.write_segment(links).await;
                 }
             }
         }
-        Ok(self.shard.next() - before)
+        Ok(self.shard.next_link() - before)
     }
 
     /// Joins the links that this shard has just read or written into a segment.
     ///
     /// Links never change, so every writer of a segment writes the same, and one that fails is
     /// written by the next reader.
-    async fn join(&self, links: Vec<Vec<Record>>) {
-        let segment = self.shard.next() / SEGMENT - 1;
+    async fn write_segment(&self, links: Vec<Vec<Record>>) {
+        let segment = self.shard.next_link() / LINKS_PER_SEGMENT - 1;
         let body = serde_json::to_vec(&links).expect("records are plain data");
-        if body.len() <= LARGEST {
+        if body.len() <= MAX_SEGMENT_BYTES {
             let _ = self.store.create(&self.segment_key(segment), body).await;
         }
     }
 
     /// Takes a link of this shard's own, and joins a segment when it is full.
-    async fn take(&mut self, records: Vec<Record>) {
-        self.recent.push(records.clone());
-        self.shard.link(records);
-        if !self.shard.next().is_multiple_of(SEGMENT) {
+    async fn append_own(&mut self, records: Vec<Record>) {
+        self.own_links.push(records.clone());
+        self.shard.apply_link(records);
+        if !self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
             return;
         }
-        let links = std::mem::take(&mut self.recent);
+        let links = std::mem::take(&mut self.own_links);
         // What was read rather than written here is joined by readers.
-        if links.len() as u64 == SEGMENT {
-            self.join(links).await;
+        if links.len() as u64 == LINKS_PER_SEGMENT {
+            self.write_segment(links).await;
         }
     }
 }
@@ -308,7 +308,7 @@
 }
 
 /// A call whose outcome waits for its link has ended, though the chain does not tell yet.
-fn ended(answer: Answer, claim: &Claim, settled: &[Settled]) -> Answer {
+fn with_pending_outcome(answer: Answer, claim: &Claim, settled: &[Settlement]) -> Answer {
     let outcome = settled.iter().find(|s| s.key == claim.key).map(|s| &s.outcome);
     match (answer, outcome) {
         (Answer::Running(_), Some(ran @ Outcome::Ran { .. })) => Answer::Ended(ran.clone()),
@@ -316,10 +316,14 @@
     }
 }
 
-fn sort(ask: Ask, claims: &mut Vec<(Claim, oneshot::Sender<Answer>)>, settled: &mut Vec<Settled>) {
-    match ask {
-        Ask::Claim(claim, reply) => claims.push((claim, reply)),
-        Ask::Settle(outcome) => settled.push(outcome),
+fn enqueue(
+    command: Command,
+    claims: &mut Vec<(Claim, oneshot::Sender<Answer>)>,
+    settled: &mut Vec<Settlement>,
+) {
+    match command {
+        Command::Claim(claim, reply) => claims.push((claim, reply)),
+        Command::Settle(outcome) => settled.push(outcome),
     }
 }
 
@@ -359,10 +363,10 @@
             let (sender, receiver) = oneshot::channel();
             first.write(vec![(held.clone(), sender)], &mut Vec::new()).await;
             assert_eq!(receiver.await.unwrap(), Answer::Granted);
-            second.read_on().await.unwrap();
-            let outcome = Outcome::Ran { status: 200, kind: String::new(), body: None };
+            second.read_new_links().await.unwrap();
+            let outcome = Outcome::Ran { status: 200, content_type: String::new(), body: None };
             let Claim { key, request, body, .. } = held.clone();
-            let settled = Settled { key, request, body, outcome: outcome.clone() };
+            let settled = Settlement { key, request, body, outcome: outcome.clone() };
             first.write(Vec::new(), &mut vec![settled]).await;
             let again = Claim { request: "another".parse().unwrap(), ..held };
             let (sender, receiver) = oneshot::channel();
@@ -388,10 +392,10 @@
             }
             let before = platform.calls().reads;
             let mut second = task(&store);
-            second.read_on().await.unwrap();
+            second.read_new_links().await.unwrap();
             let calls = platform.calls().reads - before;
-            assert_eq!(second.shard.next(), LINKS);
-            assert!(calls < 2 + LINKS % SEGMENT + 4, "{calls} calls");
+            assert_eq!(second.shard.next_link(), LINKS);
+            assert!(calls < 2 + LINKS % LINKS_PER_SEGMENT + 4, "{calls} calls");
             for i in 0..LINKS {
                 let again = Claim { request: "another".parse().unwrap(), ..claim(i, date) };
                 assert!(matches!(second.shard.answer(&again), Some(Answer::Running(_))));
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -8,20 +8,20 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, Claim, Digest, Outcome, Settled};
+use super::{Answer, Claim, Digest, Outcome, Settlement};
 use crate::unit::{Date, RequestId, Span};
 
 /// A key is remembered this long; callers repeat within it.
-const KEPT: Span = Span::secs(24 * 3600);
+const RETENTION: Span = Span::secs(24 * 3600);
 
 /// An ended call is kept with its answer for this long, and by digest only after that.
-const WHOLE: Span = Span::secs(3600);
+const OUTCOME_RETENTION: Span = Span::secs(3600);
 
 /// Room for this many times what is held is given back.
-const ROOMY: usize = 8;
+const SHRINK_FACTOR: usize = 8;
 
 /// Requests that gave up before their claim was written are remembered up to this number.
-const VOID: usize = 500;
+const MAX_ABANDONED_REQUESTS: usize = 500;
 
 /// One record of the chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -29,18 +29,18 @@
     /// A claim that was granted.
     Claim(Claim),
     /// How a claimed call ended.
-    Settled(Settled),
+    Settled(Settlement),
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldKey {
     claim: Claim,
     outcome: Option<Outcome>,
 }
 
 /// A call that ended long ago: enough to refuse its key, in a tenth of the memory.
 #[derive(Clone, Copy, Debug)]
-struct Old {
+struct EndedKey {
     body: Digest,
     date: Date,
     /// The back end's status; nought if nobody knows whether it ran.
@@ -50,21 +50,21 @@
 /// What the chain says, as far as it was read.
 #[derive(Clone, Debug, Default)]
 pub struct Shard {
-    next: u64,
-    held: HashMap<Digest, Held>,
-    old: HashMap<Digest, Old>,
-    void: VecDeque<RequestId>,
+    next_link: u64,
+    recent: HashMap<Digest, HeldKey>,
+    old: HashMap<Digest, EndedKey>,
+    abandoned: VecDeque<RequestId>,
 }
 
 impl Shard {
     /// Number of the link that would be created next.
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_link(&self) -> u64 {
+        self.next_link
     }
 
     /// Keys held.
     pub fn len(&self) -> usize {
-        self.held.len() + self.old.len()
+        self.recent.len() + self.old.len()
     }
 
     /// Whether no key is held.
@@ -73,8 +73,8 @@
     }
 
     /// Takes the next link of the chain.
-    pub fn link(&mut self, records: Vec<Record>) {
-        self.next += 1;
+    pub fn apply_link(&mut self, records: Vec<Record>) {
+        self.next_link += 1;
         for record in records {
             self.apply(record);
         }
@@ -85,21 +85,21 @@
             // The first claim holds; a later one in the chain was never granted.
             Record::Claim(claim) if self.old.contains_key(&claim.key) => {}
             // Its request gave up before a slow owner wrote the claim: nobody would ever end it.
-            Record::Claim(claim) if self.void.contains(&claim.request) => {}
+            Record::Claim(claim) if self.abandoned.contains(&claim.request) => {}
             Record::Claim(claim) => {
-                self.held.entry(claim.key).or_insert(Held { claim, outcome: None });
+                self.recent.entry(claim.key).or_insert(HeldKey { claim, outcome: None });
             }
             Record::Settled(settled) => {
-                let held = self.held.get_mut(&settled.key);
+                let held = self.recent.get_mut(&settled.key);
                 let own = held.filter(|held| held.claim.request == settled.request);
                 let Some(held) = own else {
-                    self.give_up(settled);
+                    self.record_abandoned(settled);
                     return;
                 };
                 held.claim.body = settled.body;
                 match settled.outcome {
                     Outcome::NotRun => {
-                        self.held.remove(&settled.key);
+                        self.recent.remove(&settled.key);
                     }
                     outcome => held.outcome = Some(outcome),
                 }
@@ -108,14 +108,14 @@
     }
 
     /// Notes a request that gave up a key which it does not hold, or not yet.
-    fn give_up(&mut self, settled: Settled) {
+    fn record_abandoned(&mut self, settled: Settlement) {
         if settled.outcome != Outcome::NotRun {
             return;
         }
-        if self.void.len() >= VOID {
-            self.void.pop_front();
+        if self.abandoned.len() >= MAX_ABANDONED_REQUESTS {
+            self.abandoned.pop_front();
         }
-        self.void.push_back(settled.request);
+        self.abandoned.push_back(settled.request);
     }
 
     /// The answer to a claim from what was read; nothing if the key is free.
@@ -123,7 +123,7 @@
         if let Some(old) = self.old.get(&claim.key) {
             return Some(old.answer(claim));
         }
-        let held = self.held.get(&claim.key)?;
+        let held = self.recent.get(&claim.key)?;
         if held.claim.request == claim.request {
             return Some(Answer::Granted);
         }
@@ -131,7 +131,7 @@
             return Some(Answer::Reserved(held.claim.holder.clone()));
         }
         if held.claim.body != claim.body {
-            return Some(Answer::OtherBody);
+            return Some(Answer::BodyMismatch);
         }
         match &held.outcome {
             Some(outcome) => Some(Answer::Ended(outcome.clone())),
@@ -140,39 +140,41 @@
     }
 
     /// Forgets keys that are older than callers repeat, and the answers of those ended long ago.
-    pub fn forget(&mut self, now: Date) {
-        self.old.retain(|_, old| now.since(old.date) < KEPT);
-        let Shard { held, old, .. } = self;
-        held.retain(|key, held| {
+    pub fn evict(&mut self, now: Date) {
+        self.old.retain(|_, old| now.since(old.date) < RETENTION);
+        let Shard { recent, old, .. } = self;
+        recent.retain(|key, held| {
             let age = now.since(held.claim.date);
-            if age < WHOLE || held.outcome.is_none() && age < KEPT {
+            if age < OUTCOME_RETENTION || held.outcome.is_none() && age < RETENTION {
                 return true;
             }
             let status = match &held.outcome {
                 Some(Outcome::Ran { status, .. }) => *status,
                 _ => 0,
             };
-            if age < KEPT {
+            if age < RETENTION {
                 let (body, date) = (held.claim.body, held.claim.date);
-                old.insert(*key, Old { body, date, status });
+                old.insert(*key, EndedKey { body, date, status });
             }
             false
         });
         // A map keeps the room of its fullest hour unless told otherwise.
-        if held.capacity() > ROOMY * held.len().max(ROOMY) {
-            held.shrink_to_fit();
+        if recent.capacity() > SHRINK_FACTOR * recent.len().max(SHRINK_FACTOR) {
+            recent.shrink_to_fit();
         }
     }
 }
 
-impl Old {
+impl EndedKey {
     fn answer(&self, claim: &Claim) -> Answer {
         if self.body != claim.body {
-            return Answer::OtherBody;
+            return Answer::BodyMismatch;
         }
         match self.status {
             0 => Answer::Ended(Outcome::InDoubt),
-            status => Answer::Ended(Outcome::Ran { status, kind: String::new(), body: None }),
+            status => {
+                Answer::Ended(Outcome::Ran { status, content_type: String::new(), body: None })
+            }
         }
     }
 }
@@ -200,35 +202,36 @@
     #[test]
     fn a_released_key_is_free_and_a_settled_one_is_not() {
         let mut shard = Shard::default();
-        shard.link(vec![Record::Claim(claim(1, 1))]);
+        shard.apply_link(vec![Record::Claim(claim(1, 1))]);
         assert!(matches!(shard.answer(&claim(1, 2)), Some(Answer::Running(_))));
         let settle = |outcome| {
             let key = digest(&[&[1]]);
             let (request, body) = ("r1".parse().unwrap(), claim(1, 1).body);
-            Record::Settled(Settled { key, request, body, outcome })
+            Record::Settled(Settlement { key, request, body, outcome })
         };
-        shard.link(vec![settle(Outcome::NotRun)]);
+        shard.apply_link(vec![settle(Outcome::NotRun)]);
         assert_eq!(shard.answer(&claim(1, 2)), None);
-        shard.link(vec![Record::Claim(claim(1, 2)), settle(Outcome::NotRun)]);
+        shard.apply_link(vec![Record::Claim(claim(1, 2)), settle(Outcome::NotRun)]);
         assert_eq!(shard.answer(&claim(1, 2)), Some(Answer::Granted));
     }
 
     #[test]
     fn a_call_that_ended_long_ago_still_holds_its_key_for_a_day() {
         let mut shard = Shard::default();
-        let outcome = Outcome::Ran { status: 200, kind: String::new(), body: Some(vec![1]) };
+        let outcome =
+            Outcome::Ran { status: 200, content_type: String::new(), body: Some(vec![1]) };
         let Claim { key, request, body, .. } = claim(1, 1);
-        let settled = Settled { key, request, body, outcome };
-        shard.link(vec![Record::Claim(claim(1, 1)), Record::Settled(settled)]);
-        shard.forget(Date(WHOLE.0));
+        let settled = Settlement { key, request, body, outcome };
+        shard.apply_link(vec![Record::Claim(claim(1, 1)), Record::Settled(settled)]);
+        shard.evict(Date(OUTCOME_RETENTION.0));
         let answer = shard.answer(&claim(1, 2));
         assert!(matches!(
             answer,
             Some(Answer::Ended(Outcome::Ran { status: 200, body: None, .. }))
         ));
-        shard.link(vec![Record::Claim(claim(1, 2))]);
+        shard.apply_link(vec![Record::Claim(claim(1, 2))]);
         assert_ne!(shard.answer(&claim(1, 2)), Some(Answer::Granted));
-        shard.forget(Date(KEPT.0));
+        shard.evict(Date(RETENTION.0));
         assert_eq!(shard.answer(&claim(1, 3)), None);
     }
 
@@ -236,20 +239,20 @@
     fn a_claim_written_after_its_request_gave_up_holds_nothing() {
         let mut shard = Shard::default();
         let Claim { key, request, body, .. } = claim(1, 1);
-        let settled = Settled { key, request, body, outcome: Outcome::NotRun };
-        shard.link(vec![Record::Settled(settled)]);
-        shard.link(vec![Record::Claim(claim(1, 1))]);
+        let settled = Settlement { key, request, body, outcome: Outcome::NotRun };
+        shard.apply_link(vec![Record::Settled(settled)]);
+        shard.apply_link(vec![Record::Claim(claim(1, 1))]);
         assert_eq!(shard.answer(&claim(1, 2)), None);
-        shard.link(vec![Record::Claim(claim(1, 2))]);
+        shard.apply_link(vec![Record::Claim(claim(1, 2))]);
         assert_eq!(shard.answer(&claim(1, 2)), Some(Answer::Granted));
     }
 
     #[test]
     fn another_body_under_the_same_key_is_refused() {
         let mut shard = Shard::default();
-        shard.link(vec![Record::Claim(claim(1, 1))]);
+        shard.apply_link(vec![Record::Claim(claim(1, 1))]);
         let other = Claim { body: digest(&[b"other"]), ..claim(1, 2) };
-        assert_eq!(shard.answer(&other), Some(Answer::OtherBody));
+        assert_eq!(shard.answer(&other), Some(Answer::BodyMismatch));
     }
 
     quickcheck! {
@@ -269,9 +272,9 @@
                         }
                         break;
                     }
-                    let at = shard.next() as usize;
+                    let at = shard.next_link() as usize;
                     if at < chain.len() {
-                        shard.link(chain[at].clone());
+                        shard.apply_link(chain[at].clone());
                         continue;
                     }
                     chain.push(vec![Record::Claim(claim.clone())]);
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -7,7 +7,7 @@
 use crate::decide::poison;
 use crate::evidence::Row;
 use crate::ledger::Entry;
-use crate::once::{Answer, Claim, Digest, Settled, Word};
+use crate::once::{Answer, Claim, Digest, KeyGrant, Settlement};
 use crate::unit::{Incarnation, RequestId, Revision, Span, Vm};
 
 /// What every frame says about the configuration.
@@ -123,7 +123,7 @@
     /// Claim a key, as the owner of its shard.
     Claim(Claim),
     /// Note how a claimed call ended.
-    Settle(Settled),
+    Settle(Settlement),
     /// Ask the holder of a key that is set aside.
     Use {
         /// The key.
@@ -152,7 +152,7 @@
     /// The answer to a claim.
     Claim(Answer),
     /// The word of a key's holder; nothing if it is not set aside there.
-    Use(Option<Word>),
+    Use(Option<KeyGrant>),
     /// Text: an explanation, or JSON.
     Text(Option<String>),
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -301,7 +301,7 @@
     HttpResponse::Ok()
         .insert_header((crate::engine::wire::LOAD, format!("{running}/{waiting}")))
         .content_type("application/x-ndjson")
-        .streaming(crate::entry::channel(receiver))
+        .streaming(crate::entry::channel_body(receiver))
 }
 
 async fn cancel(engine: Data<Engine>, cancel: Json<Cancel>) -> HttpResponse {
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -72,7 +72,7 @@
         let value = request.headers().get(name).and_then(|value| value.to_str().ok());
         value.map(str::to_owned)
     };
-    let key = text(header::KEY);
+    let key = text(header::IDEMPOTENCY_KEY);
     let label = key.clone().unwrap_or_else(|| "-".to_owned());
     *service.ran.lock().expect("no panic while held").entry(label).or_default() += 1;
     let answer = format!(
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -2,7 +2,7 @@
 
 use super::Asked;
 use super::control::Control;
-use crate::once::{Answer, Claim, Digest, Outcome, Settled, Word, shard_of};
+use crate::once::{Answer, Claim, Digest, KeyGrant, Outcome, Settlement, shard_of};
 use crate::peer::Member;
 use crate::peer::wire::{Call, Reply};
 use crate::unit::Vm;
@@ -33,7 +33,7 @@
 }
 
 /// Notes how a claimed call ended.
-pub async fn settle(control: &Control, settled: Settled) {
+pub async fn settle(control: &Control, settled: Settlement) {
     let me = &control.vm.settings.vm;
     let owners = owners(control, shard_of(settled.key));
     if let Some(first) = owners.first().filter(|first| first.vm != *me) {
@@ -47,23 +47,24 @@
 
 /// Releases the keys set aside here that no call has used: after this life nobody could.
 pub async fn release(control: &Control) {
-    let unused = control.vm.reserved.lock().expect("no panic while held").release();
+    let unused = control.vm.reserved.lock().expect("no panic while held").take_unused();
     if unused.is_empty() {
         return;
     }
     for (key, request) in unused {
         let (body, outcome) = (Digest::default(), Outcome::NotRun);
-        settle(control, Settled { key, request, body, outcome }).await;
+        settle(control, Settlement { key, request, body, outcome }).await;
     }
     // Outcomes wait this long for a claim to share their link with.
-    tokio::time::sleep(crate::once::SETTLE_WITHIN * 2).await;
+    tokio::time::sleep(crate::once::MAX_SETTLE_DELAY * 2).await;
 }
 
 /// Asks for a key that is set aside: this VM, its holder, or all others.
-pub async fn ask_holder(control: &Control, asked: Asked, holder: Option<Vm>) -> Option<Word> {
+pub async fn ask_holder(control: &Control, asked: Asked, holder: Option<Vm>) -> Option<KeyGrant> {
     let Asked { key, user, body } = asked;
     let now = control.vm.clock.now();
-    let own = control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
+    let own =
+        control.vm.reserved.lock().expect("no panic while held").try_use(key, &user, body, now);
     if own.is_some() {
         return own;
     }
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -176,7 +176,7 @@
             }
             Call::Use { key, user, body } => {
                 let mut reserved = self.vm.reserved.lock().expect("no panic while held");
-                Reply::Use(reserved.ask(key, &user, body, self.vm.clock.now()))
+                Reply::Use(reserved.try_use(key, &user, body, self.vm.clock.now()))
             }
             Call::Explain { request } => {
                 let traces = self.vm.traces.lock().expect("no panic while held");
--- a/src/vm/errand.rs
+++ b/src/vm/errand.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::poison;
 use crate::ledger::Entry;
-use crate::once::{Answer, Claim, Digest, Settled, Word};
+use crate::once::{Answer, Claim, Digest, KeyGrant, Settlement};
 use crate::standin::rating::Sample;
 use crate::unit::{RequestId, Revision, Server, Vm};
 
@@ -26,9 +26,9 @@
     /// Claim a key.
     Claim(Claim, oneshot::Sender<Answer>),
     /// Ask for a key that is set aside: its holder, or everyone if the holder is not known.
-    Use(Asked, Option<Vm>, oneshot::Sender<Option<Word>>),
+    Use(Asked, Option<Vm>, oneshot::Sender<Option<KeyGrant>>),
     /// Note how a claimed call ended.
-    Settle(Settled),
+    Settle(Settlement),
     /// Have an answer rated.
     Rate(Sample),
     /// Catch up with a later revision that a token names.
