--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -293,7 +293,7 @@
 }
 
 fn refuse_broken(job: &Job, reason: &str) -> Reply {
-    refuse(job, Refusal::because(Kind::Broken, reason))
+    refuse(job, Refusal::with_detail(Kind::Broken, reason))
 }
 
 fn refuse(job: &Job, refusal: Refusal) -> Reply {
@@ -322,8 +322,8 @@
     match outcome::final_response(end, progress.may_have_run) {
         FinalResponse::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
         FinalResponse::Refused => {
-            let again = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
-            refuse(job, Refusal { again, ..Refusal::new(Kind::NoServer) })
+            let delay = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
+            refuse(job, Refusal { delay, ..Refusal::new(Kind::NoServer) })
         }
         FinalResponse::Unknown | FinalResponse::Delivered if !progress.may_have_run => {
             refuse(job, Refusal::new(Kind::Busy))
--- a/src/forward/wake.rs
+++ b/src/forward/wake.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::unit::Span;
 use super::vm::Vm;
+use crate::unit::Span;
 
 /// Time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -3,7 +3,7 @@
 
 use super::KeyUse;
 use super::control::Control;
-use crate::once::{Answer, Claim, Digest, Outcome, Settled, Word, shard_of};
+use crate::once::{Answer, Claim, Digest, KeyGrant, Outcome, Settlement, shard_of};
 use crate::peer::Member;
 use crate::peer::wire::{Call, Reply};
 use crate::unit::Vm;
@@ -34,7 +34,7 @@
 }
 
 /// Records at the owner of the shard how a claimed call ended.
-pub async fn settle(control: &Control, settled: Settled) {
+pub async fn settle(control: &Control, settled: Settlement) {
     let own_vm = &control.vm.settings.vm;
     let owners = ranked_owners(control, shard_of(settled.key));
     if let Some(first) = owners.first().filter(|first| first.vm != *own_vm) {
@@ -49,16 +49,16 @@
 /// Releases the keys reserved here that no call has used: only this incarnation could grant them,
 /// so they would stay unusable after it ends.
 pub async fn release_unused_keys(control: &Control) {
-    let unused = control.vm.reserved.lock().expect("no panic while held").release();
+    let unused = control.vm.reserved.lock().expect("no panic while held").take_unused();
     if unused.is_empty() {
         return;
     }
     for (key, request) in unused {
         let (body, outcome) = (Digest::default(), Outcome::NotRun);
-        settle(control, Settled { key, request, body, outcome }).await;
+        settle(control, Settlement { key, request, body, outcome }).await;
     }
     // The owner delays outcomes by up to this time to write them together with a claim.
-    tokio::time::sleep(crate::once::SETTLE_WITHIN * 2).await;
+    tokio::time::sleep(crate::once::MAX_SETTLE_DELAY * 2).await;
 }
 
 /// Requests the use of a reserved key: from this VM, then from its holder, or from all other VMs if
@@ -69,11 +69,11 @@
     control: &Control,
     key_use: KeyUse,
     holder: Option<Vm>,
-) -> Option<Word> {
+) -> Option<KeyGrant> {
     let KeyUse { key, user, body } = key_use;
     let now = control.vm.clock.now();
     let own_reply =
-        control.vm.reserved.lock().expect("no panic while held").ask(key, &user, body, now);
+        control.vm.reserved.lock().expect("no panic while held").try_use(key, &user, body, now);
     if own_reply.is_some() {
         return own_reply;
     }
--- a/src/vm/command.rs
+++ b/src/vm/command.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::poison;
 use crate::ledger::Entry;
-use crate::once::{Answer, Claim, Digest, Settled, Word};
+use crate::once::{Answer, Claim, Digest, KeyGrant, Settlement};
 use crate::standin::rating::Sample;
 use crate::unit::{RequestId, Revision, Server, Vm};
 
@@ -26,9 +26,9 @@
     /// Claim an idempotency key.
     Claim(Claim, oneshot::Sender<Answer>),
     /// Use a reserved key: ask its holder, or all VMs if the holder is not known.
-    UseKey(KeyUse, Option<Vm>, oneshot::Sender<Option<Word>>),
+    UseKey(KeyUse, Option<Vm>, oneshot::Sender<Option<KeyGrant>>),
     /// Record how a claimed call ended.
-    Settle(Settled),
+    Settle(Settlement),
     /// Submit an answer to the rating service.
     SubmitSample(Sample),
     /// Catch up with a later revision that a session token names.
