--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -11,7 +11,7 @@
 use kitepulley::decide::sequential::Count;
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::server::Fleet;
-use kitepulley::unit::{Moment, Parts, Span};
+use kitepulley::unit::{Moment, Span, TrafficShare};
 
 fn replicas(count: u64) -> Vec<Replica> {
     let replica = |id| Replica {
@@ -43,7 +43,7 @@
         new: arm(1000, 80),
         old: arm(1000, 80),
         earlier: Count::of(1500, 120),
-        share: Parts::of(0.05),
+        share: TrafficShare::from_fraction(0.05),
         held: false,
         at_share: Span::secs(100),
         rate: 50.0,
--- a/src/chart/machine.rs
+++ b/src/chart/machine.rs
@@ -35,7 +35,7 @@
 
 /// An event that does not fit the state it met.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Misfit {
+pub struct InvalidTransition {
     /// The chart.
     pub chart: String,
     /// The state the event met.
@@ -44,7 +44,7 @@
     pub event: String,
 }
 
-impl fmt::Display for Misfit {
+impl fmt::Display for InvalidTransition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "A {} in state `{}` takes no `{}`.", self.chart, self.state, self.event)
     }
@@ -59,10 +59,10 @@
 
 impl Chart {
     /// The state after `event` in `state`.
-    pub fn next(&self, state: &str, event: &str) -> Result<&str, Misfit> {
+    pub fn next(&self, state: &str, event: &str) -> Result<&str, InvalidTransition> {
         let step = self.steps.iter().find(|step| step.from == state);
         let to = step.and_then(|step| step.on.get(event));
-        to.map(String::as_str).ok_or_else(|| Misfit {
+        to.map(String::as_str).ok_or_else(|| InvalidTransition {
             chart: self.name.clone(),
             state: state.to_owned(),
             event: event.to_owned(),
@@ -140,7 +140,7 @@
     }
 
     /// Takes an event; one that does not fit changes nothing.
-    pub fn take(&mut self, event: &str) -> Result<&str, Misfit> {
+    pub fn apply(&mut self, event: &str) -> Result<&str, InvalidTransition> {
         let next = self.chart.next(&self.state, event)?.to_owned();
         self.state = next;
         Ok(&self.state)
@@ -167,18 +167,18 @@
     #[test]
     fn an_event_that_does_not_fit_changes_nothing() {
         let mut request = Machine::new(named("request"));
-        request.take("choose").unwrap();
-        assert!(request.take("bill").is_err());
+        request.apply("choose").unwrap();
+        assert!(request.apply("bill").is_err());
         assert_eq!(request.state(), "placed");
     }
 
     #[test]
     fn an_ended_life_takes_no_event_twice() {
         let mut rollout = Machine::new(named("rollout"));
-        rollout.take("withdraw").unwrap();
+        rollout.apply("withdraw").unwrap();
         assert!(rollout.ended());
         for event in &named("rollout").events {
-            assert!(rollout.take(event).is_err());
+            assert!(rollout.apply(event).is_err());
         }
     }
 
--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -4,7 +4,7 @@
 mod machine;
 
 pub use draw::mermaid;
-pub use machine::{Chart, Machine, Misfit, load};
+pub use machine::{Chart, InvalidTransition, Machine, load};
 
 /// The charts of the tree, by name, as their files' text.
 pub const FILES: [(&str, &str); 5] = [
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -36,7 +36,7 @@
         return config::read(Path::new(first)).map(Wish::Declared);
     }
     let text = words.join(" ");
-    let fault = |fault: crate::unit::Fault| {
+    let fault = |fault: crate::unit::ParseError| {
         Error::Contradiction(format!("{fault} No file has that name either."))
     };
     text.parse().map(Wish::Short).map_err(fault)
--- a/src/config/intent.rs
+++ b/src/config/intent.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use crate::unit::{DataCentre, Fault, Model, Target};
+use crate::unit::{DataCentre, Model, ParseError, Target};
 
 /// What an operator wants, short of a change of declarations.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,11 +25,11 @@
 `stop the roll-out [of MODEL]`, `drain data centre NAME` or `fill data centre NAME`";
 
 impl FromStr for Intent {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let target = |model: &str, version: &str| -> Result<Target, Fault> {
+        let target = |model: &str, version: &str| -> Result<Target, ParseError> {
             Ok(Target { model: model.parse()?, version: version.parse()? })
         };
         match words.as_slice() {
@@ -39,7 +39,7 @@
             ["stop", "the", "roll-out", "of", model] => Ok(Intent::Stop(Some(model.parse()?))),
             ["drain", "data", "centre", name] => Ok(Intent::Drain(name.parse()?)),
             ["fill", "data", "centre", name] => Ok(Intent::Fill(name.parse()?)),
-            _ => Err(Fault(format!("`{text}` is not an intent; {FORMS}."))),
+            _ => Err(ParseError(format!("`{text}` is not an intent; {FORMS}."))),
         }
     }
 }
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -7,7 +7,7 @@
 use super::{Declarations, Intent, Piece, Record, Rollout, Root, Snapshot, digest, pieces};
 use crate::chart;
 use crate::error::Error;
-use crate::unit::{DataCentre, Date, Model, Parts, Revision, Target, Version};
+use crate::unit::{DataCentre, Date, Model, Revision, Target, TrafficShare, Version};
 
 /// One change, exact enough to be applied by any writer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
         /// The event.
         event: String,
         /// The share after it.
-        share: Parts,
+        share: TrafficShare,
         /// Whether sessions may begin on the version after it.
         sessions: bool,
         /// Why.
@@ -233,7 +233,7 @@
             self.changes.push(Change::Step {
                 model: rollout.to.model.clone(),
                 event: "stop".to_owned(),
-                share: Parts(0),
+                share: TrafficShare(0),
                 sessions: false,
                 reason: "an operator stopped it".to_owned(),
             });
@@ -309,7 +309,7 @@
             to: to.clone(),
             from: from.clone(),
             state: chart::named("rollout").start.clone(),
-            share: Parts(0),
+            share: TrafficShare(0),
             sessions: false,
             begun: date,
             since: date,
@@ -354,7 +354,7 @@
     root: &mut Root,
     model: &Model,
     event: &str,
-    (share, sessions): (Parts, bool),
+    (share, sessions): (TrafficShare, bool),
     reason: &str,
     date: Date,
 ) -> Result<(), Error> {
@@ -407,7 +407,7 @@
         now.root = confirmed(&now, &Wish::Short(Intent::RollOut(to.clone())));
         let mut root = now.root.clone();
         for event in ["loaded", "grow", "complete"] {
-            step(&mut root, &to.model, event, (Parts::ALL, true), "", Date(2)).unwrap();
+            step(&mut root, &to.model, event, (TrafficShare::ALL, true), "", Date(2)).unwrap();
         }
         assert_eq!(root.serving[&to.model], to.version);
         withdraw(&mut root, &to);
--- a/src/config/root.rs
+++ b/src/config/root.rs
@@ -6,7 +6,7 @@
 use sha2::{Digest, Sha256};
 
 use super::Declarations;
-use crate::unit::{DataCentre, Date, Model, Parts, Revision, Target, Version};
+use crate::unit::{DataCentre, Date, Model, Revision, Target, TrafficShare, Version};
 
 /// Records kept in the root; older ones are dropped so that it stays small.
 pub const KEPT_RECORDS: usize = 64;
@@ -32,7 +32,7 @@
     /// A state of the chart `rollout`.
     pub state: String,
     /// Share of the model's new work on `to`.
-    pub share: Parts,
+    pub share: TrafficShare,
     /// Whether new sessions may begin on `to`; they keep it, so they wait for more evidence.
     pub sessions: bool,
     /// When it began; names its trial in the evidence.
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -196,7 +196,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::unit::Parts;
+    use crate::unit::TrafficShare;
 
     #[test]
     fn a_withdrawn_version_is_never_chosen() {
@@ -220,7 +220,7 @@
             to: to.clone(),
             from: "v3".parse().unwrap(),
             state: "growing".into(),
-            share: Parts::of(0.1),
+            share: TrafficShare::from_fraction(0.1),
             sessions: false,
             begun: Default::default(),
             since: Default::default(),
--- a/src/decide/availability.rs
+++ b/src/decide/availability.rs
@@ -86,7 +86,7 @@
 /// Returns when a refused caller should retry, given how long each server stays unavailable;
 /// `random` is between 0 and 1.
 pub fn retry_after(backoffs: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
-    backoffs.min().map(|left| Span(left.0 + RETRY_SPREAD.part(random).0))
+    backoffs.min().map(|left| Span(left.0 + RETRY_SPREAD.mul_f64(random).0))
 }
 
 /// What is known about one incarnation of a server. A new incarnation starts with an empty state.
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -182,7 +182,7 @@
 
 /// Returns the time until all VMs have seen an order and each other's pinned sessions.
 fn first_sessions_delay(within: Span) -> Span {
-    FIRST_SESSIONS_DELAY.min(within.part(MAX_FIRST_SESSIONS_DELAY_FRACTION))
+    FIRST_SESSIONS_DELAY.min(within.mul_f64(MAX_FIRST_SESSIONS_DELAY_FRACTION))
 }
 
 /// Returns a step towards the new version, or a rollback if the evidence against it is too strong.
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -97,7 +97,7 @@
 /// Returns true if server data of this age is too old to be forwarded. `leave_within` is the time
 /// in which a draining server may still get work.
 pub fn is_stale(servers_age: Span, leave_within: Span) -> bool {
-    servers_age > leave_within.part(FORWARDED_AGE_LIMIT)
+    servers_age > leave_within.mul_f64(FORWARDED_AGE_LIMIT)
 }
 
 /// Returns true if the VM `by` may accept an update that `reader` read from the store and that took
@@ -111,7 +111,7 @@
 /// the full timeout.
 pub fn answer_timeout(known: Option<Moment>, leave_within: Span, now: Moment) -> Option<Span> {
     let Some(known) = known else { return Some(ANSWER_TIMEOUT) };
-    let left = (known + leave_within.part(READ_STORE_AGE)).since(now);
+    let left = (known + leave_within.mul_f64(READ_STORE_AGE)).since(now);
     (left > Span::default()).then(|| left.min(ANSWER_TIMEOUT))
 }
 
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -2,7 +2,7 @@
 //! at once on proof.
 
 use super::sequential::{Count, Difference, evidence};
-use crate::unit::{Parts, Span};
+use crate::unit::{Span, TrafficShare};
 
 /// Limits of a roll-out.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
     /// Maximum expected number of additional bad answers whose ratings are still outstanding.
     pub max_unrated_harm: f64,
     /// First share if the request rate is not known.
-    pub default_first_share: Parts,
+    pub default_first_share: TrafficShare,
     /// Requests that may be exposed before the first ratings arrive.
     pub first_requests: f64,
     /// Maximum expected harm at which sessions may begin on the version.
@@ -38,7 +38,7 @@
             margin: 0.02,
             max_risk: 0.1,
             max_unrated_harm: 3.0,
-            default_first_share: Parts(2_000),
+            default_first_share: TrafficShare(2_000),
             first_requests: 25.0,
             max_session_harm: 0.012,
             doubling: Span::secs(120),
@@ -68,7 +68,7 @@
     /// Ratings of the version in service before the roll-out began.
     pub earlier: Count,
     /// Present share of the traffic that the new version gets.
-    pub share: Parts,
+    pub share: TrafficShare,
     /// True while the roll-out is held because ratings stopped.
     pub held: bool,
     /// Time at the present share.
@@ -89,11 +89,11 @@
     /// No change.
     Stay,
     /// Increases the share.
-    Grow(Parts, String),
+    Grow(TrafficShare, String),
     /// Reduces the share, since harm is likely but not proved.
-    Shrink(Parts, String),
+    Shrink(TrafficShare, String),
     /// Stops growth, since ratings stopped.
-    Hold(Parts, String),
+    Hold(TrafficShare, String),
     /// Resumes growth, since ratings arrive again.
     Resume(String),
     /// Moves all traffic to the new version.
@@ -106,7 +106,7 @@
 const SHRINK_CHANCE: f64 = 0.08;
 
 /// Maximum share before all traffic moves; two versions are compared best at equal shares.
-const MAX_PARTIAL_SHARE: Parts = Parts(500_000);
+const MAX_PARTIAL_SHARE: TrafficShare = TrafficShare(500_000);
 
 /// Minimum factor of growth; less is not worth a change of configuration.
 const MIN_GROWTH_FACTOR: f64 = 1.4;
@@ -163,11 +163,13 @@
 
 /// Returns the first share: small enough that few requests are exposed before the first ratings
 /// arrive.
-pub fn first_share(policy: &Policy, rate: f64, lag: Span) -> Parts {
+pub fn first_share(policy: &Policy, rate: f64, lag: Span) -> TrafficShare {
     if rate <= 0.0 {
         return policy.default_first_share;
     }
-    Parts::of((policy.first_requests / (rate * lag.as_secs().max(1.0))).clamp(0.0005, 0.05))
+    TrafficShare::from_fraction(
+        (policy.first_requests / (rate * lag.as_secs().max(1.0))).clamp(0.0005, 0.05),
+    )
 }
 
 /// Decides the next step.
@@ -184,7 +186,7 @@
     }
     let first = first_share(policy, inputs.rate, inputs.lag);
     if worst >= (1.0 / SHRINK_CHANCE).ln() && inputs.share > first {
-        let back = Parts::of(inputs.share.fraction() * SHRINK_FACTOR).max(first);
+        let back = TrafficShare::from_fraction(inputs.share.fraction() * SHRINK_FACTOR).max(first);
         if inputs.at_share >= inputs.lag {
             return Action::Shrink(back, format!("{signal} make harm likely but do not prove it"));
         }
@@ -207,7 +209,7 @@
     grow(policy, inputs, first)
 }
 
-fn grow(policy: &Policy, inputs: &Inputs, first: Parts) -> Action {
+fn grow(policy: &Policy, inputs: &Inputs, first: TrafficShare) -> Action {
     if inputs.new.poor.all < MIN_RATINGS {
         let has_started = inputs.share >= first;
         return if has_started {
@@ -234,7 +236,7 @@
     let allowed = policy.max_unrated_harm / (unrated * harm).max(1e-9);
     let doublings = inputs.at_share.as_secs() / policy.doubling.as_secs();
     let paced = inputs.share.fraction().max(first.fraction()) * 2f64.powf(doublings);
-    let next = Parts::of(allowed.min(paced)).min(MAX_PARTIAL_SHARE);
+    let next = TrafficShare::from_fraction(allowed.min(paced)).min(MAX_PARTIAL_SHARE);
     if next.fraction() >= inputs.share.fraction() * MIN_GROWTH_FACTOR
         || (next == MAX_PARTIAL_SHARE && inputs.share < MAX_PARTIAL_SHARE)
     {
@@ -254,7 +256,7 @@
 /// ratings per second, after `rated` answers of the new version were rated.
 ///
 /// The new version comes first, since each of its ratings shortens the exposure.
-pub fn rating_shares(share: Parts, rate: f64, budget: f64, rated: f64) -> (f64, f64) {
+pub fn rating_shares(share: TrafficShare, rate: f64, budget: f64, rated: f64) -> (f64, f64) {
     let new_rate = rate * share.fraction();
     let old_rate = rate - new_rate;
     let part = if rated < BALANCED_FROM_RATINGS { EARLY_RATING_SHARE } else { 0.5 };
@@ -273,7 +275,7 @@
             new: Arm { poor: new, ..Arm::default() },
             old: Arm { poor: old, ..Arm::default() },
             earlier: Count::default(),
-            share: Parts::of(share),
+            share: TrafficShare::from_fraction(share),
             held: false,
             at_share: Span::secs(600),
             rate: 50.0,
@@ -322,7 +324,7 @@
 
     #[test]
     fn ratings_go_to_the_new_version_first() {
-        let (new, old) = rating_shares(Parts::of(0.01), 50.0, 2.5, 0.0);
+        let (new, old) = rating_shares(TrafficShare::from_fraction(0.01), 50.0, 2.5, 0.0);
         assert_eq!(new, 1.0);
         assert!(old > 0.0 && old < 0.05);
     }
--- a/src/demo/fault.rs
+++ b/src/demo/fault.rs
@@ -62,13 +62,13 @@
 }
 
 impl FromStr for Fault {
-    type Err = crate::unit::Fault;
+    type Err = crate::unit::ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let found = ALL.iter().find(|(_, name)| *name == text).map(|(fault, _)| *fault);
         found.ok_or_else(|| {
             let names: Vec<&str> = ALL.iter().map(|(_, name)| *name).collect();
-            crate::unit::Fault(format!(
+            crate::unit::ParseError(format!(
                 "name some of {}, or `all`, `pairs`, `none`.",
                 names.join(", ")
             ))
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -22,7 +22,7 @@
 use crate::standin::platform::Switches;
 use crate::unit::{Span, Target, Vm};
 use crate::vm::ROOT;
-use crate::watch::{Slice, show};
+use crate::watch::{ObjectiveCounts, burn_table};
 
 /// How long a fault that ends by itself lasts.
 const LASTS: Duration = Duration::from_millis(1500);
@@ -79,7 +79,7 @@
     told: Vec<String>,
     tell: bool,
     began: Instant,
-    burn: Vec<Slice>,
+    burn: Vec<ObjectiveCounts>,
 }
 
 /// Runs a scenario.
@@ -113,7 +113,7 @@
     let load = |counter: &std::sync::atomic::AtomicUsize| counter.load(Ordering::Relaxed);
     Ok(Outcome {
         report,
-        burn: show(run.burn),
+        burn: burn_table(run.burn),
         told: run.told,
         counts: (load(&progress.whole), load(&progress.refused), load(&progress.broken)),
         took,
@@ -341,7 +341,7 @@
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
         for node in self.world.nodes.values() {
-            self.burn.extend(node.vm.burn.lock().expect("no panic while held").slices(date));
+            self.burn.extend(node.vm.burn.lock().expect("no panic while held").counts(date));
         }
         // Peers bring the bills of the killed to the store; give them the time they state.
         std::thread::sleep(Duration::from_secs(7));
--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -114,7 +114,7 @@
 /// # Errors
 /// As `apply`.
 pub fn intend(platform: SocketAddr, words: &str, who: &str) -> Result<Revision, Error> {
-    let intent: Intent = words.parse().map_err(|e: crate::unit::Fault| Error::Plan(e.0))?;
+    let intent: Intent = words.parse().map_err(|e: crate::unit::ParseError| Error::Plan(e.0))?;
     apply(platform, &Wish::Short(intent), who)
 }
 
--- a/src/engine/check.rs
+++ b/src/engine/check.rs
@@ -24,7 +24,7 @@
 
 /// What a check found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ProcessState {
     /// It takes connections.
     Lives,
     /// It refuses them.
@@ -48,15 +48,15 @@
 }
 
 /// Checks the server at an address by a few connections, one after the other. A server that goes on closing them lives.
-pub async fn check(address: SocketAddr) -> Found {
-    let (mut found, mut stay) = (Found::Unknown, 0);
+pub async fn check_process(address: SocketAddr) -> ProcessState {
+    let (mut found, mut stay) = (ProcessState::Unknown, 0);
     for _ in 0..TRIES {
         match open(address).await {
-            Opened::Stays if stay + 1 == STAY => return Found::Lives,
-            Opened::Stays => (found, stay) = (Found::Lives, stay + 1),
-            Opened::Refused => return Found::IsGone,
-            Opened::Silent => return Found::Unknown,
-            Opened::Closed => found = Found::Lives,
+            Opened::Stays if stay + 1 == STAY => return ProcessState::Lives,
+            Opened::Stays => (found, stay) = (ProcessState::Lives, stay + 1),
+            Opened::Refused => return ProcessState::IsGone,
+            Opened::Silent => return ProcessState::Unknown,
+            Opened::Closed => found = ProcessState::Lives,
             Opened::Reset => {}
         }
     }
--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -41,7 +41,7 @@
 
 /// A client for one thread.
 #[derive(Clone)]
-pub struct Engines {
+pub struct EngineClient {
     client: Client,
     services: Rc<RefCell<HashMap<SocketAddr, Pool>>>,
     clock: Clock,
@@ -49,19 +49,19 @@
 
 /// Why an attempt gave no stream.
 #[derive(Clone, Debug)]
-pub struct Fault {
+pub struct AttemptError {
     /// What it means for a retry.
     pub failure: Failure,
     /// The engine's own word that it did not run the work, if it gave it.
-    pub told: Option<NotRun>,
+    pub not_run: Option<NotRun>,
     /// In words, for the decision record.
-    pub words: String,
+    pub reason: String,
 }
 
-impl Fault {
+impl AttemptError {
     /// Whether the engine had no free slot.
     pub fn is_full(&self) -> bool {
-        self.told.as_ref().is_some_and(|not_run| not_run.reason == Reason::Full)
+        self.not_run.as_ref().is_some_and(|not_run| not_run.reason == Reason::Full)
     }
 }
 
@@ -76,12 +76,12 @@
     pub load: Option<(u32, u32)>,
 }
 
-impl Engines {
+impl EngineClient {
     /// A client.
-    pub fn new() -> Engines {
+    pub fn new() -> EngineClient {
         let connector = Connector::new().timeout(OPEN_WITHIN).limit(0);
         let client = Client::builder().connector(connector).disable_timeout().finish();
-        Engines { client, services: Rc::default(), clock: Clock::default() }
+        EngineClient { client, services: Rc::default(), clock: Clock::default() }
     }
 
     /// Calls a service and reads its whole answer, of at most `most` bytes.
@@ -117,13 +117,13 @@
     ///
     /// # Errors
     /// Why there is no stream, and whether the work may have run.
-    pub async fn generate(&self, to: SocketAddr, work: &Generate) -> Result<Frames, Fault> {
+    pub async fn generate(&self, to: SocketAddr, work: &Generate) -> Result<Frames, AttemptError> {
         let request = self.client.post(format!("http://{to}/v1/generate"));
         let sent = tokio::time::timeout(TAKEN_WITHIN, request.send_json(work)).await;
-        let silent = |_| Fault {
+        let silent = |_| AttemptError {
             failure: Failure::Broken,
-            told: None,
-            words: format!("it did not say within {TAKEN_WITHIN:?} whether it took the work"),
+            not_run: None,
+            reason: format!("it did not say within {TAKEN_WITHIN:?} whether it took the work"),
         };
         let mut answer = sent.map_err(silent)?.map_err(|fault| classify(&fault))?;
         match answer.status() {
@@ -139,12 +139,16 @@
                 let told = answer.json::<NotRun>().await.ok();
                 let failure = if told.is_some() { Failure::NotRun } else { Failure::Broken };
                 let reason = told.as_ref().map(|not_run| not_run.reason);
-                Err(Fault { failure, told, words: format!("it did not run: {reason:?}") })
+                Err(AttemptError {
+                    failure,
+                    not_run: told,
+                    reason: format!("it did not run: {reason:?}"),
+                })
             }
-            other => Err(Fault {
+            other => Err(AttemptError {
                 failure: Failure::Broken,
-                told: None,
-                words: format!("it answered {other}"),
+                not_run: None,
+                reason: format!("it answered {other}"),
             }),
         }
     }
@@ -168,21 +172,21 @@
     }
 }
 
-impl Default for Engines {
-    fn default() -> Engines {
-        Engines::new()
+impl Default for EngineClient {
+    fn default() -> EngineClient {
+        EngineClient::new()
     }
 }
 
 /// What a failed exchange proves: only a connection that never opened sent nothing.
-fn classify(fault: &SendRequestError) -> Fault {
+fn classify(fault: &SendRequestError) -> AttemptError {
     let never_opened = match fault {
         SendRequestError::Connect(inner) => !matches!(inner, ConnectError::Disconnected),
         SendRequestError::Url(_) | SendRequestError::TunnelNotSupported => true,
         _ => false,
     };
     let failure = if never_opened { Failure::NotSent } else { Failure::Broken };
-    Fault { failure, told: None, words: fault.to_string() }
+    AttemptError { failure, not_run: None, reason: fault.to_string() }
 }
 
 impl Frames {
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::decide::retry::Failure;
-use crate::engine::client::{Engines, Fault, Frames};
+use crate::engine::client::{AttemptError, EngineClient, Frames};
 use crate::engine::wire::{Cancel, End, Generate, NotRun, Reason};
 use crate::history::Event;
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
@@ -38,12 +38,12 @@
 /// Looks for a server and starts work on it.
 pub async fn start<'a>(
     vm: &'a Vm,
-    engines: &Engines,
+    engines: &EngineClient,
     work: Generate,
     prefix: u64,
     revision: Revision,
     steps: &mut Vec<String>,
-) -> Result<Attempt<'a>, (Option<Picked>, Fault)> {
+) -> Result<Attempt<'a>, (Option<Picked>, AttemptError)> {
     let now = vm.clock.now();
     let group = Group::Version(work.target.clone());
     let picked = {
@@ -55,7 +55,10 @@
     };
     let Some(picked) = picked else {
         let words = format!("no server of {} can take it", work.target);
-        return Err((None, Fault { failure: Failure::NotRun, told: None, words }));
+        return Err((
+            None,
+            AttemptError { failure: Failure::NotRun, not_run: None, reason: words },
+        ));
     };
     vm.history.note(|| Event::Started {
         vm: vm.settings.vm.clone(),
@@ -81,17 +84,17 @@
         }
         Err(fault) => {
             note_fault(vm, &picked, &fault, now);
-            steps.push(format!("{} on {}: {}", work.target, picked.server, fault.words));
+            steps.push(format!("{} on {}: {}", work.target, picked.server, fault.reason));
             count(vm, &work.target, "refused");
             Err((Some(picked), fault))
         }
     }
 }
 
-fn note_fault(vm: &Vm, picked: &Picked, fault: &Fault, now: Moment) {
+fn note_fault(vm: &Vm, picked: &Picked, fault: &AttemptError, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
     fleet.ended(&picked.server);
-    match &fault.told {
+    match &fault.not_run {
         Some(NotRun { reason: Reason::Leaving, .. }) => fleet.leaving(&picked.server),
         // Full is no failure: the load that it told keeps others away.
         Some(NotRun { reason: Reason::Full, load }) => {
--- a/src/entry/drive/account.rs
+++ b/src/entry/drive/account.rs
@@ -25,7 +25,7 @@
         for (i, objective) in self.job.workspace.objectives.iter().enumerate() {
             let fits = objective.kind.as_ref().is_none_or(|kind| *kind == self.job.kind);
             if fits {
-                burn.count(&self.job.workspace.name, target, i, objective.good, bad, date);
+                burn.record(&self.job.workspace.name, target, i, objective.good, bad, date);
             }
         }
     }
@@ -36,7 +36,7 @@
             why: if whole { Why::Answer } else { Why::Broken },
             target: Some(target.clone()),
             tokens,
-            cost: price.of_tokens(u64::from(tokens)),
+            cost: price.for_tokens(u64::from(tokens)),
         });
     }
 
@@ -130,6 +130,6 @@
             date: self.vm.clock.date(),
             steps: std::mem::take(&mut self.steps),
         };
-        self.vm.traces.lock().expect("no panic while held").keep(trace);
+        self.vm.traces.lock().expect("no panic while held").record(trace);
     }
 }
--- a/src/entry/drive/attempts.rs
+++ b/src/entry/drive/attempts.rs
@@ -146,7 +146,7 @@
                     if let Some(picked) = picked.filter(|_| fault.failure == Failure::Broken) {
                         self.suspect(&picked.server, picked.address, None);
                     }
-                    (fault.failure, fault.words)
+                    (fault.failure, fault.reason)
                 }
             };
             self.take("fail");
--- a/src/entry/drive/mod.rs
+++ b/src/entry/drive/mod.rs
@@ -13,7 +13,7 @@
 use crate::chart::{self, Machine};
 use crate::config::{Snapshot, WorkspaceEntry};
 use crate::decide::cascade::{BINS, Rule, bin};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::engine::wire::End;
 use crate::ledger::{Part, Why};
 use crate::unit::{Digest, Kind, Moment, RequestId, Target};
@@ -93,7 +93,7 @@
 
 struct Drive {
     vm: Data<Vm>,
-    engines: Engines,
+    engines: EngineClient,
     job: Job,
     to: mpsc::Sender<Out>,
     life: Machine,
@@ -115,7 +115,7 @@
 }
 
 /// Runs a request to its end; the caller hears of it through `to`.
-pub async fn run(vm: Data<Vm>, engines: Engines, job: Job, to: mpsc::Sender<Out>) {
+pub async fn run(vm: Data<Vm>, engines: EngineClient, job: Job, to: mpsc::Sender<Out>) {
     let in_flight = InFlight::new(&vm);
     let life = Machine::new(chart::named("request"));
     let why = job.why.clone();
@@ -174,8 +174,8 @@
     }
 
     fn take(&mut self, event: &str) {
-        if self.life.take(event).is_err() {
-            self.vm.metrics.misfits.inc();
+        if self.life.apply(event).is_err() {
+            self.vm.metrics.invalid_transitions.inc();
         }
     }
 
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -15,7 +15,7 @@
 use super::session::{self, Session};
 use super::{header, stream::guarded};
 use crate::config::{Allowed, Snapshot, WorkspaceEntry, digest};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::evidence::{Counts, Key};
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Errand, Vm};
@@ -112,7 +112,7 @@
 /// `POST /v1/chat/completions`.
 pub async fn chat(
     vm: Data<Vm>,
-    engines: Data<Engines>,
+    engines: Data<EngineClient>,
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -9,7 +9,7 @@
 use super::refusal::{Kind, Refusal};
 use crate::unit::Revision;
 use crate::vm::{Errand, Vm};
-use crate::watch::{Slice, WINDOWS, show};
+use crate::watch::{ObjectiveCounts, WINDOWS, burn_table};
 
 /// Decisions waiting for a slow listener.
 const AHEAD: usize = 256;
@@ -48,12 +48,12 @@
 
 /// `GET /metrics`.
 pub async fn metrics(vm: Data<Vm>) -> HttpResponse {
-    let slices = vm.burn.lock().expect("no panic while held").slices(vm.clock.date());
+    let slices = vm.burn.lock().expect("no panic while held").counts(vm.clock.date());
     for slice in slices {
         for (window, (name, _)) in WINDOWS.iter().enumerate() {
             let (workspace, version) = (slice.workspace.to_string(), slice.target.to_string());
             let gauge = vm.metrics.burn.with_label_values(&[workspace.as_str(), &version, name]);
-            gauge.set(slice.burn(window));
+            gauge.set(slice.burn_rate(window));
         }
     }
     HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(vm.metrics.text())
@@ -107,7 +107,7 @@
     }
     let own = {
         let traces = vm.traces.lock().expect("no panic while held");
-        traces.find(&id).map(|trace| trace.words())
+        traces.find(&id).map(|trace| trace.to_text())
     };
     let found = match own {
         Some(words) => Some(words),
@@ -129,16 +129,16 @@
         return refused;
     }
     let date = vm.clock.date();
-    let mut slices = vm.burn.lock().expect("no panic while held").slices(date);
+    let mut slices = vm.burn.lock().expect("no panic while held").counts(date);
     let (sender, answered) = oneshot::channel();
     vm.errand(Errand::Burn(sender));
     for text in answered.await.unwrap_or_default() {
-        slices.extend(serde_json::from_str::<Vec<Slice>>(&text).unwrap_or_default());
+        slices.extend(serde_json::from_str::<Vec<ObjectiveCounts>>(&text).unwrap_or_default());
     }
     if request.query_string().contains("json") {
         return HttpResponse::Ok().json(slices);
     }
-    HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(show(slices))
+    HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(burn_table(slices))
 }
 
 /// `GET /operator/decisions`: records as they are made, as server-sent events.
@@ -147,7 +147,7 @@
         return refused;
     }
     let (sender, mut records) = mpsc::channel::<String>(AHEAD);
-    vm.traces.lock().expect("no panic while held").listen(sender);
+    vm.traces.lock().expect("no panic while held").subscribe(sender);
     let (to, from) = mpsc::channel(AHEAD);
     actix_web::rt::spawn(async move {
         while let Some(record) = records.recv().await {
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -16,7 +16,7 @@
 use crate::config::ServiceEntry;
 use crate::decide::poison::OpenRequest;
 use crate::decide::retry::{self, Failure};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::history::{Event, Ran};
 use crate::ledger::{Entry, Part, Why};
 use crate::once::{Answer, Claim, Outcome, Settled, Word};
@@ -59,7 +59,7 @@
 /// `/v1/services/NAME/...`.
 pub async fn call(
     vm: Data<Vm>,
-    engines: Data<Engines>,
+    engines: Data<EngineClient>,
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
@@ -206,7 +206,7 @@
 /// Claims the key, runs the call at most once, and records how it ended.
 async fn run_once(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
 ) -> Result<Reply, Refusal> {
@@ -297,7 +297,7 @@
 /// Runs a call, elsewhere again where that is safe, and bills it.
 async fn run(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
 ) -> Result<Reply, Refusal> {
@@ -313,7 +313,7 @@
 
 async fn attempts(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
     may_have_run: &mut bool,
@@ -392,7 +392,7 @@
 }
 
 async fn send(
-    engines: &Engines,
+    engines: &EngineClient,
     to: std::net::SocketAddr,
     call: &Call,
     now: Moment,
--- a/src/experiment/options.rs
+++ b/src/experiment/options.rs
@@ -3,7 +3,7 @@
 use crate::cli;
 use crate::error::Error;
 use crate::options::{list, optional, or};
-use crate::unit::{Parts, Span};
+use crate::unit::{Span, TrafficShare};
 
 /// What an experiment is run with.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     /// The first flag that does not read.
     pub fn check(flags: &cli::Experiment) -> Result<Options, Error> {
         let share = |flag: &str, given: Option<&String>, default: f64| -> Result<f64, Error> {
-            Ok(or(flag, given, Parts::of(default))?.fraction())
+            Ok(or(flag, given, TrafficShare::from_fraction(default))?.fraction())
         };
         let positive = |flag: &str, given: Option<&String>| -> Result<Option<usize>, Error> {
             let number: Option<usize> = optional(flag, given)?;
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -11,7 +11,7 @@
 use super::table::{Row, Table, quantile};
 use crate::decide::rollout::{self, Action, Arm, Inputs, Policy};
 use crate::decide::sequential::Count;
-use crate::unit::{Parts, Span};
+use crate::unit::{Span, TrafficShare};
 
 /// Requests a second for the model.
 const RATE: f64 = 50.0;
@@ -81,7 +81,7 @@
     options: &'a Options,
     kind: Kind,
     harm: f64,
-    share: Parts,
+    share: TrafficShare,
     held: bool,
     since: u64,
     new: Count,
@@ -163,8 +163,8 @@
             return;
         }
         let step = (now / STEP_SECS) as usize;
-        self.share = Parts::of(STEPS[step.min(STEPS.len() - 1)]);
-        if self.share == Parts::ALL {
+        self.share = TrafficShare::from_fraction(STEPS[step.min(STEPS.len() - 1)]);
+        if self.share == TrafficShare::ALL {
             result.full.get_or_insert(now);
         }
         let (threshold, fewest) = match self.kind {
@@ -207,7 +207,7 @@
             }
             Action::Complete(_) => {
                 result.full.get_or_insert(now);
-                Parts::ALL
+                TrafficShare::ALL
             }
             Action::Grow(share, _) | Action::Shrink(share, _) => share,
             Action::Hold(share, _) => {
@@ -229,7 +229,7 @@
         options,
         kind,
         harm,
-        share: Parts(0),
+        share: TrafficShare(0),
         held: false,
         since: 0,
         new: Count::default(),
--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -10,7 +10,7 @@
 use super::vm::Vm;
 use crate::platform::object::{self, CONFIG, EVACUATIONS, MAIN, Object, ROLLOUTS, SERVERS};
 use crate::unit::{Moment, Position, Revision, Vm as Name};
-use crate::watch::line::Value;
+use crate::watch::log::Value;
 
 /// Origin of the objects that this VM applies, and the position of the store that they reflect.
 pub struct Source<'a> {
@@ -112,7 +112,7 @@
 
 /// Applies an order to evacuate a data centre.
 fn apply_evacuation(vm: &Vm, object: &Object) {
-    match object::emptied(object) {
+    match object::decode_evacuation(object) {
         Ok(data_centre) => {
             let is_outdated = vm.may_be_outdated(object.metadata.position);
             if is_outdated && vm.fleet.borrow().was_evacuation_withdrawn(&data_centre) {
@@ -225,7 +225,7 @@
 /// Applies a configuration unless a newer one is in force. Returns its revision if it is valid.
 fn apply_config(vm: &Vm, object: &Object) -> Option<Revision> {
     let known = vm.routes().map(|table| table.revision);
-    let table = match object::table(object) {
+    let table = match object::decode_config(object) {
         Ok(table) => table,
         Err(why) => {
             log_unreadable(vm, CONFIG, object, &why);
@@ -260,7 +260,7 @@
 }
 
 fn apply_server(vm: &Vm, object: &Object, source: Option<&Source>) {
-    match object::replica(object) {
+    match object::decode_replica(object) {
         Ok(replica) => {
             if let Some(source) = source {
                 log_server_entry(vm, object, &replica, source);
@@ -318,7 +318,7 @@
 
 /// Applies the state of a roll-out unless a newer one is known.
 pub fn apply_rollout(vm: &Vm, object: &Object) {
-    let mut rollout = match object::rollout(object) {
+    let mut rollout = match object::decode_rollout(object) {
         Ok(rollout) => rollout,
         Err(why) => return log_unreadable(vm, ROLLOUTS, object, &why),
     };
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -16,7 +16,7 @@
 use crate::config::Repeat;
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::{poison, server_limit};
-use crate::platform::header::{self, Extra};
+use crate::platform::header::{self, AddedHeaders};
 use crate::unit::{Model, Moment, Rate, Span};
 
 /// Another server is tried if the connection does not open within this time; the servers are a few
@@ -193,15 +193,15 @@
         release_connection(job, replica, connection, None);
         return Outcome::without_response(AttemptOutcome::Withheld, reason.to_string());
     }
-    let extra = Extra {
+    let extra = AddedHeaders {
         replica,
-        left: job.left(vm.now()),
+        remaining: job.left(vm.now()),
         workspace: job.holder.as_ref().map(|holder| &holder.workspace),
         model,
         priority: job.route.streams.then(|| job.priority(pending.prefill_time, vm.now())),
         after_event: last_event_id,
     };
-    let head = header::request(&job.head, &extra);
+    let head = header::server_request(&job.head, &extra);
     // From here on bytes may have been sent.
     *sent = true;
     let (head, response) = match send_and_read_head(job, replica, &mut connection, head).await {
@@ -242,7 +242,7 @@
     let sent_at = job.vm.now();
     let mut head = connection.send(head, &job.body).await?;
     for _ in 0..=MAX_STALE_RESPONSES {
-        let response = header::answer(&head);
+        let response = header::decode_response(&head);
         count_unknown_headers(job, replica, &head);
         // A server that rejects a request without reading it may not know the request's id.
         let is_ours = response.id.as_deref() == Some(job.call.id.as_str())
@@ -266,8 +266,8 @@
 /// noticed on the day it appears.
 fn count_unknown_headers(job: &Job, replica: &Replica, head: &ResponseHead) {
     let vm = &job.vm;
-    for name in header::unknown(head) {
-        let (name, is_new) = vm.unknown_headers.borrow_mut().meet(name);
+    for name in header::unknown_headers(head) {
+        let (name, is_new) = vm.unknown_headers.borrow_mut().observe(name);
         vm.metrics.unknown_headers.with_label_values(&[name]).inc();
         if is_new {
             let fields = [
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -13,7 +13,7 @@
 use super::server::Fleet;
 use super::vm::Vm;
 use crate::decide::poison::OpenRequest;
-use crate::engine::check::{self, Found};
+use crate::engine::check::{self, ProcessState};
 
 /// What to do about a broken response, by what this VM knows of the server's incarnation.
 enum Action {
@@ -35,7 +35,7 @@
         }
         Action::Ignore => return,
     }
-    record_check(vm, replica, vec![request], Found::IsGone);
+    record_check(vm, replica, vec![request], ProcessState::IsGone);
 }
 
 /// Decides on the action and remembers the request while the server is being checked.
@@ -60,11 +60,11 @@
 
 /// Checks the server and records the result for all responses that broke off meanwhile.
 async fn check_server(vm: Rc<Vm>, replica: Replica) {
-    let found = check::check(replica.address).await;
+    let found = check::check_process(replica.address).await;
     let broken = {
         let mut fleet = vm.fleet.borrow_mut();
         let Some(server) = fleet.incarnation_mut(&replica) else { return };
-        let next = if found == Found::IsGone { Liveness::Dead } else { Liveness::Alive };
+        let next = if found == ProcessState::IsGone { Liveness::Dead } else { Liveness::Alive };
         match std::mem::replace(&mut server.liveness, next) {
             Liveness::Suspect(broken) => broken,
             Liveness::Alive | Liveness::Dead => Vec::new(),
@@ -74,7 +74,7 @@
 }
 
 /// Counts and logs the result of a check and reports a crash with the contents that ran there.
-fn record_check(vm: &Rc<Vm>, replica: &Replica, broken: Vec<OpenRequest>, found: Found) {
+fn record_check(vm: &Rc<Vm>, replica: &Replica, broken: Vec<OpenRequest>, found: ProcessState) {
     let outcome = format!("{found:?}");
     vm.metrics.checks.with_label_values(&[replica.service.as_str(), &outcome]).inc();
     let contents: Vec<String> = broken.iter().map(|one| one.content.to_string()).collect();
@@ -87,7 +87,7 @@
         ("contents", contents.as_str().into()),
     ];
     vm.log("server checked", &fields);
-    if found == Found::IsGone && !broken.is_empty() {
+    if found == ProcessState::IsGone && !broken.is_empty() {
         poison::on_server_crash(vm, replica, &broken);
     }
 }
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -313,7 +313,7 @@
 fn give_up(job: &Job, progress: Progress, end: AttemptOutcome) -> Reply {
     let late = job.left(job.vm.now()) < MIN_ATTEMPT_TIME;
     if let Some((head, body)) = progress.failure {
-        let response = crate::platform::header::answer(&head);
+        let response = crate::platform::header::decode_response(&head);
         if !reads_as_not_run(&response) {
             job.record.set_outcome(head.status.as_str());
             return Reply::Complete(Box::new((head, body)));
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -315,7 +315,7 @@
         self.record_session(vm.now());
         let took = vm.now().since(self.arrived);
         // A hash tells sessions apart without disclosing their names.
-        let session = self.session.as_deref().map(hash::short).unwrap_or_default();
+        let session = self.session.as_deref().map(hash::fingerprint).unwrap_or_default();
         let content = self.content.map(|content| content.to_string()).unwrap_or_default();
         vm.log(
             "request",
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -113,7 +113,7 @@
 /// Serves the readiness probe: 200 if the VM accepts requests now, else 503.
 pub async fn serve_readiness(vm: Rc<Vm>, listener: TcpListener) {
     serve_probes(listener, move |request: &Request| {
-        let ready = header::asks_readiness(request.head()) && vm.is_ready(vm.now());
+        let ready = header::is_readiness_probe(request.head()) && vm.is_ready(vm.now());
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Response::with_body(status, BoxBody::new(()))
     })
@@ -170,15 +170,15 @@
 /// Handles one request of a caller.
 async fn handle_request(vm: Rc<Vm>, mut request: Request) -> HttpResponse {
     let arrived = vm.now();
-    let call = header::call(request.head());
-    let id = header::answer_id(&call);
+    let call = header::decode_call(request.head());
+    let id = header::attempt_id_header(&call);
     let mut record = Record::new(vm.clone(), &call, arrived);
     let payload = request.take_payload();
     let admitted = admit(&vm, &call, payload, &mut record).await;
     let mut response = match admitted {
         Ok(Admitted { route, holder, body }) => {
             let deadline = arrived + call.timeout.min(route.timeout);
-            let weight = hash::point(hash::stable(&[call.id.as_str()]));
+            let weight = hash::to_unit_interval(hash::stable(&[call.id.as_str()]));
             let head = request.head().clone();
             let content = content::request_digest(&head, &call, holder.as_deref(), &body);
             record.set_content(content);
@@ -298,7 +298,7 @@
 /// Waits for a proof that is recent enough to deny a route or key. Returns false if none came.
 async fn await_denial_proof(vm: &Rc<Vm>) -> bool {
     let now = vm.now();
-    let max_age = vm.settings.bounds.config_propagation.part(DENIAL_PROOF_AGE_FRACTION);
+    let max_age = vm.settings.bounds.config_propagation.mul_f64(DENIAL_PROOF_AGE_FRACTION);
     let is_recent = |vm: &Vm| vm.proved_at.get().is_some_and(|at| now.since(at) < max_age);
     is_recent(vm) || await_proof(vm, is_recent).await
 }
@@ -359,7 +359,7 @@
 /// Returns a server's response with its status and end-to-end headers unchanged.
 fn relay_response(head: &ResponseHead, body: BoxBody) -> HttpResponse {
     let mut response = Response::with_body(head.status, body);
-    for (name, value) in header::answer_headers(head) {
+    for (name, value) in header::response_headers(head) {
         response.headers_mut().append(name, value);
     }
     response
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -10,8 +10,8 @@
 use super::kind::{Kind, VMS};
 use super::peer::PeerInfo;
 use super::vm::Vm;
+use crate::platform::client::{Client, Consistency, StoreError};
 use crate::platform::object::Object;
-use crate::platform::objects::{Objects, Read, Trouble};
 use crate::unit::{Era, Span, Vm as Name};
 
 /// Kind and name of the object that holds the key of the links between VMs. The deploy file is
@@ -35,7 +35,7 @@
 
 /// Returns the key of the links, which the first VM creates. The key never changes, so a stale read
 /// is as good as a linearizable one. Retries until the store answers.
-pub async fn shared_key(vm: &Vm, store: &mut Objects) -> String {
+pub async fn shared_key(vm: &Vm, store: &mut Client) -> String {
     let mut backoff = Backoff::default();
     loop {
         match get_or_create_key(vm, store).await {
@@ -56,8 +56,8 @@
 }
 
 /// Returns the object with the key, and creates it if the store has none.
-async fn get_or_create_key(vm: &Vm, store: &mut Objects) -> Result<Option<Object>, Trouble> {
-    let known = store.get(KEY_KIND, LINK_KEY, Read::Stale).await;
+async fn get_or_create_key(vm: &Vm, store: &mut Client) -> Result<Option<Object>, StoreError> {
+    let known = store.get(KEY_KIND, LINK_KEY, Consistency::Stale).await;
     vm.count_store_call("key-stale", &known);
     if let Some(object) = known? {
         return Ok(Some(object));
@@ -67,7 +67,7 @@
     let created = store.create(KEY_KIND, LINK_KEY, json!({"key": text})).await;
     vm.count_store_call("key-create", &created);
     match created {
-        Err(Trouble::Conflict(object)) => Ok(object.map(|object| *object)),
+        Err(StoreError::Conflict(object)) => Ok(object.map(|object| *object)),
         created => created.map(Some),
     }
 }
@@ -76,18 +76,18 @@
 ///
 /// # Errors
 /// If the store refuses or does not answer.
-pub async fn probe(store: &mut Objects) -> Result<(), Trouble> {
-    match store.get(KEY_KIND, LINK_KEY, Read::Stale).await {
+pub async fn probe(store: &mut Client) -> Result<(), StoreError> {
+    match store.get(KEY_KIND, LINK_KEY, Consistency::Stale).await {
         // A stale read may be of an older era too; the store is up all the same.
-        Ok(_) | Err(Trouble::Outdated) => Ok(()),
+        Ok(_) | Err(StoreError::StaleEra) => Ok(()),
         Err(trouble) => Err(trouble),
     }
 }
 
 /// Lists the VMs that are registered in the store, and registers this one if it is not among them.
-pub async fn join(vm: &Vm, store: &mut Objects, address: SocketAddr) {
+pub async fn join(vm: &Vm, store: &mut Client, address: SocketAddr) {
     let entry = PeerInfo::of(&vm.settings, address);
-    if list_members(vm, store, &entry, Read::Stale).await {
+    if list_members(vm, store, &entry, Consistency::Stale).await {
         return;
     }
     register(vm, store, &json!(entry)).await;
@@ -96,18 +96,18 @@
     }
     for _ in 0..STALE_RELISTS {
         tokio::time::sleep(RELIST_INTERVAL).await;
-        if list_members(vm, store, &entry, Read::Stale).await {
+        if list_members(vm, store, &entry, Consistency::Stale).await {
             return;
         }
     }
-    list_members(vm, store, &entry, Read::Newest).await;
+    list_members(vm, store, &entry, Consistency::Strong).await;
 }
 
 /// Writes this VM's entry and the key again if a restored backup lacks them. Returns the era in
 /// which the store has them, or none if the caller must retry.
 pub async fn reregister(
     vm: &Vm,
-    store: &mut Objects,
+    store: &mut Client,
     address: SocketAddr,
     key: &str,
 ) -> Option<Era> {
@@ -128,13 +128,13 @@
 }
 
 /// Writes the key of the links unless the store has one. Returns false if the store did not answer.
-async fn restore_key(vm: &Vm, store: &mut Objects, key: &str) -> bool {
+async fn restore_key(vm: &Vm, store: &mut Client, key: &str) -> bool {
     let created = store.create(KEY_KIND, LINK_KEY, json!({"key": key})).await;
     vm.count_store_call("key-create", &created);
     match created {
         Ok(_) => vm.log("key of the links written again after a restore", &[]),
-        Err(Trouble::Conflict(Some(object))) if object.spec["key"] == key => {}
-        Err(Trouble::Conflict(_)) => vm.log("the store has a different key of the links", &[]),
+        Err(StoreError::Conflict(Some(object))) if object.spec["key"] == key => {}
+        Err(StoreError::Conflict(_)) => vm.log("the store has a different key of the links", &[]),
         Err(trouble) => {
             let why = trouble.to_string();
             vm.log("key of the links not written", &[("why", why.as_str().into())]);
@@ -146,8 +146,8 @@
 
 /// Lists and applies the VMs that are registered. Returns true if this VM's entry is among them,
 /// unchanged.
-async fn list_members(vm: &Vm, store: &mut Objects, entry: &PeerInfo, read: Read) -> bool {
-    let call = if read == Read::Newest { "list-vms" } else { "list-vms-stale" };
+async fn list_members(vm: &Vm, store: &mut Client, entry: &PeerInfo, read: Consistency) -> bool {
+    let call = if read == Consistency::Strong { "list-vms" } else { "list-vms-stale" };
     let listed = store.list(VMS, read).await;
     vm.count_store_call(call, &listed);
     match listed {
@@ -175,13 +175,13 @@
 }
 
 /// Creates or replaces this VM's entry in the store, and retries until it is written.
-async fn register(vm: &Vm, store: &mut Objects, entry: &Value) {
+async fn register(vm: &Vm, store: &mut Client, entry: &Value) {
     let name = vm.settings.vm.as_str();
     let mut backoff = Backoff::default();
     loop {
         let mut written = store.create(VMS, name, entry.clone()).await;
         vm.count_store_call("entry-create", &written);
-        if let Err(Trouble::Conflict(Some(old))) = &written {
+        if let Err(StoreError::Conflict(Some(old))) = &written {
             if old.spec == *entry {
                 return;
             }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -20,7 +20,7 @@
 use crate::decide::server_limit;
 use crate::peer::wire::{decode, encode};
 use crate::peer::{Incoming, Links, neighbours};
-use crate::platform::objects::Objects;
+use crate::platform::client::Client;
 use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 
 pub use super::message::{Message, PeerInfo};
@@ -250,7 +250,7 @@
 }
 
 /// Greets peers that were told nothing, and drops those that are gone.
-async fn check_peers(vm: &Rc<Vm>, store: &mut Objects) {
+async fn check_peers(vm: &Rc<Vm>, store: &mut Client) {
     let now = vm.now();
     let (mut heartbeats, mut gone) = (Vec::new(), Vec::new());
     {
--- a/src/forward/pinned.rs
+++ b/src/forward/pinned.rs
@@ -39,7 +39,7 @@
 
     /// Returns the draw as a point from 0 to 1.
     pub fn point(self) -> f64 {
-        hash::point(self.0)
+        hash::to_unit_interval(self.0)
     }
 }
 
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -156,7 +156,7 @@
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
     if let Some(longest) = vm.max_proof_age() {
         proof_age
-            .filter(|age| *age < longest.part(MAX_PROOF_AGE_FRACTION))
+            .filter(|age| *age < longest.mul_f64(MAX_PROOF_AGE_FRACTION))
             .ok_or(Decline::OldProof)?;
     }
     // A proof of the configuration does not cover servers, which have an age of their own.
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -11,8 +11,8 @@
 use super::store_watch::apply_listing;
 use super::vm::Vm;
 use crate::decide::reader::FAST_POLL_INTERVAL;
+use crate::platform::client::{Client, Consistency, StoreError};
 use crate::platform::object::CONFIG;
-use crate::platform::objects::{Objects, Read, Trouble};
 use crate::unit::Span;
 
 /// A proof is renewed once it reaches this part of the longest age; the rest is a reserve for a
@@ -67,7 +67,7 @@
             continue;
         }
         let sent = vm.now();
-        let result = store.list(CONFIG, Read::Newest).await;
+        let result = store.list(CONFIG, Consistency::Strong).await;
         vm.count_store_call("prove", &result);
         vm.store_untested.set(false);
         match result {
@@ -83,7 +83,7 @@
 
 /// Checks whether a store that was down answers again, by a stale read, which costs a tenth of a
 /// proof.
-async fn probe(vm: &Vm, store: &mut Objects) -> Result<(), Trouble> {
+async fn probe(vm: &Vm, store: &mut Client) -> Result<(), StoreError> {
     let found = membership::probe(store).await;
     vm.count_store_call("probe-stale", &found);
     found
@@ -108,7 +108,7 @@
 }
 
 /// Records that the store did not answer, and sleeps for the next delay.
-async fn record_failure(vm: &Vm, trouble: &Trouble, backoff: &mut Backoff) {
+async fn record_failure(vm: &Vm, trouble: &StoreError, backoff: &mut Backoff) {
     vm.on_proof_failure(&trouble.to_string());
     vm.proof_received.notify_waiters();
     tokio::time::sleep(backoff.next_delay(max_backoff(vm)).duration()).await;
@@ -150,10 +150,10 @@
 fn until_due(vm: &Vm) -> Option<Span> {
     let longest = vm.max_proof_age();
     let interval = if vm.is_reader() && vm.has_followers(vm.now()) {
-        let to_deny = vm.settings.bounds.config_propagation.part(DENIAL_RENEWAL_FRACTION);
-        longest.map_or(to_deny, |longest| longest.part(READER_RENEWAL_FRACTION).min(to_deny))
+        let to_deny = vm.settings.bounds.config_propagation.mul_f64(DENIAL_RENEWAL_FRACTION);
+        longest.map_or(to_deny, |longest| longest.mul_f64(READER_RENEWAL_FRACTION).min(to_deny))
     } else {
-        longest?.part(RENEWAL_FRACTION)
+        longest?.mul_f64(RENEWAL_FRACTION)
     };
     // The list at the start is a proof too, so without one there is still a short wait for it.
     let age =
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -14,7 +14,7 @@
 use crate::platform;
 use crate::unit::Span;
 use crate::vm::Clock;
-use crate::watch::line::{Lines, Value};
+use crate::watch::log::{Logger, Value};
 
 /// Time between two writes of log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(100);
@@ -39,7 +39,7 @@
     let callers = listener::bind(settings.callers)?;
     let readiness = listener::bind(settings.readiness)?;
     let metrics = settings.metrics.map(listener::bind).transpose()?;
-    let lines = Lines::to_standard_output();
+    let lines = Logger::to_stdout();
     let vm = Rc::new(Vm::new(settings, Clock::default(), lines));
     log_start(&vm);
     for kind in Kind::ALL {
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -134,7 +134,7 @@
             && !criteria.has_tried(replica)
     });
     let left = resting.map(|(_, left)| left).min()?;
-    let at = now + left + WAKE_JITTER.part(rand::random());
+    let at = now + left + WAKE_JITTER.mul_f64(rand::random());
     (at <= until).then_some(Wait { until: at, permit: None })
 }
 
--- a/src/forward/steps.rs
+++ b/src/forward/steps.rs
@@ -11,8 +11,8 @@
 use super::vm::Vm;
 use super::{peer, rate_limit};
 use crate::decide::canary::{self, Inputs, Step};
+use crate::platform::client::{Client, StoreError};
 use crate::platform::object::{self, ROLLOUTS};
-use crate::platform::objects::{Objects, Trouble};
 use crate::unit::{Moment, Service, Span};
 
 /// Interval between two checks.
@@ -89,7 +89,7 @@
 
 /// Writes the step that is due, if any. Returns true if the store accepted or answered the write, or
 /// if none was due.
-async fn write_due_step(vm: &Rc<Vm>, store: &mut Objects, service: &Service) -> bool {
+async fn write_due_step(vm: &Rc<Vm>, store: &mut Client, service: &Service) -> bool {
     let Some(DueStep { phase, .. }) = due_step(vm, service) else { return true };
     let (wait, spread) = match (!vm.is_reader(), phase) {
         (true, _) => (FOLLOWER_DELAY_S, FOLLOWER_DELAY_S / 2.0),
@@ -99,7 +99,7 @@
     tokio::time::sleep(Duration::from_secs_f64(wait + spread * rand::random::<f64>())).await;
     // Another VM may have written it in the meantime.
     let Some(DueStep { rollout, phase, inputs }) = due_step(vm, service) else { return true };
-    let status = object::progress(&rollout, phase);
+    let status = object::rollout_status(&rollout, phase);
     let written = store.put_status(ROLLOUTS, service.as_str(), rollout.position, status).await;
     vm.count_store_call("step", &written);
     let name = format!("{phase:?}");
@@ -116,7 +116,7 @@
             vm.log("roll-out moved", &fields);
             apply_rollout(vm, &object);
         }
-        Err(Trouble::Conflict(Some(object))) => apply_rollout(vm, &object),
+        Err(StoreError::Conflict(Some(object))) => apply_rollout(vm, &object),
         Err(error) => {
             let reason = error.to_string();
             let fields = [
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -8,8 +8,8 @@
 use super::kind::Kind;
 use super::role::Role;
 use super::vm::Vm;
-use crate::platform::objects::{
-    ANSWER_SOON, ANSWER_WITHIN, Events, Listing, Objects, Read, Trouble,
+use crate::platform::client::{
+    Client, Consistency, Events, Listing, RESPONSE_TIMEOUT, SHORT_RESPONSE_TIMEOUT, StoreError,
 };
 use crate::unit::{Moment, Position, Span};
 
@@ -117,7 +117,7 @@
                     store.disconnect();
                 }
             }
-            Err(Trouble::HistoryGone) => {
+            Err(StoreError::HistoryGone) => {
                 vm.log("watch history expired", &[("kind", kind.name().into())]);
                 from = None;
             }
@@ -141,7 +141,8 @@
 /// Waits for a pending proof that shows whether the store is down, and if it is, for its recovery.
 async fn wait_for_store(vm: &Vm, regained: &mut tokio::sync::watch::Receiver<u64>) {
     if vm.store_untested.get() {
-        let _ = tokio::time::timeout(ANSWER_WITHIN.duration(), vm.proof_received.notified()).await;
+        let _ =
+            tokio::time::timeout(RESPONSE_TIMEOUT.duration(), vm.proof_received.notified()).await;
     }
     if !vm.store_lost.get() {
         return;
@@ -159,24 +160,24 @@
 async fn watch(
     vm: &Vm,
     kind: Kind,
-    store: &mut Objects,
+    store: &mut Client,
     from: Position,
     backoff: &Backoff,
-) -> Result<Events, Trouble> {
+) -> Result<Events, StoreError> {
     let wait = match kind {
         Kind::Servers => {
             // The first timeout is short, for a connection that hangs; a slow store gets more time
             // at the next call.
-            let within = if backoff.has_failed() { ANSWER_WITHIN } else { ANSWER_SOON };
+            let within =
+                if backoff.has_failed() { RESPONSE_TIMEOUT } else { SHORT_RESPONSE_TIMEOUT };
             let changes = store.changes(kind.name(), from, within);
             return flag_if_slow(vm, changes).await;
         }
         Kind::Rollouts => {
-            WATCH_TIMEOUT.min(vm.settings.bounds.rollback.part(ROLLOUTS_WATCH_FRACTION))
-        }
-        Kind::Evacuations => {
-            WATCH_TIMEOUT.min(vm.settings.bounds.evacuate_within.part(EVACUATIONS_WATCH_FRACTION))
+            WATCH_TIMEOUT.min(vm.settings.bounds.rollback.mul_f64(ROLLOUTS_WATCH_FRACTION))
         }
+        Kind::Evacuations => WATCH_TIMEOUT
+            .min(vm.settings.bounds.evacuate_within.mul_f64(EVACUATIONS_WATCH_FRACTION)),
         // Proofs read the configuration as well, and changes of VMs have no bound.
         Kind::Config | Kind::Vms => WATCH_TIMEOUT,
     };
@@ -196,13 +197,13 @@
 
 /// Returns the time until the next poll for servers, if the last one was sent at `sent`.
 fn until_servers_due(vm: &Vm, sent: Moment) -> Duration {
-    let due = sent + vm.settings.bounds.drain_within.part(SERVERS_POLL_FRACTION);
+    let due = sent + vm.settings.bounds.drain_within.mul_f64(SERVERS_POLL_FRACTION);
     due.since(vm.now()).duration()
 }
 
-async fn list(vm: &Vm, kind: Kind, store: &mut Objects) -> Result<(Position, bool), Trouble> {
+async fn list(vm: &Vm, kind: Kind, store: &mut Client) -> Result<(Position, bool), StoreError> {
     let sent = vm.now();
-    let listing = store.list(kind.name(), Read::Newest).await?;
+    let listing = store.list(kind.name(), Consistency::Strong).await?;
     apply_listing(vm, kind, &listing, sent);
     Ok((listing.position(), false))
 }
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -27,12 +27,12 @@
 use crate::decide::prefill::PrefillEstimator;
 use crate::decide::pressure::Pressure;
 use crate::decide::reader::Rank;
+use crate::platform::client::{Client, StoreError};
 use crate::platform::object::Object;
-use crate::platform::objects::{Objects, Trouble};
 use crate::unit::{Era, Model, Moment, Position, Service, Span};
 use crate::vm::Clock;
-use crate::watch::line::{Lines, Value};
-use crate::watch::name::Names;
+use crate::watch::label::LabelSet;
+use crate::watch::log::{Logger, Value};
 
 /// Margin of the age of the proof of freshness, for clocks that run unlike.
 const PROOF_AGE_MARGIN: Span = Span::millis(250);
@@ -128,11 +128,11 @@
     /// The other VMs.
     pub peers: RefCell<Peers>,
     /// Log lines.
-    pub lines: Lines,
+    pub lines: Logger,
     /// Counters.
     pub metrics: Metrics,
     /// Headers of servers' answers that nothing decodes.
-    pub unknown_headers: RefCell<Names>,
+    pub unknown_headers: RefCell<LabelSet>,
     budgets: RefCell<HashMap<Service, RetryBudget>>,
     prefill_estimators: RefCell<HashMap<Option<Model>, PrefillEstimator>>,
     pressures: RefCell<HashMap<Service, Pressure>>,
@@ -140,7 +140,7 @@
 
 impl Vm {
     /// A VM that knows nothing yet.
-    pub fn new(settings: Settings, clock: Clock, lines: Lines) -> Vm {
+    pub fn new(settings: Settings, clock: Clock, lines: Logger) -> Vm {
         Vm {
             settings,
             started: clock.now(),
@@ -196,13 +196,13 @@
     }
 
     /// A client of the store with a connection of its own.
-    pub fn store_client(&self) -> Objects {
-        Objects::new(self.settings.store, self.era.clone())
+    pub fn store_client(&self) -> Client {
+        Client::new(self.settings.store, self.era.clone())
     }
 
     /// Adds a log line.
     pub fn log(&self, event: &str, fields: &[(&str, Value)]) {
-        self.lines.add(event, self.clock.date(), self.now(), fields);
+        self.lines.log(event, self.clock.date(), self.now(), fields);
     }
 
     /// The routes in force.
@@ -320,7 +320,7 @@
     }
 
     /// Counts a call to the store.
-    pub fn count_store_call<T>(&self, call: &str, result: &Result<T, Trouble>) {
+    pub fn count_store_call<T>(&self, call: &str, result: &Result<T, StoreError>) {
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         self.metrics.store_calls.with_label_values(&[call, outcome]).inc();
     }
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -7,7 +7,7 @@
 use super::Entry;
 use crate::error::Error;
 use crate::evidence::Origin;
-use crate::platform::{Store, Written};
+use crate::platform::{Store, WriteOutcome};
 use crate::unit::Span;
 
 /// Writes a second that bills may take of the platform's hundred, over the whole fleet.
@@ -66,8 +66,8 @@
         let key = chunk_key(origin, reached + 1);
         let body = serde_json::to_vec(&rest).expect("entries are plain data");
         match store.create(&key, body.clone()).await {
-            Ok(Written::Done) => reached = last.number,
-            Ok(Written::Conflict) => {
+            Ok(WriteOutcome::Applied) => reached = last.number,
+            Ok(WriteOutcome::Conflict) => {
                 let chunk = read(store, &key).await?;
                 reached = settle(store, origin, entries, &chunk).await?;
             }
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -7,7 +7,7 @@
 
 use super::{Answer, Claim, Outcome, Record, SHARDS, Settled, Shard, shard_of};
 use crate::error::Error;
-use crate::platform::{Store, Written};
+use crate::platform::{Store, WriteOutcome};
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
 
@@ -218,11 +218,11 @@
         let body = serde_json::to_vec(&records).expect("records are plain data");
         let key = self.key(self.shard.next());
         match self.store.create(&key, body.clone()).await {
-            Ok(Written::Done) => {
+            Ok(WriteOutcome::Applied) => {
                 self.take(records).await;
                 Ok(true)
             }
-            Ok(Written::Conflict) => {
+            Ok(WriteOutcome::Conflict) => {
                 self.recent.clear();
                 self.read_on().await?;
                 Ok(false)
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Change, Plan, Root, Snapshot, apply};
 use crate::error::Error;
-use crate::platform::{Object, Store, Written};
+use crate::platform::{Object, Store, WriteOutcome};
 use crate::unit::{Date, Revision};
 use crate::vm::{ROOT, fetch, piece_key};
 
@@ -88,7 +88,7 @@
         Some(object) => store.replace(ROOT, object.position, body).await?,
         None => store.create(ROOT, body).await?,
     };
-    if written == Written::Conflict {
+    if written == WriteOutcome::Conflict {
         // Perhaps by this very plan, whose answer was lost.
         let (current, _) = root(store).await?;
         let record = current.log.iter().find(|record| record.plan == plan.id);
--- a/src/options.rs
+++ b/src/options.rs
@@ -9,7 +9,7 @@
 use crate::error::Error;
 use crate::forward;
 use crate::platform::settings;
-use crate::unit::{Parts, Size, Span};
+use crate::unit::{Size, Span, TrafficShare};
 use crate::vm::Settings;
 
 /// Prefix of environment variables.
@@ -114,7 +114,8 @@
 /// # Errors
 /// The first flag that is missing or does not read, or two that contradict.
 pub fn serve(flags: &cli::Serve) -> Result<Settings, Error> {
-    let rated: Parts = or("rated-share", flags.rated_share.as_ref(), Parts::of(0.05))?;
+    let rated: TrafficShare =
+        or("rated-share", flags.rated_share.as_ref(), TrafficShare::from_fraction(0.05))?;
     let policy = Policy::default();
     let doubling = or("rollout-doubling", flags.rollout_doubling.as_ref(), policy.doubling)?;
     let settings = Settings {
--- a/src/platform/objects.rs
+++ b/src/platform/client.rs
@@ -21,10 +21,10 @@
 const OPEN_WITHIN: Span = Span::millis(400);
 
 /// Time for an answer; the store usually takes some milliseconds.
-pub const ANSWER_WITHIN: Span = Span::millis(1200);
+pub const RESPONSE_TIMEOUT: Span = Span::millis(1200);
 
 /// Time for an answer where there must be time to ask anew, over another connection, if this one hangs.
-pub const ANSWER_SOON: Span = Span::millis(800);
+pub const SHORT_RESPONSE_TIMEOUT: Span = Span::millis(800);
 
 /// Largest answer: a list of about 1 MB, with room for its framing.
 const LARGEST: usize = 4 * 1024 * 1024;
@@ -37,25 +37,25 @@
 
 /// How new an answer must be.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Read {
+pub enum Consistency {
     /// As new as any acknowledged write.
-    Newest,
+    Strong,
     /// Some seconds old at most; it costs a tenth.
     Stale,
 }
 
-impl Read {
+impl Consistency {
     fn query(self) -> Option<&'static str> {
         match self {
-            Read::Newest => None,
-            Read::Stale => Some(STALE),
+            Consistency::Strong => None,
+            Consistency::Stale => Some(STALE),
         }
     }
 }
 
 /// Why a call gave nothing.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum StoreError {
     /// The history that a watch asked for is gone; list again.
     HistoryGone,
     /// The object was changed meanwhile; this is how it stands, if the store said so.
@@ -63,19 +63,19 @@
     /// The store refused, and did nothing.
     Refused(u16),
     /// The answer is of an era of the store that is older than the newest, or not yet believed.
-    Outdated,
+    StaleEra,
     /// No answer; a write may have been done, or may be done later.
     NoAnswer(String),
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Trouble::HistoryGone => f.write_str("the history is gone"),
-            Trouble::Conflict(_) => f.write_str("the object was changed meanwhile"),
-            Trouble::Refused(status) => write!(f, "it answered {status}"),
-            Trouble::Outdated => f.write_str("the answer is not of the newest era of the store"),
-            Trouble::NoAnswer(why) => write!(f, "no answer: {why}"),
+            StoreError::HistoryGone => f.write_str("the history is gone"),
+            StoreError::Conflict(_) => f.write_str("the object was changed meanwhile"),
+            StoreError::Refused(status) => write!(f, "it answered {status}"),
+            StoreError::StaleEra => f.write_str("the answer is not of the newest era of the store"),
+            StoreError::NoAnswer(why) => write!(f, "no answer: {why}"),
         }
     }
 }
@@ -137,14 +137,14 @@
 }
 
 impl Answer {
-    fn listing(&self) -> Result<Listing, Trouble> {
+    fn listing(&self) -> Result<Listing, StoreError> {
         let mut listing: Listing = read(&self.body)?;
         listing.era = self.era;
         listing.items.iter_mut().for_each(|object| object.metadata.position.era = self.era);
         Ok(listing)
     }
 
-    fn events(&self) -> Result<Events, Trouble> {
+    fn events(&self) -> Result<Events, StoreError> {
         let mut events: Events = read(&self.body)?;
         events.era = self.era;
         let objects = events.events.iter_mut().map(|event| &mut event.object);
@@ -152,7 +152,7 @@
         Ok(events)
     }
 
-    fn object(&self) -> Result<Object, Trouble> {
+    fn object(&self) -> Result<Object, StoreError> {
         let mut object: Object = read(&self.body)?;
         object.metadata.position.era = self.era;
         Ok(object)
@@ -160,17 +160,17 @@
 }
 
 /// A client with one connection; one call at a time.
-pub struct Objects {
+pub struct Client {
     address: SocketAddr,
     eras: Rc<Tracker>,
     connection: Option<Connection>,
 }
 
-impl Objects {
+impl Client {
     /// A client of the store at `address`, whose answers tell `eras` their era; it connects at the
     /// first call.
-    pub fn new(address: SocketAddr, eras: Rc<Tracker>) -> Objects {
-        Objects { address, eras, connection: None }
+    pub fn new(address: SocketAddr, eras: Rc<Tracker>) -> Client {
+        Client { address, eras, connection: None }
     }
 
     /// Forgets the connection, which may lead nowhere.
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// If the store refuses or does not answer.
-    pub async fn list(&mut self, kind: &str, read_as: Read) -> Result<Listing, Trouble> {
+    pub async fn list(&mut self, kind: &str, read_as: Consistency) -> Result<Listing, StoreError> {
         let mut whole: Option<Listing> = None;
         loop {
             let after = whole.as_ref().and_then(|list| list.items.last());
@@ -192,9 +192,11 @@
                 true => format!("/v1/objects/{kind}"),
                 false => format!("/v1/objects/{kind}?{}", query.join("&")),
             };
-            let page = self.call(Method::GET, &path, None, ANSWER_WITHIN).await?.listing()?;
+            let page = self.call(Method::GET, &path, None, RESPONSE_TIMEOUT).await?.listing()?;
             if whole.as_ref().is_some_and(|whole| whole.era != page.era) {
-                return Err(Trouble::NoAnswer("restored between two pages of a list".to_owned()));
+                return Err(StoreError::NoAnswer(
+                    "restored between two pages of a list".to_owned(),
+                ));
             }
             let more = page.has_more && !page.items.is_empty();
             match &mut whole {
@@ -203,7 +205,7 @@
                 None => whole = Some(page),
             }
             if !more {
-                return whole.ok_or_else(|| Trouble::NoAnswer("an empty list".to_owned()));
+                return whole.ok_or_else(|| StoreError::NoAnswer("an empty list".to_owned()));
             }
         }
     }
@@ -218,8 +220,8 @@
         kind: &str,
         from: Position,
         wait: Span,
-    ) -> Result<Events, Trouble> {
-        self.events(kind, from, wait, Span(wait.0 + ANSWER_WITHIN.0)).await
+    ) -> Result<Events, StoreError> {
+        self.events(kind, from, wait, Span(wait.0 + RESPONSE_TIMEOUT.0)).await
     }
 
     /// Changes of a kind after a position, as far as there are any now; the answer must come `within`.
@@ -231,7 +233,7 @@
         kind: &str,
         from: Position,
         within: Span,
-    ) -> Result<Events, Trouble> {
+    ) -> Result<Events, StoreError> {
         self.events(kind, from, Span(0), within).await
     }
 
@@ -241,13 +243,13 @@
         from: Position,
         wait: Span,
         within: Span,
-    ) -> Result<Events, Trouble> {
+    ) -> Result<Events, StoreError> {
         let (from_revision, wait_ms) = (from.revision, wait.0 / 1000);
         let path = format!("/v1/objects/{kind}?watch={from_revision}&wait_ms={wait_ms}");
         let events = self.call(Method::GET, &path, None, within).await?.events()?;
         match events.era == from.era {
             true => Ok(events),
-            false => Err(Trouble::HistoryGone),
+            false => Err(StoreError::HistoryGone),
         }
     }
 
@@ -259,13 +261,15 @@
         &mut self,
         kind: &str,
         name: &str,
-        read_as: Read,
-    ) -> Result<Option<Object>, Trouble> {
+        read_as: Consistency,
+    ) -> Result<Option<Object>, StoreError> {
         let query = read_as.query().map(|query| format!("?{query}")).unwrap_or_default();
         let path = format!("/v1/objects/{kind}/{name}{query}");
-        match self.call(Method::GET, &path, None, ANSWER_WITHIN).await {
+        match self.call(Method::GET, &path, None, RESPONSE_TIMEOUT).await {
             Ok(answer) => Ok(Some(answer.object()?)),
-            Err(Trouble::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => Ok(None),
+            Err(StoreError::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => {
+                Ok(None)
+            }
             Err(trouble) => Err(trouble),
         }
     }
@@ -274,10 +278,15 @@
     ///
     /// # Errors
     /// `Conflict` if it does; `NoAnswer` if it is not known whether it was made.
-    pub async fn create(&mut self, kind: &str, name: &str, spec: Value) -> Result<Object, Trouble> {
+    pub async fn create(
+        &mut self,
+        kind: &str,
+        name: &str,
+        spec: Value,
+    ) -> Result<Object, StoreError> {
         let path = format!("/v1/objects/{kind}");
         let body = json!({"metadata": {"name": name}, "spec": spec}).to_string();
-        self.call(Method::POST, &path, Some(body.into()), ANSWER_WITHIN).await?.object()
+        self.call(Method::POST, &path, Some(body.into()), RESPONSE_TIMEOUT).await?.object()
     }
 
     /// Writes an object that must still be at `position`.
@@ -290,7 +299,7 @@
         name: &str,
         position: Position,
         spec: Value,
-    ) -> Result<Object, Trouble> {
+    ) -> Result<Object, StoreError> {
         let path = format!("/v1/objects/{kind}/{name}");
         let metadata = json!({"name": name, "revision": position.revision});
         let body = json!({"metadata": metadata, "spec": spec});
@@ -301,11 +310,11 @@
     ///
     /// # Errors
     /// If the store refuses or does not answer.
-    pub async fn delete(&mut self, kind: &str, name: &str) -> Result<(), Trouble> {
+    pub async fn delete(&mut self, kind: &str, name: &str) -> Result<(), StoreError> {
         let path = format!("/v1/objects/{kind}/{name}");
-        match self.call(Method::DELETE, &path, None, ANSWER_WITHIN).await {
+        match self.call(Method::DELETE, &path, None, RESPONSE_TIMEOUT).await {
             Ok(_) => Ok(()),
-            Err(Trouble::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => Ok(()),
+            Err(StoreError::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => Ok(()),
             Err(trouble) => Err(trouble),
         }
     }
@@ -320,7 +329,7 @@
         name: &str,
         position: Position,
         status: Value,
-    ) -> Result<Object, Trouble> {
+    ) -> Result<Object, StoreError> {
         let path = format!("/v1/objects/{kind}/{name}/status");
         let metadata = json!({"name": name, "revision": position.revision});
         let body = json!({"metadata": metadata, "status": status});
@@ -334,15 +343,15 @@
         path: &str,
         position: Position,
         body: &Value,
-    ) -> Result<Object, Trouble> {
+    ) -> Result<Object, StoreError> {
         if position.era != self.eras.newest() {
-            return Err(Trouble::Conflict(None));
+            return Err(StoreError::Conflict(None));
         }
         let body = Bytes::from(body.to_string());
-        let answer = self.call(Method::PUT, path, Some(body), ANSWER_WITHIN).await?;
+        let answer = self.call(Method::PUT, path, Some(body), RESPONSE_TIMEOUT).await?;
         match answer.era == position.era {
             true => answer.object(),
-            false => Err(Trouble::NoAnswer("the store was restored meanwhile".to_owned())),
+            false => Err(StoreError::NoAnswer("the store was restored meanwhile".to_owned())),
         }
     }
 
@@ -352,13 +361,13 @@
         path: &str,
         body: Option<Bytes>,
         within: Span,
-    ) -> Result<Answer, Trouble> {
+    ) -> Result<Answer, StoreError> {
         let exchange = self.exchange(method, path, body.unwrap_or_default());
         let answered = tokio::time::timeout(within.duration(), exchange).await;
-        let answered =
-            answered.unwrap_or_else(|_| Err(Trouble::NoAnswer(format!("nothing within {within}"))));
+        let answered = answered
+            .unwrap_or_else(|_| Err(StoreError::NoAnswer(format!("nothing within {within}"))));
         // After a call without an answer the connection says nothing more.
-        if matches!(answered, Err(Trouble::NoAnswer(_))) {
+        if matches!(answered, Err(StoreError::NoAnswer(_))) {
             self.connection = None;
         }
         answered
@@ -369,9 +378,9 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, Trouble> {
+    ) -> Result<Answer, StoreError> {
         let no_answer = |fault: Fault| match fault {
-            Fault::NotSent(why) | Fault::Broken(why) => Trouble::NoAnswer(why),
+            Fault::NotSent(why) | Fault::Broken(why) => StoreError::NoAnswer(why),
         };
         let held = self.connection.take().filter(Connection::is_idle);
         let mut connection = match held {
@@ -386,18 +395,18 @@
         if connection.is_reusable() {
             self.connection = Some(connection);
         }
-        let answer = Answer { era: era.ok_or(Trouble::Outdated)?, body };
+        let answer = Answer { era: era.ok_or(StoreError::StaleEra)?, body };
         match head.status {
             StatusCode::OK | StatusCode::CREATED => Ok(answer),
-            StatusCode::GONE => Err(Trouble::HistoryGone),
-            StatusCode::CONFLICT => Err(Trouble::Conflict(answer.object().ok().map(Box::new))),
-            other => Err(Trouble::Refused(other.as_u16())),
+            StatusCode::GONE => Err(StoreError::HistoryGone),
+            StatusCode::CONFLICT => Err(StoreError::Conflict(answer.object().ok().map(Box::new))),
+            other => Err(StoreError::Refused(other.as_u16())),
         }
     }
 
-    fn head(&self, method: Method, path: &str) -> Result<RequestHead, Trouble> {
+    fn head(&self, method: Method, path: &str) -> Result<RequestHead, StoreError> {
         let mut head = RequestHead::default();
-        let malformed = |what: String| Trouble::NoAnswer(format!("a malformed call: {what}"));
+        let malformed = |what: String| StoreError::NoAnswer(format!("a malformed call: {what}"));
         head.method = method;
         head.uri = path.parse().map_err(|fault| malformed(format!("{fault}")))?;
         let host = HeaderValue::from_str(&self.address.to_string());
@@ -408,9 +417,10 @@
 }
 
 /// Reads an answer; bytes in it that are no text, which anybody may write into an object, spoil no other object.
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Trouble> {
+fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     let text = String::from_utf8_lossy(body);
-    serde_json::from_str(&text).map_err(|fault| Trouble::NoAnswer(format!("unreadable: {fault}")))
+    serde_json::from_str(&text)
+        .map_err(|fault| StoreError::NoAnswer(format!("unreadable: {fault}")))
 }
 
 /// An object whose contents nobody could read.
--- a/src/platform/header.rs
+++ b/src/platform/header.rs
@@ -106,7 +106,7 @@
 }
 
 /// Decodes the head of a caller's request.
-pub fn call(head: &RequestHead) -> Call {
+pub fn decode_call(head: &RequestHead) -> Call {
     let headers = &head.headers;
     let key = text(headers, header::AUTHORIZATION.as_str());
     let key = key.filter(|key| key.to_ascii_lowercase().starts_with(SCHEME));
@@ -136,11 +136,11 @@
 }
 
 /// What the system adds to a caller's request for one server.
-pub struct Extra<'a> {
+pub struct AddedHeaders<'a> {
     /// The server that is meant.
     pub replica: &'a Replica,
     /// Time left.
-    pub left: Span,
+    pub remaining: Span,
     /// The workspace that holds the caller's key.
     pub workspace: Option<&'a Workspace>,
     /// The model, if the system chose it.
@@ -152,7 +152,7 @@
 }
 
 /// The head that goes to a server.
-pub fn request(from: &RequestHead, extra: &Extra) -> RequestHead {
+pub fn server_request(from: &RequestHead, extra: &AddedHeaders) -> RequestHead {
     let mut head = RequestHead::default();
     head.method = from.method.clone();
     head.uri = from.uri.clone();
@@ -170,7 +170,7 @@
             headers.insert(HeaderName::from_static(name), value);
         }
     };
-    set(DEADLINE, (extra.left.0 / 1000).max(1).to_string());
+    set(DEADLINE, (extra.remaining.0 / 1000).max(1).to_string());
     set(EXPECT_INSTANCE, extra.replica.id.to_string());
     if let Some(workspace) = extra.workspace {
         set(TENANT, workspace.to_string());
@@ -194,7 +194,7 @@
 }
 
 /// Decodes the head of a server's answer.
-pub fn answer(head: &ResponseHead) -> Response {
+pub fn decode_response(head: &ResponseHead) -> Response {
     let headers = &head.headers;
     Response {
         status: head.status,
@@ -212,7 +212,7 @@
 }
 
 /// Names in the head of a server's answer that nothing here decodes: the platform may say something new.
-pub fn unknown(head: &ResponseHead) -> impl Iterator<Item = &str> {
+pub fn unknown_headers(head: &ResponseHead) -> impl Iterator<Item = &str> {
     let names = head.headers.keys().map(HeaderName::as_str);
     names.filter(|name| !DECODED.contains(name) && !OF_OTHERS.contains(name))
 }
@@ -253,7 +253,7 @@
 }
 
 /// The headers of a server's answer that a caller gets.
-pub fn answer_headers(head: &ResponseHead) -> Vec<(HeaderName, HeaderValue)> {
+pub fn response_headers(head: &ResponseHead) -> Vec<(HeaderName, HeaderValue)> {
     let named = hop_headers_named(&head.headers);
     let keeps = |name: &HeaderName| {
         !HOP.contains(name)
@@ -266,12 +266,12 @@
 }
 
 /// The id of a request, for the answers that the system gives by itself.
-pub fn answer_id(call: &Call) -> Option<(HeaderName, HeaderValue)> {
+pub fn attempt_id_header(call: &Call) -> Option<(HeaderName, HeaderValue)> {
     let value = HeaderValue::from_str(&call.id).ok()?;
     (!call.id.is_empty()).then(|| (HeaderName::from_static(ATTEMPT), value))
 }
 
 /// Whether the balancer's question is the one about readiness.
-pub fn asks_readiness(head: &RequestHead) -> bool {
+pub fn is_readiness_probe(head: &RequestHead) -> bool {
     head.method == Method::GET && head.uri.path() == "/v1/readyz"
 }
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// Why it does not read.
-pub fn table(object: &Object) -> Result<Table, String> {
+pub fn decode_config(object: &Object) -> Result<Table, String> {
     let config: Config =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
     let known = Limits::default();
@@ -277,7 +277,7 @@
 ///
 /// # Errors
 /// Why it does not read.
-pub fn replica(object: &Object) -> Result<Replica, String> {
+pub fn decode_replica(object: &Object) -> Result<Replica, String> {
     let entry: Entry =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
     Ok(Replica {
@@ -297,7 +297,7 @@
 ///
 /// # Errors
 /// Why it does not read.
-pub fn emptied(object: &Object) -> Result<DataCentre, String> {
+pub fn decode_evacuation(object: &Object) -> Result<DataCentre, String> {
     object.metadata.name.parse().map_err(|fault| format!("{fault}"))
 }
 
@@ -320,7 +320,7 @@
 ///
 /// # Errors
 /// Why it does not read.
-pub fn rollout(object: &Object) -> Result<Rollout, String> {
+pub fn decode_rollout(object: &Object) -> Result<Rollout, String> {
     let order: Order =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
     // A status that does not read counts as none: the next step writes a good one.
@@ -346,7 +346,7 @@
 }
 
 /// The status that says how far a roll-out has come.
-pub fn progress(rollout: &Rollout, phase: Phase) -> Value {
+pub fn rollout_status(rollout: &Rollout, phase: Phase) -> Value {
     let (state, share) = match phase {
         Phase::Running { share } => ("in_progress", share),
         Phase::Completed => ("completed", 1.0),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -139,7 +139,7 @@
         let why = format!("`{cores}` is not a share of a core; write a number such as 0.25");
         return Err(Error::Field(path.to_owned(), "limits.cpu_quota".to_owned(), why));
     }
-    Ok(Millicores::of_cores(cores))
+    Ok(Millicores::from_cores(cores))
 }
 
 fn needed(path: &str, field: &str, value: Option<String>) -> Result<String, Error> {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use serde_json::Value;
 
+use super::client::{Client, Consistency, StoreError};
 use super::object::Object as Raw;
-use super::objects::{Objects, Read, Trouble};
 use crate::error::Error;
 use crate::forward::era::Tracker;
 use crate::standin::platform::Listed;
@@ -35,9 +35,9 @@
 
 /// How a conditional write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect.
-    Done,
+    Applied,
     /// The condition did not hold.
     Conflict,
 }
@@ -47,7 +47,7 @@
 pub struct Store {
     address: SocketAddr,
     eras: Rc<Tracker>,
-    resting: Rc<RefCell<Vec<Objects>>>,
+    resting: Rc<RefCell<Vec<Client>>>,
 }
 
 impl Store {
@@ -63,7 +63,7 @@
     pub async fn get(&self, key: &str) -> Result<Option<Object>, Error> {
         let (kind, name) = parts(key);
         let mut client = self.take();
-        let answer = client.get(kind, &name, Read::Newest).await;
+        let answer = client.get(kind, &name, Consistency::Strong).await;
         self.rest(client);
         Ok(answer.map_err(failed)?.map(|object| shown(&object)))
     }
@@ -83,7 +83,7 @@
         let watched = wait_for(&mut client, kind, &name, after, wait).await;
         self.rest(client);
         match watched {
-            Err(Trouble::HistoryGone) => {
+            Err(StoreError::HistoryGone) => {
                 let object = self.get(key).await?;
                 Ok(object.filter(|object| object.position > after))
             }
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// If the platform does not answer; the write may have taken effect.
-    pub async fn create(&self, key: &str, body: Vec<u8>) -> Result<Written, Error> {
+    pub async fn create(&self, key: &str, body: Vec<u8>) -> Result<WriteOutcome, Error> {
         let (kind, name) = parts(key);
         let spec = value(&body)?;
         let mut client = self.take();
@@ -113,7 +113,7 @@
         key: &str,
         position: Position,
         body: Vec<u8>,
-    ) -> Result<Written, Error> {
+    ) -> Result<WriteOutcome, Error> {
         let (kind, name) = parts(key);
         let spec = value(&body)?;
         let mut client = self.take();
@@ -151,17 +151,17 @@
 
     async fn all(&self, kind: &str) -> Result<Vec<Raw>, Error> {
         let mut client = self.take();
-        let listed = client.list(kind, Read::Newest).await;
+        let listed = client.list(kind, Consistency::Strong).await;
         self.rest(client);
         Ok(listed.map_err(failed)?.items)
     }
 
-    fn take(&self) -> Objects {
+    fn take(&self) -> Client {
         let resting = self.resting.borrow_mut().pop();
-        resting.unwrap_or_else(|| Objects::new(self.address, self.eras.clone()))
+        resting.unwrap_or_else(|| Client::new(self.address, self.eras.clone()))
     }
 
-    fn rest(&self, client: Objects) {
+    fn rest(&self, client: Client) {
         let mut resting = self.resting.borrow_mut();
         if resting.len() < RESTING {
             resting.push(client);
@@ -171,12 +171,12 @@
 
 /// Watches a kind until the object of that name changes; changes of others are passed over.
 async fn wait_for(
-    client: &mut Objects,
+    client: &mut Client,
     kind: &str,
     name: &str,
     after: Position,
     wait: Span,
-) -> Result<Option<Raw>, Trouble> {
+) -> Result<Option<Raw>, StoreError> {
     let begun = std::time::Instant::now();
     let mut from = after;
     loop {
@@ -207,14 +207,14 @@
         .map_err(|fault| Error::Store(format!("a value is no JSON: {fault}")))
 }
 
-fn outcome(written: Result<Raw, Trouble>) -> Result<Written, Error> {
+fn outcome(written: Result<Raw, StoreError>) -> Result<WriteOutcome, Error> {
     match written {
-        Ok(_) => Ok(Written::Done),
-        Err(Trouble::Conflict(_)) => Ok(Written::Conflict),
+        Ok(_) => Ok(WriteOutcome::Applied),
+        Err(StoreError::Conflict(_)) => Ok(WriteOutcome::Conflict),
         Err(trouble) => Err(failed(trouble)),
     }
 }
 
-fn failed(trouble: Trouble) -> Error {
+fn failed(trouble: StoreError) -> Error {
     Error::Store(trouble.to_string())
 }
--- a/src/unit/hash.rs
+++ b/src/unit/hash.rs
@@ -13,12 +13,12 @@
 }
 
 /// A text that stands for another one in logs.
-pub fn short(text: &str) -> String {
+pub fn fingerprint(text: &str) -> String {
     format!("{:08x}", stable(&[text]) >> 32)
 }
 
 /// A point from 0 to 1 that follows from a hash.
-pub fn point(hash: u64) -> f64 {
+pub fn to_unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
--- a/src/unit/id.rs
+++ b/src/unit/id.rs
@@ -11,23 +11,23 @@
 
 /// Why a text is not the identifier it was read as.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub String);
+pub struct ParseError(pub String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ParseError {}
 
-fn checked(text: &str) -> Result<Arc<str>, Fault> {
+fn checked(text: &str) -> Result<Arc<str>, ParseError> {
     let fits = !text.is_empty() && text.len() <= LONGEST;
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if fits && text.chars().all(plain) {
         return Ok(text.into());
     }
-    Err(Fault(format!(
+    Err(ParseError(format!(
         "`{}` is not a name; use 1 to {LONGEST} letters, digits, `-`, `_` or `.`.",
         text.chars().take(LONGEST).collect::<String>()
     )))
@@ -53,9 +53,9 @@
         }
 
         impl FromStr for $name {
-            type Err = Fault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, Fault> {
+            fn from_str(text: &str) -> Result<Self, ParseError> {
                 checked(text).map($name)
             }
         }
@@ -125,11 +125,12 @@
         }
 
         impl FromStr for $name {
-            type Err = Fault;
+            type Err = ParseError;
 
-            fn from_str(text: &str) -> Result<Self, Fault> {
+            fn from_str(text: &str) -> Result<Self, ParseError> {
                 let number = text.parse();
-                number.map($name).map_err(|_| Fault(format!("`{text}` is not a whole number.")))
+                let fault = |_| ParseError(format!("`{text}` is not a whole number."));
+                number.map($name).map_err(fault)
             }
         }
     };
@@ -160,12 +161,12 @@
 }
 
 impl FromStr for Target {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let parts = text.split_once('@');
-        let (model, version) =
-            parts.ok_or_else(|| Fault(format!("`{text}` is not of the form MODEL@VERSION.")))?;
+        let (model, version) = parts
+            .ok_or_else(|| ParseError(format!("`{text}` is not of the form MODEL@VERSION.")))?;
         Ok(Target { model: model.parse()?, version: version.parse()? })
     }
 }
--- a/src/unit/mod.rs
+++ b/src/unit/mod.rs
@@ -9,9 +9,9 @@
 
 pub use digest::{Digest, digest};
 pub use id::{
-    DataCentre, Fault, Incarnation, Kind, Model, Region, RequestId, Revision, Server, Service,
+    DataCentre, Incarnation, Kind, Model, ParseError, Region, RequestId, Revision, Server, Service,
     Target, Version, Vm, Workspace,
 };
 pub use position::{Era, Position};
-pub use quantity::{Cost, Millicores, Parts, Rate, Size};
+pub use quantity::{Cost, Millicores, Rate, Size, TrafficShare};
 pub use time::{Date, Moment, Span};
--- a/src/unit/position.rs
+++ b/src/unit/position.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Fault;
+use super::ParseError;
 
 /// Number of times that the store was restored from a copy; revisions of different eras have nothing
 /// to do with each other.
@@ -21,11 +21,13 @@
 }
 
 impl FromStr for Era {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let number = text.trim().parse();
-        number.map(Era).map_err(|_| Fault(format!("`{text}` is not an era; write a whole number.")))
+        number
+            .map(Era)
+            .map_err(|_| ParseError(format!("`{text}` is not an era; write a whole number.")))
     }
 }
 
@@ -55,10 +57,10 @@
 }
 
 impl FromStr for Position {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let fault = || Fault(format!("`{text}` is not a position; write ERA/REVISION."));
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = || ParseError(format!("`{text}` is not a position; write ERA/REVISION."));
         let (era, revision) = text.split_once('/').ok_or_else(fault)?;
         let revision = revision.parse().map_err(|_| fault())?;
         Ok(Position { era: era.parse().map_err(|_| fault())?, revision })
--- a/src/unit/quantity.rs
+++ b/src/unit/quantity.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Fault;
+use super::ParseError;
 
 /// Micro-euros in a euro.
 const MICROS: u64 = 1_000_000;
@@ -25,7 +25,7 @@
 
 impl Cost {
     /// The cost of `tokens` at this price for a thousand tokens.
-    pub fn of_tokens(self, tokens: u64) -> Cost {
+    pub fn for_tokens(self, tokens: u64) -> Cost {
         Cost(self.0 * tokens / PRICED_TOKENS)
     }
 }
@@ -51,10 +51,11 @@
 }
 
 impl FromStr for Cost {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let fault = || Fault(format!("`{text}` is not an amount; write euros such as `0.25`."));
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault =
+            || ParseError(format!("`{text}` is not an amount; write euros such as `0.25`."));
         let euros: f64 = text.trim_end_matches(" EUR").parse().map_err(|_| fault())?;
         if !euros.is_finite() || euros < 0.0 {
             return Err(fault());
@@ -80,9 +81,9 @@
 }
 
 impl FromStr for Size {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let (digits, factor) = match text.strip_suffix("MB") {
             Some(digits) => (digits, KILO * KILO),
             None => match text.strip_suffix("KB") {
@@ -90,7 +91,8 @@
                 None => (text.trim_end_matches('B'), 1),
             },
         };
-        let fault = |_| Fault(format!("`{text}` is not a size; write `900B`, `64KB` or `1MB`."));
+        let fault =
+            |_| ParseError(format!("`{text}` is not a size; write `900B`, `64KB` or `1MB`."));
         let number: u32 = digits.parse().map_err(fault)?;
         Ok(Size(u64::from(number) * factor))
     }
@@ -107,12 +109,12 @@
 }
 
 impl FromStr for Rate {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let number: Option<f64> = text.trim_end_matches("/s").parse().ok();
         let number = number.filter(|n| n.is_finite() && *n >= 0.0);
-        number.map(Rate).ok_or_else(|| Fault(format!("`{text}` is not a rate; write `50/s`.")))
+        number.map(Rate).ok_or_else(|| ParseError(format!("`{text}` is not a rate; write `50/s`.")))
     }
 }
 
@@ -127,7 +129,7 @@
     const CORE: f64 = 1_000.0;
 
     /// The number nearest to a part of a core.
-    pub fn of_cores(cores: f64) -> Millicores {
+    pub fn from_cores(cores: f64) -> Millicores {
         Millicores((cores.max(0.0) * Millicores::CORE).round() as u32)
     }
 }
@@ -139,10 +141,10 @@
 }
 
 impl FromStr for Millicores {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let fault = |_| Fault(format!("`{text}` is not a share of a core; write `250m`."));
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = |_| ParseError(format!("`{text}` is not a share of a core; write `250m`."));
         text.trim_end_matches('m').parse().map(Millicores).map_err(fault)
     }
 }
@@ -151,37 +153,37 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Parts(pub u32);
+pub struct TrafficShare(pub u32);
 
-impl Parts {
+impl TrafficShare {
     /// All traffic.
-    pub const ALL: Parts = Parts(1_000_000);
+    pub const ALL: TrafficShare = TrafficShare(1_000_000);
 
     /// The share nearest to a fraction from 0 to 1.
-    pub fn of(fraction: f64) -> Parts {
-        Parts((fraction.clamp(0.0, 1.0) * f64::from(Parts::ALL.0)).round() as u32)
+    pub fn from_fraction(fraction: f64) -> TrafficShare {
+        TrafficShare((fraction.clamp(0.0, 1.0) * f64::from(TrafficShare::ALL.0)).round() as u32)
     }
 
     /// The share as a fraction from 0 to 1.
     pub fn fraction(self) -> f64 {
-        f64::from(self.0) / f64::from(Parts::ALL.0)
+        f64::from(self.0) / f64::from(TrafficShare::ALL.0)
     }
 }
 
-impl fmt::Display for Parts {
+impl fmt::Display for TrafficShare {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:.2}%", self.fraction() * 100.0)
     }
 }
 
-impl FromStr for Parts {
-    type Err = Fault;
+impl FromStr for TrafficShare {
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         let number: Option<f64> = text.trim_end_matches('%').parse().ok();
         let number = number.filter(|n| (0.0..=100.0).contains(n));
-        let parts = number.map(|n| Parts::of(n / 100.0));
-        parts.ok_or_else(|| Fault(format!("`{text}` is not a share; write `5%`.")))
+        let parts = number.map(|n| TrafficShare::from_fraction(n / 100.0));
+        parts.ok_or_else(|| ParseError(format!("`{text}` is not a share; write `5%`.")))
     }
 }
 
@@ -193,9 +195,9 @@
     fn quantities_read_back_as_they_are_shown() {
         assert_eq!("1.5".parse::<Cost>().unwrap().to_string(), "1.500000 EUR");
         assert_eq!("64KB".parse::<Size>().unwrap(), Size(64_000));
-        assert_eq!("5.00%".parse::<Parts>().unwrap(), Parts(50_000));
+        assert_eq!("5.00%".parse::<TrafficShare>().unwrap(), TrafficShare(50_000));
         assert_eq!("50.0/s".parse::<Rate>().unwrap(), Rate(50.0));
-        assert_eq!(Millicores::of_cores(0.12).to_string().parse(), Ok(Millicores(120)));
+        assert_eq!(Millicores::from_cores(0.12).to_string().parse(), Ok(Millicores(120)));
     }
 
     #[test]
--- a/src/unit/time.rs
+++ b/src/unit/time.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Fault;
+use super::ParseError;
 
 /// Microseconds in a millisecond.
 const MILLI: u64 = 1_000;
@@ -45,8 +45,8 @@
     }
 
     /// A part of the span, from 0 to 1.
-    pub fn part(self, part: f64) -> Span {
-        Span((self.0 as f64 * part) as u64)
+    pub fn mul_f64(self, factor: f64) -> Span {
+        Span((self.0 as f64 * factor) as u64)
     }
 
     /// The span as the standard library's type.
@@ -66,10 +66,10 @@
 }
 
 impl FromStr for Span {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let fault = || Fault(format!("`{text}` is not a time; write `250ms` or `5s`."));
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let fault = || ParseError(format!("`{text}` is not a time; write `250ms` or `5s`."));
         let (digits, factor) = match text.strip_suffix("ms") {
             Some(digits) => (digits, MILLI),
             None => (text.strip_suffix('s').ok_or_else(fault)?, MILLI * MILLI),
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -10,14 +10,14 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::{Errand, bills, claims, poison, ratings};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::evidence::Origin;
 use crate::history::Event;
 use crate::ledger::Book;
 use crate::once::Owner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
 use crate::peer::{Incoming, Links, Member, ranked};
-use crate::platform::{Ratings, Store};
+use crate::platform::{RatingClient, Store};
 use crate::unit::{Revision, Vm};
 
 /// Time between two ticks of the gossip.
@@ -42,9 +42,9 @@
     /// Work for the bill task.
     pub bills: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
     /// The rating service, if there is one.
-    pub ratings: Option<Ratings>,
+    pub ratings: Option<RatingClient>,
     /// Engines and services.
-    pub engines: Engines,
+    pub engines: EngineClient,
 }
 
 impl Control {
@@ -83,7 +83,7 @@
         let (snapshot, permit, accepted) =
             self.gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
-            self.vm.metrics.accept(accepted);
+            self.vm.metrics.set_accepted(accepted);
             self.vm.history.note(|| Event::Accepted { revision: accepted });
         }
         let obeyed = self.vm.obeyed();
@@ -180,11 +180,11 @@
             }
             Call::Explain { request } => {
                 let traces = self.vm.traces.lock().expect("no panic while held");
-                Reply::Text(traces.find(&request).map(|trace| trace.words()))
+                Reply::Text(traces.find(&request).map(|trace| trace.to_text()))
             }
             Call::Burn => {
                 let burn = self.vm.burn.lock().expect("no panic while held");
-                let slices = burn.slices(self.vm.clock.date());
+                let slices = burn.counts(self.vm.clock.date());
                 Reply::Text(serde_json::to_string(&slices).ok())
             }
         }
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -9,7 +9,7 @@
 use crate::engine::wire::Order;
 use crate::evidence::Key;
 use crate::operator::{Confirmed, confirm};
-use crate::unit::{Date, Parts, Span, Target};
+use crate::unit::{Date, Span, Target, TrafficShare};
 use crate::vm::control::Control;
 use crate::vm::spread;
 use crate::vm::state::WINDOW;
@@ -47,7 +47,7 @@
 async fn step(control: &Control, snapshot: &Snapshot, rollout: &Rollout, memory: &mut Memory) {
     if rollout.state == "loading" {
         if load_ahead(control, snapshot, rollout).await {
-            let nothing = (Parts(0), false);
+            let nothing = (TrafficShare(0), false);
             change(control, snapshot, rollout, "loaded", nothing, "all its servers have it").await;
         }
         return;
@@ -64,8 +64,8 @@
         Action::Shrink(share, reason) => ("shrink", share, reason),
         Action::Hold(share, reason) => ("hold", share, reason),
         Action::Resume(reason) => ("resume", rollout.share, reason),
-        Action::Complete(reason) => ("complete", Parts::ALL, reason),
-        Action::Withdraw(reason) => ("withdraw", Parts(0), reason),
+        Action::Complete(reason) => ("complete", TrafficShare::ALL, reason),
+        Action::Withdraw(reason) => ("withdraw", TrafficShare(0), reason),
     };
     if rollout.state == "held" && event == "grow" {
         return;
@@ -79,7 +79,7 @@
     snapshot: &Snapshot,
     rollout: &Rollout,
     event: &str,
-    (share, sessions): (Parts, bool),
+    (share, sessions): (TrafficShare, bool),
     reason: &str,
 ) {
     let words = vec![format!("roll-out of {}: {event} to {share}: {reason}", rollout.to)];
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -117,7 +117,7 @@
             return;
         };
         let event = if load.leaving { "leave" } else { "report" };
-        let _ = known.life.take(event);
+        let _ = known.life.apply(event);
         known.load = load;
         known.reported_at = now;
         known.own_then = known.own;
@@ -144,7 +144,7 @@
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = known.life.take("fail");
+        let _ = known.life.apply("fail");
         known.failed_at = Some(now);
         self.refresh(server);
     }
@@ -154,7 +154,7 @@
         let Some(known) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = known.life.take("leave");
+        let _ = known.life.apply("leave");
         self.refresh(server);
     }
 
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -11,7 +11,7 @@
 use crate::decide::poison::{
     Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition,
 };
-use crate::engine::check::{self, Found};
+use crate::engine::check::{self, ProcessState};
 use crate::peer::wire::Call;
 use crate::peer::{Member, ranked};
 use crate::unit::{Date, Digest, Server, Span};
@@ -46,9 +46,9 @@
 pub fn broke(vm: &Arc<Vm>, server: &Server, address: SocketAddr, request: OpenRequest) {
     let (vm, server) = (vm.clone(), server.clone());
     actix_web::rt::spawn(async move {
-        let found = check::check(address).await;
+        let found = check::check_process(address).await;
         log::info!("{} {server} was checked: {found:?}, {}", vm.settings.vm, request.content);
-        if found == Found::IsGone {
+        if found == ProcessState::IsGone {
             let life = life(&server, vm.clock.date());
             let now = vm.clock.now();
             let mut poison = vm.poison.lock().expect("no panic while held");
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -81,10 +81,10 @@
         tokio::time::sleep(EXCHANGE).await;
         let samples = OUT.with_borrow_mut(std::mem::take);
         if !samples.is_empty() {
-            ratings.give(&samples).await;
+            ratings.submit(&samples).await;
         }
         let date = control.vm.clock.date();
-        for rating in ratings.take(&control.vm.settings.vm).await {
+        for rating in ratings.fetch(&control.vm.settings.vm).await {
             let subject =
                 control.vm.waiting.lock().expect("no panic while held").take(&rating.request, date);
             let Some(subject) = subject else { continue };
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -14,14 +14,14 @@
 
 use super::control::Control;
 use super::{Clock, Settings, Vm, bills, duty, poison, ratings, spread};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::entry;
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::ledger::Book;
 use crate::once::Owner;
 use crate::peer::{Gossip, Links, Member, State};
-use crate::platform::{Ratings, Store};
+use crate::platform::{RatingClient, Store};
 use crate::unit::{Incarnation, Moment};
 
 /// Connections that may wait to be taken.
@@ -81,8 +81,8 @@
         store,
         book: Rc::new(RefCell::new(Book::new(vm.origin()))),
         bills: bill,
-        ratings: vm.settings.rating.map(Ratings::new),
-        engines: Engines::new(),
+        ratings: vm.settings.rating.map(RatingClient::new),
+        engines: EngineClient::new(),
     };
     actix_web::rt::spawn(control.clone().run(incoming, asked));
     actix_web::rt::spawn(control.clone().greet());
@@ -105,7 +105,7 @@
     let address = vm.settings.listen.to_string();
     let workers = vm.settings.workers;
     let app = move || {
-        let engines = Data::new(Engines::new());
+        let engines = Data::new(EngineClient::new());
         let vm = Data::from(vm.clone());
         App::new().app_data(vm.clone()).app_data(engines).configure(|app| entry::routes(&vm, app))
     };
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use crate::decide::rollout::Policy;
-use crate::unit::{DataCentre, Fault, Size, Span, Vm};
+use crate::unit::{DataCentre, ParseError, Size, Span, Vm};
 
 /// Shortest secret.
 const SHORTEST: usize = 16;
@@ -28,11 +28,11 @@
 }
 
 impl FromStr for Secret {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
         if text.len() < SHORTEST {
-            return Err(Fault(format!("use at least {SHORTEST} characters.")));
+            return Err(ParseError(format!("use at least {SHORTEST} characters.")));
         }
         Ok(Secret(text.as_bytes().to_vec()))
     }
@@ -43,13 +43,13 @@
 pub struct SessionKeys(pub Vec<(String, Secret)>);
 
 impl FromStr for SessionKeys {
-    type Err = Fault;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Self, Fault> {
-        let key = |part: &str| -> Result<(String, Secret), Fault> {
+    fn from_str(text: &str) -> Result<Self, ParseError> {
+        let key = |part: &str| -> Result<(String, Secret), ParseError> {
             let (name, secret) = part
                 .split_once(':')
-                .ok_or_else(|| Fault("write NAME:SECRET, parted by commas.".to_owned()))?;
+                .ok_or_else(|| ParseError("write NAME:SECRET, parted by commas.".to_owned()))?;
             Ok((name.to_owned(), secret.parse()?))
         };
         text.split(',').map(key).collect::<Result<_, _>>().map(SessionKeys)
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -19,7 +19,7 @@
 use crate::once::Reserved;
 use crate::peer::Gossip;
 use crate::unit::{Date, Incarnation, Kind, Model, Moment, Rate, RequestId, Revision, Workspace};
-use crate::watch::{Burn, Metrics, Traces};
+use crate::watch::{BurnTracker, Metrics, TraceLog};
 
 /// An entry VM.
 pub struct Vm {
@@ -36,9 +36,9 @@
     /// Backend servers.
     pub fleet: Mutex<Fleet>,
     /// Decision records.
-    pub traces: Mutex<Traces>,
+    pub traces: Mutex<TraceLog>,
     /// Burn of objectives.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnTracker>,
     /// Counters.
     pub metrics: Metrics,
     /// Events, if a history is kept.
--- a/src/watch/burn.rs
+++ b/src/watch/burn.rs
@@ -36,7 +36,7 @@
 
 /// Counts of one objective on one or more VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Slice {
+pub struct ObjectiveCounts {
     /// The workspace.
     pub workspace: Workspace,
     /// The version.
@@ -49,9 +49,9 @@
     pub counts: [(u64, u64); 4],
 }
 
-impl Slice {
+impl ObjectiveCounts {
     /// Burn over a window: 1 uses the allowance up in exactly its period.
-    pub fn burn(&self, window: usize) -> f64 {
+    pub fn burn_rate(&self, window: usize) -> f64 {
         let (all, bad) = self.counts[window];
         if all == 0 {
             return 0.0;
@@ -62,13 +62,13 @@
 
 /// All objectives on one VM.
 #[derive(Debug, Default)]
-pub struct Burn {
+pub struct BurnTracker {
     series: BTreeMap<(Workspace, Target, usize), Series>,
 }
 
-impl Burn {
+impl BurnTracker {
     /// Counts a request against an objective.
-    pub fn count(
+    pub fn record(
         &mut self,
         workspace: &Workspace,
         target: &Target,
@@ -92,7 +92,7 @@
     }
 
     /// The counts over each window that ends now.
-    pub fn slices(&self, date: Date) -> Vec<Slice> {
+    pub fn counts(&self, date: Date) -> Vec<ObjectiveCounts> {
         let slice =
             |((workspace, target, objective), series): (&(Workspace, Target, usize), &Series)| {
                 let mut counts = [(0, 0); 4];
@@ -103,7 +103,7 @@
                     let recent = ring.iter().filter(|slot| slot.number + SLOTS as u64 > number);
                     *count = recent.fold((0, 0), |sum, slot| (sum.0 + slot.all, sum.1 + slot.bad));
                 }
-                Slice {
+                ObjectiveCounts {
                     workspace: workspace.clone(),
                     target: target.clone(),
                     objective: *objective,
@@ -116,8 +116,8 @@
 }
 
 /// Adds up slices of several VMs and shows them as a table.
-pub fn show(slices: Vec<Slice>) -> String {
-    let mut merged: BTreeMap<(Workspace, Target, usize), Slice> = BTreeMap::new();
+pub fn burn_table(slices: Vec<ObjectiveCounts>) -> String {
+    let mut merged: BTreeMap<(Workspace, Target, usize), ObjectiveCounts> = BTreeMap::new();
     for slice in slices {
         let key = (slice.workspace.clone(), slice.target.clone(), slice.objective);
         match merged.get_mut(&key) {
@@ -137,7 +137,7 @@
     );
     for slice in merged.values() {
         let (all, bad) = slice.counts[3];
-        let recent = slice.burn(1);
+        let recent = slice.burn_rate(1);
         let left = if recent > 0.0 {
             format!("{:.1} days", PERIOD.as_secs() / recent / 86_400.0)
         } else {
@@ -150,10 +150,10 @@
             slice.target.to_string(),
             all,
             bad,
-            slice.burn(0),
-            slice.burn(1),
-            slice.burn(2),
-            slice.burn(3)
+            slice.burn_rate(0),
+            slice.burn_rate(1),
+            slice.burn_rate(2),
+            slice.burn_rate(3)
         );
     }
     out
@@ -165,16 +165,16 @@
 
     #[test]
     fn burn_is_bad_share_over_allowance_and_old_slots_fall_out() {
-        let mut burn = Burn::default();
+        let mut burn = BurnTracker::default();
         let (workspace, target) = ("w".parse().unwrap(), "m@v1".parse().unwrap());
         let start = Date(1_000_000_000_000_000);
         for i in 0..100 {
-            burn.count(&workspace, &target, 0, 0.95, i < 10, start);
+            burn.record(&workspace, &target, 0, 0.95, i < 10, start);
         }
-        let slices = burn.slices(start);
-        assert!((slices[0].burn(0) - 2.0).abs() < 1e-9);
+        let slices = burn.counts(start);
+        assert!((slices[0].burn_rate(0) - 2.0).abs() < 1e-9);
         let later = Date(start.0 + Span::secs(301).0);
-        assert_eq!(burn.slices(later)[0].counts[0], (0, 0));
-        assert_eq!(burn.slices(later)[0].counts[1], (100, 10));
+        assert_eq!(burn.counts(later)[0].counts[0], (0, 0));
+        assert_eq!(burn.counts(later)[0].counts[1], (100, 10));
     }
 }
--- a/src/watch/name.rs
+++ b/src/watch/label.rs
@@ -10,13 +10,13 @@
 
 /// Names that were met.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct LabelSet {
     met: HashSet<String>,
 }
 
-impl Names {
+impl LabelSet {
     /// Takes a name that was met: what it counts as, and whether that is met for the first time.
-    pub fn meet<'a>(&mut self, name: &'a str) -> (&'a str, bool) {
+    pub fn observe<'a>(&mut self, name: &'a str) -> (&'a str, bool) {
         if self.met.contains(name) {
             return (name, false);
         }
--- a/src/watch/line.rs
+++ b/src/watch/log.rs
@@ -72,23 +72,23 @@
 
 /// Writer of the lines of one process; clones share it.
 #[derive(Clone, Default)]
-pub struct Lines {
+pub struct Logger {
     buffer: Rc<RefCell<Buffer>>,
 }
 
-impl Lines {
+impl Logger {
     /// A writer to standard output, which from now on refuses what it cannot take at once, in
     /// place of blocking the process.
-    pub fn to_standard_output() -> Lines {
+    pub fn to_stdout() -> Logger {
         // SAFETY: the descriptor is open from the start of the process, and is never closed here.
         let out = ManuallyDrop::new(unsafe { File::from_raw_fd(libc::STDOUT_FILENO) });
         never_block(&out);
         let buffer = Buffer { out: Some(out), ..Buffer::default() };
-        Lines { buffer: Rc::new(RefCell::new(buffer)) }
+        Logger { buffer: Rc::new(RefCell::new(buffer)) }
     }
 
     /// Adds a line: what happened, when, and the fields that decided it.
-    pub fn add(&self, event: &str, date: Date, now: Moment, fields: &[(&str, Value)]) {
+    pub fn log(&self, event: &str, date: Date, now: Moment, fields: &[(&str, Value)]) {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.waiting.len() > WAITING {
             buffer.dropped += 1;
--- a/src/watch/metrics.rs
+++ b/src/watch/metrics.rs
@@ -39,7 +39,7 @@
     /// Calls to the platform that failed.
     pub store_failures: IntCounter,
     /// Events that did not fit a state chart.
-    pub misfits: IntCounter,
+    pub invalid_transitions: IntCounter,
     /// Frames of back ends that belonged to another request or came twice.
     pub stray_frames: IntCounter,
 }
@@ -88,7 +88,7 @@
             messages: vec("kitepulley_messages_total", "Messages to VMs.", &["kind"]),
             peer_bytes: gauge("kitepulley_peer_bytes", "Bytes of messages sent to VMs."),
             store_failures: counter("kitepulley_store_failures_total", "Failed platform calls."),
-            misfits: counter("kitepulley_misfits_total", "Events that fit no chart."),
+            invalid_transitions: counter("kitepulley_misfits_total", "Events that fit no chart."),
             stray_frames: counter("kitepulley_stray_frames_total", "Frames of other requests."),
             accepted: gauge("kitepulley_accepted_revision", "Revision in force everywhere."),
             registry,
@@ -101,7 +101,7 @@
     }
 
     /// Sets the highest revision found to be in force everywhere.
-    pub fn accept(&self, revision: Revision) {
+    pub fn set_accepted(&self, revision: Revision) {
         self.accepted.set(revision.0 as i64);
     }
 
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -1,11 +1,11 @@
 //! Watching: decision records, the burn report, counters.
 
 mod burn;
-pub mod line;
+pub mod label;
+pub mod log;
 mod metrics;
-pub mod name;
 mod trace;
 
-pub use burn::{Burn, Slice, WINDOWS, show};
+pub use burn::{BurnTracker, ObjectiveCounts, WINDOWS, burn_table};
 pub use metrics::Metrics;
-pub use trace::{Trace, Traces};
+pub use trace::{Trace, TraceLog};
--- a/src/watch/trace.rs
+++ b/src/watch/trace.rs
@@ -26,7 +26,7 @@
 
 impl Trace {
     /// The record in words.
-    pub fn words(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = format!(
             "request {} of {} under revision {}\n",
             self.request, self.workspace, self.revision
@@ -42,14 +42,14 @@
 
 /// The latest records, and who listens to new ones.
 #[derive(Debug, Default)]
-pub struct Traces {
+pub struct TraceLog {
     kept: VecDeque<Trace>,
     listeners: Vec<tokio::sync::mpsc::Sender<String>>,
 }
 
-impl Traces {
+impl TraceLog {
     /// Keeps a record and tells listeners; one that does not keep up misses records.
-    pub fn keep(&mut self, trace: Trace) {
+    pub fn record(&mut self, trace: Trace) {
         if !self.listeners.is_empty() {
             let text = serde_json::to_string(&trace).expect("a record is plain data");
             self.listeners.retain(|to| !to.is_closed());
@@ -69,7 +69,7 @@
     }
 
     /// Listens to records to come.
-    pub fn listen(&mut self, to: tokio::sync::mpsc::Sender<String>) {
+    pub fn subscribe(&mut self, to: tokio::sync::mpsc::Sender<String>) {
         self.listeners.push(to);
     }
 }
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::command::block;
-use kitepulley::engine::check::{Found, check};
+use kitepulley::engine::check::{ProcessState, check_process};
 use kitepulley::standin::replica::Act;
 use serde_json::{Value, json};
 use site::{Site, Vm, ask, eventually, head};
@@ -113,7 +113,7 @@
     const ROUNDS: u64 = 3000;
     // A listener whose thread was delayed for longer may still be open when it is checked.
     const ENDED_WITHIN: Duration = Duration::from_millis(10);
-    let found: Vec<Found> = block(async {
+    let found: Vec<ProcessState> = block(async {
         let mut found = Vec::new();
         for round in 0..ROUNDS {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -124,7 +124,7 @@
                 drop(listener);
                 begun.elapsed()
             });
-            let result = check(address).await;
+            let result = check_process(address).await;
             if ends.join().unwrap() < ENDED_WITHIN {
                 found.push(result);
             }
@@ -136,7 +136,7 @@
         "{} of {ROUNDS} listeners closed in time",
         found.len()
     );
-    let gone = found.iter().filter(|one| **one == Found::IsGone).count();
-    let unknown = found.iter().filter(|one| **one == Found::Unknown).count();
+    let gone = found.iter().filter(|one| **one == ProcessState::IsGone).count();
+    let unknown = found.iter().filter(|one| **one == ProcessState::Unknown).count();
     assert_eq!(gone, found.len(), "{unknown} of {} checks found neither result", found.len());
 }
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -7,8 +7,8 @@
 use kitepulley::forward::Vm;
 use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::kind::Kind;
+use kitepulley::platform::client::Listing;
 use kitepulley::platform::object::{self, Object};
-use kitepulley::platform::objects::Listing;
 use kitepulley::standin::replica::Act;
 use kitepulley::unit::{Era, Moment, Position, Span};
 use quickcheck::quickcheck;
@@ -177,8 +177,8 @@
         let names: Vec<&str> =
             listing.items.iter().map(|object| object.metadata.name.as_str()).collect();
         assert_eq!(names, ["r1", "x1", "r2"], "{other}");
-        assert!(object::replica(&listing.items[1]).is_err(), "{other}");
-        assert!(object::replica(&listing.items[2]).is_ok(), "{other}");
+        assert!(object::decode_replica(&listing.items[1]).is_err(), "{other}");
+        assert!(object::decode_replica(&listing.items[2]).is_ok(), "{other}");
     }
 }
 
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -538,7 +538,7 @@
         let mut head = ResponseHead::new(StatusCode::OK);
         let value = HeaderValue::from_bytes(text).unwrap();
         head.headers.insert(HeaderName::from_static("server-limit"), value);
-        header::answer(&head).limit
+        header::decode_response(&head).limit
     };
     for (text, rate) in [("2", 2.0), (" 1.4 ", 1.4), ("0.25", 0.25), ("0", 0.0), ("1e3", 1000.0)] {
         assert_eq!(word(text.as_bytes()), LimitHeader::Present(Rate(rate)), "{text}");
@@ -546,7 +546,10 @@
     for text in [&b""[..], b"-1", b"NaN", b"inf", b"some", b"2/s", b"1,4", b"\xff"] {
         assert_eq!(word(text), LimitHeader::Invalid, "{text:?}");
     }
-    assert_eq!(header::answer(&ResponseHead::new(StatusCode::OK)).limit, LimitHeader::Absent);
+    assert_eq!(
+        header::decode_response(&ResponseHead::new(StatusCode::OK)).limit,
+        LimitHeader::Absent
+    );
 }
 
 #[test]
--- a/tests/restore.rs
+++ b/tests/restore.rs
@@ -12,8 +12,8 @@
 use kitepulley::forward::kind::Kind;
 use kitepulley::forward::positions::Positions;
 use kitepulley::forward::replica::Phase;
+use kitepulley::platform::client::{Client, Consistency, StoreError};
 use kitepulley::platform::object::Object;
-use kitepulley::platform::objects::{Objects, Read, Trouble};
 use kitepulley::standin::platform::{Snapshot, Switches};
 use kitepulley::standin::replica::Replica;
 use kitepulley::unit::{Era, Position, Revision};
@@ -496,19 +496,19 @@
     let site = Site::new();
     site.store.put("kind", "one", json!("a"));
     let copy = site.store.snapshot();
-    let mut client = Objects::new(site.store_server.address, Rc::default());
-    let read = client.get("kind", "one", Read::Newest).await.unwrap().unwrap();
+    let mut client = Client::new(site.store_server.address, Rc::default());
+    let read = client.get("kind", "one", Consistency::Strong).await.unwrap().unwrap();
     site.store.restore(copy.clone());
     // The revision is the same but may belong to another state.
-    let again = client.get("kind", "one", Read::Newest).await.unwrap().unwrap();
+    let again = client.get("kind", "one", Consistency::Strong).await.unwrap().unwrap();
     assert_eq!(again.metadata.position.revision, read.metadata.position.revision);
     let before = site.store.calls().writes;
     let written = client.replace("kind", "one", read.metadata.position, json!("b")).await;
-    assert!(matches!(written, Err(Trouble::Conflict(None))), "{written:?}");
+    assert!(matches!(written, Err(StoreError::Conflict(None))), "{written:?}");
     assert_eq!(site.store.calls().writes, before);
     // A write during which the store is restored may be based on another state too, so the caller
     // must read again.
     site.store.restore(copy);
     let written = client.replace("kind", "one", again.metadata.position, json!("b")).await;
-    assert!(matches!(written, Err(Trouble::NoAnswer(_))), "{written:?}");
+    assert!(matches!(written, Err(StoreError::NoAnswer(_))), "{written:?}");
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -28,7 +28,7 @@
 use kitepulley::standin::replica::{Crash, Replica};
 use kitepulley::unit::{Digest, Millicores, Span};
 use kitepulley::vm::Clock;
-use kitepulley::watch::line::Lines;
+use kitepulley::watch::log::Logger;
 use serde_json::{Value, json};
 
 pub mod proxy;
@@ -467,7 +467,7 @@
 pub fn job(vm: &Rc<Inner>, service: &str) -> Job {
     let mut request = RequestHead::default();
     request.uri = "/safe/x".parse().unwrap();
-    let call = header::call(&request);
+    let call = header::decode_call(&request);
     let route = Route {
         name: "safe".into(),
         prefix: "/safe/".into(),
@@ -529,5 +529,5 @@
         keep_confidence: 60.0,
         bounds,
     };
-    Rc::new(Inner::new(settings, clock, Lines::default()))
+    Rc::new(Inner::new(settings, clock, Logger::default()))
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -425,7 +425,7 @@
     let rest = |status: u16, text: &str| {
         let mut head = ResponseHead::new(StatusCode::from_u16(status).unwrap());
         head.headers.insert(RETRY_AFTER, HeaderValue::from_str(text).unwrap());
-        header::answer(&head).signal.backoff
+        header::decode_response(&head).signal.backoff
     };
     assert_eq!(rest(503, "3"), Some(Span::secs(3)));
     assert_eq!(rest(503, " 0.25 "), Some(Span::millis(250)));
