--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -8,11 +8,6 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::caller::{self, Balancer, Progress};
-use super::fault::Fault;
-use super::work;
-use super::world::intend;
-use super::{Shape, World};
 use crate::command::block;
 use crate::error::Error;
 use crate::history::{Event, Report, judge};
@@ -22,7 +17,11 @@
 use crate::standin::platform::Switches;
 use crate::unit::{Span, Target, Vm};
 use crate::vm::ROOT_KEY;
-use crate::watch::{Slice, show};
+use crate::watch::{ObjectiveCounts, burn_table};
+use super::caller::{self, Balancer, Progress};
+use super::fault::Fault;
+use super::world::intend;
+use super::{work, Shape, World};
 
 /// How long a fault that ends by itself lasts.
 const LASTS: Duration = Duration::from_millis(1500);
@@ -79,7 +78,7 @@
     told: Vec<String>,
     tell: bool,
     began: Instant,
-    burn: Vec<Slice>,
+    burn: Vec<ObjectiveCounts>,
 }
 
 /// Runs a scenario.
@@ -113,7 +112,7 @@
     let load = |counter: &std::sync::atomic::AtomicUsize| counter.load(Ordering::Relaxed);
     Ok(Outcome {
         report,
-        burn: show(run.burn),
+        burn: burn_table(run.burn),
         told: run.told,
         counts: (load(&progress.whole), load(&progress.refused), load(&progress.broken)),
         took,
@@ -341,7 +340,7 @@
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
         for node in self.world.nodes.values() {
-            self.burn.extend(node.vm.burn.lock().expect("no panic while held").slices(date));
+            self.burn.extend(node.vm.burn.lock().expect("no panic while held").counts(date));
         }
         // Peers bring the bills of the killed to the store; give them the time they state.
         std::thread::sleep(Duration::from_secs(7));
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -161,7 +161,7 @@
                     if let Some(picked) = picked.filter(|_| fault.failure == Failure::Broken) {
                         self.report_broken(&picked.server, picked.address, None);
                     }
-                    (fault.failure, fault.words)
+                    (fault.failure, fault.reason)
                 }
             };
             self.record_event("fail");
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -9,15 +9,15 @@
 use actix_web::web::Data;
 use tokio::sync::mpsc;
 
-use super::refusal::{Kind as Refused, Refusal};
 use crate::chart::{self, Machine};
 use crate::config::{Snapshot, WorkspaceEntry};
 use crate::decide::cascade::{BINS, Rule, bin};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::engine::wire::End;
 use crate::ledger::{Part, Reason};
 use crate::unit::{Digest, Kind, Moment, RequestId, Target};
 use crate::vm::{Vm, poison};
+use super::refusal::{Kind as Refused, Refusal};
 
 /// What the drive tells the door.
 pub enum Output {
@@ -93,7 +93,7 @@
 
 struct Dispatch {
     vm: Data<Vm>,
-    engines: Engines,
+    engines: EngineClient,
     job: Job,
     to: mpsc::Sender<Output>,
     lifecycle: Machine,
@@ -115,7 +115,7 @@
 }
 
 /// Runs a request to its end; the caller hears of it through `to`.
-pub async fn run(vm: Data<Vm>, engines: Engines, job: Job, to: mpsc::Sender<Output>) {
+pub async fn run(vm: Data<Vm>, engines: EngineClient, job: Job, to: mpsc::Sender<Output>) {
     let in_flight = InFlightGuard::new(&vm);
     let lifecycle = Machine::new(chart::named("request"));
     let reason = job.reason.clone();
@@ -174,8 +174,8 @@
     }
 
     fn record_event(&mut self, event: &str) {
-        if self.lifecycle.take(event).is_err() {
-            self.vm.metrics.misfits.inc();
+        if self.lifecycle.apply(event).is_err() {
+            self.vm.metrics.invalid_transitions.inc();
         }
     }
 
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -16,7 +16,7 @@
 use super::session::{self, Session};
 use super::stream::in_flight_body;
 use crate::config::{Allowed, Snapshot, WorkspaceEntry, digest};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::evidence::{Counts, Key};
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Command, Vm};
@@ -114,7 +114,7 @@
 /// `POST /v1/chat/completions`.
 pub async fn chat(
     vm: Data<Vm>,
-    engines: Data<Engines>,
+    engines: Data<EngineClient>,
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -16,7 +16,7 @@
 use crate::config::ServiceEntry;
 use crate::decide::poison::OpenRequest;
 use crate::decide::retry::{self, Failure};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::history::{Event, Ran};
 use crate::ledger::{Entry, Part, Reason};
 use crate::once::{Answer, Claim, KeyGrant, Outcome, Settlement};
@@ -59,7 +59,7 @@
 /// `/v1/services/NAME/...`.
 pub async fn call(
     vm: Data<Vm>,
-    engines: Data<Engines>,
+    engines: Data<EngineClient>,
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
@@ -206,7 +206,7 @@
 /// Claims the key, runs the call at most once, and records how it ended.
 async fn run_once(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
 ) -> Result<Response, Refusal> {
@@ -302,7 +302,7 @@
 /// Runs a call, elsewhere again where that is safe, and bills it.
 async fn run(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
 ) -> Result<Response, Refusal> {
@@ -318,7 +318,7 @@
 
 async fn try_servers(
     vm: &Data<Vm>,
-    engines: &Engines,
+    engines: &EngineClient,
     caller: &Caller,
     call: &Call,
     may_have_run: &mut bool,
@@ -408,7 +408,7 @@
 }
 
 async fn send(
-    engines: &Engines,
+    engines: &EngineClient,
     to: std::net::SocketAddr,
     call: &Call,
     now: Moment,
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -10,6 +10,12 @@
 use actix_web::rt::spawn;
 use tokio::sync::mpsc;
 
+use crate::decide::reader::Rank;
+use crate::decide::server_limit;
+use crate::peer::wire::{decode, encode};
+use crate::peer::{Incoming, Links, neighbours};
+use crate::platform::client::Client;
+use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 use super::announce::{self, LimitReport};
 use super::kind::VMS;
 use super::message::Envelope;
@@ -17,12 +23,6 @@
 use super::trial::Source;
 use super::vm::Vm;
 use super::{membership, pinned, poison, poll};
-use crate::decide::reader::Rank;
-use crate::decide::server_limit;
-use crate::peer::wire::{decode, encode};
-use crate::peer::{Incoming, Links, neighbours};
-use crate::platform::objects::Objects;
-use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 
 pub use super::message::{Message, PeerInfo};
 
@@ -253,7 +253,7 @@
 }
 
 /// Sends heartbeats that are due, and removes peers that are gone.
-async fn check_peers(vm: &Rc<Vm>, store: &mut Objects) {
+async fn check_peers(vm: &Rc<Vm>, store: &mut Client) {
     let now = vm.now();
     let (mut heartbeats, mut gone) = (Vec::new(), Vec::new());
     {
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -6,6 +6,19 @@
 
 use tokio::sync::Notify;
 
+use crate::config::Table;
+use crate::decide::budget::RetryBudget;
+use crate::decide::limit;
+use crate::decide::poison::Exchange;
+use crate::decide::prefill::PrefillEstimator;
+use crate::decide::pressure::Pressure;
+use crate::decide::reader::Rank;
+use crate::platform::client::{Client, StoreError};
+use crate::platform::object::Object;
+use crate::unit::{Era, Model, Moment, Position, Service, Span};
+use crate::vm::Clock;
+use crate::watch::label::LabelSet;
+use crate::watch::log::{Logger, Value};
 use super::era::Tracker;
 use super::feed::{Feed, Origin, Reachability};
 use super::kind::Kind;
@@ -20,19 +33,6 @@
 use super::session::Sessions;
 use super::settings::Settings;
 use super::trial::RolloutTrial;
-use crate::config::Table;
-use crate::decide::budget::RetryBudget;
-use crate::decide::limit;
-use crate::decide::poison::Exchange;
-use crate::decide::prefill::PrefillEstimator;
-use crate::decide::pressure::Pressure;
-use crate::decide::reader::Rank;
-use crate::platform::object::Object;
-use crate::platform::objects::{Objects, Trouble};
-use crate::unit::{Era, Model, Moment, Position, Service, Span};
-use crate::vm::Clock;
-use crate::watch::line::{Lines, Value};
-use crate::watch::name::Names;
 
 /// Safety margin on the age of the proof of freshness, for differences between clock rates.
 const PROOF_AGE_MARGIN: Span = Span::millis(250);
@@ -131,11 +131,11 @@
     /// The other VMs, as far as known.
     pub peers: RefCell<Peers>,
     /// Buffered log lines.
-    pub lines: Lines,
+    pub lines: Logger,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Names of response headers of servers that nothing decodes.
-    pub unknown_headers: RefCell<Names>,
+    pub unknown_headers: RefCell<LabelSet>,
     budgets: RefCell<HashMap<Service, RetryBudget>>,
     prefill_estimators: RefCell<HashMap<Option<Model>, PrefillEstimator>>,
     pressures: RefCell<HashMap<Service, Pressure>>,
@@ -143,7 +143,7 @@
 
 impl Vm {
     /// Returns a VM that has not read anything yet.
-    pub fn new(settings: Settings, clock: Clock, lines: Lines) -> Vm {
+    pub fn new(settings: Settings, clock: Clock, lines: Logger) -> Vm {
         Vm {
             settings,
             started: clock.now(),
@@ -199,13 +199,13 @@
     }
 
     /// Returns a client of the store with its own connection.
-    pub fn store_client(&self) -> Objects {
-        Objects::new(self.settings.store, self.era.clone())
+    pub fn store_client(&self) -> Client {
+        Client::new(self.settings.store, self.era.clone())
     }
 
     /// Appends a log line; it is written with the next flush.
     pub fn log(&self, event: &str, fields: &[(&str, Value)]) {
-        self.lines.add(event, self.clock.date(), self.now(), fields);
+        self.lines.log(event, self.clock.date(), self.now(), fields);
     }
 
     /// Returns the routing table in force, if a configuration was read.
@@ -325,7 +325,7 @@
     }
 
     /// Counts a call to the store by its outcome.
-    pub fn count_store_call<T>(&self, call: &str, result: &Result<T, Trouble>) {
+    pub fn count_store_call<T>(&self, call: &str, result: &Result<T, StoreError>) {
         let outcome = if result.is_ok() { "answered" } else { "failed" };
         self.metrics.store_calls.with_label_values(&[call, outcome]).inc();
     }
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -4,11 +4,11 @@
 //! peer that flushes for it write the same key, and only one of them succeeds. Entries that the
 //! successful chunk lacks are written under keys of their own by the VM that holds them.
 
-use super::Entry;
 use crate::error::Error;
 use crate::evidence::Origin;
-use crate::platform::{Store, Written};
+use crate::platform::{Store, WriteOutcome};
 use crate::unit::Span;
+use super::Entry;
 
 /// Writes per second that bills may take over the whole fleet, of the 100 that the platform
 /// accepts.
@@ -70,8 +70,8 @@
         let key = chunk_key(origin, chain_end + 1);
         let body = serde_json::to_vec(&remaining).expect("entries are plain data");
         match store.create(&key, body.clone()).await {
-            Ok(Written::Done) => chain_end = last.number,
-            Ok(Written::Conflict) => {
+            Ok(WriteOutcome::Applied) => chain_end = last.number,
+            Ok(WriteOutcome::Conflict) => {
                 let chunk = read_chunk(store, &key).await?;
                 chain_end = write_missing(store, origin, entries, &chunk).await?;
             }
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -5,11 +5,11 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Answer, Claim, Outcome, Record, SHARDS, Settlement, Shard, shard_of};
 use crate::error::Error;
-use crate::platform::{Store, Written};
+use crate::platform::{Store, WriteOutcome};
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
+use super::{Answer, Claim, Outcome, Record, SHARDS, Settlement, Shard, shard_of};
 
 /// Links a second of one shard once its burst is spent; four shards make 20 writes a second.
 const LINKS_PER_SECOND: f64 = 5.0;
@@ -218,11 +218,11 @@
         let body = serde_json::to_vec(&records).expect("records are plain data");
         let key = self.key(self.shard.next_link());
         match self.store.create(&key, body.clone()).await {
-            Ok(Written::Done) => {
+            Ok(WriteOutcome::Applied) => {
                 self.append_own(records).await;
                 Ok(true)
             }
-            Ok(Written::Conflict) => {
+            Ok(WriteOutcome::Conflict) => {
                 self.own_links.clear();
                 self.read_new_links().await?;
                 Ok(false)
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Change, Plan, Root, Snapshot, apply};
 use crate::error::Error;
-use crate::platform::{Object, Store, Written};
+use crate::platform::{Object, Store, WriteOutcome};
 use crate::unit::{Date, Revision};
 use crate::vm::{ROOT_KEY, fetch_snapshot, piece_key};
 
@@ -90,7 +90,7 @@
         Some(object) => store.replace(ROOT_KEY, object.position, body).await?,
         None => store.create(ROOT_KEY, body).await?,
     };
-    if written == Written::Conflict {
+    if written == WriteOutcome::Conflict {
         // The conflict may be with this very plan, if the response to an earlier attempt was lost.
         let (current, _) = read_root(store).await?;
         let record = current.log.iter().find(|record| record.plan == plan.id);
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -10,16 +10,16 @@
 use actix::{Actor, AsyncContext, Context};
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Command, bills, claims, poison, ratings};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::evidence::Origin;
 use crate::history::Event;
 use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
 use crate::peer::{Incoming, Links, Member, ranked};
-use crate::platform::{Ratings, Store};
+use crate::platform::{Store, RatingClient};
 use crate::unit::{Revision, Vm};
+use super::{Command, bills, claims, poison, ratings};
 
 /// Time between two ticks of the gossip protocol.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
@@ -43,9 +43,9 @@
     /// Queue of the task that makes bills durable.
     pub bill_queue: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
     /// The rating service, if there is one.
-    pub ratings: Option<Ratings>,
+    pub ratings: Option<RatingClient>,
     /// Client of the backend servers.
-    pub engines: Engines,
+    pub engines: EngineClient,
 }
 
 impl Control {
@@ -85,7 +85,7 @@
         let (snapshot, permit, accepted) =
             self.with_gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
-            self.vm.metrics.accept(accepted);
+            self.vm.metrics.set_accepted(accepted);
             self.vm.history.note(|| Event::Accepted { revision: accepted });
         }
         let enforced = self.vm.enforced_revision();
@@ -182,11 +182,11 @@
             }
             Call::Explain { request } => {
                 let traces = self.vm.traces.lock().expect("no panic while held");
-                Reply::Text(traces.find(&request).map(|trace| trace.words()))
+                Reply::Text(traces.find(&request).map(|trace| trace.to_text()))
             }
             Call::Burn => {
                 let burn = self.vm.burn.lock().expect("no panic while held");
-                let slices = burn.slices(self.vm.clock.date());
+                let slices = burn.counts(self.vm.clock.date());
                 Reply::Text(serde_json::to_string(&slices).ok())
             }
         }
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -2,17 +2,17 @@
 
 use std::collections::HashMap;
 
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 use crate::config::{Change, Plan, Rollout, Snapshot};
 use crate::decide::rollout::{self, Action, Inputs};
 use crate::decide::sequential::Count;
 use crate::engine::wire::Order;
 use crate::evidence::Key;
 use crate::operator::{Confirmation, confirm};
-use crate::unit::{Date, Parts, Span, Target};
+use crate::unit::{Date, Span, Target, TrafficShare};
 use crate::vm::config_watch;
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 
 /// Weight of the latest request rate in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.2;
@@ -47,7 +47,7 @@
 async fn step(control: &Control, snapshot: &Snapshot, rollout: &Rollout, state: &mut StepState) {
     if rollout.state == "loading" {
         if preload(control, snapshot, rollout).await {
-            let no_share = (Parts(0), false);
+            let no_share = (TrafficShare(0), false);
             write_step(control, snapshot, rollout, "loaded", no_share, "all its servers have it")
                 .await;
         }
@@ -65,8 +65,8 @@
         Action::Shrink(share, reason) => ("shrink", share, reason),
         Action::Hold(share, reason) => ("hold", share, reason),
         Action::Resume(reason) => ("resume", rollout.share, reason),
-        Action::Complete(reason) => ("complete", Parts::ALL, reason),
-        Action::Withdraw(reason) => ("withdraw", Parts(0), reason),
+        Action::Complete(reason) => ("complete", TrafficShare::ALL, reason),
+        Action::Withdraw(reason) => ("withdraw", TrafficShare(0), reason),
     };
     if rollout.state == "held" && event == "grow" {
         return;
@@ -81,7 +81,7 @@
     snapshot: &Snapshot,
     rollout: &Rollout,
     event: &str,
-    (share, sessions): (Parts, bool),
+    (share, sessions): (TrafficShare, bool),
     reason: &str,
 ) {
     let descriptions = vec![format!("roll-out of {}: {event} to {share}: {reason}", rollout.to)];
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -126,7 +126,7 @@
             return;
         };
         let event = if load.leaving { "leave" } else { "report" };
-        let _ = state.state_machine.take(event);
+        let _ = state.state_machine.apply(event);
         state.load = load;
         state.reported_at = now;
         state.in_flight_at_report = state.in_flight;
@@ -153,7 +153,7 @@
         let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = state.state_machine.take("fail");
+        let _ = state.state_machine.apply("fail");
         state.failed_at = Some(now);
         self.refresh(server);
     }
@@ -163,7 +163,7 @@
         let Some(state) = self.servers.get_mut(server) else {
             return;
         };
-        let _ = state.state_machine.take("leave");
+        let _ = state.state_machine.apply("leave");
         self.refresh(server);
     }
 
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -7,15 +7,13 @@
 
 use rand::seq::IndexedRandom;
 
-use super::control::Control;
-use super::{Command, Vm};
-use crate::decide::poison::{
-    Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition,
-};
-use crate::engine::check::{self, Found};
+use crate::decide::poison::{Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition};
+use crate::engine::check::{self, ProcessState};
 use crate::peer::wire::Call;
 use crate::peer::{Member, ranked};
 use crate::unit::{Date, Digest, Server, Span};
+use super::control::Control;
+use super::{Command, Vm};
 
 /// Up to this number of other VMs, each VM sends what it observes of a content to all of them.
 const FULL_MESH_LIMIT: usize = 12;
@@ -56,13 +54,13 @@
 ) {
     let (vm, server) = (vm.clone(), server.clone());
     actix_web::rt::spawn(async move {
-        let found = check::check(address).await;
+        let found = check::check_process(address).await;
         log::info!(
             "{} checked {server} after a broken response: {found:?}, content {}",
             vm.settings.vm,
             request.content
         );
-        if found == Found::IsGone {
+        if found == ProcessState::IsGone {
             let incarnation = incarnation_at(&server, vm.clock.date());
             let now = vm.clock.now();
             let mut poison = vm.poison.lock().expect("no panic while held");
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -4,10 +4,10 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use super::control::Control;
 use crate::evidence::{Counts, Key};
 use crate::standin::rating::Sample;
 use crate::unit::{Date, RequestId, Span};
+use super::control::Control;
 
 /// Time between two exchanges with the rating service.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
@@ -82,10 +82,10 @@
         tokio::time::sleep(EXCHANGE_INTERVAL).await;
         let samples = OUTBOX.with_borrow_mut(std::mem::take);
         if !samples.is_empty() {
-            ratings.give(&samples).await;
+            ratings.submit(&samples).await;
         }
         let date = control.vm.clock.date();
-        for rating in ratings.take(&control.vm.settings.vm).await {
+        for rating in ratings.fetch(&control.vm.settings.vm).await {
             let subject = control
                 .vm
                 .pending_samples
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -12,17 +12,17 @@
 use actix_web::{App, HttpServer};
 use tokio::sync::mpsc;
 
-use super::control::Control;
-use super::{Clock, Settings, Vm, bills, config_watch, duty, poison, ratings};
-use crate::engine::client::Engines;
+use crate::engine::client::EngineClient;
 use crate::entry;
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::{Gossip, Links, Member, State};
-use crate::platform::{Ratings, Store};
+use crate::platform::{Store, RatingClient};
 use crate::unit::{Incarnation, Moment};
+use super::control::Control;
+use super::{Clock, Settings, Vm, bills, config_watch, duty, poison, ratings};
 
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
@@ -81,8 +81,8 @@
         store,
         unflushed: Rc::new(RefCell::new(Buffer::new(vm.origin()))),
         bill_queue,
-        ratings: vm.settings.rating_service.map(Ratings::new),
-        engines: Engines::new(),
+        ratings: vm.settings.rating_service.map(RatingClient::new),
+        engines: EngineClient::new(),
     };
     actix_web::rt::spawn(control.clone().run(incoming, commands));
     actix_web::rt::spawn(control.clone().join());
@@ -106,7 +106,7 @@
     let address = vm.settings.listen.to_string();
     let workers = vm.settings.workers;
     let app = move || {
-        let engines = Data::new(Engines::new());
+        let engines = Data::new(EngineClient::new());
         let vm = Data::from(vm.clone());
         App::new().app_data(vm.clone()).app_data(engines).configure(|app| entry::routes(&vm, app))
     };
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -6,8 +6,6 @@
 
 use tokio::sync::mpsc;
 
-use super::ratings::PendingSamples;
-use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
 use crate::decide::cascade::{Credit, Rule};
@@ -19,7 +17,9 @@
 use crate::once::Reserved;
 use crate::peer::Gossip;
 use crate::unit::{Date, Incarnation, Kind, Model, Moment, Rate, RequestId, Revision, Workspace};
-use crate::watch::{Burn, Metrics, Traces};
+use crate::watch::{Metrics, BurnTracker, TraceLog};
+use super::ratings::PendingSamples;
+use super::{Clock, Command, Fleet, Settings};
 
 /// An entry VM.
 pub struct Vm {
@@ -36,9 +36,9 @@
     /// State of the backend servers.
     pub fleet: Mutex<Fleet>,
     /// Decision records of recent requests.
-    pub traces: Mutex<Traces>,
+    pub traces: Mutex<TraceLog>,
     /// Burn rates of the objectives.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnTracker>,
     /// Metrics of this VM.
     pub metrics: Metrics,
     /// Event history, if one is kept.
