--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use super::block;
-use crate::config::{self, Plan, Wish};
+use crate::config::{self, Plan, PlanSource};
 use crate::error::Error;
 use crate::options::address;
 use crate::platform::Store;
@@ -15,7 +15,7 @@
     let platform = address("platform", flags.platform.as_ref())?;
     let plan = block(async {
         let snapshot = operator::snapshot(&Store::new(platform)).await?;
-        config::make(&snapshot, &wish)
+        config::make_plan(&snapshot, &wish)
     })?;
     let json = serde_json::to_string_pretty(&plan).expect("a plan is plain data");
     if let Some(out) = &flags.out {
@@ -29,17 +29,17 @@
     Ok(())
 }
 
-fn wish(words: &[String]) -> Result<Wish, Error> {
+fn wish(words: &[String]) -> Result<PlanSource, Error> {
     let what = "Name a file or folder of declarations, or an intent; see `kitepulley plan --help`.";
     let first = words.first().ok_or_else(|| Error::Contradiction(what.to_owned()))?;
     if words.len() == 1 && Path::new(first).exists() {
-        return config::read(Path::new(first)).map(Wish::Declared);
+        return config::read_declarations(Path::new(first)).map(PlanSource::Declarations);
     }
     let text = words.join(" ");
     let fault = |fault: crate::unit::Fault| {
         Error::Contradiction(format!("{fault} No file has that name either."))
     };
-    text.parse().map(Wish::Short).map_err(fault)
+    text.parse().map(PlanSource::Intent).map_err(fault)
 }
 
 fn words(plan: &Plan, out: Option<&String>) -> String {
--- a/src/config/declaration.rs
+++ b/src/config/declaration.rs
@@ -82,18 +82,18 @@
     #[serde(default)]
     pub service: Option<Service>,
     /// Requests it runs at once.
-    #[serde(default = "slots")]
+    #[serde(default = "default_slots")]
     pub slots: u32,
     /// Whether it refuses orders whose fence number is not the highest it has met.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub checks_orders: bool,
 }
 
-fn slots() -> u32 {
+fn default_slots() -> u32 {
     16
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
--- a/src/config/folder.rs
+++ b/src/config/folder.rs
@@ -9,24 +9,26 @@
 ///
 /// # Errors
 /// All faults found, one a line, each with file, line and what to mend.
-pub fn read(path: &Path) -> Result<Declarations, Error> {
-    let mut whole = Declarations::default();
+pub fn read_declarations(path: &Path) -> Result<Declarations, Error> {
+    let mut all = Declarations::default();
     let mut texts = Vec::new();
     let mut faults = Vec::new();
     for file in files(path)? {
         let text = std::fs::read_to_string(&file).map_err(|e| Error::file(&file, &e))?;
         match toml::from_str::<Declarations>(&text) {
-            Ok(part) => join(&mut whole, part),
-            Err(fault) => faults.push(syntax(&file, &text, &fault)),
+            Ok(part) => merge(&mut all, part),
+            Err(fault) => faults.push(syntax_error(&file, &text, &fault)),
         }
         texts.push((file, text));
     }
     // Dangling names cannot be told apart from names in an unread file.
     if faults.is_empty() {
-        let found = check(&whole);
-        faults.extend(found.iter().map(|fault| located(&texts, &fault.name, &fault.to_string())));
+        let found = check(&all);
+        faults.extend(
+            found.iter().map(|fault| with_location(&texts, &fault.name, &fault.to_string())),
+        );
     }
-    if faults.is_empty() { Ok(whole) } else { Err(Error::Declarations(faults)) }
+    if faults.is_empty() { Ok(all) } else { Err(Error::Declarations(faults)) }
 }
 
 fn files(path: &Path) -> Result<Vec<PathBuf>, Error> {
@@ -46,20 +48,20 @@
     Ok(files)
 }
 
-fn join(whole: &mut Declarations, part: Declarations) {
-    whole.models.extend(part.models);
-    whole.servers.extend(part.servers);
-    whole.services.extend(part.services);
-    whole.workspaces.extend(part.workspaces);
+fn merge(all: &mut Declarations, part: Declarations) {
+    all.models.extend(part.models);
+    all.servers.extend(part.servers);
+    all.services.extend(part.services);
+    all.workspaces.extend(part.workspaces);
 }
 
-fn syntax(file: &Path, text: &str, fault: &toml::de::Error) -> String {
+fn syntax_error(file: &Path, text: &str, fault: &toml::de::Error) -> String {
     let at = fault.span().map_or(0, |span| span.start);
     let line = text[..at].matches('\n').count() + 1;
     format!("{}:{line}: {}", file.display(), fault.message())
 }
 
-fn located(texts: &[(PathBuf, String)], name: &str, fault: &str) -> String {
+fn with_location(texts: &[(PathBuf, String)], name: &str, fault: &str) -> String {
     let quoted = format!("\"{name}\"");
     for (file, text) in texts {
         if let Some(line) = text.lines().position(|line| line.contains(&quoted)) {
@@ -77,7 +79,7 @@
     fn an_unknown_field_is_named_with_its_line() {
         let text = "[[model]]\nname = 'm'\nserving = 'v1'\nprice = 3\nversion = []\n";
         let fault = toml::from_str::<Declarations>(text).unwrap_err();
-        let shown = syntax(Path::new("models.toml"), text, &fault);
+        let shown = syntax_error(Path::new("models.toml"), text, &fault);
         assert!(shown.starts_with("models.toml:4: unknown field `price`"), "{shown}");
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,9 +14,9 @@
     Cascade, Declarations, ModelEntry, Objective, ServerEntry, ServerKind, ServiceEntry,
     VersionEntry, WorkspaceEntry,
 };
-pub use folder::read;
+pub use folder::read_declarations;
 pub use intent::Intent;
-pub use plan::{Change, Plan, Wish, apply, make};
+pub use plan::{Change, Plan, PlanSource, apply_plan, make_plan};
 pub use root::{Piece, Record, Rollout, Root, digest, pieces};
-pub use route::{Holder, Limits, Part, Pool, Regions, Repeat, Route, Table};
+pub use route::{KeyHolder, Limits, Pool, Regions, RetryPolicy, Route, Table, WeightedService};
 pub use snapshot::{Allowed, Snapshot};
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -80,24 +80,24 @@
 }
 
 /// What a plan is made from.
-pub enum Wish {
+pub enum PlanSource {
     /// A whole set of declarations.
-    Declared(Declarations),
+    Declarations(Declarations),
     /// A short intent.
-    Short(Intent),
+    Intent(Intent),
 }
 
 /// Compares a wish with what is in force.
 ///
 /// # Errors
 /// A whole sentence, if the wish cannot be met from this revision.
-pub fn make(now: &Snapshot, wish: &Wish) -> Result<Plan, Error> {
+pub fn make_plan(current: &Snapshot, source: &PlanSource) -> Result<Plan, Error> {
     let mut draft = Draft::default();
-    match wish {
-        Wish::Declared(declared) => draft.declare(now, declared),
-        Wish::Short(intent) => draft.intend(now, intent)?,
+    match source {
+        PlanSource::Declarations(declared) => draft.plan_declarations(current, declared),
+        PlanSource::Intent(intent) => draft.plan_intent(current, intent)?,
     }
-    Ok(Plan::new(now.revision(), draft.changes, draft.words, draft.irreversible))
+    Ok(Plan::new(current.revision(), draft.changes, draft.words, draft.irreversible))
 }
 
 #[derive(Default)]
@@ -108,18 +108,18 @@
 }
 
 impl Draft {
-    fn declare(&mut self, now: &Snapshot, declared: &Declarations) {
+    fn plan_declarations(&mut self, current: &Snapshot, declared: &Declarations) {
         let wanted = pieces(declared);
         for piece in &wanted {
-            if now.root.pieces.get(&piece.name) == Some(&piece.digest) {
+            if current.root.pieces.get(&piece.name) == Some(&piece.digest) {
                 continue;
             }
-            let verb = if now.root.pieces.contains_key(&piece.name) { "change" } else { "add" };
-            let touched = describe(now, declared, &piece.name);
+            let verb = if current.root.pieces.contains_key(&piece.name) { "change" } else { "add" };
+            let touched = describe_piece(current, declared, &piece.name);
             self.words.push(format!("{verb} {}: {touched}", piece.name));
             self.changes.push(Change::Put(piece.clone()));
         }
-        for name in now.root.pieces.keys() {
+        for name in current.root.pieces.keys() {
             if !wanted.iter().any(|piece| piece.name == *name) {
                 self.words.push(format!("remove {name}: its callers are refused from then on"));
                 self.changes.push(Change::Remove(name.clone()));
@@ -127,21 +127,21 @@
         }
     }
 
-    fn intend(&mut self, now: &Snapshot, intent: &Intent) -> Result<(), Error> {
+    fn plan_intent(&mut self, current: &Snapshot, intent: &Intent) -> Result<(), Error> {
         match intent {
-            Intent::RollOut(to) => self.roll_out(now, to),
-            Intent::Withdraw(target) => self.withdraw(now, target),
-            Intent::Stop(model) => self.stop(now, model.as_ref()),
+            Intent::RollOut(to) => self.roll_out(current, to),
+            Intent::Withdraw(target) => self.withdraw(current, target),
+            Intent::Stop(model) => self.stop(current, model.as_ref()),
             Intent::Drain(name) => {
                 let count = |n: &DataCentre| {
-                    let servers = now.declared.servers.iter();
+                    let servers = current.declared.servers.iter();
                     servers.filter(|server| server.data_centre == *n).count()
                 };
                 if count(name) == 0 {
                     let what = format!("No backend server is declared in data centre `{name}`.");
                     return Err(Error::Plan(what));
                 }
-                let all = now.declared.servers.len();
+                let all = current.declared.servers.len();
                 self.words.push(format!(
                     "drain {name}: {} of {all} backend servers get no new work; streams finish",
                     count(name)
@@ -157,27 +157,27 @@
         }
     }
 
-    fn roll_out(&mut self, now: &Snapshot, to: &Target) -> Result<(), Error> {
+    fn roll_out(&mut self, current: &Snapshot, to: &Target) -> Result<(), Error> {
         let refuse = |what: String| Err(Error::Plan(what));
-        let Some(version) = now.version(to) else {
+        let Some(version) = current.version(to) else {
             return refuse(format!("`{to}` is not declared; declare it and confirm that first."));
         };
-        if now.root.withdrawn.contains(to) {
+        if current.root.withdrawn.contains(to) {
             return refuse(format!("`{to}` was withdrawn; roll out a version of another name."));
         }
-        if now.rollout(&to.model).is_some() {
+        if current.rollout(&to.model).is_some() {
             return refuse(format!("A roll-out of `{}` is under way; stop it first.", to.model));
         }
-        let from = now.serving(&to.model).expect("a declared model serves a version");
+        let from = current.serving(&to.model).expect("a declared model serves a version");
         if from == to.version {
             return refuse(format!("`{to}` serves already."));
         }
-        let users = now.declared.workspaces.iter().filter(|w| w.versions.contains(to)).count();
-        let servers = now.servers_of(to).count();
+        let users = current.declared.workspaces.iter().filter(|w| w.versions.contains(to)).count();
+        let servers = current.servers_of(to).count();
         if servers == 0 {
             return refuse(format!("No backend server runs `{to}`; declare one first."));
         }
-        let old = now.version(&Target { model: to.model.clone(), version: from.clone() });
+        let old = current.version(&Target { model: to.model.clone(), version: from.clone() });
         let price = old.map_or(version.cost, |old| old.cost);
         self.words.push(format!(
             "roll out {to} in place of {from}: {users} workspaces, {servers} backend servers; \
@@ -193,14 +193,14 @@
         Ok(())
     }
 
-    fn withdraw(&mut self, now: &Snapshot, target: &Target) -> Result<(), Error> {
-        if now.version(target).is_none() {
+    fn withdraw(&mut self, current: &Snapshot, target: &Target) -> Result<(), Error> {
+        if current.version(target).is_none() {
             return Err(Error::Plan(format!("`{target}` is not declared.")));
         }
-        if now.root.withdrawn.contains(target) {
+        if current.root.withdrawn.contains(target) {
             return Err(Error::Plan(format!("`{target}` is withdrawn already.")));
         }
-        let users: Vec<String> = now
+        let users: Vec<String> = current
             .declared
             .workspaces
             .iter()
@@ -218,8 +218,8 @@
         Ok(())
     }
 
-    fn stop(&mut self, now: &Snapshot, model: Option<&Model>) -> Result<(), Error> {
-        let rollouts = now.root.rollouts.iter();
+    fn stop(&mut self, current: &Snapshot, model: Option<&Model>) -> Result<(), Error> {
+        let rollouts = current.root.rollouts.iter();
         let chosen: Vec<_> =
             rollouts.filter(|r| model.is_none_or(|model| r.to.model == *model)).collect();
         if chosen.is_empty() {
@@ -242,12 +242,12 @@
     }
 }
 
-fn describe(now: &Snapshot, declared: &Declarations, name: &str) -> String {
+fn describe_piece(current: &Snapshot, declared: &Declarations, name: &str) -> String {
     match name.strip_prefix("workspace/") {
         Some(workspace) => {
             let is = |w: &&super::WorkspaceEntry| w.name.as_str() == workspace;
             let new = declared.workspaces.iter().find(is);
-            let old = now.declared.workspaces.iter().find(is);
+            let old = current.declared.workspaces.iter().find(is);
             let list = |w: Option<&super::WorkspaceEntry>| match w {
                 Some(w) => w.versions.iter().map(ToString::to_string).collect::<Vec<_>>().join(" "),
                 None => "nothing".to_owned(),
@@ -257,17 +257,21 @@
         }
         None => match name {
             "models" => {
-                format!("{} models (before: {})", declared.models.len(), now.declared.models.len())
+                format!(
+                    "{} models (before: {})",
+                    declared.models.len(),
+                    current.declared.models.len()
+                )
             }
             "servers" => format!(
                 "{} backend servers (before: {})",
                 declared.servers.len(),
-                now.declared.servers.len()
+                current.declared.servers.len()
             ),
             _ => format!(
                 "{} services (before: {})",
                 declared.services.len(),
-                now.declared.services.len()
+                current.declared.services.len()
             ),
         },
     }
@@ -277,14 +281,20 @@
 ///
 /// # Errors
 /// A whole sentence, if a change no longer fits.
-pub fn apply(root: &Root, plan: &Plan, who: &str, nonce: u64, date: Date) -> Result<Root, Error> {
+pub fn apply_plan(
+    root: &Root,
+    plan: &Plan,
+    who: &str,
+    nonce: u64,
+    date: Date,
+) -> Result<Root, Error> {
     let mut next = root.clone();
     for change in &plan.changes {
-        change_root(&mut next, change, date)?;
+        apply_change(&mut next, change, date)?;
     }
     next.revision = Revision(root.revision.0 + 1);
     next.nonce = nonce;
-    next.note(Record {
+    next.push_record(Record {
         revision: next.revision,
         who: who.to_owned(),
         plan: plan.id.clone(),
@@ -294,11 +304,11 @@
     Ok(next)
 }
 
-fn change_root(root: &mut Root, change: &Change, date: Date) -> Result<(), Error> {
+fn apply_change(root: &mut Root, change: &Change, date: Date) -> Result<(), Error> {
     match change {
         Change::Put(piece) => {
             if piece.name == "models" {
-                keep_risen(root, piece);
+                drop_redundant_overrides(root, piece);
             }
             root.pieces.insert(piece.name.clone(), piece.digest.clone());
         }
@@ -318,7 +328,7 @@
         Change::Withdraw { target, .. } => withdraw(root, target),
         Change::Step { model, event, share, sessions, reason } => {
             let after = (*share, *sessions);
-            step(root, model, event, after, reason, date)?;
+            apply_rollout_event(root, model, event, after, reason, date)?;
         }
         Change::Drain(name) => {
             root.drained.insert(name.clone());
@@ -331,7 +341,7 @@
 }
 
 /// A declared `serving` that names what a roll-out brought about makes the override needless.
-fn keep_risen(root: &mut Root, piece: &Piece) {
+fn drop_redundant_overrides(root: &mut Root, piece: &Piece) {
     let models: Vec<super::ModelEntry> = serde_json::from_str(&piece.body).unwrap_or_default();
     let declared: BTreeMap<_, _> = models.into_iter().map(|m| (m.name, m.serving)).collect();
     root.serving.retain(|model, version| declared.get(model).is_some_and(|d| d != version));
@@ -340,9 +350,9 @@
 fn withdraw(root: &mut Root, target: &Target) {
     root.withdrawn.insert(target.clone());
     root.rollouts.retain(|rollout| rollout.to != *target);
-    let fallen = root.serving.get(&target.model) == Some(&target.version);
+    let was_serving = root.serving.get(&target.model) == Some(&target.version);
     let previous = root.previous.get(&target.model).cloned();
-    if fallen {
+    if was_serving {
         root.serving.remove(&target.model);
     }
     if let Some(previous) = previous.filter(|previous| *previous != target.version) {
@@ -350,7 +360,7 @@
     }
 }
 
-fn step(
+fn apply_rollout_event(
     root: &mut Root,
     model: &Model,
     event: &str,
@@ -361,8 +371,7 @@
     let chart = chart::named("rollout");
     let rollout = root.rollouts.iter_mut().find(|rollout| rollout.to.model == *model);
     let rollout = rollout.ok_or_else(|| Error::Plan(format!("No roll-out of `{model}` runs.")))?;
-    let next =
-        chart.next(&rollout.state, event).map_err(|misfit| Error::Plan(misfit.to_string()))?;
+    let next = chart.next(&rollout.state, event).map_err(|error| Error::Plan(error.to_string()))?;
     rollout.state = next.to_owned();
     rollout.share = share;
     rollout.sessions = sessions;
@@ -388,38 +397,40 @@
     use super::*;
     use quickcheck::quickcheck;
 
-    fn confirmed(now: &Snapshot, wish: &Wish) -> Root {
-        let plan = make(now, wish).unwrap();
-        apply(&now.root, &plan, "op", 7, Date(1)).unwrap()
+    fn confirmed(current: &Snapshot, source: &PlanSource) -> Root {
+        let plan = make_plan(current, source).unwrap();
+        apply_plan(&current.root, &plan, "op", 7, Date(1)).unwrap()
     }
 
     #[test]
     fn an_unchanged_wish_changes_nothing() {
-        let now = sample();
-        let plan = make(&now, &Wish::Declared(now.declared.clone())).unwrap();
+        let current = sample();
+        let plan =
+            make_plan(&current, &PlanSource::Declarations(current.declared.clone())).unwrap();
         assert!(plan.changes.is_empty());
     }
 
     #[test]
     fn a_rollout_that_completes_serves_and_falls_back_when_withdrawn() {
-        let mut now = sample();
+        let mut current = sample();
         let to: Target = "roastmind@v4".parse().unwrap();
-        now.root = confirmed(&now, &Wish::Short(Intent::RollOut(to.clone())));
-        let mut root = now.root.clone();
+        current.root = confirmed(&current, &PlanSource::Intent(Intent::RollOut(to.clone())));
+        let mut root = current.root.clone();
         for event in ["loaded", "grow", "complete"] {
-            step(&mut root, &to.model, event, (Parts::ALL, true), "", Date(2)).unwrap();
+            apply_rollout_event(&mut root, &to.model, event, (Parts::ALL, true), "", Date(2))
+                .unwrap();
         }
         assert_eq!(root.serving[&to.model], to.version);
         withdraw(&mut root, &to);
         assert_eq!(root.serving[&to.model].as_str(), "v3");
-        now.root = root;
-        assert!(make(&now, &Wish::Short(Intent::RollOut(to))).is_err());
+        current.root = root;
+        assert!(make_plan(&current, &PlanSource::Intent(Intent::RollOut(to))).is_err());
     }
 
     quickcheck! {
         fn plan_then_confirm_equals_the_declarations(limits: Vec<u16>, drop_service: bool) -> bool {
-            let now = sample();
-            let mut wanted = now.declared.clone();
+            let current = sample();
+            let mut wanted = current.declared.clone();
             let template = wanted.workspaces[0].clone();
             wanted.workspaces.clear();
             for (i, limit) in limits.iter().take(20).enumerate() {
@@ -431,7 +442,7 @@
                 }
                 wanted.workspaces.push(workspace);
             }
-            let root = confirmed(&now, &Wish::Declared(wanted.clone()));
+            let root = confirmed(&current, &PlanSource::Declarations(wanted.clone()));
             let bodies = pieces(&wanted).into_iter().map(|p| (p.digest.clone(), p.into())).collect();
             let made = Snapshot::resolve(root, bodies).unwrap();
             wanted.workspaces.sort_by(|a, b| a.name.cmp(&b.name));
--- a/src/config/root.rs
+++ b/src/config/root.rs
@@ -9,7 +9,7 @@
 use crate::unit::{DataCentre, Date, Model, Parts, Revision, Target, Version};
 
 /// Records kept in the root; older ones are dropped so that it stays small.
-pub const KEPT_RECORDS: usize = 64;
+pub const MAX_LOG_RECORDS: usize = 64;
 
 /// A part of the declarations, kept under its digest so that a half-written change is never seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,9 +83,9 @@
 
 impl Root {
     /// Appends a record and drops the oldest past the bound.
-    pub fn note(&mut self, record: Record) {
+    pub fn push_record(&mut self, record: Record) {
         self.log.push(record);
-        let surplus = self.log.len().saturating_sub(KEPT_RECORDS);
+        let surplus = self.log.len().saturating_sub(MAX_LOG_RECORDS);
         self.log.drain(..surplus);
     }
 
--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -8,7 +8,7 @@
 
 /// What a route allows a request to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run more than once.
     Safe,
     /// It runs at most once.
@@ -19,7 +19,7 @@
 
 /// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct WeightedService {
     /// The service.
     pub service: Service,
     /// Its weight among the parts.
@@ -32,12 +32,12 @@
 
 impl Regions {
     /// Just these regions; any region if none is named.
-    pub fn only(regions: Vec<Region>) -> Regions {
+    pub fn new(regions: Vec<Region>) -> Regions {
         Regions(regions)
     }
 
     /// Whether a region is among them; one that is not known is only where any is.
-    pub fn allow(&self, region: Option<&Region>) -> bool {
+    pub fn allows(&self, region: Option<&Region>) -> bool {
         self.0.is_empty() || region.is_some_and(|region| self.0.contains(region))
     }
 }
@@ -50,17 +50,17 @@
     /// Paths that it takes begin so.
     pub prefix: String,
     /// The services that answer, by weight.
-    pub parts: Vec<Part>,
+    pub services: Vec<WeightedService>,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry: RetryPolicy,
     /// Whether the answer is a stream of events.
-    pub streams: bool,
+    pub streaming: bool,
     /// Longest time that a request is held.
     pub timeout: Span,
     /// Time to the answer, or to the first event, that callers want.
-    pub goal: Span,
+    pub latency_goal: Span,
     /// Servers that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Whether a request needs no key.
@@ -74,20 +74,20 @@
 impl Route {
     /// The service for a request; `point` lies between 0 and 1 and picks by weight.
     pub fn service(&self, point: f64) -> Option<&Service> {
-        let sum: f64 = self.parts.iter().map(|part| part.weight).sum();
+        let sum: f64 = self.services.iter().map(|service| service.weight).sum();
         let mut left = point * sum;
-        let weighted = self.parts.iter().find(|part| {
-            left -= part.weight;
+        let selected = self.services.iter().find(|service| {
+            left -= service.weight;
             left < 0.0
         });
-        let last = || self.parts.iter().rev().find(|part| part.weight > 0.0);
-        weighted.or_else(last).map(|part| &part.service)
+        let last = || self.services.iter().rev().find(|service| service.weight > 0.0);
+        selected.or_else(last).map(|service| &service.service)
     }
 }
 
 /// A workspace as callers' keys name it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
+pub struct KeyHolder {
     /// The workspace.
     pub workspace: Workspace,
     /// Its rank, which comes before the route's; 0 is the most urgent.
@@ -100,29 +100,32 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     /// Connections that one server takes from all VMs together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// What a server bears that has just started; none if it bears all at once.
-    pub cold: Option<ColdStart>,
+    pub cold_start: Option<ColdStart>,
 }
 
 /// What a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest body in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time within which a request's head must come.
-    pub head_within: Span,
+    pub header_timeout: Span,
     /// Time that a connection may rest.
-    pub idle: Span,
+    pub idle_timeout: Span,
 }
 
 /// Limits before any configuration is known.
-const LIMITS: Limits =
-    Limits { body: 4 * 1024 * 1024, head_within: Span::secs(3), idle: Span::secs(15) };
+const DEFAULT_LIMITS: Limits = Limits {
+    max_body_bytes: 4 * 1024 * 1024,
+    header_timeout: Span::secs(3),
+    idle_timeout: Span::secs(15),
+};
 
 impl Default for Limits {
     fn default() -> Limits {
-        LIMITS
+        DEFAULT_LIMITS
     }
 }
 
@@ -134,28 +137,28 @@
     /// What callers may send.
     pub limits: Limits,
     /// Whether requests need a key, but on public routes.
-    pub keyed: bool,
+    pub requires_key: bool,
     hosts: HashMap<String, Vec<Rc<Route>>>,
-    keys: HashMap<String, Rc<Holder>>,
+    keys: HashMap<String, Rc<KeyHolder>>,
     pools: HashMap<Service, Rc<Pool>>,
 }
 
 impl Table {
     /// A table without routes.
-    pub fn new(revision: Revision, limits: Limits, keyed: bool) -> Table {
-        Table { revision, limits, keyed, ..Table::default() }
+    pub fn new(revision: Revision, limits: Limits, requires_key: bool) -> Table {
+        Table { revision, limits, requires_key, ..Table::default() }
     }
 
     /// Adds a route of a host.
     pub fn add_route(&mut self, host: &str, route: Route) {
         let routes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
         // Longest first, so that the first that fits is the right one.
-        let place = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
-        routes.insert(place, Rc::new(route));
+        let index = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
+        routes.insert(index, Rc::new(route));
     }
 
     /// Adds a key of a workspace.
-    pub fn add_key(&mut self, key: &str, holder: Rc<Holder>) {
+    pub fn add_key(&mut self, key: &str, holder: Rc<KeyHolder>) {
         self.keys.insert(key.to_owned(), holder);
     }
 
@@ -172,7 +175,7 @@
     }
 
     /// Who holds a key.
-    pub fn holder(&self, key: &str) -> Option<&Rc<Holder>> {
+    pub fn key_holder(&self, key: &str) -> Option<&Rc<KeyHolder>> {
         self.keys.get(key)
     }
 
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -137,8 +137,8 @@
 
     /// The version of `model` that serves outside of roll-outs.
     pub fn serving(&self, model: &Model) -> Option<Version> {
-        let risen = self.root.serving.get(model).cloned();
-        risen.or_else(|| self.model(model).map(|entry| entry.serving.clone()))
+        let rolled_out = self.root.serving.get(model).cloned();
+        rolled_out.or_else(|| self.model(model).map(|entry| entry.serving.clone()))
     }
 
     /// The roll-out of `model` under way.
@@ -147,19 +147,19 @@
     }
 
     /// The version of `model` for new work of `workspace`; `point` is the request's own random
-    /// point in 0 to 1, which the roll-out's share is held against; `begins` if it begins a session.
-    pub fn choose(
+    /// point in 0 to 1, which the roll-out's share is held against; `new_session` if it begins a session.
+    pub fn select_version(
         &self,
         workspace: &WorkspaceEntry,
         model: &Model,
         point: f64,
-        begins: bool,
+        new_session: bool,
     ) -> Option<Target> {
         let target = |version: Version| Target { model: model.clone(), version };
         if let Some(rollout) = self.rollout(model) {
             let growing = rollout.state == "growing" || rollout.state == "held";
             let usable = self.allowed(workspace, &rollout.to) == Allowed::Yes;
-            let open = rollout.sessions || !begins;
+            let open = rollout.sessions || !new_session;
             if growing && usable && open && point < rollout.share.fraction() {
                 return Some(rollout.to.clone());
             }
@@ -204,9 +204,9 @@
         let workspace = snapshot.declared.workspaces[0].clone();
         let model: Model = "roastmind".parse().unwrap();
         let target: Target = "roastmind@v3".parse().unwrap();
-        assert_eq!(snapshot.choose(&workspace, &model, 0.5, false), Some(target.clone()));
+        assert_eq!(snapshot.select_version(&workspace, &model, 0.5, false), Some(target.clone()));
         snapshot.root.withdrawn.insert(target.clone());
-        let other = snapshot.choose(&workspace, &model, 0.5, false);
+        let other = snapshot.select_version(&workspace, &model, 0.5, false);
         assert_ne!(other, Some(target));
         assert!(other.is_some());
     }
@@ -226,8 +226,8 @@
             since: Default::default(),
             reason: String::new(),
         });
-        assert_eq!(snapshot.choose(&workspace, &to.model, 0.05, false), Some(to.clone()));
-        assert_ne!(snapshot.choose(&workspace, &to.model, 0.5, false), Some(to.clone()));
-        assert_ne!(snapshot.choose(&workspace, &to.model, 0.05, true), Some(to));
+        assert_eq!(snapshot.select_version(&workspace, &to.model, 0.05, false), Some(to.clone()));
+        assert_ne!(snapshot.select_version(&workspace, &to.model, 0.5, false), Some(to.clone()));
+        assert_ne!(snapshot.select_version(&workspace, &to.model, 0.05, true), Some(to));
     }
 }
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -1,6 +1,6 @@
 //! How an attempt at a server ended, and what follows: the table of `docs/PLATFORM.md`.
 
-use crate::config::Repeat;
+use crate::config::RetryPolicy;
 
 /// How an attempt at one server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -42,15 +42,15 @@
 
 /// Returns what follows an attempt. After a failed or broken attempt, a request that may run twice is
 /// retried; another one is not, since it may have run.
-pub fn next(end: AttemptOutcome, repeat: Repeat) -> Next {
+pub fn next(end: AttemptOutcome, repeat: RetryPolicy) -> Next {
     match (end, repeat) {
         (AttemptOutcome::Good, _) => Next::Deliver,
         (AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun, _) => {
             Next::Retry
         }
         (AttemptOutcome::Late, _) => Next::Unknown,
-        (AttemptOutcome::Failed, Repeat::Never) => Next::Deliver,
-        (AttemptOutcome::Broken, Repeat::Never) => Next::Unknown,
+        (AttemptOutcome::Failed, RetryPolicy::Never) => Next::Deliver,
+        (AttemptOutcome::Broken, RetryPolicy::Never) => Next::Unknown,
         (AttemptOutcome::Failed | AttemptOutcome::Broken, _) => Next::Retry,
     }
 }
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -86,7 +86,7 @@
     /// Sends to a VM and reads the answer to its end.
     pub async fn send(&self, to: SocketAddr, vm: &Vm, ask: &Ask) -> Answer {
         let number = ASKS.fetch_add(1, Ordering::Relaxed);
-        self.history.note(|| Event::Asked {
+        self.history.record(|| Event::Asked {
             ask: number,
             workspace: self.workspace.clone(),
             key: ask.key.clone(),
@@ -94,7 +94,7 @@
         });
         let exchange = self.exchange(to, ask);
         let answer = tokio::time::timeout(WITHIN, exchange).await.unwrap_or_default();
-        self.history.note(|| Event::Answered {
+        self.history.record(|| Event::Answered {
             ask: number,
             request: answer.request.clone(),
             status: answer.status,
--- a/src/demo/node.rs
+++ b/src/demo/node.rs
@@ -67,7 +67,7 @@
                         }
                         // Blocking the thread is the point: nothing of the control runs.
                         Order::Pause(time) => std::thread::sleep(time),
-                        Order::Cut(addresses) => handle.links().cut(addresses),
+                        Order::Cut(addresses) => handle.links().set_blocked(addresses),
                     }
                 }
             });
@@ -80,7 +80,7 @@
 
     /// Bytes of messages that it sent to other VMs.
     pub fn bytes_sent(&self) -> u64 {
-        self.links.sent()
+        self.links.bytes_sent()
     }
 
     /// Stops as planned and returns the requests that were cut off.
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -225,7 +225,7 @@
     }
 
     fn note(&self, name: &str, began: bool) {
-        self.world.history.note(|| Event::Fault { name: name.to_owned(), began });
+        self.world.history.record(|| Event::Fault { name: name.to_owned(), began });
     }
 
     fn any_vm(&mut self) -> Vm {
@@ -354,7 +354,7 @@
         let store = Store::new(self.world.platform_at);
         let bills = block(ledger::collect(&store)).unwrap_or_default();
         for bill in &bills {
-            self.world.history.note(|| Event::Billed {
+            self.world.history.record(|| Event::Billed {
                 request: bill.request.clone(),
                 workspace: bill.workspace.clone(),
                 cost: bill.cost().0,
--- a/src/demo/world.rs
+++ b/src/demo/world.rs
@@ -6,8 +6,8 @@
 
 use super::Node;
 use crate::config::{
-    self, Cascade, Declarations, Intent, ModelEntry, Objective, ServerEntry, ServerKind,
-    ServiceEntry, VersionEntry, Wish, WorkspaceEntry, digest,
+    self, Cascade, Declarations, Intent, ModelEntry, Objective, PlanSource, ServerEntry,
+    ServerKind, ServiceEntry, VersionEntry, WorkspaceEntry, digest,
 };
 use crate::decide::rollout::Policy;
 use crate::error::Error;
@@ -98,10 +98,10 @@
 ///
 /// # Errors
 /// If the plan cannot be made or the platform does not answer.
-pub fn apply(platform: SocketAddr, wish: &Wish, who: &str) -> Result<Revision, Error> {
+pub fn apply(platform: SocketAddr, wish: &PlanSource, who: &str) -> Result<Revision, Error> {
     crate::command::block(async move {
         let store = Store::new(platform);
-        let plan = config::make(&snapshot(&store).await?, wish)?;
+        let plan = config::make_plan(&snapshot(&store).await?, wish)?;
         let date = Clock::default().date();
         let (Confirmed::Now(revision) | Confirmed::Before(revision)) =
             confirm(&store, &plan, who, date).await?;
@@ -115,7 +115,7 @@
 /// As `apply`.
 pub fn intend(platform: SocketAddr, words: &str, who: &str) -> Result<Revision, Error> {
     let intent: Intent = words.parse().map_err(|e: crate::unit::Fault| Error::Plan(e.0))?;
-    apply(platform, &Wish::Short(intent), who)
+    apply(platform, &PlanSource::Intent(intent), who)
 }
 
 /// Settings of a VM of the demo.
@@ -146,7 +146,7 @@
     /// # Errors
     /// If something cannot be started.
     pub fn start(shape: &Shape) -> Result<World, Error> {
-        let history = Sink::keeping();
+        let history = Sink::in_memory();
         let loopback: SocketAddr = name(LOOPBACK);
         let platform = Platform::new(RATES, history.clone());
         let platform_running = platform.launch(loopback)?;
@@ -165,7 +165,7 @@
             running: vec![platform_running, rating_running],
         };
         let declared = world.back_ends(shape)?;
-        apply(world.platform_at, &Wish::Declared(declared), "demo")?;
+        apply(world.platform_at, &PlanSource::Declarations(declared), "demo")?;
         for _ in 0..shape.vms {
             world.add_vm()?;
         }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -57,7 +57,7 @@
         let words = format!("no server of {} can take it", work.target);
         return Err((None, Fault { failure: Failure::NotRun, told: None, words }));
     };
-    vm.history.note(|| Event::Started {
+    vm.history.record(|| Event::Started {
         vm: vm.settings.vm.clone(),
         request: work.request.clone(),
         revision,
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -315,7 +315,7 @@
     begins: bool,
 ) -> Result<Route, Refusal> {
     if let Some(cascade) = snapshot.cascade(workspace, name) {
-        let choose = |model| snapshot.choose(workspace, model, point, begins);
+        let choose = |model| snapshot.select_version(workspace, model, point, begins);
         let rungs: Vec<Target> = cascade.rungs.iter().filter_map(choose).collect();
         return match rungs.as_slice() {
             [] => Err(Refusal::new(Refused::NotAllowed)),
@@ -335,7 +335,7 @@
     if snapshot.model(&model).is_none() {
         return Err(Refusal::new(Refused::UnknownModel));
     }
-    let chosen = snapshot.choose(workspace, &model, point, begins);
+    let chosen = snapshot.select_version(workspace, &model, point, begins);
     chosen.map(Route::Model).ok_or_else(|| Refusal::new(Refused::NotAllowed))
 }
 
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -74,7 +74,7 @@
     let gossip = vm.gossip.lock().expect("no panic while held");
     let pending = gossip.accepted() < gossip.revision() && gossip.revision() > Revision(0);
     let waits: Vec<String> = if pending && gossip.is_accepter() {
-        gossip.waiting_for().iter().map(ToString::to_string).collect()
+        gossip.vms_pending().iter().map(ToString::to_string).collect()
     } else {
         Vec::new()
     };
@@ -89,7 +89,7 @@
         "accepted": gossip.accepted(),
         "pending": pending,
         "waits_for": waits,
-        "store_age_s": gossip.age(now).map(|age| age.as_secs()),
+        "store_age_s": gossip.store_age(now).map(|age| age.as_secs()),
         "may_start": vm.may_start(now),
         "rollouts": snapshot.root.rollouts,
         "withdrawn": snapshot.root.withdrawn,
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -273,9 +273,9 @@
 /// A call with this key holds it; whether it can still end depends on its VM.
 fn running(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
-    let lives = gossip
-        .member(&holder.vm)
-        .is_some_and(|member| member.incarnation == holder.incarnation && member.state.present());
+    let lives = gossip.member(&holder.vm).is_some_and(|member| {
+        member.incarnation == holder.incarnation && member.state.is_present()
+    });
     Refusal::new(if lives { Refused::KeyRunning } else { Refused::InDoubt })
 }
 
@@ -340,7 +340,7 @@
             return Err(Refusal::new(Refused::NoServer));
         };
         tries += 1;
-        vm.history.note(|| Event::Started {
+        vm.history.record(|| Event::Started {
             vm: vm.settings.vm.clone(),
             request: call.request.clone(),
             revision: snapshot.revision(),
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -95,14 +95,14 @@
         address: format!("10.0.{}.{}:9000", i / 250 % 250, i % 250).parse().expect("an address"),
         data_centre: format!("dc{}", i % 5).parse().expect("a name"),
         incarnation: Incarnation(1_796_213_600_000_000 + i as u64),
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
     }
 }
 
 fn gossip(peers: usize) -> Gossip {
     let mut gossip = Gossip::new(member(0), Moment(1));
-    gossip.introduce((0..peers).map(member), Moment(1));
+    gossip.add_members((0..peers).map(member), Moment(1));
     gossip
 }
 
@@ -313,9 +313,9 @@
     Frame::Probe {
         number,
         me: member(1),
-        stand: Default::default(),
-        news: Default::default(),
-        seen: Default::default(),
+        status: Default::default(),
+        delta: Default::default(),
+        cursor: Default::default(),
     }
 }
 
@@ -338,7 +338,7 @@
         }),
         bytes("bytes_per_bill_copy", [10, 20, 40, 80], |n| {
             let entries = (0..n).map(|i| entry(i as u64 + 1000)).collect();
-            let call = Call::Bills {
+            let call = Call::CopyBills {
                 origin: from.clone(),
                 incarnation: Incarnation(1_796_213_600_000_000),
                 entries,
--- a/src/experiment/spread.rs
+++ b/src/experiment/spread.rs
@@ -11,7 +11,7 @@
 use super::table::{Row, Table, quantile};
 use crate::config::{Piece, Record, Root, Snapshot, digest};
 use crate::peer::wire::{Envelope, Frame, encode};
-use crate::peer::{Gossip, Member, State, ranked};
+use crate::peer::{Gossip, Member, State, rendezvous_order};
 use crate::unit::{Date, Incarnation, Moment, Revision, Vm};
 
 /// Time between two ticks of a VM, in microseconds, as in the server.
@@ -74,7 +74,7 @@
         address: format!("10.0.{}.{}:9000", i / 250, i % 250 + 1).parse().expect("an address"),
         data_centre: format!("dc{}", i % DATA_CENTRES).parse().expect("a name"),
         incarnation: Incarnation(1_796_213_600_000_000 + i as u64),
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
     }
 }
@@ -95,7 +95,7 @@
         pieces.insert(piece.digest.clone(), Arc::new(piece));
     }
     for i in 0..revision {
-        root.note(Record {
+        root.push_record(Record {
             revision: Revision(i),
             who: "mari".to_owned(),
             plan: digest(&i.to_be_bytes())[..16].to_owned(),
@@ -134,7 +134,7 @@
         };
         for i in 0..vms {
             let mut node = Gossip::new(rows[i].clone(), Moment(world.now));
-            node.introduce(rows.iter().cloned(), Moment(world.now));
+            node.add_members(rows.iter().cloned(), Moment(world.now));
             world.nodes.push(Some(node));
             world.push(world.now + rng.random_range(0..TICK), Event::Tick(i));
         }
@@ -177,7 +177,7 @@
         match event {
             Event::Tick(i) => {
                 let Some(node) = &mut self.nodes[i] else { return };
-                node.store_contact(now);
+                node.on_store_contact(now);
                 let out = node.tick(now);
                 self.send(i, out);
                 self.push(self.now + TICK, Event::Tick(i));
@@ -187,7 +187,7 @@
                 let before = node.revision();
                 let out = node.receive(&from, *frame, now);
                 let revision = node.revision();
-                node.obey(revision);
+                node.set_enforced_revision(revision);
                 if revision > before {
                     self.adopted[revision.0 as usize - 1].push(self.now);
                 }
@@ -198,7 +198,7 @@
                 // The answered watch and the one piece that changed.
                 self.calls += 2;
                 if node.adopt(config(revision)) {
-                    node.obey(Revision(revision));
+                    node.set_enforced_revision(Revision(revision));
                     self.adopted[revision as usize - 1].push(self.now);
                 }
             }
@@ -211,7 +211,7 @@
         for dc in 0..DATA_CENTRES {
             let near = (0..self.nodes.len()).filter(|i| i % DATA_CENTRES == dc);
             let vms: Vec<Vm> = near.map(|i| member(i).vm).collect();
-            let order = ranked(&format!("watch/dc{dc}"), vms.iter());
+            let order = rendezvous_order(&format!("watch/dc{dc}"), vms.iter());
             let watchers: Vec<usize> =
                 order.into_iter().take(WATCHERS).map(|vm| self.index[vm]).collect();
             for i in watchers {
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -13,7 +13,7 @@
 use super::sse::{Batch, EventBuffer};
 use super::vm::Vm;
 use super::{announce, crash, pool};
-use crate::config::Repeat;
+use crate::config::RetryPolicy;
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::{poison, server_limit};
 use crate::platform::header::{self, Extra};
@@ -174,7 +174,7 @@
     sent: &mut bool,
 ) -> Outcome {
     let vm = &job.vm;
-    let repeatable = job.route.repeat != Repeat::Never;
+    let repeatable = job.route.retry != RetryPolicy::Never;
     let now = vm.now();
     let pooled = {
         let mut fleet = vm.fleet.borrow_mut();
@@ -198,7 +198,7 @@
         left: job.left(vm.now()),
         workspace: job.holder.as_ref().map(|holder| &holder.workspace),
         model,
-        priority: job.route.streams.then(|| job.priority(pending.prefill_time, vm.now())),
+        priority: job.route.streaming.then(|| job.priority(pending.prefill_time, vm.now())),
         after_event: last_event_id,
     };
     let head = header::request(&job.head, &extra);
@@ -214,7 +214,7 @@
             "the success response is unsigned or encoded",
         );
     }
-    if head.status.is_success() && job.route.streams {
+    if head.status.is_success() && job.route.streaming {
         return read_first_event(vm, connection, open, head, response).await;
     }
     let body = match connection.read_body(MAX_BODY_SIZE).await {
--- a/src/forward/content.rs
+++ b/src/forward/content.rs
@@ -7,14 +7,14 @@
 use actix_http::RequestHead;
 
 use super::call::Call;
-use crate::config::Holder;
+use crate::config::KeyHolder;
 use crate::unit::{Digest, digest};
 
 /// Returns the digest of the content of a request.
 pub fn request_digest(
     head: &RequestHead,
     call: &Call,
-    holder: Option<&Holder>,
+    holder: Option<&KeyHolder>,
     body: &[u8],
 ) -> Digest {
     let target = head.uri.path_and_query().map_or("", |target| target.as_str());
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -10,7 +10,7 @@
 use super::replica::Replica;
 use super::selection::{self, Placement};
 use super::trial_attempt::TrialAttempt;
-use crate::config::Repeat;
+use crate::config::RetryPolicy;
 use crate::decide::escalate;
 use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
 use crate::entry::refusal::{Kind, Refusal};
@@ -92,7 +92,7 @@
         let now = vm.now();
         let replica = &placement.replica;
         vm.metrics.added_latency.observe(now.since(job.arrived).as_secs());
-        let left = job.route.attempts.saturating_sub(counted_attempts(job, &progress));
+        let left = job.route.max_attempts.saturating_sub(counted_attempts(job, &progress));
         let until = job.attempt_deadline(left, placement.until_prefilled, now);
         let outcome = attempt_at(job, &placement, model.as_ref(), until).await;
         progress.tried.push(replica.clone());
@@ -110,7 +110,7 @@
             progress.unsent_of_model = 0;
             continue;
         }
-        match outcome::next(outcome.end, job.route.repeat) {
+        match outcome::next(outcome.end, job.route.retry) {
             Next::Deliver => return deliver(job, placement.replica, model, outcome, progress),
             Next::Unknown if !may_retry_timeout(job, &outcome) => {
                 progress.may_have_run = true;
@@ -171,7 +171,7 @@
         vm.record_prefill(named, estimate.uncached_tokens, took);
         if estimate.expected_time.is_some() {
             let waited = Span(took.0.saturating_sub(estimate.prefill_time.0));
-            vm.record_wait(&job.service, waited, job.route.goal);
+            vm.record_wait(&job.service, waited, job.route.latency_goal);
         }
     }
     outcome
@@ -190,7 +190,7 @@
 /// may be repeated. Models in between are skipped: they cost several times more than the smallest
 /// and answer few more requests.
 fn larger_model(job: &Job, model: Option<&Model>) -> Option<Model> {
-    if !job.call.any_model || job.route.repeat == Repeat::Never {
+    if !job.call.any_model || job.route.retry == RetryPolicy::Never {
         return None;
     }
     let largest = job.route.cascade.last()?;
@@ -210,8 +210,8 @@
     now: Moment,
 ) -> Option<Model> {
     // One for the larger model, and one for the fallback if the route allows that many at all.
-    let needed = if job.route.attempts > 2 { 2 } else { 1 };
-    let may_attempt = counted_attempts(job, progress) + needed <= job.route.attempts;
+    let needed = if job.route.max_attempts > 2 { 2 } else { 1 };
+    let may_attempt = counted_attempts(job, progress) + needed <= job.route.max_attempts;
     if progress.escalated || !may_attempt || poison::is_quarantined(job) {
         return None;
     }
@@ -219,7 +219,7 @@
     let confidence = response.confidence? / 100.0;
     let larger = larger_model(job, model)?;
     let placement = selection::select_server(&job.vm, &job.criteria(Some(&larger), &[]), now)?;
-    let left = (job.arrived + job.route.goal).since(now);
+    let left = (job.arrived + job.route.latency_goal).since(now);
     let pressure = job.vm.pressure(&job.service, now);
     let known = escalate::Inputs {
         confidence,
@@ -243,7 +243,7 @@
 /// Returns true if a request whose attempt timed out may be retried at another server.
 fn may_retry_timeout(job: &Job, outcome: &Outcome) -> bool {
     let more = job.left(job.vm.now()) >= MIN_ATTEMPT_TIME;
-    outcome.end == AttemptOutcome::Late && job.route.repeat != Repeat::Never && more
+    outcome.end == AttemptOutcome::Late && job.route.retry != RetryPolicy::Never && more
 }
 
 fn may_retry(job: &Job, progress: &Progress, end: AttemptOutcome) -> bool {
@@ -260,7 +260,8 @@
 /// Returns true if the route's limit and the retry budget allow one more attempt, and spends it
 /// from the budget.
 fn spend_attempt(job: &Job, progress: &Progress, now: Moment) -> bool {
-    counted_attempts(job, progress) < job.route.attempts && job.vm.spend_retry(&job.service, now)
+    counted_attempts(job, progress) < job.route.max_attempts
+        && job.vm.spend_retry(&job.service, now)
 }
 
 fn deliver(
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -13,7 +13,7 @@
 use super::replica::Replica;
 use super::selection::{self, Criteria, Estimate, Placement, Reason, Skipped, Wait};
 use super::vm::Vm;
-use crate::config::{Holder, Repeat, Route};
+use crate::config::{KeyHolder, RetryPolicy, Route};
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::{escalate, priority};
 use crate::unit::{Digest, Model, Moment, Service, Span, Version, hash};
@@ -42,7 +42,7 @@
     /// The service of the route that it was assigned to by weight.
     pub service: Service,
     /// The holder of its API key; none on a public route or without keys.
-    pub holder: Option<Rc<Holder>>,
+    pub holder: Option<Rc<KeyHolder>>,
     /// Digest of its content; see [`super::content`].
     pub content: Digest,
     /// When the request head arrived.
@@ -73,14 +73,14 @@
         if attempts_left <= 1 {
             return self.deadline;
         }
-        let goal = self.route.goal;
-        let until = match self.route.repeat {
-            Repeat::Never => self.deadline,
-            Repeat::Safe => {
+        let goal = self.route.latency_goal;
+        let until = match self.route.retry {
+            RetryPolicy::Never => self.deadline,
+            RetryPolicy::Safe => {
                 let half = now + Span(self.left(now).0 / 2);
                 half.min(now + Span(goal.0 * ATTEMPT_TIMEOUT_GOALS))
             }
-            Repeat::Resume => {
+            RetryPolicy::Resume => {
                 now + Span((until_prefilled.0 as f64 * FIRST_EVENT_TIMEOUT_FACTOR) as u64).max(goal)
             }
         };
@@ -104,7 +104,7 @@
     /// deadline once the goal has passed. Returns none if no server takes the request by then.
     pub async fn wait_for_server(&self, criteria: &Criteria<'_>) -> Option<Placement> {
         let vm = &self.vm;
-        let goal = self.arrived + self.route.goal;
+        let goal = self.arrived + self.route.latency_goal;
         let until = if vm.now() < goal { goal.min(self.deadline) } else { self.deadline };
         loop {
             let now = vm.now();
@@ -142,7 +142,7 @@
     /// of the prefill time.
     pub fn priority(&self, prefill_time: Span, now: Moment) -> u32 {
         let workspace = self.holder.as_ref().map_or(0, |holder| holder.priority);
-        let goal = self.arrived + self.route.goal;
+        let goal = self.arrived + self.route.latency_goal;
         priority::prompt_priority(workspace, prefill_time, goal.since(now))
     }
 }
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -20,7 +20,7 @@
 use super::job::{Job, Record};
 use super::vm::Vm;
 use super::{content, rate_limit, relay};
-use crate::config::{Holder, Route, Table};
+use crate::config::{KeyHolder, Route, Table};
 use crate::entry::refusal::{Kind, Refusal};
 use crate::error::Error;
 use crate::platform::header;
@@ -75,8 +75,8 @@
         let limits = vm.routes().map(|table| table.limits).unwrap_or_default();
         let handler = vm.clone();
         let service = HttpService::build()
-            .keep_alive(KeepAlive::Timeout(limits.idle.duration()))
-            .client_request_timeout(limits.head_within.duration())
+            .keep_alive(KeepAlive::Timeout(limits.idle_timeout.duration()))
+            .client_request_timeout(limits.header_timeout.duration())
             .h1_allow_half_closed(false)
             .tcp_nodelay(true)
             .graceful_shutdown_signal(shutdown_signal(&vm))
@@ -223,7 +223,7 @@
 /// What admission establishes about a request.
 struct Admitted {
     route: Rc<Route>,
-    holder: Option<Rc<Holder>>,
+    holder: Option<Rc<KeyHolder>>,
     body: Bytes,
 }
 
@@ -236,7 +236,7 @@
 ) -> Result<Admitted, Refusal> {
     wait_until_synced(vm).await;
     let table = vm.routes().ok_or_else(|| Refusal::new(Kind::Behind))?;
-    let max_size = table.limits.body;
+    let max_size = table.limits.max_body_bytes;
     let body = read_body(payload, max_size);
     let body = tokio::time::timeout(call.timeout.duration(), body).await;
     let body = body.map_err(|_| Refusal::new(Kind::Malformed))??;
@@ -252,10 +252,10 @@
     };
     let route = found?.0;
     record.set_route(&route.name);
-    if vm.would_outlast(route.streams, vm.now()) {
+    if vm.would_outlast(route.streaming, vm.now()) {
         return Err(Refusal::after(Kind::Stopping, Span(0)));
     }
-    if table.keyed && !route.public && !await_key_proof(vm).await {
+    if table.requires_key && !route.public && !await_key_proof(vm).await {
         return Err(Refusal::new(Kind::CutOff));
     }
     if !vm.has_required_state() {
@@ -284,13 +284,13 @@
 ///
 /// # Errors
 /// `NotFound` without a route, `Unauthorised` if the route needs a key and this one is unknown.
-fn authorize(table: &Table, call: &Call) -> Result<(Rc<Route>, Option<Rc<Holder>>), Refusal> {
+fn authorize(table: &Table, call: &Call) -> Result<(Rc<Route>, Option<Rc<KeyHolder>>), Refusal> {
     let route = table.route(&call.host, &call.path);
     let route = route.ok_or_else(|| Refusal::new(Kind::NotFound))?.clone();
-    if !table.keyed || route.public {
+    if !table.requires_key || route.public {
         return Ok((route, None));
     }
-    let holder = call.api_key.as_deref().and_then(|key| table.holder(key));
+    let holder = call.api_key.as_deref().and_then(|key| table.key_holder(key));
     let holder = holder.ok_or_else(|| Refusal::new(Kind::Unauthorised))?.clone();
     Ok((route, Some(holder)))
 }
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -48,7 +48,7 @@
 
 /// What is asked of the servers of a service at a moment.
 pub fn limiter<'a>(vm: &'a Vm, service: &Service, now: Moment) -> Limiter<'a> {
-    let cold = vm.routes().and_then(|table| table.pool(service)?.cold);
+    let cold = vm.routes().and_then(|table| table.pool(service)?.cold_start);
     Limiter::new(cold, now, move || find_vms(vm, now))
 }
 
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -9,7 +9,7 @@
 use super::job::Job;
 use super::sse::Batch;
 use super::{attempt, crash, poison};
-use crate::config::Repeat;
+use crate::config::RetryPolicy;
 use crate::decide::outcome::AttemptOutcome;
 use crate::decide::poison::{OpenRequest, STABLE_AFTER};
 use crate::unit::{Moment, Span};
@@ -141,7 +141,7 @@
             broken,
             OpenRequest { content: self.job.content, was_stable: ran },
         );
-        if self.job.route.repeat != Repeat::Resume {
+        if self.job.route.retry != RetryPolicy::Resume {
             return Err(reason);
         }
         loop {
@@ -158,7 +158,7 @@
                 return Err(format!("{reason}; no other server takes work"));
             };
             let model = self.current.model.clone();
-            let left = self.job.route.attempts.saturating_sub(self.counted_attempts());
+            let left = self.job.route.max_attempts.saturating_sub(self.counted_attempts());
             let until = self.job.attempt_deadline(left, placement.until_prefilled, vm.now());
             let (_, pending) = self.job.begin_attempt(&placement, model.as_ref());
             let replica = placement.replica;
@@ -176,7 +176,7 @@
     }
 
     fn may_resume(&self, now: Moment) -> bool {
-        self.counted_attempts() < self.job.route.attempts && now < self.job.deadline
+        self.counted_attempts() < self.job.route.max_attempts && now < self.job.deadline
     }
 
     /// Returns the number of attempts that count towards the route's limit.
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -50,7 +50,7 @@
     /// Returns true if the server is in an allowed region.
     fn allows(&self, vm: &Vm, server: &Server) -> bool {
         let region = vm.settings.regions.get(&server.replica.data_centre);
-        self.regions.iter().flatten().all(|regions| regions.allow(region))
+        self.regions.iter().flatten().all(|regions| regions.allows(region))
     }
 }
 
@@ -314,7 +314,8 @@
 /// Returns the number of requests that this VM may have open at one server: its share of the
 /// connections that the server accepts from all VMs. The server resets connections beyond that.
 fn max_open_per_server(vm: &Vm, service: &Service, now: Moment) -> u32 {
-    let declared = vm.routes().and_then(|table| table.pool(service).map(|pool| pool.connections));
+    let declared =
+        vm.routes().and_then(|table| table.pool(service).map(|pool| pool.max_connections));
     let vms = vm.peers.borrow().count_live(now) as u32;
     declared.map_or(u32::MAX, |all| limit::even_share(all, vms))
 }
--- a/src/history/check.rs
+++ b/src/history/check.rs
@@ -11,13 +11,13 @@
 use crate::unit::{Date, RequestId, Revision, Server, Span, Target, Vm, Workspace};
 
 /// A leaving backend server gets no new work after this.
-const LEAVE_WITHIN: Span = Span::secs(3);
+const DRAIN_TIMEOUT: Span = Span::secs(3);
 
 /// A change is in force everywhere within this, when no fault was on.
-const ACCEPT_WITHIN: Span = Span::secs(15);
+const ACCEPT_TIMEOUT: Span = Span::secs(15);
 
 /// Offending events named for each promise.
-const NAMED: usize = 5;
+const MAX_LISTED_BREACHES: usize = 5;
 
 /// How one promise fared.
 #[derive(Clone, Debug, Serialize)]
@@ -37,12 +37,12 @@
         Verdict { promise, occasions: 0, breaches: 0, first: Vec::new() }
     }
 
-    fn test(&mut self, holds: bool, offence: impl FnOnce() -> String) {
+    fn record(&mut self, holds: bool, describe: impl FnOnce() -> String) {
         self.occasions += 1;
         if !holds {
             self.breaches += 1;
-            if self.first.len() < NAMED {
-                self.first.push(offence());
+            if self.first.len() < MAX_LISTED_BREACHES {
+                self.first.push(describe());
             }
         }
     }
@@ -81,8 +81,8 @@
                 verdict.occasions,
                 verdict.promise
             )?;
-            for offence in &verdict.first {
-                writeln!(f, "             {offence}")?;
+            for breach in &verdict.first {
+                writeln!(f, "             {breach}")?;
             }
         }
         Ok(())
@@ -131,7 +131,7 @@
     faults: Vec<(Date, bool)>,
 }
 
-fn gather(lines: &[Line]) -> Facts<'_> {
+fn collect_facts(lines: &[Line]) -> Facts<'_> {
     let mut facts = Facts::default();
     for line in lines {
         match &line.event {
@@ -175,12 +175,12 @@
 
 impl Facts<'_> {
     /// The highest revision accepted before `at`.
-    fn floor(&self, at: Date) -> Revision {
+    fn accepted_before(&self, at: Date) -> Revision {
         let before = self.accepted.iter().take_while(|(date, _)| *date < at);
         before.map(|(_, revision)| *revision).max().unwrap_or_default()
     }
 
-    fn works(&self) -> impl Iterator<Item = (&RequestId, &Work<'_>)> {
+    fn all_work(&self) -> impl Iterator<Item = (&RequestId, &Work<'_>)> {
         self.work.iter().flat_map(|(id, works)| works.iter().map(move |work| (*id, work)))
     }
 
@@ -201,62 +201,63 @@
 
 /// Judges the ten promises.
 pub fn judge(lines: &[Line]) -> Report {
-    let facts = gather(lines);
+    let facts = collect_facts(lines);
     let verdicts = vec![
-        allowed(&facts),
-        withdrawn(&facts),
-        sessions(lines, &facts),
-        billed(lines, &facts),
-        whole(lines, &facts),
-        truthful(lines, &facts),
-        once(lines),
-        left(&facts),
-        stopped(lines, &facts),
-        in_force(lines, &facts),
+        check_allowed(&facts),
+        check_withdrawn(&facts),
+        check_sessions(lines, &facts),
+        check_bills(lines, &facts),
+        check_answers(lines, &facts),
+        check_refusals(lines, &facts),
+        check_at_most_once(lines),
+        check_draining(&facts),
+        check_planned_stops(lines, &facts),
+        check_configuration(lines, &facts),
     ];
     Report { verdicts }
 }
 
-fn allowed(facts: &Facts) -> Verdict {
+fn check_allowed(facts: &Facts) -> Verdict {
     let mut verdict =
         Verdict::new("A request runs only on a model and version its workspace allows.");
-    for (id, work) in facts.works() {
+    for (id, work) in facts.all_work() {
         let Some(target) = work.target else { continue };
-        let mut valid = facts.roots.range(facts.floor(work.at)..);
+        let mut valid = facts.roots.range(facts.accepted_before(work.at)..);
         let holds = valid.any(|(_, root)| {
             let list = root.allowed.get(work.workspace);
             root.at <= work.at && list.is_some_and(|list| list.contains(target))
         });
-        verdict.test(holds, || {
+        verdict.record(holds, || {
             format!("request {id} of {} ran on {target} at {}", work.workspace, work.at.0)
         });
     }
     verdict
 }
 
-fn withdrawn(facts: &Facts) -> Verdict {
+fn check_withdrawn(facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A withdrawn version receives no new work.");
     let ever: BTreeSet<&Target> = facts.roots.values().flat_map(|r| &r.withdrawn).collect();
     if ever.is_empty() {
         return verdict;
     }
-    for (id, work) in facts.works() {
+    for (id, work) in facts.all_work() {
         let Some(target) = work.target else { continue };
-        let floor = facts.floor(work.at);
-        let root = facts.roots.get(&floor);
+        let accepted = facts.accepted_before(work.at);
+        let root = facts.roots.get(&accepted);
         if root.is_none_or(|root| root.withdrawn.is_empty()) {
             continue;
         }
         let holds = root.is_none_or(|root| !root.withdrawn.contains(target));
-        verdict
-            .test(holds, || format!("request {id} ran on {target}, withdrawn by revision {floor}"));
+        verdict.record(holds, || {
+            format!("request {id} ran on {target}, withdrawn by revision {accepted}")
+        });
     }
     verdict
 }
 
-fn sessions(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_sessions(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A session keeps its version for its whole life.");
-    let mut kept: HashMap<u64, &Target> = HashMap::new();
+    let mut pinned: HashMap<u64, &Target> = HashMap::new();
     for line in lines {
         let Event::Answered { ask, target: Some(target), whole: true, .. } = &line.event else {
             continue;
@@ -264,11 +265,11 @@
         let Some((_, Some(talk))) = facts.asks.get(ask) else {
             continue;
         };
-        match kept.get(talk) {
+        match pinned.get(talk) {
             None => {
-                kept.insert(*talk, target);
+                pinned.insert(*talk, target);
             }
-            Some(first) => verdict.test(*first == target, || {
+            Some(first) => verdict.record(*first == target, || {
                 format!("session {talk} began on {first} and met {target} in ask {ask}")
             }),
         }
@@ -276,7 +277,7 @@
     verdict
 }
 
-fn billed(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_bills(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("Each request is billed exactly once.");
     for line in lines {
         let Event::Answered { ask, request: Some(id), whole: true, .. } = &line.event else {
@@ -288,19 +289,20 @@
         let payers = facts.bills.get(id).map(Vec::as_slice).unwrap_or_default();
         let owner = facts.asks.get(ask).map(|(workspace, _)| *workspace);
         let holds = payers.len() == 1 && owner.is_none_or(|owner| payers[0] == owner);
-        verdict.test(holds, || format!("request {id} has {} bills", payers.len()));
+        verdict.record(holds, || format!("request {id} has {} bills", payers.len()));
     }
     for (id, payers) in &facts.bills {
         let ran = facts.work.contains_key(id);
         if payers.len() > 1 || !ran {
-            verdict
-                .test(false, || format!("request {id} has {} bills and ran: {ran}", payers.len()));
+            verdict.record(false, || {
+                format!("request {id} has {} bills and ran: {ran}", payers.len())
+            });
         }
     }
     verdict
 }
 
-fn whole(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_answers(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A caller receives the whole answer to its own request.");
     for line in lines {
         let Event::Answered { ask, request: Some(id), whole: true, digest: Some(digest), .. } =
@@ -315,24 +317,24 @@
         let own = |work: &Work| owner.is_none_or(|owner| work.workspace == owner);
         let holds = works.iter().any(|work| work.digest == digest && own(work));
         verdict
-            .test(holds, || format!("ask {ask} got {digest}, which no run of request {id} made"));
+            .record(holds, || format!("ask {ask} got {digest}, which no run of request {id} made"));
     }
     verdict
 }
 
-fn truthful(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_refusals(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A refusal that says \"not run\" is true.");
     for line in lines {
         let Event::Answered { ask, request, ran: Some(Ran::No), .. } = &line.event else {
             continue;
         };
         let ran = request.as_ref().is_some_and(|id| facts.work.contains_key(id));
-        verdict.test(!ran, || format!("ask {ask} was told \"not run\" and {request:?} ran"));
+        verdict.record(!ran, || format!("ask {ask} was told \"not run\" and {request:?} ran"));
     }
     verdict
 }
 
-fn once(lines: &[Line]) -> Verdict {
+fn check_at_most_once(lines: &[Line]) -> Verdict {
     let mut verdict = Verdict::new("A request that may not be repeated runs at most once.");
     let mut runs: BTreeMap<(&Workspace, &str), Vec<&RequestId>> = BTreeMap::new();
     for line in lines {
@@ -348,31 +350,31 @@
     }
     for ((workspace, key), ids) in runs {
         verdict
-            .test(ids.len() <= 1, || format!("key {key} of {workspace} ran {} times", ids.len()));
+            .record(ids.len() <= 1, || format!("key {key} of {workspace} ran {} times", ids.len()));
     }
     verdict
 }
 
-fn left(facts: &Facts) -> Verdict {
+fn check_draining(facts: &Facts) -> Verdict {
     let mut verdict =
         Verdict::new("A leaving backend server receives no new work after a few seconds.");
     let mut late: HashMap<&Server, (u64, &RequestId)> = HashMap::new();
-    for (id, work) in facts.works() {
+    for (id, work) in facts.all_work() {
         let Some(since) = facts.leaving.get(work.server) else {
             continue;
         };
-        if work.at.since(*since) > LEAVE_WITHIN {
+        if work.at.since(*since) > DRAIN_TIMEOUT {
             late.entry(work.server).or_insert((0, id)).0 += 1;
         }
     }
     for server in facts.leaving.keys() {
-        let offence = late.get(server);
-        verdict.test(offence.is_none(), || format!("{server} got {:?} after leaving", offence));
+        let late_work = late.get(server);
+        verdict.record(late_work.is_none(), || format!("{server} got {late_work:?} after leaving"));
     }
     verdict
 }
 
-fn stopped(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_planned_stops(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A planned stop cuts off no request in flight.");
     for line in lines {
         let Event::Answered { ask, vm: Some(vm), status, whole, request, .. } = &line.event else {
@@ -387,14 +389,15 @@
         let in_flight = request.is_some() || *status != 0;
         if in_flight {
             let cut = !*whole && *status < 300;
-            verdict
-                .test(!cut, || format!("ask {ask} was cut off on {vm}, which stopped as planned"));
+            verdict.record(!cut, || {
+                format!("ask {ask} was cut off on {vm}, which stopped as planned")
+            });
         }
     }
     verdict
 }
 
-fn in_force(lines: &[Line], facts: &Facts) -> Verdict {
+fn check_configuration(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new(
         "An accepted configuration is in force everywhere within seconds and never reverts.",
     );
@@ -404,15 +407,15 @@
             Event::Adopted { vm, incarnation, revision } => {
                 let held = adopted.entry((vm, *incarnation)).or_default();
                 let before = *held;
-                verdict.test(*revision >= before, || {
+                verdict.record(*revision >= before, || {
                     format!("{vm} fell from revision {before} to {revision}")
                 });
                 *held = before.max(*revision);
             }
             Event::Started { vm, request, revision, .. } => {
-                let floor = facts.floor(line.at);
-                verdict.test(*revision >= floor, || {
-                    format!("{vm} began {request} under {revision} after {floor} was accepted")
+                let accepted = facts.accepted_before(line.at);
+                verdict.record(*revision >= accepted, || {
+                    format!("{vm} began {request} under {revision} after {accepted} was accepted")
                 });
             }
             _ => {}
@@ -421,11 +424,11 @@
     let end = lines.last().map(|line| line.at).unwrap_or_default();
     for (revision, root) in &facts.roots {
         let accepted = facts.accepted.iter().find(|(_, r)| r >= revision).map(|(at, _)| *at);
-        let took = accepted.unwrap_or(end).since(root.at);
-        if facts.fault_between(root.at, accepted.unwrap_or(end)) || took <= ACCEPT_WITHIN {
+        let elapsed = accepted.unwrap_or(end).since(root.at);
+        if facts.fault_between(root.at, accepted.unwrap_or(end)) || elapsed <= ACCEPT_TIMEOUT {
             continue;
         }
-        verdict.test(false, || format!("revision {revision} took {took} to be accepted"));
+        verdict.record(false, || format!("revision {revision} took {elapsed} to be accepted"));
     }
     verdict
 }
--- a/src/history/sink.rs
+++ b/src/history/sink.rs
@@ -15,12 +15,12 @@
 
 impl Sink {
     /// A sink that keeps what it is given.
-    pub fn keeping() -> Sink {
+    pub fn in_memory() -> Sink {
         Sink(Some(Arc::default()))
     }
 
     /// Records an event now; the event is made only if it is kept.
-    pub fn note(&self, event: impl FnOnce() -> Event) {
+    pub fn record(&self, event: impl FnOnce() -> Event) {
         if let Some(lines) = &self.0 {
             let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             let at = Date(since.as_micros() as u64);
@@ -30,8 +30,9 @@
 
     /// What was recorded, in order of time.
     pub fn lines(&self) -> Vec<Line> {
-        let kept = self.0.as_ref().map(|lines| lines.lock().expect("no panic while held").clone());
-        let mut lines = kept.unwrap_or_default();
+        let recorded =
+            self.0.as_ref().map(|lines| lines.lock().expect("no panic while held").clone());
+        let mut lines = recorded.unwrap_or_default();
         lines.sort_by_key(|line| line.at);
         lines
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,6 +1,6 @@
 //! Operators' acts on the store: reading what is in force, confirming a plan.
 
-use crate::config::{Change, Plan, Root, Snapshot, apply};
+use crate::config::{Change, Plan, Root, Snapshot, apply_plan};
 use crate::error::Error;
 use crate::platform::{Object, Store, Written};
 use crate::unit::{Date, Revision};
@@ -76,7 +76,7 @@
     if current.revision != plan.base {
         return Err(Error::Moved(since(&current, plan.base)));
     }
-    let next = apply(&current, plan, who, rand::random(), date)?;
+    let next = apply_plan(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
         if let Change::Put(piece) = change {
             // Pieces are kept under their digest: one that is there is the same.
--- a/src/peer/gossip/force.rs
+++ b/src/peer/gossip/adoption.rs
@@ -3,52 +3,52 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Gossip, Out, PERMIT};
+use super::{Gossip, Outgoing, START_LEASE};
 use crate::config::{Piece, Root, Snapshot};
-use crate::peer::wire::{Frame, Stand};
-use crate::peer::{Member, State, ranked};
+use crate::peer::wire::{ConfigStatus, Frame};
+use crate::peer::{Member, State, rendezvous_order};
 use crate::unit::{Moment, Revision, Span, Vm};
 
-/// Added to `PERMIT` by an accepter, for clocks that do not run alike.
-pub(super) const PERMIT_MARGIN: Span = Span::secs(2);
+/// Added to `START_LEASE` by an accepter, for clocks that do not run alike.
+pub(super) const START_LEASE_MARGIN: Span = Span::secs(2);
 
 /// VMs that collect adoptions and find a revision accepted.
-const ACCEPTERS: usize = 2;
+const ACCEPTER_COUNT: usize = 2;
 
 /// An adoption is told again after this until it is accepted.
-const TELL_AGAIN: Span = Span::secs(1);
+const ADOPTION_RETRY_INTERVAL: Span = Span::secs(1);
 
 /// A configuration that was asked for is not asked for again within this, though several
 /// neighbours bring the news.
-const ASK_AGAIN: Span = Span::millis(300);
+const CONFIG_RETRY_INTERVAL: Span = Span::millis(300);
 
 impl Gossip {
     /// Whether this VM may start work: it has a configuration, is known to an accepter, and had
     /// contact within the permit.
     pub fn may_start(&self, now: Moment) -> bool {
-        let contact = self.contact.is_some_and(|at| now.since(at) < PERMIT);
-        contact && self.revision() > Revision(0) && self.noted
+        let contact = self.last_contact.is_some_and(|at| now.since(at) < START_LEASE);
+        contact && self.revision() > Revision(0) && self.adoption_acked
     }
 
     /// Until when this VM may start work; a moment long past if it may not.
-    pub fn permit_until(&self, now: Moment) -> Moment {
-        match self.contact {
-            Some(at) if self.may_start(now) => at + PERMIT,
+    pub fn start_lease_until(&self, now: Moment) -> Moment {
+        match self.last_contact {
+            Some(at) if self.may_start(now) => at + START_LEASE,
             _ => Moment(0),
         }
     }
 
     /// The store answered a call that was sent at `sent` and holds no later root than ours.
-    pub fn store_contact(&mut self, sent: Moment) {
-        self.contact = self.contact.max(Some(sent));
-        self.fresh = self.fresh.max(Some(sent));
-        if self.others() == 0 {
-            self.noted = true;
+    pub fn on_store_contact(&mut self, sent: Moment) {
+        self.last_contact = self.last_contact.max(Some(sent));
+        self.store_read_at = self.store_read_at.max(Some(sent));
+        if self.other_count() == 0 {
+            self.adoption_acked = true;
         }
     }
 
     /// The platform's list of VMs as it is told now.
-    pub fn listed(&mut self, listed: &BTreeSet<Vm>) {
+    pub fn set_listed_vms(&mut self, listed: &BTreeSet<Vm>) {
         let gone = self.known.keys().filter(|vm| !listed.contains(*vm));
         self.unlisted = gone.cloned().collect();
     }
@@ -61,17 +61,17 @@
             return false;
         }
         self.snapshot = Arc::new(snapshot);
-        self.urgent = true;
+        self.probe_all = true;
         true
     }
 
     /// All work that this VM sends from now on obeys `revision`; the accepters are told.
-    pub fn obey(&mut self, revision: Revision) {
-        if revision > self.obeyed {
-            self.obeyed = revision;
-            self.told_adoption = Moment(0);
-            let life = (self.me.incarnation, revision);
-            self.adopted.insert(self.me.vm.clone(), life);
+    pub fn set_enforced_revision(&mut self, revision: Revision) {
+        if revision > self.enforced_revision {
+            self.enforced_revision = revision;
+            self.adoption_sent_at = Moment(0);
+            let adopted = (self.me.incarnation, revision);
+            self.adopted.insert(self.me.vm.clone(), adopted);
         }
     }
 
@@ -82,30 +82,32 @@
 
     pub(super) fn accepters(&self) -> Vec<Vm> {
         let present = self.present().map(|member| &member.vm);
-        ranked("accepter", present).into_iter().take(ACCEPTERS).cloned().collect()
+        rendezvous_order("accepter", present).into_iter().take(ACCEPTER_COUNT).cloned().collect()
     }
 
     /// The VMs that a pending change waits for.
-    pub fn waiting_for(&self) -> Vec<Vm> {
+    pub fn vms_pending(&self) -> Vec<Vm> {
         let revision = self.revision();
         let lacks = |member: &&Member| {
             let adopted = self.adopted.get(&member.vm);
-            !adopted.is_some_and(|(life, r)| *life == member.incarnation && *r >= revision)
+            !adopted.is_some_and(|(incarnation, r)| {
+                *incarnation == member.incarnation && *r >= revision
+            })
         };
         let lacking = self.members().filter(|member| member.state != State::Left);
         lacking.filter(lacks).map(|member| member.vm.clone()).collect()
     }
 
     /// Finds the revision accepted if everyone obeys it, is gone, or is alone and lapsed.
-    pub(super) fn accept(&mut self, now: Moment) {
+    pub(super) fn try_accept(&mut self, now: Moment) {
         let revision = self.revision();
         if self.accepted >= revision || !self.is_accepter() {
             return;
         }
-        let waiting = self.waiting_for();
+        let pending = self.vms_pending();
         let unreachable: Vec<&Vm> =
-            waiting.iter().filter(|vm| !self.unlisted.contains(*vm)).collect();
-        let lapsing = match unreachable.as_slice() {
+            pending.iter().filter(|vm| !self.unlisted.contains(*vm)).collect();
+        let is_lone_dead = match unreachable.as_slice() {
             [] => {
                 self.accepted = revision;
                 return;
@@ -114,71 +116,74 @@
             [one] => self.member(one).is_some_and(|member| member.state == State::Dead),
             _ => false,
         };
-        if !lapsing {
-            self.complete_since = None;
+        if !is_lone_dead {
+            self.lone_dead_since = None;
             return;
         }
-        match self.complete_since {
+        match self.lone_dead_since {
             Some((of, since)) if of == revision => {
-                if now.since(since) >= Span(PERMIT.0 + PERMIT_MARGIN.0) {
+                if now.since(since) >= Span(START_LEASE.0 + START_LEASE_MARGIN.0) {
                     self.accepted = revision;
                 }
             }
-            _ => self.complete_since = Some((revision, now)),
+            _ => self.lone_dead_since = Some((revision, now)),
         }
     }
 
-    pub(super) fn tell_adoption(&mut self, now: Moment, out: &mut Vec<Out>) {
-        let pending = self.accepted < self.revision() || !self.noted;
-        let due = now.since(self.told_adoption) >= TELL_AGAIN || self.told_adoption == Moment(0);
+    pub(super) fn send_adoption(&mut self, now: Moment, out: &mut Vec<Outgoing>) {
+        let pending = self.accepted < self.revision() || !self.adoption_acked;
+        let due = now.since(self.adoption_sent_at) >= ADOPTION_RETRY_INTERVAL
+            || self.adoption_sent_at == Moment(0);
         if !pending || !due || self.revision() == Revision(0) {
             return;
         }
-        self.told_adoption = now.max(Moment(1));
+        self.adoption_sent_at = now.max(Moment(1));
         let accepters = self.accepters();
-        if accepters.contains(&self.me.vm) && self.others() > 0 && self.contact.is_some() {
-            self.noted = true;
+        if accepters.contains(&self.me.vm) && self.other_count() > 0 && self.last_contact.is_some()
+        {
+            self.adoption_acked = true;
         }
         for vm in accepters.iter().filter(|vm| **vm != self.me.vm) {
             if let Some(member) = self.member(vm).cloned() {
                 let frame = Frame::Adopted {
-                    obeyed: self.obeyed,
+                    enforced_revision: self.enforced_revision,
                     me: self.me.clone(),
-                    stand: self.stand(now),
+                    status: self.status(now),
                 };
                 out.push((member, frame));
             }
         }
     }
 
-    pub(super) fn raise(&mut self, stand: Stand) {
-        if stand.accepted > self.accepted && stand.accepted <= self.revision() {
-            self.accepted = stand.accepted;
+    pub(super) fn merge_accepted(&mut self, status: ConfigStatus) {
+        if status.accepted > self.accepted && status.accepted <= self.revision() {
+            self.accepted = status.accepted;
         }
     }
 
     /// Asks a VM for a later configuration.
-    pub(super) fn catch_up(
+    pub(super) fn request_config(
         &mut self,
         from: &Member,
-        stand: Stand,
+        status: ConfigStatus,
         now: Moment,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Outgoing>,
     ) {
-        let asked = self.asked.0 >= stand.revision && now.since(self.asked.1) < ASK_AGAIN;
-        if stand.revision > self.revision() && !asked {
-            self.asked = (stand.revision, now);
-            out.push((from.clone(), self.want()));
+        let asked = self.last_request.0 >= status.revision
+            && now.since(self.last_request.1) < CONFIG_RETRY_INTERVAL;
+        if status.revision > self.revision() && !asked {
+            self.last_request = (status.revision, now);
+            out.push((from.clone(), self.config_request()));
         }
     }
 
     /// A question for the configuration.
-    pub fn want(&self) -> Frame {
+    pub fn config_request(&self) -> Frame {
         let pieces = self.snapshot.pieces.keys().cloned().collect();
-        Frame::Want { have: self.revision(), pieces }
+        Frame::ConfigRequest { have: self.revision(), pieces }
     }
 
-    pub(super) fn hand(&self, to: &Vm, have: Revision, pieces: &[String]) -> Vec<Out> {
+    pub(super) fn config_reply(&self, to: &Vm, have: Revision, pieces: &[String]) -> Vec<Outgoing> {
         let Some(member) = self.member(to) else {
             return Vec::new();
         };
@@ -192,7 +197,7 @@
         vec![(member.clone(), Frame::Config { root, pieces })]
     }
 
-    pub(super) fn take_config(&mut self, root: &[u8], pieces: Vec<Piece>) {
+    pub(super) fn on_config(&mut self, root: &[u8], pieces: Vec<Piece>) {
         let Ok(root) = serde_json::from_slice::<Root>(root) else {
             return;
         };
--- a/src/peer/gossip/mod.rs
+++ b/src/peer/gossip/mod.rs
@@ -3,13 +3,13 @@
 //! It is driven by `tick` and `receive`, which return frames to send; the present time is an
 //! argument. The server drives it over QUIC, the experiments over queues in virtual time.
 
-mod force;
+mod adoption;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 use super::ring::neighbours;
-use super::wire::{Frame, News, Seen, Stand};
+use super::wire::{ConfigStatus, Cursor, Delta, Frame};
 use super::{Member, State};
 use crate::chart;
 use crate::config::Snapshot;
@@ -17,31 +17,31 @@
 use crate::unit::{Incarnation, Moment, Revision, Span, Vm};
 
 /// A VM that had no contact with any other VM or the store for this long stops starting work.
-pub const PERMIT: Span = Span::secs(8);
+pub const START_LEASE: Span = Span::secs(8);
 
 /// Time between two probes that a VM sends at rest.
-const PROBE_EVERY: Span = Span::secs(1);
+const PROBE_INTERVAL: Span = Span::secs(1);
 
 /// An answer to a probe is missed after this.
-const ACK_WITHIN: Span = Span::millis(700);
+const ACK_TIMEOUT: Span = Span::millis(700);
 
 /// Misses in a row that make a suspect.
-const MISSES: u32 = 3;
+const MISSES_TO_SUSPECT: u32 = 3;
 
 /// A suspect that refutes nothing for this long is dead.
-const SUSPECT_FOR: Span = Span::secs(4);
+const SUSPECT_TIMEOUT: Span = Span::secs(4);
 
 /// Rows of the dead and departed are kept this long, so that old news does not revive them.
-const BURIED_FOR: Span = Span::secs(600);
+const TOMBSTONE_TTL: Span = Span::secs(600);
 
 /// Member rows in one frame.
-const ROWS: usize = 64;
+const MAX_DELTA_MEMBERS: usize = 64;
 
 /// Evidence cells in one frame.
-const CELLS: usize = 256;
+const MAX_DELTA_EVIDENCE: usize = 256;
 
 /// A frame and whom it is for.
-pub type Out = (Member, Frame);
+pub type Outgoing = (Member, Frame);
 
 /// A VM known by address only, from the settings.
 pub type Seed = std::net::SocketAddr;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     member: Member,
-    changed: u64,
+    change: u64,
     since: Moment,
 }
 
@@ -64,28 +64,28 @@
 pub struct Gossip {
     me: Member,
     known: BTreeMap<Vm, Known>,
-    counter: u64,
+    last_change: u64,
     /// How far each VM has merged this one's news, and this one theirs.
-    told: HashMap<Vm, Seen>,
-    heard: HashMap<Vm, Seen>,
+    acked: HashMap<Vm, Cursor>,
+    merged: HashMap<Vm, Cursor>,
     probes: HashMap<Vm, Probe>,
     number: u64,
-    turn: usize,
-    near: (u64, Vec<Vm>),
-    asked: (Revision, Moment),
+    next_neighbour: usize,
+    ring_cache: (u64, Vec<Vm>),
+    last_request: (Revision, Moment),
     last_probe: Moment,
-    urgent: bool,
+    probe_all: bool,
     /// The configuration in force here.
     pub snapshot: Arc<Snapshot>,
     accepted: Revision,
-    obeyed: Revision,
-    fresh: Option<Moment>,
-    contact: Option<Moment>,
+    enforced_revision: Revision,
+    store_read_at: Option<Moment>,
+    last_contact: Option<Moment>,
     adopted: BTreeMap<Vm, (Incarnation, Revision)>,
     unlisted: BTreeSet<Vm>,
-    complete_since: Option<(Revision, Moment)>,
-    told_adoption: Moment,
-    noted: bool,
+    lone_dead_since: Option<(Revision, Moment)>,
+    adoption_sent_at: Moment,
+    adoption_acked: bool,
     /// The evidence that VMs exchange.
     pub evidence: Table,
 }
@@ -93,30 +93,30 @@
 impl Gossip {
     /// A VM that knows itself only.
     pub fn new(me: Member, now: Moment) -> Gossip {
-        let known = Known { member: me.clone(), changed: 1, since: now };
+        let known = Known { member: me.clone(), change: 1, since: now };
         Gossip {
             known: BTreeMap::from([(me.vm.clone(), known)]),
             me,
-            counter: 1,
-            told: HashMap::new(),
-            heard: HashMap::new(),
+            last_change: 1,
+            acked: HashMap::new(),
+            merged: HashMap::new(),
             probes: HashMap::new(),
             number: 0,
-            turn: 0,
-            near: (0, Vec::new()),
-            asked: (Revision(0), Moment(0)),
+            next_neighbour: 0,
+            ring_cache: (0, Vec::new()),
+            last_request: (Revision(0), Moment(0)),
             last_probe: Moment(0),
-            urgent: true,
+            probe_all: true,
             snapshot: Arc::default(),
             accepted: Revision(0),
-            obeyed: Revision(0),
-            fresh: None,
-            contact: None,
+            enforced_revision: Revision(0),
+            store_read_at: None,
+            last_contact: None,
             adopted: BTreeMap::new(),
             unlisted: BTreeSet::new(),
-            complete_since: None,
-            told_adoption: Moment(0),
-            noted: false,
+            lone_dead_since: None,
+            adoption_sent_at: Moment(0),
+            adoption_acked: false,
             evidence: Table::default(),
         }
     }
@@ -143,7 +143,7 @@
 
     /// The VMs that may be working, this one too.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|member| member.state.present())
+        self.members().filter(|member| member.state.is_present())
     }
 
     /// The row of a VM.
@@ -157,80 +157,84 @@
     }
 
     /// How old the knowledge of the store is.
-    pub fn age(&self, now: Moment) -> Option<Span> {
-        self.fresh.map(|fresh| now.since(fresh))
+    pub fn store_age(&self, now: Moment) -> Option<Span> {
+        self.store_read_at.map(|fresh| now.since(fresh))
     }
 
-    fn others(&self) -> usize {
+    fn other_count(&self) -> usize {
         self.present().filter(|member| member.vm != self.me.vm).count()
     }
 
     /// Takes rows that are known beforehand, as after a join that is long past.
-    pub fn introduce(&mut self, rows: impl IntoIterator<Item = Member>, now: Moment) {
+    pub fn add_members(&mut self, rows: impl IntoIterator<Item = Member>, now: Moment) {
         for row in rows {
-            self.hear(row, now);
+            self.merge_member(row, now);
         }
     }
 
     /// Advances to `now`: probes, suspicions, tellings.
-    pub fn tick(&mut self, now: Moment) -> Vec<Out> {
+    pub fn tick(&mut self, now: Moment) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.expire(now);
-        self.accept(now);
-        let near = self.neighbours();
-        self.miss(now, &near, &mut out);
-        let urgent = std::mem::take(&mut self.urgent);
-        if urgent {
-            for member in &near {
+        self.try_accept(now);
+        let neighbours = self.neighbours();
+        self.check_probes(now, &neighbours, &mut out);
+        let probe_all = std::mem::take(&mut self.probe_all);
+        if probe_all {
+            for member in &neighbours {
                 out.push(self.probe(member.clone(), now));
             }
-        } else if now.since(self.last_probe) >= PROBE_EVERY && !near.is_empty() {
-            self.turn = (self.turn + 1) % near.len();
-            out.push(self.probe(near[self.turn].clone(), now));
+        } else if now.since(self.last_probe) >= PROBE_INTERVAL && !neighbours.is_empty() {
+            self.next_neighbour = (self.next_neighbour + 1) % neighbours.len();
+            out.push(self.probe(neighbours[self.next_neighbour].clone(), now));
         }
-        self.tell_adoption(now, &mut out);
+        self.send_adoption(now, &mut out);
         out
     }
 
     /// A first probe to an address whose VM is not known yet.
-    pub fn greet(&mut self) -> Frame {
+    pub fn join_probe(&mut self) -> Frame {
         self.number += 1;
         Frame::Probe {
             number: self.number,
             me: self.me.clone(),
-            stand: Stand { revision: self.revision(), accepted: self.accepted, age: None },
-            news: News::default(),
-            seen: Seen::default(),
+            status: ConfigStatus { revision: self.revision(), accepted: self.accepted, age: None },
+            delta: Delta::default(),
+            cursor: Cursor::default(),
         }
     }
 
     /// This VM leaves on purpose: everyone whom it may tell is told.
-    pub fn leave(&mut self, now: Moment) -> Vec<Out> {
+    pub fn leave(&mut self, now: Moment) -> Vec<Outgoing> {
         self.me.state = State::Left;
-        self.note(self.me.clone(), now);
-        let near = self.neighbours_of_row();
-        near.into_iter().map(|member| self.probe(member, now)).collect()
+        self.upsert(self.me.clone(), now);
+        let neighbours = self.leave_recipients();
+        neighbours.into_iter().map(|member| self.probe(member, now)).collect()
     }
 
-    fn neighbours_of_row(&self) -> Vec<Member> {
+    fn leave_recipients(&self) -> Vec<Member> {
         let present = self.present().filter(|member| member.vm != self.me.vm);
         present.take(8).cloned().collect()
     }
 
     fn neighbours(&mut self) -> Vec<Member> {
         // The ring changes only with the rows, and is asked for at each tick.
-        if self.near.0 != self.counter {
+        if self.ring_cache.0 != self.last_change {
             let all: Vec<Vm> = self.present().map(|member| member.vm.clone()).collect();
-            self.near = (self.counter, neighbours(&self.me.vm, &all));
+            self.ring_cache = (self.last_change, neighbours(&self.me.vm, &all));
         }
-        self.near.1.iter().filter_map(|vm| self.member(vm).cloned()).collect()
+        self.ring_cache.1.iter().filter_map(|vm| self.member(vm).cloned()).collect()
     }
 
-    fn stand(&self, now: Moment) -> Stand {
-        Stand { revision: self.revision(), accepted: self.accepted, age: self.age(now) }
+    fn status(&self, now: Moment) -> ConfigStatus {
+        ConfigStatus {
+            revision: self.revision(),
+            accepted: self.accepted,
+            age: self.store_age(now),
+        }
     }
 
-    fn probe(&mut self, to: Member, now: Moment) -> Out {
+    fn probe(&mut self, to: Member, now: Moment) -> Outgoing {
         self.number += 1;
         self.last_probe = now;
         let probe =
@@ -243,27 +247,28 @@
         let frame = Frame::Probe {
             number: self.number,
             me: self.me.clone(),
-            stand: self.stand(now),
-            news: self.news(&to.vm),
-            seen: self.heard.get(&to.vm).copied().unwrap_or_default(),
+            status: self.status(now),
+            delta: self.delta(&to.vm),
+            cursor: self.merged.get(&to.vm).copied().unwrap_or_default(),
         };
         (to, frame)
     }
 
-    fn news(&self, to: &Vm) -> News {
-        let told = self.told.get(to).copied().unwrap_or_default();
+    fn delta(&self, to: &Vm) -> Delta {
+        let acked = self.acked.get(to).copied().unwrap_or_default();
         let mut rows: Vec<&Known> =
-            self.known.values().filter(|known| known.changed > told.members).collect();
-        rows.sort_by_key(|known| known.changed);
-        let members_upto = match rows.get(ROWS) {
-            Some(next) => next.changed - 1,
-            None => self.counter,
+            self.known.values().filter(|known| known.change > acked.members).collect();
+        rows.sort_by_key(|known| known.change);
+        let members_upto = match rows.get(MAX_DELTA_MEMBERS) {
+            Some(next) => next.change - 1,
+            None => self.last_change,
         };
         // Its own row is news to a VM only if others think ill of it.
-        let tells = |known: &&Known| known.member.vm != *to || known.member.state != State::Alive;
-        let rows = rows.into_iter().take(ROWS).filter(tells);
-        let (evidence, evidence_upto) = self.evidence.delta(to, told.evidence, CELLS);
-        News {
+        let is_useful =
+            |known: &&Known| known.member.vm != *to || known.member.state != State::Alive;
+        let rows = rows.into_iter().take(MAX_DELTA_MEMBERS).filter(is_useful);
+        let (evidence, evidence_upto) = self.evidence.delta(to, acked.evidence, MAX_DELTA_EVIDENCE);
+        Delta {
             members: rows.map(|known| known.member.clone()).collect(),
             members_upto,
             evidence,
@@ -271,40 +276,43 @@
         }
     }
 
-    fn note(&mut self, row: Member, now: Moment) {
+    fn upsert(&mut self, row: Member, now: Moment) {
         let vm = row.vm.clone();
         if let Some(known) = self.known.get(&vm)
-            && !row.beats(&known.member)
+            && !row.supersedes(&known.member)
         {
             return;
         }
-        self.counter += 1;
+        self.last_change += 1;
         if row.state != State::Alive || !self.known.contains_key(&vm) {
-            self.urgent = true;
+            self.probe_all = true;
         }
         if self.known.get(&vm).is_some_and(|known| known.member.incarnation != row.incarnation) {
-            self.told.remove(&vm);
-            self.heard.remove(&vm);
+            self.acked.remove(&vm);
+            self.merged.remove(&vm);
             self.probes.remove(&vm);
         }
-        self.known.insert(vm, Known { member: row, changed: self.counter, since: now });
+        self.known.insert(vm, Known { member: row, change: self.last_change, since: now });
     }
 
     /// Takes a row; one that speaks ill of this VM is refuted.
-    fn hear(&mut self, row: Member, now: Moment) {
+    fn merge_member(&mut self, row: Member, now: Moment) {
         if row.vm != self.me.vm {
-            self.note(row, now);
+            self.upsert(row, now);
             return;
         }
-        let ill = row.state != State::Alive && self.me.state == State::Alive;
-        if ill && row.incarnation == self.me.incarnation && row.beat >= self.me.beat {
-            self.me.beat = row.beat + 1;
-            self.note(self.me.clone(), now);
-            self.urgent = true;
+        let is_accused = row.state != State::Alive && self.me.state == State::Alive;
+        if is_accused
+            && row.incarnation == self.me.incarnation
+            && row.refutations >= self.me.refutations
+        {
+            self.me.refutations = row.refutations + 1;
+            self.upsert(self.me.clone(), now);
+            self.probe_all = true;
         }
     }
 
-    fn change(&mut self, vm: &Vm, event: &str, now: Moment) {
+    fn apply_event(&mut self, vm: &Vm, event: &str, now: Moment) {
         let Some(known) = self.known.get(vm) else {
             return;
         };
@@ -317,29 +325,29 @@
         };
         if next != known.member.state {
             let row = Member { state: next, ..known.member.clone() };
-            self.note(row, now);
+            self.upsert(row, now);
         }
     }
 
-    fn miss(&mut self, now: Moment, near: &[Member], out: &mut Vec<Out>) {
+    fn check_probes(&mut self, now: Moment, neighbours: &[Member], out: &mut Vec<Outgoing>) {
         let late: Vec<Vm> = self
             .probes
             .iter()
-            .filter(|(_, probe)| probe.number > 0 && now.since(probe.sent) >= ACK_WITHIN)
+            .filter(|(_, probe)| probe.number > 0 && now.since(probe.sent) >= ACK_TIMEOUT)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in late {
-            let is_near = near.iter().find(|member| member.vm == vm).cloned();
+            let neighbour = neighbours.iter().find(|member| member.vm == vm).cloned();
             let Some(probe) = self.probes.get_mut(&vm) else {
                 continue;
             };
             probe.missed += 1;
             probe.number = 0;
-            if probe.missed >= MISSES {
+            if probe.missed >= MISSES_TO_SUSPECT {
                 probe.missed = 0;
-                self.change(&vm, "miss", now);
+                self.apply_event(&vm, "miss", now);
             }
-            if let Some(member) = is_near {
+            if let Some(member) = neighbour {
                 out.push(self.probe(member, now));
             }
         }
@@ -347,110 +355,118 @@
 
     fn expire(&mut self, now: Moment) {
         let mut dead = Vec::new();
-        let mut buried = Vec::new();
+        let mut expired = Vec::new();
         for (vm, known) in &self.known {
             let time = now.since(known.since);
             match known.member.state {
-                State::Suspect if time >= SUSPECT_FOR => dead.push(vm.clone()),
-                State::Dead | State::Left if time >= BURIED_FOR && *vm != self.me.vm => {
-                    buried.push(vm.clone());
+                State::Suspect if time >= SUSPECT_TIMEOUT => dead.push(vm.clone()),
+                State::Dead | State::Left if time >= TOMBSTONE_TTL && *vm != self.me.vm => {
+                    expired.push(vm.clone());
                 }
                 _ => {}
             }
         }
         for vm in dead {
-            self.change(&vm, "expire", now);
+            self.apply_event(&vm, "expire", now);
         }
-        for vm in buried {
+        for vm in expired {
             self.known.remove(&vm);
-            self.told.remove(&vm);
-            self.heard.remove(&vm);
+            self.acked.remove(&vm);
+            self.merged.remove(&vm);
             self.probes.remove(&vm);
             self.adopted.remove(&vm);
         }
     }
 
     /// Takes a frame from `from` and returns the answers.
-    pub fn receive(&mut self, from: &Vm, frame: Frame, now: Moment) -> Vec<Out> {
+    pub fn receive(&mut self, from: &Vm, frame: Frame, now: Moment) -> Vec<Outgoing> {
         match frame {
-            Frame::Probe { number, me, stand, news, seen } => {
-                self.told_of(from, seen);
-                self.take(from, me.clone(), stand, news, now);
+            Frame::Probe { number, me, status, delta, cursor } => {
+                self.on_cursor(from, cursor);
+                self.on_peer_state(from, me.clone(), status, delta, now);
                 let ack = Frame::Ack {
                     number,
                     me: self.me.clone(),
-                    stand: self.stand(now),
-                    news: self.news(from),
-                    seen: self.heard.get(from).copied().unwrap_or_default(),
+                    status: self.status(now),
+                    delta: self.delta(from),
+                    cursor: self.merged.get(from).copied().unwrap_or_default(),
                 };
                 let mut out = vec![(me.clone(), ack)];
-                self.catch_up(&me, stand, now, &mut out);
+                self.request_config(&me, status, now, &mut out);
                 out
             }
-            Frame::Ack { number, me, stand, news, seen } => {
-                self.told_of(from, seen);
-                self.acked(from, number, stand, now);
-                self.take(from, me.clone(), stand, news, now);
+            Frame::Ack { number, me, status, delta, cursor } => {
+                self.on_cursor(from, cursor);
+                self.on_ack(from, number, status, now);
+                self.on_peer_state(from, me.clone(), status, delta, now);
                 let mut out = Vec::new();
-                self.catch_up(&me, stand, now, &mut out);
+                self.request_config(&me, status, now, &mut out);
                 out
             }
-            Frame::Want { have, pieces } => self.hand(from, have, &pieces),
+            Frame::ConfigRequest { have, pieces } => self.config_reply(from, have, &pieces),
             Frame::Config { root, pieces } => {
-                self.take_config(&root, pieces);
+                self.on_config(&root, pieces);
                 Vec::new()
             }
-            Frame::Adopted { me, stand, obeyed } => {
-                self.adopted.insert(from.clone(), (me.incarnation, obeyed));
-                self.hear(me.clone(), now);
-                self.accept(now);
-                let noted = Frame::Noted { revision: stand.revision, stand: self.stand(now) };
-                let mut out = vec![(me.clone(), noted)];
-                self.catch_up(&me, stand, now, &mut out);
+            Frame::Adopted { me, status, enforced_revision } => {
+                self.adopted.insert(from.clone(), (me.incarnation, enforced_revision));
+                self.merge_member(me.clone(), now);
+                self.try_accept(now);
+                let ack =
+                    Frame::AdoptionAck { revision: status.revision, status: self.status(now) };
+                let mut out = vec![(me.clone(), ack)];
+                self.request_config(&me, status, now, &mut out);
                 out
             }
-            Frame::Noted { revision, stand } => {
+            Frame::AdoptionAck { revision, status } => {
                 // Only a word about the present revision proves that an accepter waits for us.
-                if revision == self.revision() && stand.revision <= revision {
-                    self.noted = true;
+                if revision == self.revision() && status.revision <= revision {
+                    self.adoption_acked = true;
                 }
-                self.raise(stand);
+                self.merge_accepted(status);
                 let mut out = Vec::new();
                 if let Some(member) = self.member(from).cloned() {
-                    self.catch_up(&member, stand, now, &mut out);
+                    self.request_config(&member, status, now, &mut out);
                 }
                 out
             }
         }
     }
 
-    fn take(&mut self, from: &Vm, me: Member, stand: Stand, news: News, now: Moment) {
-        let life = me.incarnation;
-        self.hear(me, now);
-        for row in news.members {
-            self.hear(row, now);
+    fn on_peer_state(
+        &mut self,
+        from: &Vm,
+        me: Member,
+        status: ConfigStatus,
+        delta: Delta,
+        now: Moment,
+    ) {
+        let incarnation = me.incarnation;
+        self.merge_member(me, now);
+        for row in delta.members {
+            self.merge_member(row, now);
         }
-        self.evidence.merge(from, news.evidence);
-        let heard = self.heard.entry(from.clone()).or_default();
-        if heard.of != life {
-            *heard = Seen { of: life, ..Seen::default() };
+        self.evidence.merge(from, delta.evidence);
+        let merged = self.merged.entry(from.clone()).or_default();
+        if merged.incarnation != incarnation {
+            *merged = Cursor { incarnation, ..Cursor::default() };
         }
-        heard.members = heard.members.max(news.members_upto);
-        heard.evidence = heard.evidence.max(news.evidence_upto);
-        self.raise(stand);
+        merged.members = merged.members.max(delta.members_upto);
+        merged.evidence = merged.evidence.max(delta.evidence_upto);
+        self.merge_accepted(status);
     }
 
     /// Notes how far a VM has merged this life's news; another life's places mean nothing.
-    fn told_of(&mut self, from: &Vm, seen: Seen) {
-        if seen.of != self.me.incarnation {
+    fn on_cursor(&mut self, from: &Vm, cursor: Cursor) {
+        if cursor.incarnation != self.me.incarnation {
             return;
         }
-        let told = self.told.entry(from.clone()).or_default();
-        told.members = told.members.max(seen.members);
-        told.evidence = told.evidence.max(seen.evidence);
+        let acked = self.acked.entry(from.clone()).or_default();
+        acked.members = acked.members.max(cursor.members);
+        acked.evidence = acked.evidence.max(cursor.evidence);
     }
 
-    fn acked(&mut self, from: &Vm, number: u64, stand: Stand, now: Moment) {
+    fn on_ack(&mut self, from: &Vm, number: u64, status: ConfigStatus, now: Moment) {
         let Some(probe) = self.probes.get_mut(from) else {
             return;
         };
@@ -458,25 +474,25 @@
             // The answer proves contact as of when the probe was sent, and no later.
             // Contact with a VM that is ahead renews nothing until its revision is obeyed here:
             // that revision may have been accepted while this VM counted as lapsed.
-            if stand.revision <= self.snapshot.revision() {
-                self.contact = self.contact.max(Some(probe.sent));
+            if status.revision <= self.snapshot.revision() {
+                self.last_contact = self.last_contact.max(Some(probe.sent));
             }
             // A VM at the same revision that was as of the store then makes this one as of it too.
-            if stand.revision == self.snapshot.revision()
-                && let Some(age) = stand.age
+            if status.revision == self.snapshot.revision()
+                && let Some(age) = status.age
             {
-                self.fresh = self.fresh.max(Some(probe.sent - age));
+                self.store_read_at = self.store_read_at.max(Some(probe.sent - age));
             }
             probe.number = 0;
             probe.missed = 0;
-            self.change(from, "answer", now);
+            self.apply_event(from, "answer", now);
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use super::force::PERMIT_MARGIN;
+    use super::adoption::START_LEASE_MARGIN;
     use super::*;
     use crate::config::Root;
     use quickcheck::quickcheck;
@@ -487,7 +503,7 @@
             address: "127.0.0.1:9".parse().unwrap(),
             data_centre: "dc1".parse().unwrap(),
             incarnation: Incarnation(1),
-            beat: 0,
+            refutations: 0,
             state: State::Alive,
         }
     }
@@ -517,22 +533,22 @@
         let mut gossip = Gossip::new(member("a"), Moment(0));
         gossip.adopt(at(1));
         assert!(!gossip.may_start(Moment(0)));
-        gossip.store_contact(Moment(1_000_000));
+        gossip.on_store_contact(Moment(1_000_000));
         assert!(gossip.may_start(Moment(2_000_000)));
-        assert!(!gossip.may_start(Moment(1_000_000) + PERMIT));
+        assert!(!gossip.may_start(Moment(1_000_000) + START_LEASE));
     }
 
     #[test]
     fn contact_with_a_vm_that_is_ahead_renews_no_permit() {
         let (mut a, mut b) =
             (Gossip::new(member("a"), Moment(0)), Gossip::new(member("b"), Moment(0)));
-        a.introduce([member("b")], Moment(0));
-        b.introduce([member("a")], Moment(0));
+        a.add_members([member("b")], Moment(0));
+        b.add_members([member("a")], Moment(0));
         a.adopt(at(1));
-        a.noted = true;
-        a.store_contact(Moment(1));
+        a.adoption_acked = true;
+        a.on_store_contact(Moment(1));
         b.adopt(at(2));
-        let woken = Moment(1) + PERMIT + Span::secs(1);
+        let woken = Moment(1) + START_LEASE + Span::secs(1);
         let (_, probe) = a.probe(member("b"), woken);
         let answers = b.receive(&member("a").vm, probe, woken);
         a.receive(&member("b").vm, answers[0].1.clone(), woken);
@@ -548,30 +564,30 @@
     fn knowledge_of_the_store_passes_on_with_its_age() {
         let (mut a, mut b) =
             (Gossip::new(member("a"), Moment(0)), Gossip::new(member("b"), Moment(0)));
-        a.introduce([member("b")], Moment(0));
-        b.introduce([member("a")], Moment(0));
+        a.add_members([member("b")], Moment(0));
+        b.add_members([member("a")], Moment(0));
         a.adopt(at(1));
         b.adopt(at(1));
-        b.store_contact(Moment(5_000_000));
+        b.on_store_contact(Moment(5_000_000));
         let asked = Moment(7_000_000);
         let probes = a.tick(asked);
         let frame = probes.into_iter().map(|(_, frame)| frame);
         let probe = frame.into_iter().find(|frame| matches!(frame, Frame::Probe { .. })).unwrap();
         let answers = b.receive(&member("a").vm, probe, asked);
         a.receive(&member("b").vm, answers[0].1.clone(), Moment(7_000_100));
-        assert_eq!(a.age(asked), Some(Span::secs(2)));
+        assert_eq!(a.store_age(asked), Some(Span::secs(2)));
     }
 
     #[test]
     fn news_that_was_merged_is_not_told_again_to_a_vm_that_is_never_probed() {
         let mut told = Gossip::new(member("a"), Moment(0));
-        told.introduce([member("b"), member("c"), member("d")], Moment(0));
+        told.add_members([member("b"), member("c"), member("d")], Moment(0));
         let mut asks = Gossip::new(member("b"), Moment(0));
         let rows = |asks: &mut Gossip, told: &mut Gossip, now: u64| {
             let (_, probe) = asks.probe(member("a"), Moment(now));
             let answers = told.receive(&member("b").vm, probe, Moment(now));
-            let Frame::Ack { news, .. } = &answers[0].1 else { panic!("a probe is answered") };
-            let rows = news.members.len();
+            let Frame::Ack { delta, .. } = &answers[0].1 else { panic!("a probe is answered") };
+            let rows = delta.members.len();
             asks.receive(&member("a").vm, answers[0].1.clone(), Moment(now));
             rows
         };
@@ -583,24 +599,24 @@
     fn a_suspicion_is_refuted_by_its_subject() {
         let mut gossip = Gossip::new(member("a"), Moment(0));
         let row = Member { state: State::Suspect, ..member("a") };
-        gossip.hear(row, Moment(1));
+        gossip.merge_member(row, Moment(1));
         assert_eq!(gossip.me().state, State::Alive);
-        assert_eq!(gossip.me().beat, 1);
+        assert_eq!(gossip.me().refutations, 1);
     }
 
     #[test]
     fn a_change_waits_for_everyone_and_for_a_lapsed_one_alone() {
         let mut gossip = Gossip::new(member("a"), Moment(0));
-        gossip.hear(member("b"), Moment(0));
+        gossip.merge_member(member("b"), Moment(0));
         gossip.adopt(at(1));
-        gossip.obey(Revision(1));
+        gossip.set_enforced_revision(Revision(1));
         gossip.tick(Moment(1));
-        assert_eq!(gossip.waiting_for().len(), 1);
+        assert_eq!(gossip.vms_pending().len(), 1);
         assert_eq!(gossip.accepted(), Revision(0));
-        gossip.note(Member { state: State::Dead, ..member("b") }, Moment(2));
+        gossip.upsert(Member { state: State::Dead, ..member("b") }, Moment(2));
         gossip.tick(Moment(3));
         assert_eq!(gossip.accepted(), Revision(0));
-        gossip.tick(Moment(3) + PERMIT + PERMIT_MARGIN);
+        gossip.tick(Moment(3) + START_LEASE + START_LEASE_MARGIN);
         assert_eq!(gossip.accepted(), Revision(1));
     }
 
@@ -608,14 +624,14 @@
     fn two_lost_vms_may_renew_each_other_and_are_waited_for() {
         let mut gossip = Gossip::new(member("a"), Moment(0));
         for name in ["b", "c"] {
-            gossip.note(Member { state: State::Dead, ..member(name) }, Moment(0));
+            gossip.upsert(Member { state: State::Dead, ..member(name) }, Moment(0));
         }
         gossip.adopt(at(1));
-        gossip.obey(Revision(1));
+        gossip.set_enforced_revision(Revision(1));
         gossip.tick(Moment(1));
         gossip.tick(Moment(500_000_000));
         assert_eq!(gossip.accepted(), Revision(0));
-        gossip.listed(&BTreeSet::from(["a".parse().unwrap()]));
+        gossip.set_listed_vms(&BTreeSet::from(["a".parse().unwrap()]));
         gossip.tick(Moment(500_000_001));
         assert_eq!(gossip.accepted(), Revision(1));
     }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -22,19 +22,19 @@
 use crate::unit::Size;
 
 /// The name that every VM's certificate bears.
-const NAME: &str = "vm.kitepulley";
+const SERVER_NAME: &str = "vm.kitepulley";
 
 /// Largest message.
-const LARGEST: Size = Size(8_000_000);
+const MAX_MESSAGE_SIZE: Size = Size(8_000_000);
 
 /// A link without traffic is closed after this; neighbours probe more often.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Bytes of a connection's id.
-const ID_BYTES: usize = 8;
+const CONNECTION_ID_BYTES: usize = 8;
 
 /// A call that takes longer is given up.
-const CALL_WITHIN: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// What arrives on a link.
 pub enum Incoming {
@@ -49,7 +49,7 @@
 struct ResetKey([u8; 32]);
 
 impl ResetKey {
-    fn of(fleet_key: &[u8]) -> ResetKey {
+    fn from_fleet_key(fleet_key: &[u8]) -> ResetKey {
         let seed = Sha256::new().chain_update(b"kitepulley resets ").chain_update(fleet_key);
         ResetKey(seed.finalize().into())
     }
@@ -78,11 +78,11 @@
 
 impl ConnectionIdGenerator for RandomIds {
     fn generate_cid(&mut self) -> ConnectionId {
-        ConnectionId::new(&rand::random::<[u8; ID_BYTES]>())
+        ConnectionId::new(&rand::random::<[u8; CONNECTION_ID_BYTES]>())
     }
 
     fn cid_len(&self) -> usize {
-        ID_BYTES
+        CONNECTION_ID_BYTES
     }
 
     fn cid_lifetime(&self) -> Option<Duration> {
@@ -95,8 +95,8 @@
 pub struct Links {
     endpoint: Endpoint,
     open: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
-    cut: Arc<Mutex<HashSet<SocketAddr>>>,
-    bytes: Arc<std::sync::atomic::AtomicU64>,
+    blocked: Arc<Mutex<HashSet<SocketAddr>>>,
+    bytes_sent: Arc<std::sync::atomic::AtomicU64>,
 }
 
 /// Keys and certificates that follow from the fleet's key alone.
@@ -107,9 +107,9 @@
 }
 
 impl Identity {
-    fn of(fleet_key: &[u8]) -> Result<Identity, Box<dyn std::error::Error>> {
+    fn from_fleet_key(fleet_key: &[u8]) -> Result<Identity, Box<dyn std::error::Error>> {
         let seed = Sha256::new().chain_update(b"kitepulley fleet ").chain_update(fleet_key);
-        let root_key = KeyPair::try_from(ed25519(&seed.finalize().into()).as_slice())?;
+        let root_key = KeyPair::try_from(ed25519_pkcs8(&seed.finalize().into()).as_slice())?;
         let mut params = CertificateParams::default();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.distinguished_name.push(DnType::CommonName, "kitepulley fleet");
@@ -118,7 +118,8 @@
         let root = params.self_signed(&root_key)?;
         let issuer = Issuer::new(params, root_key);
         let key = KeyPair::generate_for(&rcgen::PKCS_ED25519)?;
-        let leaf = CertificateParams::new(vec![NAME.to_owned()])?.signed_by(&key, &issuer)?;
+        let leaf =
+            CertificateParams::new(vec![SERVER_NAME.to_owned()])?.signed_by(&key, &issuer)?;
         Ok(Identity {
             root: root.der().clone(),
             chain: vec![leaf.der().clone()],
@@ -128,15 +129,17 @@
 }
 
 /// A private Ed25519 key of that seed, as RFC 8410 encodes it.
-fn ed25519(seed: &[u8; 32]) -> Vec<u8> {
-    const HEAD: [u8; 16] = [
+fn ed25519_pkcs8(seed: &[u8; 32]) -> Vec<u8> {
+    const PKCS8_PREFIX: [u8; 16] = [
         0x30, 0x2e, 0x02, 0x01, 0, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x04, 0x22, 0x04, 0x20,
     ];
-    [HEAD.as_slice(), seed].concat()
+    [PKCS8_PREFIX.as_slice(), seed].concat()
 }
 
-fn configs(fleet_key: &[u8]) -> Result<(ServerConfig, ClientConfig), Box<dyn std::error::Error>> {
-    let identity = Identity::of(fleet_key)?;
+fn tls_configs(
+    fleet_key: &[u8],
+) -> Result<(ServerConfig, ClientConfig), Box<dyn std::error::Error>> {
+    let identity = Identity::from_fleet_key(fleet_key)?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut roots = RootCertStore::empty();
     roots.add(identity.root)?;
@@ -153,7 +156,7 @@
         .with_root_certificates(roots)
         .with_client_auth_cert(identity.chain, key())?;
     let mut transport = TransportConfig::default();
-    transport.max_idle_timeout(Some(IDLE.try_into()?));
+    transport.max_idle_timeout(Some(IDLE_TIMEOUT.try_into()?));
     let transport = Arc::new(transport);
     let mut server = ServerConfig::with_crypto(Arc::new(QuicServerConfig::try_from(server)?));
     server.transport_config(transport.clone());
@@ -163,18 +166,18 @@
 }
 
 impl Links {
-    /// Binds `address`; whatever arrives goes to `to`. Must run where the process's reactor is.
+    /// Binds `address`; whatever arrives goes to `inbox`. Must run where the process's reactor is.
     ///
     /// # Errors
     /// If the address cannot be bound.
     pub fn bind(
         address: SocketAddr,
         fleet_key: &[u8],
-        to: tokio::sync::mpsc::UnboundedSender<Incoming>,
+        inbox: tokio::sync::mpsc::UnboundedSender<Incoming>,
     ) -> Result<Links, Error> {
         let fault = |cause: String| Error::Bind(address.to_string(), cause);
-        let (server, client) = configs(fleet_key).map_err(|e| fault(e.to_string()))?;
-        let reset_key = ResetKey::of(fleet_key);
+        let (server, client) = tls_configs(fleet_key).map_err(|e| fault(e.to_string()))?;
+        let reset_key = ResetKey::from_fleet_key(fleet_key);
         let mut config = EndpointConfig::new(Arc::new(reset_key));
         config.cid_generator(|| Box::new(RandomIds));
         let runtime = quinn::default_runtime().ok_or_else(|| fault("no runtime".to_owned()))?;
@@ -182,9 +185,13 @@
         let endpoint = Endpoint::new(config, Some(server), socket, runtime);
         let mut endpoint = endpoint.map_err(|e| fault(e.to_string()))?;
         endpoint.set_default_client_config(client);
-        let links =
-            Links { endpoint, open: Arc::default(), cut: Arc::default(), bytes: Arc::default() };
-        actix_web::rt::spawn(links.clone().accept(to));
+        let links = Links {
+            endpoint,
+            open: Arc::default(),
+            blocked: Arc::default(),
+            bytes_sent: Arc::default(),
+        };
+        actix_web::rt::spawn(links.clone().accept(inbox));
         Ok(links)
     }
 
@@ -194,13 +201,13 @@
     }
 
     /// Bytes of messages sent so far, without the transport's own.
-    pub fn sent(&self) -> u64 {
-        self.bytes.load(std::sync::atomic::Ordering::Relaxed)
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent.load(std::sync::atomic::Ordering::Relaxed)
     }
 
     /// Cuts or mends the way to these addresses, for tests of faults.
-    pub fn cut(&self, addresses: HashSet<SocketAddr>) {
-        *self.cut.lock().expect("no panic while held") = addresses;
+    pub fn set_blocked(&self, addresses: HashSet<SocketAddr>) {
+        *self.blocked.lock().expect("no panic while held") = addresses;
     }
 
     /// Closes everything at once.
@@ -208,77 +215,77 @@
         self.endpoint.close(0u32.into(), b"");
     }
 
-    async fn accept(self, to: tokio::sync::mpsc::UnboundedSender<Incoming>) {
+    async fn accept(self, inbox: tokio::sync::mpsc::UnboundedSender<Incoming>) {
         while let Some(incoming) = self.endpoint.accept().await {
-            let to = to.clone();
+            let inbox = inbox.clone();
             actix_web::rt::spawn(async move {
                 if let Ok(connection) = incoming.await {
-                    serve(connection, to).await;
+                    serve(connection, inbox).await;
                 }
             });
         }
     }
 
     async fn connection(&self, to: SocketAddr) -> Option<Connection> {
-        if self.cut.lock().expect("no panic while held").contains(&to) {
+        if self.blocked.lock().expect("no panic while held").contains(&to) {
             return None;
         }
         let held = self.open.lock().expect("no panic while held").get(&to).cloned();
         if let Some(held) = held.filter(|held| held.close_reason().is_none()) {
             return Some(held);
         }
-        let connection = self.endpoint.connect(to, NAME).ok()?.await.ok()?;
+        let connection = self.endpoint.connect(to, SERVER_NAME).ok()?.await.ok()?;
         self.open.lock().expect("no panic while held").insert(to, connection.clone());
         Some(connection)
     }
 
-    fn count(&self, bytes: &[u8]) {
-        self.bytes.fetch_add(bytes.len() as u64, std::sync::atomic::Ordering::Relaxed);
+    fn count_sent(&self, bytes: &[u8]) {
+        self.bytes_sent.fetch_add(bytes.len() as u64, std::sync::atomic::Ordering::Relaxed);
     }
 
     /// Sends a one-way message; a lost one is the sender's to repeat.
     pub async fn send(&self, to: SocketAddr, bytes: Vec<u8>) {
         let send = async {
             let mut stream = self.connection(to).await?.open_uni().await.ok()?;
-            self.count(&bytes);
+            self.count_sent(&bytes);
             stream.write_all(&bytes).await.ok()?;
             stream.finish().ok()
         };
-        let _ = tokio::time::timeout(CALL_WITHIN, send).await;
+        let _ = tokio::time::timeout(CALL_TIMEOUT, send).await;
     }
 
     /// Sends a call and waits for its answer; nothing if none came in time.
     pub async fn call(&self, to: SocketAddr, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let call = async {
             let (mut send, mut receive) = self.connection(to).await?.open_bi().await.ok()?;
-            self.count(&bytes);
+            self.count_sent(&bytes);
             send.write_all(&bytes).await.ok()?;
             send.finish().ok()?;
-            receive.read_to_end(LARGEST.0 as usize).await.ok()
+            receive.read_to_end(MAX_MESSAGE_SIZE.0 as usize).await.ok()
         };
-        tokio::time::timeout(CALL_WITHIN, call).await.ok().flatten()
+        tokio::time::timeout(CALL_TIMEOUT, call).await.ok().flatten()
     }
 }
 
-async fn serve(connection: Connection, to: tokio::sync::mpsc::UnboundedSender<Incoming>) {
+async fn serve(connection: Connection, inbox: tokio::sync::mpsc::UnboundedSender<Incoming>) {
     loop {
         tokio::select! {
             stream = connection.accept_uni() => {
                 let Ok(mut stream) = stream else { return };
-                let to = to.clone();
+                let inbox = inbox.clone();
                 actix_web::rt::spawn(async move {
-                    if let Ok(bytes) = stream.read_to_end(LARGEST.0 as usize).await {
-                        let _ = to.send(Incoming::Frame(bytes));
+                    if let Ok(bytes) = stream.read_to_end(MAX_MESSAGE_SIZE.0 as usize).await {
+                        let _ = inbox.send(Incoming::Frame(bytes));
                     }
                 });
             }
             streams = connection.accept_bi() => {
                 let Ok((mut send, mut receive)) = streams else { return };
-                let to = to.clone();
+                let inbox = inbox.clone();
                 actix_web::rt::spawn(async move {
-                    let Ok(bytes) = receive.read_to_end(LARGEST.0 as usize).await else { return };
+                    let Ok(bytes) = receive.read_to_end(MAX_MESSAGE_SIZE.0 as usize).await else { return };
                     let (sender, answer) = tokio::sync::oneshot::channel();
-                    let _ = to.send(Incoming::Call(bytes, sender));
+                    let _ = inbox.send(Incoming::Call(bytes, sender));
                     if let Ok(bytes) = answer.await {
                         let _ = send.write_all(&bytes).await;
                         let _ = send.finish();
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether a VM in this state may still work.
-    pub fn present(self) -> bool {
+    pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
@@ -48,15 +48,15 @@
     /// Its life; a replaced VM has a later one.
     pub incarnation: Incarnation,
     /// Raised by the VM itself to refute a suspicion.
-    pub beat: u32,
+    pub refutations: u32,
     /// How it is seen.
     pub state: State,
 }
 
 impl Member {
     /// Whether this row replaces `other` of the same VM.
-    pub fn beats(&self, other: &Member) -> bool {
-        let order = |m: &Member| (m.incarnation, m.beat, m.state);
+    pub fn supersedes(&self, other: &Member) -> bool {
+        let order = |m: &Member| (m.incarnation, m.refutations, m.state);
         order(self) > order(other)
     }
 }
@@ -66,14 +66,14 @@
     use super::*;
     use quickcheck::quickcheck;
 
-    fn member(incarnation: u8, beat: u8, state: u8) -> Member {
+    fn member(incarnation: u8, refutations: u8, state: u8) -> Member {
         let states = [State::Alive, State::Suspect, State::Dead, State::Left];
         Member {
             vm: "a".parse().unwrap(),
             address: "127.0.0.1:1".parse().unwrap(),
             data_centre: "d".parse().unwrap(),
             incarnation: Incarnation(u64::from(incarnation % 3)),
-            beat: u32::from(beat % 3),
+            refutations: u32::from(refutations % 3),
             state: states[usize::from(state % 4)],
         }
     }
@@ -81,7 +81,7 @@
     fn fold(rows: &[Member]) -> Member {
         let mut rows = rows.iter();
         let first = rows.next().unwrap().clone();
-        rows.fold(first, |held, row| if row.beats(&held) { row.clone() } else { held })
+        rows.fold(first, |held, row| if row.supersedes(&held) { row.clone() } else { held })
     }
 
     quickcheck! {
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -6,7 +6,7 @@
 mod ring;
 pub mod wire;
 
-pub use gossip::{Gossip, Out, PERMIT, Seed};
+pub use gossip::{Gossip, Outgoing, START_LEASE, Seed};
 pub use link::{Incoming, Links};
 pub use member::{Member, State};
-pub use ring::{neighbours, ranked};
+pub use ring::{neighbours, rendezvous_order};
--- a/src/peer/ring.rs
+++ b/src/peer/ring.rs
@@ -4,7 +4,7 @@
 
 use crate::unit::Vm;
 
-fn point(vm: &Vm, salt: &str) -> u64 {
+fn hash(vm: &Vm, salt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     salt.hash(&mut hasher);
     vm.hash(&mut hasher);
@@ -16,7 +16,7 @@
 /// So each VM has about log2 of the VMs' number as neighbours, is watched by as many, and news
 /// passes everyone in about as many hops.
 pub fn neighbours(me: &Vm, all: &[Vm]) -> Vec<Vm> {
-    let mut ring: Vec<(u64, &Vm)> = all.iter().map(|vm| (point(vm, "ring"), vm)).collect();
+    let mut ring: Vec<(u64, &Vm)> = all.iter().map(|vm| (hash(vm, "ring"), vm)).collect();
     ring.sort();
     let Some(at) = ring.iter().position(|(_, vm)| *vm == me) else {
         return Vec::new();
@@ -31,8 +31,8 @@
 }
 
 /// The VMs in order of their claim to `duty`; everyone who knows the same VMs agrees.
-pub fn ranked<'a>(duty: &str, all: impl Iterator<Item = &'a Vm>) -> Vec<&'a Vm> {
-    let mut ranked: Vec<(u64, &Vm)> = all.map(|vm| (point(vm, duty), vm)).collect();
+pub fn rendezvous_order<'a>(duty: &str, all: impl Iterator<Item = &'a Vm>) -> Vec<&'a Vm> {
+    let mut ranked: Vec<(u64, &Vm)> = all.map(|vm| (hash(vm, duty), vm)).collect();
     ranked.sort();
     ranked.into_iter().map(|(_, vm)| vm).collect()
 }
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -12,7 +12,7 @@
 
 /// What every frame says about the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stand {
+pub struct ConfigStatus {
     /// The sender's revision.
     pub revision: Revision,
     /// The highest revision that the sender knows to be in force everywhere.
@@ -23,7 +23,7 @@
 
 /// News for one neighbour: rows that it may not have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Delta {
     /// Rows of members.
     pub members: Vec<Member>,
     /// The sender's place in its sequence of member changes.
@@ -36,9 +36,9 @@
 
 /// How far a VM has merged the news of another's life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Cursor {
     /// The life.
-    pub of: Incarnation,
+    pub incarnation: Incarnation,
     /// Its place in its sequence of member changes.
     pub members: u64,
     /// Its place in its sequence of evidence changes.
@@ -55,11 +55,11 @@
         /// The sender's own row.
         me: Member,
         /// Its stand.
-        stand: Stand,
+        status: ConfigStatus,
         /// News.
-        news: News,
+        delta: Delta,
         /// What the sender has merged of the receiver's news.
-        seen: Seen,
+        cursor: Cursor,
     },
     /// Answers a probe.
     Ack {
@@ -68,14 +68,14 @@
         /// The sender's own row.
         me: Member,
         /// Its stand.
-        stand: Stand,
+        status: ConfigStatus,
         /// News.
-        news: News,
+        delta: Delta,
         /// What the sender has merged of the prober's news.
-        seen: Seen,
+        cursor: Cursor,
     },
     /// Asks for the configuration, if the receiver's is later.
-    Want {
+    ConfigRequest {
         /// The sender's revision.
         have: Revision,
         /// Digests of the pieces that the sender has.
@@ -93,16 +93,16 @@
         /// The sender's own row, so that a new VM is known before it works.
         me: Member,
         /// Its stand.
-        stand: Stand,
+        status: ConfigStatus,
         /// All work that it sends from now on obeys this revision.
-        obeyed: Revision,
+        enforced_revision: Revision,
     },
     /// An accepter has noted an `Adopted`.
-    Noted {
+    AdoptionAck {
         /// The revision noted.
         revision: Revision,
         /// The accepter's stand.
-        stand: Stand,
+        status: ConfigStatus,
     },
 }
 
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Keep copies of bills.
-    Bills {
+    CopyBills {
         /// The VM that made them.
         origin: Vm,
         /// Its life.
@@ -125,7 +125,7 @@
     /// Note how a claimed call ended.
     Settle(Settled),
     /// Ask the holder of a key that is set aside.
-    Use {
+    UseReserved {
         /// The key.
         key: Digest,
         /// The request that would run.
@@ -152,7 +152,7 @@
     /// The answer to a claim.
     Claim(Answer),
     /// The word of a key's holder; nothing if it is not set aside there.
-    Use(Option<Word>),
+    UseReserved(Option<Word>),
     /// Text: an explanation, or JSON.
     Text(Option<String>),
 }
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::config::{Holder, Limits, Part, Pool, Regions, Repeat, Route, Table};
+use crate::config::{KeyHolder, Limits, Pool, Regions, RetryPolicy, Route, Table, WeightedService};
 use crate::decide::cold_start::ColdStart;
 use crate::forward::replica::{Phase, Replica, Rollout};
 use crate::unit::{
@@ -184,9 +184,9 @@
     let known = Limits::default();
     let entry = &config.limits;
     let limits = Limits {
-        body: entry.max_body_bytes.unwrap_or(known.body),
-        head_within: entry.header_timeout_ms.map_or(known.head_within, millis),
-        idle: entry.idle_timeout_ms.map_or(known.idle, millis),
+        max_body_bytes: entry.max_body_bytes.unwrap_or(known.max_body_bytes),
+        header_timeout: entry.header_timeout_ms.map_or(known.header_timeout, millis),
+        idle_timeout: entry.idle_timeout_ms.map_or(known.idle_timeout, millis),
     };
     let mut table = Table::new(Revision(config.version), limits, config.tenants.is_some());
     for entry in config.routes {
@@ -194,14 +194,14 @@
         table.add_route(&host, route(entry)?);
     }
     for entry in config.services {
-        let connections = entry.max_connections.unwrap_or(CONNECTIONS);
-        let cold = cold(&entry);
-        table.add_pool(entry.name, Pool { connections, cold });
+        let max_connections = entry.max_connections.unwrap_or(CONNECTIONS);
+        let cold_start = cold(&entry);
+        table.add_pool(entry.name, Pool { max_connections, cold_start });
     }
     for tenant in config.tenants.into_iter().flatten() {
         let priority = tenant.priority.unwrap_or(PRIORITY);
-        let regions = Regions::only(tenant.allowed_regions.unwrap_or_default());
-        let holder = Rc::new(Holder { workspace: tenant.name, priority, regions });
+        let regions = Regions::new(tenant.allowed_regions.unwrap_or_default());
+        let holder = Rc::new(KeyHolder { workspace: tenant.name, priority, regions });
         for key in &tenant.api_keys {
             table.add_key(key, holder.clone());
         }
@@ -217,30 +217,32 @@
 }
 
 fn route(entry: RouteEntry) -> Result<Route, String> {
-    let streams = entry.r#type == "streaming";
-    let repeat = match entry.r#type.as_str() {
-        "idempotent" => Repeat::Safe,
-        "streaming" if entry.stream_resume => Repeat::Resume,
-        _ => Repeat::Never,
+    let streaming = entry.r#type == "streaming";
+    let retry = match entry.r#type.as_str() {
+        "idempotent" => RetryPolicy::Safe,
+        "streaming" if entry.stream_resume => RetryPolicy::Resume,
+        _ => RetryPolicy::Never,
     };
-    let whole = entry.service.map(|service| vec![Part { service, weight: WEIGHT }]);
+    let whole = entry.service.map(|service| vec![WeightedService { service, weight: WEIGHT }]);
     let split = entry.backends.map(|parts| {
-        let part = |b: Backend| Part { service: b.service, weight: b.weight.unwrap_or(WEIGHT) };
+        let part =
+            |b: Backend| WeightedService { service: b.service, weight: b.weight.unwrap_or(WEIGHT) };
         parts.into_iter().map(part).collect()
     });
-    let parts = split.or(whole).ok_or_else(|| format!("route `{}` has no service", entry.name))?;
+    let services =
+        split.or(whole).ok_or_else(|| format!("route `{}` has no service", entry.name))?;
     Ok(Route {
         name: entry.name,
         prefix: entry.path_prefix,
-        parts,
-        repeat,
-        streams,
+        services,
+        retry,
+        streaming,
         timeout: millis(entry.timeout_ms.unwrap_or(TIMEOUT_MS)),
-        goal: millis(entry.latency_goal_ms.unwrap_or(GOAL_MS)),
-        attempts: entry.max_attempts.unwrap_or(ATTEMPTS).max(1),
+        latency_goal: millis(entry.latency_goal_ms.unwrap_or(GOAL_MS)),
+        max_attempts: entry.max_attempts.unwrap_or(ATTEMPTS).max(1),
         priority: entry.priority.unwrap_or(PRIORITY),
         public: entry.public,
-        regions: Regions::only(entry.allowed_regions.unwrap_or_default()),
+        regions: Regions::new(entry.allowed_regions.unwrap_or_default()),
         cascade: entry.sizes.unwrap_or_default(),
     })
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -126,7 +126,7 @@
         let mut state = self.lock();
         if switches.leaving && !state.switches.leaving {
             let server = state.traits.name.clone();
-            self.history.note(|| Event::Leaving { server });
+            self.history.record(|| Event::Leaving { server });
         }
         state.switches = switches;
     }
@@ -185,7 +185,7 @@
         drop(state);
         let text = draft(&work.prompt, &work.target, quality, work.max_tokens).tokens.concat();
         // What an engine took counts as run, though it may still wait for a slot.
-        self.history.note(|| Event::Ran {
+        self.history.record(|| Event::Ran {
             server,
             request: work.request.clone(),
             workspace: work.workspace.clone(),
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -500,7 +500,7 @@
     ) -> Value {
         state.write(kind, name, change);
         if (kind, name) == ROOT {
-            self.history.note(|| confirmed(state));
+            self.history.record(|| confirmed(state));
         }
         state.get(kind, name).map(|object| object.shown(name)).unwrap_or_default()
     }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -85,7 +85,7 @@
     let ids = text(header::REQUEST).and_then(|id| id.parse().ok());
     let workspace = text(header::WORKSPACE).and_then(|name| name.parse().ok());
     if let (Some(id), Some(workspace)) = (ids, workspace) {
-        service.history.note(|| Event::Served {
+        service.history.record(|| Event::Served {
             server: service.name.clone(),
             request: id,
             workspace,
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -94,7 +94,7 @@
 
 async fn copy(control: &Control, to: &Member, entries: &[Entry]) -> bool {
     let flushed = control.book.borrow().flushed();
-    let call = Call::Bills {
+    let call = Call::CopyBills {
         origin: control.vm.settings.vm.clone(),
         incarnation: control.vm.incarnation,
         entries: entries.to_vec(),
@@ -143,7 +143,7 @@
         }
         told = near.into_iter().map(|member| member.vm).collect();
         let book = control.book.borrow();
-        control.vm.metrics.peer_bytes.set(control.links.sent() as i64);
+        control.vm.metrics.peer_bytes.set(control.links.bytes_sent() as i64);
         control.vm.metrics.bills_held.set(book.held() as i64);
         control.vm.bill_room.store(book.has_room(), std::sync::atomic::Ordering::Relaxed);
     }
@@ -159,7 +159,7 @@
             let gone = control.gossip(|g| match g.member(&origin.vm) {
                 Some(member) => {
                     let long = g.time_in_state(&origin.vm, now).is_some_and(|t| t >= GONE_FOR);
-                    member.incarnation > origin.incarnation || (!member.state.present() && long)
+                    member.incarnation > origin.incarnation || (!member.state.is_present() && long)
                 }
                 None => true,
             });
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -69,11 +69,11 @@
     }
     let mut others = control.others();
     others.retain(|member| holder.as_ref().is_none_or(|holder| member.vm == *holder));
-    let call = Call::Use { key, user, body };
+    let call = Call::UseReserved { key, user, body };
     let asks = others.iter().map(|member| control.call(member.address, call.clone()));
     let words = futures_util::future::join_all(asks).await;
     words.into_iter().find_map(|reply| match reply {
-        Some(Reply::Use(word)) => word,
+        Some(Reply::UseReserved(word)) => word,
         _ => None,
     })
 }
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -16,7 +16,7 @@
 use crate::ledger::Book;
 use crate::once::Owner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
-use crate::peer::{Incoming, Links, Member, ranked};
+use crate::peer::{Incoming, Links, Member, rendezvous_order};
 use crate::platform::{Ratings, Store};
 use crate::unit::{Revision, Vm};
 
@@ -81,13 +81,13 @@
     pub fn follow(&self) {
         let now = self.vm.clock.now();
         let (snapshot, permit, accepted) =
-            self.gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
+            self.gossip(|g| (g.snapshot.clone(), g.start_lease_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
             self.vm.metrics.accept(accepted);
-            self.vm.history.note(|| Event::Accepted { revision: accepted });
+            self.vm.history.record(|| Event::Accepted { revision: accepted });
         }
         let obeyed = self.vm.obeyed();
-        self.gossip(|g| g.obey(obeyed));
+        self.gossip(|g| g.set_enforced_revision(obeyed));
         if snapshot.revision() <= self.vm.config().revision() {
             self.vm.set_permit(permit);
             return;
@@ -107,7 +107,7 @@
             self.vm.settings.vm,
             self.vm.incarnation
         );
-        self.vm.history.note(|| Event::Adopted {
+        self.vm.history.record(|| Event::Adopted {
             vm: self.vm.settings.vm.clone(),
             incarnation: self.vm.incarnation.0,
             revision,
@@ -160,7 +160,7 @@
 
     async fn answer(&self, call: Call) -> Reply {
         match call {
-            Call::Bills { origin, incarnation, entries, flushed } => {
+            Call::CopyBills { origin, incarnation, entries, flushed } => {
                 let origin = Origin { vm: origin, incarnation };
                 self.book.borrow_mut().copy(origin, entries, flushed);
                 Reply::Done
@@ -174,9 +174,9 @@
                 self.owner.settle(settled);
                 Reply::Done
             }
-            Call::Use { key, user, body } => {
+            Call::UseReserved { key, user, body } => {
                 let mut reserved = self.vm.reserved.lock().expect("no panic while held");
-                Reply::Use(reserved.ask(key, &user, body, self.vm.clock.now()))
+                Reply::UseReserved(reserved.ask(key, &user, body, self.vm.clock.now()))
             }
             Call::Explain { request } => {
                 let traces = self.vm.traces.lock().expect("no panic while held");
@@ -252,7 +252,7 @@
 
     /// Members in the order of their claim to a duty.
     pub fn in_order(duty: &str, members: &[Member]) -> Vec<Member> {
-        let order = ranked(duty, members.iter().map(|member| &member.vm));
+        let order = rendezvous_order(duty, members.iter().map(|member| &member.vm));
         let find = |vm: &Vm| members.iter().find(|member| member.vm == *vm).cloned();
         order.into_iter().filter_map(find).collect()
     }
@@ -265,7 +265,7 @@
 
     /// Asks a few VMs and the store for a revision that a token names.
     async fn catch_up(&self, revision: Revision) {
-        let want = self.gossip(|g| g.want());
+        let want = self.gossip(|g| g.config_request());
         for member in self.others() {
             self.send(member.address, want.clone());
         }
@@ -284,7 +284,7 @@
             if self.others().is_empty() {
                 for seed in self.vm.settings.seeds.clone() {
                     if seed != self.vm.settings.peer {
-                        let frame = self.gossip(|g| g.greet());
+                        let frame = self.gossip(|g| g.join_probe());
                         self.send(seed, frame);
                     }
                 }
@@ -321,9 +321,9 @@
     match frame {
         Frame::Probe { .. } => "probe",
         Frame::Ack { .. } => "ack",
-        Frame::Want { .. } => "want",
+        Frame::ConfigRequest { .. } => "want",
         Frame::Config { .. } => "config",
         Frame::Adopted { .. } => "adopted",
-        Frame::Noted { .. } => "noted",
+        Frame::AdoptionAck { .. } => "noted",
     }
 }
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -11,7 +11,7 @@
 use crate::decide::rollout::Arm;
 use crate::decide::sequential::Count;
 use crate::evidence::Counts;
-use crate::peer::ranked;
+use crate::peer::rendezvous_order;
 use crate::unit::Model;
 
 pub use learn::learn;
@@ -31,7 +31,7 @@
     let duty = format!("rollout/{model}");
     control.vm.may_start(now)
         && control.gossip(|g| {
-            let order = ranked(&duty, g.present().map(|member| &member.vm));
+            let order = rendezvous_order(&duty, g.present().map(|member| &member.vm));
             order.first().is_some_and(|first| *first == me)
         })
 }
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -13,7 +13,7 @@
 };
 use crate::engine::check::{self, Found};
 use crate::peer::wire::Call;
-use crate::peer::{Member, ranked};
+use crate::peer::{Member, rendezvous_order};
 use crate::unit::{Date, Digest, Server, Span};
 
 /// Up to this number each VM tells each other what it sees of a content.
@@ -102,7 +102,7 @@
 fn gatherers(control: &Control, others: Vec<Member>, content: Digest) -> Vec<Member> {
     let me = &control.vm.settings.vm;
     let names = others.iter().map(|member| &member.vm).chain([me]);
-    let order = ranked(&format!("content/{content}"), names);
+    let order = rendezvous_order(&format!("content/{content}"), names);
     let chosen: Vec<_> = order.into_iter().take(GATHERERS).cloned().collect();
     others.into_iter().filter(|member| chosen.contains(&member.vm)).collect()
 }
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -66,7 +66,7 @@
         address: links.address().unwrap_or(settings.peer),
         data_centre: settings.data_centre.clone(),
         incarnation: Incarnation(clock.date().0),
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
     };
     let (errands, asked) = mpsc::unbounded_channel();
@@ -131,7 +131,7 @@
     /// Returns the requests that were still running when the time was up.
     pub async fn stop(self) -> usize {
         let vm = &self.vm;
-        vm.history.note(|| Event::Stopping { vm: vm.settings.vm.clone() });
+        vm.history.record(|| Event::Stopping { vm: vm.settings.vm.clone() });
         log::info!("{} {} stops as planned", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
@@ -147,7 +147,7 @@
 
     /// Ends at once, as a crash would: nothing is handed over.
     pub fn kill(self) {
-        self.vm.history.note(|| Event::Killed { vm: self.vm.settings.vm.clone() });
+        self.vm.history.record(|| Event::Killed { vm: self.vm.settings.vm.clone() });
         self.vm.set_permit(Moment(0));
         drop(self.server.stop(false));
         self.control.links.close();
--- a/src/vm/spread.rs
+++ b/src/vm/spread.rs
@@ -7,7 +7,7 @@
 use super::control::Control;
 use crate::config::{Piece, Root, Snapshot};
 use crate::error::Error;
-use crate::peer::ranked;
+use crate::peer::rendezvous_order;
 use crate::unit::Span;
 
 /// Watchers in each data centre.
@@ -44,7 +44,7 @@
     let mut read = listed;
     loop {
         let now = control.vm.clock.now();
-        let stale = control.gossip(|g| g.age(now)).is_none_or(|age| age >= STALE);
+        let stale = control.gossip(|g| g.store_age(now)).is_none_or(|age| age >= STALE);
         if !is_watcher(&control) && !stale {
             tokio::time::sleep(PAUSE).await;
             continue;
@@ -66,13 +66,13 @@
             Ok(Some(object)) => {
                 if take(&control, &object.body).await.is_ok() {
                     known = Some(object.position);
-                    control.gossip(|g| g.store_contact(sent));
+                    control.gossip(|g| g.on_store_contact(sent));
                 } else {
                     tokio::time::sleep(PAUSE).await;
                 }
             }
             Ok(None) => {
-                control.gossip(|g| g.store_contact(sent));
+                control.gossip(|g| g.on_store_contact(sent));
                 if known.is_none() {
                     tokio::time::sleep(PAUSE).await;
                 }
@@ -92,7 +92,7 @@
     let duty = format!("watch/{home}");
     control.gossip(|g| {
         let near = g.present().filter(|member| member.data_centre == *home);
-        let order = ranked(&duty, near.map(|member| &member.vm));
+        let order = rendezvous_order(&duty, near.map(|member| &member.vm));
         order.iter().take(WATCHERS).any(|vm| **vm == control.vm.settings.vm)
     })
 }
@@ -102,7 +102,7 @@
         && !list.is_empty()
     {
         let names: BTreeSet<_> = list.into_iter().map(|listed| listed.vm).collect();
-        control.gossip(|g| g.listed(&names));
+        control.gossip(|g| g.set_listed_vms(&names));
     }
 }
 
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,6 +1,6 @@
 //! Tests of the decisions that `forward` takes: budgets, outcomes, roll-outs, placement, events.
 
-use kitepulley::config::Repeat;
+use kitepulley::config::RetryPolicy;
 use kitepulley::decide::availability::{Availability, Unavailable};
 use kitepulley::decide::backlog::Backlog;
 use kitepulley::decide::budget::RetryBudget;
@@ -39,7 +39,7 @@
                 | AttemptOutcome::Late
                 | AttemptOutcome::Good
         );
-        let goes_on = outcome::next(end, Repeat::Never) == Next::Retry;
+        let goes_on = outcome::next(end, RetryPolicy::Never) == Next::Retry;
         assert!(!(may_have_run && goes_on), "{end:?}");
     }
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -18,7 +18,7 @@
 
 use actix_http::RequestHead;
 use bytes::Bytes;
-use kitepulley::config::{Regions, Repeat, Route};
+use kitepulley::config::{Regions, RetryPolicy, Route};
 use kitepulley::forward::job::{Job, Record};
 use kitepulley::forward::{Bounds, Settings, Vm as Inner};
 use kitepulley::history::Sink;
@@ -471,12 +471,12 @@
     let route = Route {
         name: "safe".into(),
         prefix: "/safe/".into(),
-        parts: Vec::new(),
-        repeat: Repeat::Safe,
-        streams: false,
+        services: Vec::new(),
+        retry: RetryPolicy::Safe,
+        streaming: false,
         timeout: Span::secs(3),
-        goal: Span::millis(200),
-        attempts: 3,
+        latency_goal: Span::millis(200),
+        max_attempts: 3,
         priority: 1,
         public: true,
         regions: Regions::default(),
