--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -8,6 +8,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+use super::caller::{self, Balancer, Progress};
+use super::fault::Fault;
+use super::world::intend;
+use super::{Shape, World, work};
 use crate::command::block;
 use crate::error::Error;
 use crate::history::{Event, Report, judge};
@@ -18,10 +22,6 @@
 use crate::unit::{Span, Target, Vm};
 use crate::vm::ROOT_KEY;
 use crate::watch::{ObjectiveCounts, burn_table};
-use super::caller::{self, Balancer, Progress};
-use super::fault::Fault;
-use super::world::intend;
-use super::{work, Shape, World};
 
 /// How long a fault that ends by itself lasts.
 const LASTS: Duration = Duration::from_millis(1500);
@@ -224,7 +224,7 @@
     }
 
     fn note(&self, name: &str, began: bool) {
-        self.world.history.note(|| Event::Fault { name: name.to_owned(), began });
+        self.world.history.record(|| Event::Fault { name: name.to_owned(), began });
     }
 
     fn any_vm(&mut self) -> Vm {
@@ -353,7 +353,7 @@
         let store = Store::new(self.world.platform_at);
         let bills = block(ledger::read_all(&store)).unwrap_or_default();
         for bill in &bills {
-            self.world.history.note(|| Event::Billed {
+            self.world.history.record(|| Event::Billed {
                 request: bill.request.clone(),
                 workspace: bill.workspace.clone(),
                 cost: bill.cost().0,
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::decide::retry::Failure;
-use crate::engine::client::{Frames, AttemptError, EngineClient};
+use crate::engine::client::{AttemptError, EngineClient, Frames};
 use crate::engine::wire::{Cancel, End, Generate, NotRun, Reason};
 use crate::history::Event;
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
@@ -62,7 +62,7 @@
             AttemptError { failure: Failure::NotRun, not_run: None, reason: words },
         ));
     };
-    vm.history.note(|| Event::Started {
+    vm.history.record(|| Event::Started {
         vm: vm.settings.vm.clone(),
         request: work.request.clone(),
         revision,
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -9,6 +9,7 @@
 use actix_web::web::Data;
 use tokio::sync::mpsc;
 
+use super::refusal::{Kind as Refused, Refusal};
 use crate::chart::{self, Machine};
 use crate::config::{Snapshot, WorkspaceEntry};
 use crate::decide::cascade::{BINS, Rule, bin};
@@ -17,7 +18,6 @@
 use crate::ledger::{Part, Reason};
 use crate::unit::{Digest, Kind, Moment, RequestId, Target};
 use crate::vm::{Vm, poison};
-use super::refusal::{Kind as Refused, Refusal};
 
 /// What the drive tells the door.
 pub enum Output {
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -317,7 +317,7 @@
     begins_session: bool,
 ) -> Result<Route, Refusal> {
     if let Some(cascade) = snapshot.cascade(workspace, name) {
-        let choose = |model| snapshot.choose(workspace, model, point, begins_session);
+        let choose = |model| snapshot.select_version(workspace, model, point, begins_session);
         let rungs: Vec<Target> = cascade.rungs.iter().filter_map(choose).collect();
         return match rungs.as_slice() {
             [] => Err(Refusal::new(Refused::NotAllowed)),
@@ -337,7 +337,7 @@
     if snapshot.model(&model).is_none() {
         return Err(Refusal::new(Refused::UnknownModel));
     }
-    let chosen = snapshot.choose(workspace, &model, point, begins_session);
+    let chosen = snapshot.select_version(workspace, &model, point, begins_session);
     chosen.map(Route::Model).ok_or_else(|| Refusal::new(Refused::NotAllowed))
 }
 
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -278,9 +278,9 @@
 /// A call with this key holds it; whether it can still end depends on its VM.
 fn refuse_held_key(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
-    let is_alive = gossip
-        .member(&holder.vm)
-        .is_some_and(|member| member.incarnation == holder.incarnation && member.state.present());
+    let is_alive = gossip.member(&holder.vm).is_some_and(|member| {
+        member.incarnation == holder.incarnation && member.state.is_present()
+    });
     Refusal::new(if is_alive { Refused::KeyRunning } else { Refused::InDoubt })
 }
 
@@ -349,7 +349,7 @@
             return Err(Refusal::new(Refused::NoServer));
         };
         attempts += 1;
-        vm.history.note(|| Event::Started {
+        vm.history.record(|| Event::Started {
             vm: vm.settings.vm.clone(),
             request: call.request.clone(),
             revision: snapshot.revision(),
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -10,12 +10,6 @@
 use actix_web::rt::spawn;
 use tokio::sync::mpsc;
 
-use crate::decide::reader::Rank;
-use crate::decide::server_limit;
-use crate::peer::wire::{decode, encode};
-use crate::peer::{Incoming, Links, neighbours};
-use crate::platform::client::Client;
-use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 use super::announce::{self, LimitReport};
 use super::kind::VMS;
 use super::message::Envelope;
@@ -23,6 +17,12 @@
 use super::trial::Source;
 use super::vm::Vm;
 use super::{membership, pinned, poison, poll};
+use crate::decide::reader::Rank;
+use crate::decide::server_limit;
+use crate::peer::wire::{decode, encode};
+use crate::peer::{Incoming, Links, neighbours};
+use crate::platform::client::Client;
+use crate::unit::{DataCentre, Digest, Moment, Rate, Server, Span, Vm as Name, hash};
 
 pub use super::message::{Message, PeerInfo};
 
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -6,19 +6,6 @@
 
 use tokio::sync::Notify;
 
-use crate::config::Table;
-use crate::decide::budget::RetryBudget;
-use crate::decide::limit;
-use crate::decide::poison::Exchange;
-use crate::decide::prefill::PrefillEstimator;
-use crate::decide::pressure::Pressure;
-use crate::decide::reader::Rank;
-use crate::platform::client::{Client, StoreError};
-use crate::platform::object::Object;
-use crate::unit::{Era, Model, Moment, Position, Service, Span};
-use crate::vm::Clock;
-use crate::watch::label::LabelSet;
-use crate::watch::log::{Logger, Value};
 use super::era::Tracker;
 use super::feed::{Feed, Origin, Reachability};
 use super::kind::Kind;
@@ -33,6 +20,19 @@
 use super::session::Sessions;
 use super::settings::Settings;
 use super::trial::RolloutTrial;
+use crate::config::Table;
+use crate::decide::budget::RetryBudget;
+use crate::decide::limit;
+use crate::decide::poison::Exchange;
+use crate::decide::prefill::PrefillEstimator;
+use crate::decide::pressure::Pressure;
+use crate::decide::reader::Rank;
+use crate::platform::client::{Client, StoreError};
+use crate::platform::object::Object;
+use crate::unit::{Era, Model, Moment, Position, Service, Span};
+use crate::vm::Clock;
+use crate::watch::label::LabelSet;
+use crate::watch::log::{Logger, Value};
 
 /// Safety margin on the age of the proof of freshness, for differences between clock rates.
 const PROOF_AGE_MARGIN: Span = Span::millis(250);
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -4,11 +4,11 @@
 //! peer that flushes for it write the same key, and only one of them succeeds. Entries that the
 //! successful chunk lacks are written under keys of their own by the VM that holds them.
 
+use super::Entry;
 use crate::error::Error;
 use crate::evidence::Origin;
 use crate::platform::{Store, WriteOutcome};
 use crate::unit::Span;
-use super::Entry;
 
 /// Writes per second that bills may take over the whole fleet, of the 100 that the platform
 /// accepts.
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -5,11 +5,11 @@
 
 use tokio::sync::{mpsc, oneshot};
 
+use super::{Answer, Claim, Outcome, Record, SHARDS, Settlement, Shard, shard_of};
 use crate::error::Error;
 use crate::platform::{Store, WriteOutcome};
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
-use super::{Answer, Claim, Outcome, Record, SHARDS, Settlement, Shard, shard_of};
 
 /// Links a second of one shard once its burst is spent; four shards make 20 writes a second.
 const LINKS_PER_SECOND: f64 = 5.0;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,6 +1,6 @@
 //! Operations on the configuration in the store: reading it, and confirming a plan.
 
-use crate::config::{Change, Plan, Root, Snapshot, apply};
+use crate::config::{Change, Plan, Root, Snapshot, apply_plan};
 use crate::error::Error;
 use crate::platform::{Object, Store, WriteOutcome};
 use crate::unit::{Date, Revision};
@@ -78,7 +78,7 @@
     if current.revision != plan.base {
         return Err(Error::Moved(changes_since(&current, plan.base)));
     }
-    let next = apply(&current, plan, who, rand::random(), date)?;
+    let next = apply_plan(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
         if let Change::Put(piece) = change {
             // Pieces are stored under their digest, so an existing one has the same content.
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -99,7 +99,7 @@
 
 async fn send_copy(control: &Control, to: &Member, entries: &[Entry]) -> bool {
     let flushed = control.unflushed.borrow().flushed_up_to();
-    let call = Call::Bills {
+    let call = Call::CopyBills {
         origin: control.vm.settings.vm.clone(),
         incarnation: control.vm.incarnation,
         entries: entries.to_vec(),
@@ -150,7 +150,7 @@
         }
         previous_holders = holders.into_iter().map(|member| member.vm).collect();
         let unflushed = control.unflushed.borrow();
-        control.vm.metrics.peer_bytes.set(control.links.sent() as i64);
+        control.vm.metrics.peer_bytes.set(control.links.bytes_sent() as i64);
         control.vm.metrics.bills_held.set(unflushed.count() as i64);
         control.vm.has_bill_room.store(unflushed.has_room(), std::sync::atomic::Ordering::Relaxed);
     }
@@ -166,7 +166,7 @@
             let gone = control.with_gossip(|g| match g.member(&origin.vm) {
                 Some(member) => {
                     let long = g.time_in_state(&origin.vm, now).is_some_and(|t| t >= ORPHAN_DELAY);
-                    member.incarnation > origin.incarnation || (!member.state.present() && long)
+                    member.incarnation > origin.incarnation || (!member.state.is_present() && long)
                 }
                 None => true,
             });
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -79,11 +79,11 @@
     }
     let mut others = control.other_vms();
     others.retain(|member| holder.as_ref().is_none_or(|holder| member.vm == *holder));
-    let call = Call::Use { key, user, body };
+    let call = Call::UseReserved { key, user, body };
     let calls = others.iter().map(|member| control.call(member.address, call.clone()));
     let replies = futures_util::future::join_all(calls).await;
     replies.into_iter().find_map(|reply| match reply {
-        Some(Reply::Use(decision)) => decision,
+        Some(Reply::UseReserved(decision)) => decision,
         _ => None,
     })
 }
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -8,7 +8,7 @@
 use super::control::Control;
 use crate::config::{Piece, Root, Snapshot};
 use crate::error::Error;
-use crate::peer::ranked;
+use crate::peer::rendezvous_order;
 use crate::unit::Span;
 
 /// VMs of each data centre that watch the store.
@@ -46,7 +46,8 @@
     let mut last_read = last_listed;
     loop {
         let now = control.vm.clock.now();
-        let stale = control.with_gossip(|g| g.age(now)).is_none_or(|age| age >= MAX_STALENESS);
+        let stale =
+            control.with_gossip(|g| g.store_age(now)).is_none_or(|age| age >= MAX_STALENESS);
         if !is_watcher(&control) && !stale {
             tokio::time::sleep(RETRY_DELAY).await;
             continue;
@@ -68,13 +69,13 @@
             Ok(Some(object)) => {
                 if apply_root(&control, &object.body).await.is_ok() {
                     position = Some(object.position);
-                    control.with_gossip(|g| g.store_contact(sent));
+                    control.with_gossip(|g| g.on_store_contact(sent));
                 } else {
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Ok(None) => {
-                control.with_gossip(|g| g.store_contact(sent));
+                control.with_gossip(|g| g.on_store_contact(sent));
                 if position.is_none() {
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
@@ -95,7 +96,7 @@
     let duty = format!("watch/{own_data_centre}");
     control.with_gossip(|g| {
         let local = g.present().filter(|member| member.data_centre == *own_data_centre);
-        let order = ranked(&duty, local.map(|member| &member.vm));
+        let order = rendezvous_order(&duty, local.map(|member| &member.vm));
         order.iter().take(WATCHERS_PER_DATA_CENTRE).any(|vm| **vm == control.vm.settings.vm)
     })
 }
@@ -105,7 +106,7 @@
         && !list.is_empty()
     {
         let names: BTreeSet<_> = list.into_iter().map(|listed| listed.vm).collect();
-        control.with_gossip(|g| g.listed(&names));
+        control.with_gossip(|g| g.set_listed_vms(&names));
     }
 }
 
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -10,16 +10,16 @@
 use actix::{Actor, AsyncContext, Context};
 use tokio::sync::{mpsc, oneshot};
 
+use super::{Command, bills, claims, poison, ratings};
 use crate::engine::client::EngineClient;
 use crate::evidence::Origin;
 use crate::history::Event;
 use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
-use crate::peer::{Incoming, Links, Member, ranked};
-use crate::platform::{Store, RatingClient};
+use crate::peer::{Incoming, Links, Member, rendezvous_order};
+use crate::platform::{RatingClient, Store};
 use crate::unit::{Revision, Vm};
-use super::{Command, bills, claims, poison, ratings};
 
 /// Time between two ticks of the gossip protocol.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
@@ -83,13 +83,13 @@
     pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
         let (snapshot, permit, accepted) =
-            self.with_gossip(|g| (g.snapshot.clone(), g.permit_until(now), g.accepted()));
+            self.with_gossip(|g| (g.snapshot.clone(), g.start_lease_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
             self.vm.metrics.set_accepted(accepted);
-            self.vm.history.note(|| Event::Accepted { revision: accepted });
+            self.vm.history.record(|| Event::Accepted { revision: accepted });
         }
         let enforced = self.vm.enforced_revision();
-        self.with_gossip(|g| g.obey(enforced));
+        self.with_gossip(|g| g.set_enforced_revision(enforced));
         if snapshot.revision() <= self.vm.config().revision() {
             self.vm.set_permit(permit);
             return;
@@ -109,7 +109,7 @@
             self.vm.settings.vm,
             self.vm.incarnation
         );
-        self.vm.history.note(|| Event::Adopted {
+        self.vm.history.record(|| Event::Adopted {
             vm: self.vm.settings.vm.clone(),
             incarnation: self.vm.incarnation.0,
             revision,
@@ -162,7 +162,7 @@
 
     async fn on_call(&self, call: Call) -> Reply {
         match call {
-            Call::Bills { origin, incarnation, entries, flushed } => {
+            Call::CopyBills { origin, incarnation, entries, flushed } => {
                 let origin = Origin { vm: origin, incarnation };
                 self.unflushed.borrow_mut().insert_copies(origin, entries, flushed);
                 Reply::Done
@@ -176,9 +176,9 @@
                 self.owner.settle(settled);
                 Reply::Done
             }
-            Call::Use { key, user, body } => {
+            Call::UseReserved { key, user, body } => {
                 let mut reserved = self.vm.reserved.lock().expect("no panic while held");
-                Reply::Use(reserved.try_use(key, &user, body, self.vm.clock.now()))
+                Reply::UseReserved(reserved.try_use(key, &user, body, self.vm.clock.now()))
             }
             Call::Explain { request } => {
                 let traces = self.vm.traces.lock().expect("no panic while held");
@@ -256,7 +256,7 @@
 
     /// Orders members by their rank for a duty; the first one is responsible for it.
     pub fn ranked_members(duty: &str, members: &[Member]) -> Vec<Member> {
-        let order = ranked(duty, members.iter().map(|member| &member.vm));
+        let order = rendezvous_order(duty, members.iter().map(|member| &member.vm));
         let find = |vm: &Vm| members.iter().find(|member| member.vm == *vm).cloned();
         order.into_iter().filter_map(find).collect()
     }
@@ -271,7 +271,7 @@
     /// Asks the other VMs for a revision that a session token names, then reads the store if none
     /// had it within a second.
     async fn catch_up(&self, revision: Revision) {
-        let want = self.with_gossip(|g| g.want());
+        let want = self.with_gossip(|g| g.config_request());
         for member in self.other_vms() {
             self.send(member.address, want.clone());
         }
@@ -290,7 +290,7 @@
             if self.other_vms().is_empty() {
                 for seed in self.vm.settings.seeds.clone() {
                     if seed != self.vm.settings.peer {
-                        let frame = self.with_gossip(|g| g.greet());
+                        let frame = self.with_gossip(|g| g.join_probe());
                         self.send(seed, frame);
                     }
                 }
@@ -328,9 +328,9 @@
     match frame {
         Frame::Probe { .. } => "probe",
         Frame::Ack { .. } => "ack",
-        Frame::Want { .. } => "want",
+        Frame::ConfigRequest { .. } => "want",
         Frame::Config { .. } => "config",
         Frame::Adopted { .. } => "adopted",
-        Frame::Noted { .. } => "noted",
+        Frame::AdoptionAck { .. } => "noted",
     }
 }
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 use crate::config::{Change, Plan, Rollout, Snapshot};
 use crate::decide::rollout::{self, Action, Inputs};
 use crate::decide::sequential::Count;
@@ -12,7 +13,6 @@
 use crate::vm::config_watch;
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
 
 /// Weight of the latest request rate in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.2;
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -7,13 +7,15 @@
 
 use rand::seq::IndexedRandom;
 
-use crate::decide::poison::{Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition};
+use super::control::Control;
+use super::{Command, Vm};
+use crate::decide::poison::{
+    Effects, Message, OpenRequest, Outgoing, Recipients, ServerIncarnation, Topology, Transition,
+};
 use crate::engine::check::{self, ProcessState};
 use crate::peer::wire::Call;
-use crate::peer::{Member, ranked};
+use crate::peer::{Member, rendezvous_order};
 use crate::unit::{Date, Digest, Server, Span};
-use super::control::Control;
-use super::{Command, Vm};
 
 /// Up to this number of other VMs, each VM sends what it observes of a content to all of them.
 const FULL_MESH_LIMIT: usize = 12;
@@ -121,7 +123,7 @@
 fn aggregators(control: &Control, others: Vec<Member>, content: Digest) -> Vec<Member> {
     let own_vm = &control.vm.settings.vm;
     let names = others.iter().map(|member| &member.vm).chain([own_vm]);
-    let order = ranked(&format!("content/{content}"), names);
+    let order = rendezvous_order(&format!("content/{content}"), names);
     let chosen: Vec<_> = order.into_iter().take(AGGREGATORS).cloned().collect();
     others.into_iter().filter(|member| chosen.contains(&member.vm)).collect()
 }
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -4,10 +4,10 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
+use super::control::Control;
 use crate::evidence::{Counts, Key};
 use crate::standin::rating::Sample;
 use crate::unit::{Date, RequestId, Span};
-use super::control::Control;
 
 /// Time between two exchanges with the rating service.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -12,6 +12,8 @@
 use actix_web::{App, HttpServer};
 use tokio::sync::mpsc;
 
+use super::control::Control;
+use super::{Clock, Settings, Vm, bills, config_watch, duty, poison, ratings};
 use crate::engine::client::EngineClient;
 use crate::entry;
 use crate::error::Error;
@@ -19,10 +21,8 @@
 use crate::ledger::Buffer;
 use crate::once::Owner;
 use crate::peer::{Gossip, Links, Member, State};
-use crate::platform::{Store, RatingClient};
+use crate::platform::{RatingClient, Store};
 use crate::unit::{Incarnation, Moment};
-use super::control::Control;
-use super::{Clock, Settings, Vm, bills, config_watch, duty, poison, ratings};
 
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
@@ -66,7 +66,7 @@
         address: links.address().unwrap_or(settings.peer),
         data_centre: settings.data_centre.clone(),
         incarnation: Incarnation(clock.date().0),
-        beat: 0,
+        refutations: 0,
         state: State::Alive,
     };
     let (command_sender, commands) = mpsc::unbounded_channel();
@@ -132,7 +132,7 @@
     /// Returns the number of requests that were still running when the time limit was reached.
     pub async fn stop(self) -> usize {
         let vm = &self.vm;
-        vm.history.note(|| Event::Stopping { vm: vm.settings.vm.clone() });
+        vm.history.record(|| Event::Stopping { vm: vm.settings.vm.clone() });
         log::info!("{} {} planned stop started", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
@@ -148,7 +148,7 @@
 
     /// Stops at once, as in a crash: nothing is handed over.
     pub fn kill(self) {
-        self.vm.history.note(|| Event::Killed { vm: self.vm.settings.vm.clone() });
+        self.vm.history.record(|| Event::Killed { vm: self.vm.settings.vm.clone() });
         self.vm.set_permit(Moment(0));
         drop(self.server.stop(false));
         self.control.links.close();
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use crate::decide::rollout::Policy;
-use crate::unit::{DataCentre, Size, Span, Vm, ParseError};
+use crate::unit::{DataCentre, ParseError, Size, Span, Vm};
 
 /// Minimum length of a secret, in bytes.
 const MIN_SECRET_LENGTH: usize = 16;
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -6,6 +6,8 @@
 
 use tokio::sync::mpsc;
 
+use super::ratings::PendingSamples;
+use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
 use crate::decide::cascade::{Credit, Rule};
@@ -17,9 +19,7 @@
 use crate::once::Reserved;
 use crate::peer::Gossip;
 use crate::unit::{Date, Incarnation, Kind, Model, Moment, Rate, RequestId, Revision, Workspace};
-use crate::watch::{Metrics, BurnTracker, TraceLog};
-use super::ratings::PendingSamples;
-use super::{Clock, Command, Fleet, Settings};
+use crate::watch::{BurnTracker, Metrics, TraceLog};
 
 /// An entry VM.
 pub struct Vm {
