--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -16,12 +16,9 @@
 /// Time between two updates.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Factor by which the recent demand of a workspace decays at each update.
-const DEMAND_DECAY: f64 = 0.9;
-
 /// Updates the policies of this VM at each interval until the process ends.
 pub async fn update_policies(control: Control) {
-    let mut demand: BTreeMap<Workspace, Demand> = BTreeMap::new();
+    let mut demand: BTreeMap<Workspace, (u64, u64, f64, f64)> = BTreeMap::new();
     let mut cascades: HashMap<Workspace, CascadeState> = HashMap::new();
     loop {
         tokio::time::sleep(UPDATE_INTERVAL).await;
@@ -129,19 +126,10 @@
     state.last_sums = sums;
 }
 
-/// Demand of one workspace: total requests counted last, and decayed sums of recent ones.
-#[derive(Default)]
-struct Demand {
-    own: u64,
-    all: u64,
-    recent_own: f64,
-    recent_all: f64,
-}
-
 fn update_rate_shares(
     control: &Control,
     snapshot: &Snapshot,
-    demand: &mut BTreeMap<Workspace, Demand>,
+    demand: &mut BTreeMap<Workspace, (u64, u64, f64, f64)>,
 ) {
     let origin = control.vm.origin();
     let vms = control.other_vms().len() + 1;
@@ -150,13 +138,13 @@
         let (own, all) = control
             .with_gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
         let known = demand.entry(workspace.name.clone()).or_default();
-        // The decay makes recent demand count: a VM that was busy an hour ago needs no share now.
-        known.recent_own = known.recent_own * DEMAND_DECAY + own.saturating_sub(known.own) as f64;
-        known.recent_all = known.recent_all * DEMAND_DECAY + all.saturating_sub(known.all) as f64;
-        known.own = own;
-        known.all = all;
-        let share: Rate =
-            limit::local_share(workspace.limit, known.recent_own, known.recent_all, vms);
+        // Requests counted last (own, of all VMs), then decayed sums of both. The decay makes
+        // recent demand count: a VM that was busy an hour ago needs no share now.
+        known.2 = known.2 * 0.9 + own.saturating_sub(known.0) as f64;
+        known.3 = known.3 * 0.9 + all.saturating_sub(known.1) as f64;
+        known.0 = own;
+        known.1 = all;
+        let share: Rate = limit::local_share(workspace.limit, known.2, known.3, vms);
         let mut shares = control.vm.rate_shares.write().expect("no panic while held");
         shares.insert(workspace.name.clone(), share);
     }
