--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,7 @@
-//! One attempt on one engine: its frames, in order, each once, and none of another request.
+//! One attempt of a request at one engine.
+//!
+//! Yields each frame of the request once and in order, and drops duplicates and frames of other
+//! requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +13,15 @@
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
 use crate::vm::{Errand, Group, Picked, Vm};
 
-/// An engine that sends no frame for this long is given up.
+/// Longest wait for the next frame before the attempt counts as broken.
 const FRAME_TIMEOUT: Span = Span::secs(3);
 
-/// Records tell of each candidate if there are so few, and else of a share of requests.
+/// Decision traces list every candidate server of groups up to this size. Of larger groups, only a
+/// share of the requests (`TRACED_SHARE`) lists them.
 const MAX_TRACED_CANDIDATES: usize = 32;
 const TRACED_SHARE: f64 = 0.01;
 
-/// An attempt that runs.
+/// An attempt that the engine accepted. Dropping it before its end cancels it.
 pub struct Attempt<'a> {
     vm: &'a Vm,
     work: Generate,
@@ -27,15 +31,19 @@
     is_complete: bool,
 }
 
-/// What an attempt gives next.
+/// Next part of an answer stream.
 pub enum Chunk {
-    /// A token.
+    /// The text of one token.
     Token(String),
-    /// The end.
+    /// The end of the answer, with its token count and confidence.
     End(End),
 }
 
-/// Looks for a server and starts work on it.
+/// Picks a server and starts the generation on it.
+///
+/// # Errors
+/// Returns the fault if no server can take the request (then without a server) or if the picked
+/// server refused it or failed.
 pub async fn start<'a>(
     vm: &'a Vm,
     engines: &Engines,
@@ -73,7 +81,7 @@
                 fleet.hint(&picked.server, running, waiting, now);
             }
             steps.push(format!(
-                "{} began on {}, the cheapest of those drawn",
+                "{} started on {}, the cheapest of the sampled servers",
                 work.target, picked.server
             ));
             let next_offset = work.offset;
@@ -93,7 +101,7 @@
     fleet.ended(&picked.server);
     match &fault.told {
         Some(NotRun { reason: Reason::Leaving, .. }) => fleet.leaving(&picked.server),
-        // Full is no failure: the load that it told keeps others away.
+        // A full server has not failed. Its reported load steers other requests away from it.
         Some(NotRun { reason: Reason::Full, load }) => {
             fleet.hint(&picked.server, load.0, load.1, now);
             return;
@@ -109,20 +117,21 @@
 }
 
 impl Attempt<'_> {
-    /// Where its server listens.
+    /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
         self.picked.address
     }
 
-    /// The server it runs on.
+    /// Returns the server that the attempt runs on.
     pub fn server(&self) -> &Server {
         &self.picked.server
     }
 
-    /// The next piece that is this request's own and new.
+    /// Returns the next token or the end.
     ///
     /// # Errors
-    /// In words, if the stream broke before its end.
+    /// Returns the reason if the stream ends early, skips a token, or sends no frame within
+    /// `FRAME_TIMEOUT` or until the deadline.
     pub async fn next(&mut self, deadline: Moment) -> Result<Chunk, String> {
         let left = deadline.since(self.vm.clock.now()).min(FRAME_TIMEOUT);
         let until = Duration::from_micros(left.0);
@@ -132,15 +141,16 @@
         }
     }
 
+    /// Reads frames until one belongs to this attempt and is new; counts the others as stray.
     async fn read_chunk(&mut self) -> Result<Chunk, String> {
         loop {
             let frame = match self.frames.next().await {
                 None => return Err("the stream ended without its end".to_owned()),
                 Some(frame) => frame?,
             };
-            let own = frame.request == self.work.request && frame.attempt == self.work.attempt;
-            let old = frame.end.is_none() && frame.offset < self.next_offset;
-            if !own || old {
+            let is_own = frame.request == self.work.request && frame.attempt == self.work.attempt;
+            let is_duplicate = frame.end.is_none() && frame.offset < self.next_offset;
+            if !is_own || is_duplicate {
                 self.vm.metrics.stray_frames.inc();
                 continue;
             }
@@ -162,7 +172,7 @@
 }
 
 impl Drop for Attempt<'_> {
-    /// An attempt that is dropped before its end is cancelled, whoever dropped it.
+    /// Cancels the attempt at the engine unless it is complete.
     fn drop(&mut self) {
         self.vm.fleet.lock().expect("no panic while held").ended(&self.picked.server);
         if !self.is_complete {
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -1,8 +1,8 @@
-//! What a request leaves behind: its bill, its evidence, its rating, its record.
+//! Records of a request: bill, evidence, error budget, rating sample and decision trace.
 
 use tokio::sync::oneshot;
 
-use super::Dispatch;
+use super::Dispatcher;
 use crate::decide::cascade::{self, Answer, BINS, Rule};
 use crate::evidence::{Counts, Key};
 use crate::ledger::{Entry, Part, Why};
@@ -11,47 +11,52 @@
 use crate::vm::{Errand, Subject};
 use crate::watch::Trace;
 
-impl Dispatch {
-    /// Whether the first token came after what the workspace's first objective allows.
-    pub(super) fn is_late(&self, began: Moment, first: Option<Moment>) -> bool {
+impl Dispatcher {
+    /// Returns true if the first token came later than the first objective of the workspace allows,
+    /// or later than 2 s without an objective. A request without a token is not late.
+    pub(super) fn is_late(&self, started_at: Moment, first_token: Option<Moment>) -> bool {
         let objective = self.job.workspace.objectives.first();
         let allowed = objective.map_or(Span::secs(2), |o| Span::millis(o.first_token_ms));
-        first.is_some_and(|first| first.since(began) > allowed)
+        first_token.is_some_and(|first| first.since(started_at) > allowed)
     }
 
+    /// Counts the answer towards each objective of the workspace that covers its kind of work.
     pub(super) fn record_burn(&self, target: &Target, bad: bool) {
         let date = self.vm.clock.date();
         let mut burn = self.vm.burn.lock().expect("no panic while held");
         for (i, objective) in self.job.workspace.objectives.iter().enumerate() {
-            let fits = objective.kind.as_ref().is_none_or(|kind| *kind == self.job.kind);
-            if fits {
+            let applies = objective.kind.as_ref().is_none_or(|kind| *kind == self.job.kind);
+            if applies {
                 burn.count(&self.job.workspace.name, target, i, objective.good, bad, date);
             }
         }
     }
 
-    pub(super) fn add_bill_part(&mut self, target: &Target, tokens: u32, whole: bool) {
+    /// Adds the tokens of a generation to the bill, at the price of its version.
+    pub(super) fn add_bill_part(&mut self, target: &Target, tokens: u32, is_complete: bool) {
         let price = self.job.snapshot.version(target).map_or(Cost(0), |version| version.cost);
         self.parts.push(Part {
-            why: if whole { Why::Answer } else { Why::Broken },
+            why: if is_complete { Why::Answer } else { Why::Broken },
             target: Some(target.clone()),
             tokens,
             cost: price.of_tokens(u64::from(tokens)),
         });
     }
 
+    /// Returns the evidence key of the version in the current trial of its model.
     pub(super) fn trial_key(&self, target: &Target) -> Key {
         let since = self.vm.trial(&target.model, self.vm.clock.date());
         Key::Trial { target: target.clone(), since }
     }
 
-    /// Counts an answer under a cascade's key; its rating will count there and in its trial.
+    /// Counts an answer under the evidence key of its cascade and returns the keys that its rating
+    /// will count under: that of the trial and this one.
     fn count_answer(&self, target: &Target, key: Key) -> Vec<Key> {
         self.vm.learn(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.trial_key(target), key]
     }
 
-    pub(super) fn rate_cheap(&self, target: &Target, bin: usize, rule: &Rule, kept: &[String]) {
+    pub(super) fn rate_cheap(&self, target: &Target, bin: usize, rule: &Rule, received: &[String]) {
         let key = Key::Cheap {
             workspace: self.job.workspace.name.clone(),
             kind: self.job.kind.clone(),
@@ -59,13 +64,19 @@
         };
         let keys = self.count_answer(target, key);
         let id = format!("{}.cheap", self.job.request);
-        let worth = cascade::rating_value(rule, Answer::Cheap(bin));
+        let value = cascade::rating_value(rule, Answer::Cheap(bin));
         if let Ok(id) = id.parse() {
-            self.sample_for_rating(target, id, keys, worth, kept.concat());
+            self.sample_for_rating(target, id, keys, value, received.concat());
         }
     }
 
-    pub(super) fn rate_strong(&self, target: &Target, bin: usize, rule: &Rule, kept: &[String]) {
+    pub(super) fn rate_strong(
+        &self,
+        target: &Target,
+        bin: usize,
+        rule: &Rule,
+        received: &[String],
+    ) {
         let key = Key::Strong {
             workspace: self.job.workspace.name.clone(),
             kind: self.job.kind.clone(),
@@ -73,27 +84,28 @@
         };
         let keys = self.count_answer(target, key);
         let answer = if bin == BINS { Answer::Direct } else { Answer::Climbed };
-        let worth = cascade::rating_value(rule, answer);
-        self.sample_for_rating(target, self.job.request.clone(), keys, worth, kept.concat());
+        let value = cascade::rating_value(rule, answer);
+        self.sample_for_rating(target, self.job.request.clone(), keys, value, received.concat());
     }
 
-    /// Has an answer rated: by a roll-out's sampling, or where a rating tells most.
+    /// Submits a sample of the answers for rating. During a roll-out of the model, its sampling
+    /// rates decide; otherwise the budget for ratings goes to the most informative answers.
     pub(super) fn sample_for_rating(
         &self,
         target: &Target,
         id: RequestId,
         keys: Vec<Key>,
-        worth: f64,
+        value: f64,
         answer: String,
     ) {
         let rolling = self.job.snapshot.rollout(&target.model);
         let rated = match rolling {
             Some(rollout) => {
-                let (new, usual) = *self.vm.sampling.read().expect("no panic while held");
-                let chance = if rollout.to == *target { new } else { usual };
-                rand::random::<f64>() < chance
+                let (new, other) = *self.vm.sampling.read().expect("no panic while held");
+                let rate = if rollout.to == *target { new } else { other };
+                rand::random::<f64>() < rate
             }
-            None => self.vm.spend_rating(worth, rand::random()),
+            None => self.vm.spend_rating(value, rand::random()),
         };
         if !rated {
             return;
@@ -107,6 +119,7 @@
         }));
     }
 
+    /// Bills the collected parts and returns true once other VMs or the store hold the bill.
     pub(super) async fn bill(&mut self) -> bool {
         self.record_event("bill");
         let entry = Entry {
@@ -117,9 +130,9 @@
             parts: std::mem::take(&mut self.parts),
         };
         self.steps.push(format!("billed {} in {} part(s)", entry.cost(), entry.parts.len()));
-        let (sender, safe) = oneshot::channel();
+        let (sender, is_stored) = oneshot::channel();
         self.vm.errand(Errand::Bill(entry, sender));
-        safe.await.unwrap_or(false)
+        is_stored.await.unwrap_or(false)
     }
 
     pub(super) fn store_trace(&mut self) {
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -1,9 +1,10 @@
-//! Attempts of a request on one version: on other servers where one breaks off, each token once.
+//! Attempts of a request with one version. After a failure, another server continues the answer at
+//! the token where it stopped, so the client receives each token once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::{Abort, Dispatch};
+use super::{Abort, Dispatcher};
 use crate::config::{Allowed, Snapshot};
 use crate::decide::admission::Outcome;
 use crate::decide::poison::{OpenRequest, STABLE_AFTER};
@@ -15,57 +16,60 @@
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
 
-/// A retry needs at least this much of the deadline.
+/// Minimum time until the deadline for a retry.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
-/// Full engines that a request may meet before it waits at one.
+/// After this many refusals by full engines, the request waits in the queue of the next one.
 const MAX_FULL_REFUSALS: u32 = 3;
 
-/// How following an attempt failed.
+/// Reason why the stream of an attempt ended early.
 enum StreamError {
     ClientGone,
     Broken(String),
 }
 
-impl Dispatch {
-    /// Generates an answer, on other servers where one breaks off, each token once.
+impl Dispatcher {
+    /// Generates an answer with one version and records the outcome for admission, roll-out
+    /// evidence, error budget and bill. Tokens are collected in `received` and, with `to_client`,
+    /// also sent.
     pub(super) async fn stream(
         &mut self,
         target: &Target,
-        kept: &mut Vec<String>,
-        send: bool,
+        received: &mut Vec<String>,
+        to_client: bool,
     ) -> Result<End, Abort> {
-        let began = self.vm.clock.now();
-        let mut first = None;
-        self.admit(target, began)?;
-        let outcome = self.try_servers(target, kept, send, &mut first).await;
-        let late = self.is_late(began, first);
+        let started_at = self.vm.clock.now();
+        let mut first_token = None;
+        self.admit(target, started_at)?;
+        let outcome = self.try_servers(target, received, to_client, &mut first_token).await;
+        let late = self.is_late(started_at, first_token);
         self.record_admission_end(target, &outcome, late);
         let failed = matches!(&outcome, Err(Abort::Refused(_)));
-        let more = Counts {
+        let counts = Counts {
             ended: 1,
             failed: u64::from(failed),
             slow: u64::from(late),
             ..Counts::default()
         };
-        self.vm.learn(self.trial_key(target), more);
+        self.vm.learn(self.trial_key(target), counts);
         self.record_burn(target, failed || late);
-        if !kept.is_empty() || outcome.is_ok() {
-            self.add_bill_part(target, kept.len() as u32, outcome.is_ok());
+        if !received.is_empty() || outcome.is_ok() {
+            self.add_bill_part(target, received.len() as u32, outcome.is_ok());
         }
         outcome
     }
 
-    /// Asks the gate of the model's pool; a refusal there is early and true.
+    /// Asks the admission controller of the model's pool, so that a request that could not be
+    /// served is refused before it runs.
     fn admit(&mut self, target: &Target, now: Moment) -> Result<(), Abort> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
-        let (in_time, fits) = self.vm.gate(&target.model, |gate| {
+        let (in_time, is_admitted) = self.vm.gate(&target.model, |gate| {
             let in_time = gate.can_meet_deadline(now, deadline);
             (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
         });
-        let refuse = |kind, words| Err(Abort::Refused(Refusal::with_detail(kind, words)));
-        match (in_time, fits) {
+        let refuse = |kind, reason| Err(Abort::Refused(Refusal::with_detail(kind, reason)));
+        match (in_time, is_admitted) {
             (_, true) => Ok(()),
             (false, _) => refuse(Refused::Late, "it could not be expected to end in time"),
             (true, false) => refuse(Refused::NoServer, "the pool of the model is full"),
@@ -73,7 +77,7 @@
     }
 
     fn record_admission_end(&self, target: &Target, outcome: &Result<End, Abort>, late: bool) {
-        let how = match outcome {
+        let admission_outcome = match outcome {
             Ok(_) if late => Outcome::Bad,
             Ok(_) => Outcome::Good,
             Err(Abort::ClientGone) => Outcome::Unrelated,
@@ -85,27 +89,29 @@
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm.gate(&target.model, |gate| gate.on_end(workspace, how, now));
+        self.vm.gate(&target.model, |gate| gate.on_end(workspace, admission_outcome, now));
     }
 
+    /// Tries servers until one completes the answer or no retry is allowed.
     async fn try_servers(
         &mut self,
         target: &Target,
-        kept: &mut Vec<String>,
-        send: bool,
-        first: &mut Option<Moment>,
+        received: &mut Vec<String>,
+        to_client: bool,
+        first_token: &mut Option<Moment>,
     ) -> Result<End, Abort> {
         let mut attempts = 0;
         let mut full_refusals = 0;
         loop {
             let vm = self.vm.clone();
-            // Held until the engine has taken the work or surely has not.
+            // Held until the engine accepted or certainly refused the work: until then, this VM
+            // does not report a later revision as in force.
             let (snapshot, dispatch_guard) = vm.dispatch();
             self.check_still_allowed(target, snapshot)?;
             self.record_event("choose");
             let work = self.generate_request(
                 target,
-                kept.len() as u32,
+                received.len() as u32,
                 full_refusals >= MAX_FULL_REFUSALS,
             );
             self.attempts += 1;
@@ -123,31 +129,37 @@
             .await;
             drop(dispatch_guard);
             self.steps.append(&mut steps);
-            let (failure, words) = match started {
+            let (failure, reason) = match started {
                 Ok(mut attempt) => {
                     self.record_event("send");
                     let mut first_token_at = None;
                     let streamed = self
-                        .relay_stream(&mut attempt, target, kept, send, &mut first_token_at)
+                        .relay_stream(
+                            &mut attempt,
+                            target,
+                            received,
+                            to_client,
+                            &mut first_token_at,
+                        )
                         .await;
                     if let Some(first_token_at) = first_token_at {
-                        first.get_or_insert(first_token_at);
+                        first_token.get_or_insert(first_token_at);
                     }
                     match streamed {
                         Ok(end) => return Ok(end),
                         Err(StreamError::ClientGone) => return Err(Abort::ClientGone),
-                        Err(StreamError::Broken(words)) => {
+                        Err(StreamError::Broken(reason)) => {
                             let now = self.vm.clock.now();
                             let server = attempt.server().clone();
                             self.report_broken(&server, attempt.address(), first_token_at);
                             self.vm.fleet.lock().expect("no panic while held").failed(&server, now);
-                            self.steps.push(format!("{server} broke off: {words}"));
-                            (Failure::Broken, words)
+                            self.steps.push(format!("{server} ended the stream early: {reason}"));
+                            (Failure::Broken, reason)
                         }
                     }
                 }
                 Err((_, fault)) if fault.is_full() && full_refusals < MAX_FULL_REFUSALS => {
-                    // Nothing ran and little time was lost: it costs no retry.
+                    // Nothing ran and little time was lost, so it does not use the retry budget.
                     full_refusals += 1;
                     attempts -= 1;
                     self.record_event("fail");
@@ -163,17 +175,18 @@
             self.record_event("fail");
             self.may_have_run |= failure == Failure::Broken;
             let now = self.vm.clock.now();
-            // A model's answer may be taken up again at its offset.
-            let may =
+            // An answer can be resumed at its offset, so every model request is repeatable.
+            let can_retry =
                 retry::is_allowed(failure, true, attempts, now, self.job.deadline, MIN_RETRY_TIME);
-            if !may || !self.vm.spend_retry() {
-                return Err(Abort::Refused(self.final_refusal(failure, &words, now)));
+            if !can_retry || !self.vm.spend_retry() {
+                return Err(Abort::Refused(self.final_refusal(failure, &reason, now)));
             }
-            self.steps.push("tries another server".to_owned());
+            self.steps.push("retrying on another server".to_owned());
         }
     }
 
-    /// An answer broke off at a server, after its first token came at a moment, if it did.
+    /// Reports that a server ended an answer early, which may mean that the content crashed it.
+    /// `first` is when the first token arrived, if any did.
     fn report_broken(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
         let now = self.vm.clock.now();
         let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
@@ -181,15 +194,16 @@
         poison::broke(&self.vm, server, address, request);
     }
 
-    fn final_refusal(&self, failure: Failure, words: &str, now: Moment) -> Refusal {
+    /// Returns the refusal for a request that may not be retried.
+    fn final_refusal(&self, failure: Failure, reason: &str, now: Moment) -> Refusal {
         if failure == Failure::Broken || !self.parts.is_empty() {
-            return Refusal::with_detail(Refused::Broken, words);
+            return Refusal::with_detail(Refused::Broken, reason);
         }
         let kind = if now >= self.job.deadline { Refused::Late } else { Refused::NoServer };
-        Refusal::with_detail(kind, words)
+        Refusal::with_detail(kind, reason)
     }
 
-    /// Checks, right before work starts, what may have changed since the request was admitted.
+    /// Checks right before an attempt what may have changed since the request was admitted.
     fn check_still_allowed(
         &mut self,
         target: &Target,
@@ -236,36 +250,37 @@
         }
     }
 
+    /// Reads the stream of an attempt to its end, or until the client disconnects.
     async fn relay_stream(
         &mut self,
         attempt: &mut Attempt<'_>,
         target: &Target,
-        kept: &mut Vec<String>,
-        send: bool,
+        received: &mut Vec<String>,
+        to_client: bool,
         first_token_at: &mut Option<Moment>,
     ) -> Result<End, StreamError> {
-        let to = self.to.clone();
-        let mut began = false;
+        let output = self.output.clone();
+        let mut has_tokens = false;
         loop {
             let chunk = tokio::select! {
                 chunk = attempt.next(self.job.deadline) => chunk,
-                () = to.closed() => return Err(StreamError::ClientGone),
+                () = output.closed() => return Err(StreamError::ClientGone),
             };
             match chunk.map_err(StreamError::Broken)? {
                 Chunk::Token(text) => {
-                    if !began {
-                        began = true;
+                    if !has_tokens {
+                        has_tokens = true;
                         *first_token_at = Some(self.vm.clock.now());
                         self.record_event("first");
                     }
-                    kept.push(text.clone());
-                    if send {
+                    received.push(text.clone());
+                    if to_client {
                         self.send_head(target).await.map_err(|_| StreamError::ClientGone)?;
                         self.send_token(text).await.map_err(|_| StreamError::ClientGone)?;
                     }
                 }
                 Chunk::End(end) => {
-                    self.record_event(if began { "last" } else { "first" });
+                    self.record_event(if has_tokens { "last" } else { "first" });
                     return Ok(end);
                 }
             }
--- a/src/entry/header.rs
+++ b/src/entry/header.rs
@@ -1,26 +1,26 @@
-//! Names of headers.
+//! Names of HTTP headers of requests and responses.
 
-/// A call that may not be repeated bears its caller's key here.
+/// Idempotency key of a call, chosen by the client.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Request id.
+/// Id of the request, set by the VM on each response and on calls to services.
 pub const REQUEST: &str = "x-kitepulley-request";
-/// Session token; `new` asks for one.
+/// Session token; the value `new` requests one.
 pub const SESSION: &str = "x-kitepulley-session";
-/// The VM that answers.
+/// Name of the VM that sent the response.
 pub const VM: &str = "x-kitepulley-vm";
-/// The version that answered.
+/// Model version that generated the answer.
 pub const VERSION: &str = "x-kitepulley-version";
-/// The revision that the request was decided under.
+/// Configuration revision that the request was decided under.
 pub const REVISION: &str = "x-kitepulley-revision";
-/// The workspace, towards services.
+/// Name of the workspace, sent to services only.
 pub const WORKSPACE: &str = "x-kitepulley-workspace";
-/// Kind of work, as the caller names it.
+/// Kind of work, in the client's own terms; `any` if absent.
 pub const KIND: &str = "x-kitepulley-kind";
-/// Milliseconds that the caller waits.
+/// Milliseconds that the client waits for the answer.
 pub const DEADLINE: &str = "x-kitepulley-deadline-ms";
-/// Priority from 0 to 9.
+/// Priority of the request from 0 to 9; 5 if absent, higher values go first.
 pub const PRIORITY: &str = "x-kitepulley-priority";
-/// Trace context, carried through.
+/// W3C trace context, passed on unchanged.
 pub const TRACEPARENT: &str = "traceparent";
-/// Seconds after which to come back.
+/// Seconds after which the client may retry.
 pub const RETRY_AFTER: &str = "retry-after";
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The door: what callers and operators meet.
+//! The HTTP interface of a VM for clients and operators.
 
 mod attempt;
 mod dispatch;
@@ -19,7 +19,7 @@
 
 pub use stream::channel_body;
 
-/// All routes of a VM's door.
+/// Registers all HTTP routes of a VM.
 pub fn routes(vm: &Arc<Vm>, app: &mut ServiceConfig) {
     let limit = vm.settings.body_limit.0 as usize;
     app.app_data(web::PayloadConfig::new(limit))
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -1,4 +1,4 @@
-//! Model requests: the interface that clients of model engines already speak.
+//! Model requests, in the chat completions format that clients of model engines use.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -20,19 +20,19 @@
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Errand, Vm};
 
-/// Tokens made ahead of a slow caller.
+/// Tokens buffered for a slow client before generation waits for it.
 const CHANNEL_CAPACITY: usize = 16;
 
-/// Longest answer if the caller sets none.
+/// Maximum answer length if the client sets none, in tokens.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// The longest answer that may be asked for.
+/// Upper bound of the maximum answer length that a client can set, in tokens.
 const MAX_TOKENS_LIMIT: u32 = 32_000;
 
-/// How long a caller waits if it does not say.
+/// Time until the deadline if the client sets none.
 const DEFAULT_TIMEOUT: Span = Span::secs(60);
 
-/// Characters of a prompt that make its prefix.
+/// Characters at the start of a prompt that are hashed to find servers that have it cached.
 const PREFIX_CHARS: usize = 256;
 
 #[derive(Deserialize)]
@@ -53,21 +53,25 @@
     content: Value,
 }
 
-/// A request before it is admitted.
+/// Client and header settings of a request that may enter.
 pub struct Caller {
-    /// The configuration it is held against.
+    /// Configuration at the time of the check.
     pub snapshot: Arc<Snapshot>,
-    /// Its workspace.
+    /// Workspace of the API key.
     pub workspace: WorkspaceEntry,
-    /// Its kind of work.
+    /// Kind of work, `any` if the client names none.
     pub kind: Kind,
-    /// How long it waits.
+    /// How long the client waits.
     pub timeout: Span,
-    /// Higher goes first.
+    /// Priority; higher values go first.
     pub priority: u8,
 }
 
-/// Whether this VM may take new work at all, and whose the request is.
+/// Authenticates the client and checks that this VM may start new work for it.
+///
+/// # Errors
+/// Refuses the request if the VM is stopping or has lost contact, if the API key is unknown, if
+/// bills can't be stored, or if the rate limit of the workspace is exhausted.
 pub fn admit(vm: &Data<Vm>, request: &HttpRequest) -> Result<Caller, Refusal> {
     let now = vm.clock.now();
     if vm.is_stopping() {
@@ -89,28 +93,28 @@
     vm.take_rate(&workspace.name, workspace.limit, now)
         .map_err(|wait| Refusal::with_retry_after(Refused::Limited, wait))?;
     let kind = text(header::KIND).and_then(|kind| kind.parse().ok());
-    let kind = kind.unwrap_or_else(|| "any".parse().expect("a plain name"));
+    let kind = kind.unwrap_or_else(|| "any".parse().expect("`any` is a valid name"));
     let timeout = text(header::DEADLINE).and_then(|ms| ms.parse().ok()).map(Span::millis);
     let priority = text(header::PRIORITY).and_then(|n| n.parse().ok()).unwrap_or(5);
     Ok(Caller { snapshot, workspace, kind, timeout: timeout.unwrap_or(DEFAULT_TIMEOUT), priority })
 }
 
-/// Reads a body up to the limit.
+/// Reads a request body of at most the configured size.
 pub async fn read_body(vm: &Data<Vm>, mut payload: Payload) -> Result<Bytes, Refusal> {
     let limit = vm.settings.body_limit.0 as usize;
-    let mut whole = Vec::new();
-    while let Some(part) = payload.next().await {
-        let part =
-            part.map_err(|fault| Refusal::with_detail(Refused::Malformed, fault.to_string()))?;
-        if whole.len() + part.len() > limit {
+    let mut received = Vec::new();
+    while let Some(chunk) = payload.next().await {
+        let chunk =
+            chunk.map_err(|fault| Refusal::with_detail(Refused::Malformed, fault.to_string()))?;
+        if received.len() + chunk.len() > limit {
             return Err(Refusal::new(Refused::TooLarge));
         }
-        whole.extend_from_slice(&part);
+        received.extend_from_slice(&chunk);
     }
-    Ok(whole.into())
+    Ok(received.into())
 }
 
-/// `POST /v1/chat/completions`.
+/// `POST /v1/chat/completions`: answers as one JSON object or as server-sent events.
 pub async fn chat(
     vm: Data<Vm>,
     engines: Data<Engines>,
@@ -153,9 +157,9 @@
         answer.insert_header((header::SESSION, token));
     }
     if stream {
-        let (to, from) = mpsc::channel(CHANNEL_CAPACITY);
-        actix_web::rt::spawn(write_events(receiver, to, id, target));
-        return answer.content_type("text/event-stream").streaming(in_flight_body(from, in_flight));
+        let (sender, body) = mpsc::channel(CHANNEL_CAPACITY);
+        actix_web::rt::spawn(write_events(receiver, sender, id, target));
+        return answer.content_type("text/event-stream").streaming(in_flight_body(body, in_flight));
     }
     match collect_answer(&mut receiver).await {
         Ok((text, tokens)) => answer.json(json!({
@@ -173,10 +177,11 @@
     }
 }
 
-async fn collect_answer(from: &mut mpsc::Receiver<Output>) -> Result<(String, u32), Refusal> {
+/// Collects the tokens of an answer until it is complete; returns the text and token count.
+async fn collect_answer(input: &mut mpsc::Receiver<Output>) -> Result<(String, u32), Refusal> {
     let mut text = String::new();
     loop {
-        match from.recv().await {
+        match input.recv().await {
             Some(Output::Token(token)) => text.push_str(&token),
             Some(Output::Completed(tokens)) => return Ok((text, tokens)),
             Some(Output::Refused(refusal)) => return Err(refusal),
@@ -186,28 +191,29 @@
     }
 }
 
-/// Writes server-sent events; a broken answer is told in-band and has no `[DONE]`.
+/// Writes the answer as server-sent events. If it ends early, an `error` event replaces `[DONE]`,
+/// because the HTTP status was already sent.
 async fn write_events(
-    mut from: mpsc::Receiver<Output>,
-    to: mpsc::Sender<Result<Bytes, std::io::Error>>,
+    mut input: mpsc::Receiver<Output>,
+    output: mpsc::Sender<Result<Bytes, std::io::Error>>,
     id: RequestId,
     target: Target,
 ) {
-    let head = format!(
+    let prefix = format!(
         "data: {{\"id\":\"{id}\",\"object\":\"chat.completion.chunk\",\"model\":\"{target}\",\
          \"choices\":[{{\"index\":0,\"delta\":"
     );
-    let mut last = false;
-    while !last {
-        let next = from.recv().await;
-        last = matches!(next, Some(Output::Completed(_) | Output::Refused(_)));
+    let mut is_last = false;
+    while !is_last {
+        let next = input.recv().await;
+        is_last = matches!(next, Some(Output::Completed(_) | Output::Refused(_)));
         let text = match next {
             Some(Output::Token(token)) => {
-                let content = serde_json::to_string(&token).expect("text is plain data");
-                format!("{head}{{\"content\":{content}}},\"finish_reason\":null}}]}}\n\n")
+                let content = serde_json::to_string(&token).expect("text can be encoded as JSON");
+                format!("{prefix}{{\"content\":{content}}},\"finish_reason\":null}}]}}\n\n")
             }
             Some(Output::Completed(tokens)) => format!(
-                "{head}{{}},\"finish_reason\":\"stop\"}}],\
+                "{prefix}{{}},\"finish_reason\":\"stop\"}}],\
                  \"usage\":{{\"completion_tokens\":{tokens}}}}}\n\ndata: [DONE]\n\n"
             ),
             Some(Output::Refused(refusal)) => {
@@ -216,12 +222,14 @@
             Some(Output::Started(_)) => continue,
             None => return,
         };
-        if to.send(Ok(text.into())).await.is_err() {
+        if output.send(Ok(text.into())).await.is_err() {
             return;
         }
     }
 }
 
+/// Parses a chat request and resolves its session and route. Returns the job, if the answer is to
+/// be streamed, and the session of which the client gets a token.
 async fn prepare(
     vm: &Data<Vm>,
     request: &HttpRequest,
@@ -229,7 +237,7 @@
     bytes: &[u8],
     id: RequestId,
 ) -> Result<(Job, bool, Option<Session>), Refusal> {
-    let malformed = |what: String| Refusal::with_detail(Refused::Malformed, what);
+    let malformed = |detail: String| Refusal::with_detail(Refused::Malformed, detail);
     let text = std::str::from_utf8(bytes).map_err(|fault| malformed(fault.to_string()))?;
     let chat: Chat = serde_json::from_str(text).map_err(|fault| malformed(fault.to_string()))?;
     if chat.messages.is_empty() {
@@ -238,11 +246,11 @@
     let prompt = prompt_text(&chat.messages);
     let now = vm.clock.now();
     let point = rollout_point(&id);
-    let in_header = request.headers().get(header::SESSION).and_then(|value| value.to_str().ok());
-    let in_body = chat.metadata.as_ref().and_then(|m| m["session"].as_str());
+    let header_token = request.headers().get(header::SESSION).and_then(|value| value.to_str().ok());
+    let body_token = chat.metadata.as_ref().and_then(|m| m["session"].as_str());
     let mut snapshot = caller.snapshot;
     let mut workspace = caller.workspace;
-    let (route, in_session, new_session) = match in_header.or(in_body) {
+    let (route, in_session, new_session) = match header_token.or(body_token) {
         Some("new") => {
             let route = resolve_route(&snapshot, &workspace, &chat.model, point, true)?;
             let target = match &route {
@@ -264,9 +272,9 @@
                 return Err(Refusal::new(Refused::BadSession));
             }
             if session.revision > snapshot.revision() {
-                snapshot = catch_up(vm, &session).await?;
-                let known = snapshot.workspace(&session.workspace).cloned();
-                workspace = known.ok_or_else(|| Refusal::new(Refused::Unauthorised))?;
+                snapshot = fetch_revision(vm, &session).await?;
+                let newer = snapshot.workspace(&session.workspace).cloned();
+                workspace = newer.ok_or_else(|| Refusal::new(Refused::Unauthorised))?;
             }
             match snapshot.allowed(&workspace, &session.target) {
                 Allowed::Yes => {}
@@ -296,7 +304,8 @@
     Ok((job, chat.stream, new_session))
 }
 
-async fn catch_up(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
+/// Waits until this VM has fetched the revision of a session that a newer VM created.
+async fn fetch_revision(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
     let (sender, done) = tokio::sync::oneshot::channel();
     vm.errand(Errand::CatchUp(session.revision, sender));
     let _ = done.await;
@@ -307,7 +316,8 @@
     Ok(snapshot)
 }
 
-/// What may answer a request for `name`: a cascade, a model, or a model at a version.
+/// Resolves `name`, which is a cascade, a MODEL@VERSION or a model, to the versions that may
+/// answer. `point` is the random point of the request that a roll-out's share is compared with.
 fn resolve_route(
     snapshot: &Snapshot,
     workspace: &WorkspaceEntry,
@@ -340,25 +350,27 @@
     chosen.map(Route::Model).ok_or_else(|| Refusal::new(Refused::NotAllowed))
 }
 
-/// Why a route was taken, in words.
+/// Describes the reason for a route, for the decision trace.
 fn route_reason(snapshot: &Snapshot, route: &Route, in_session: bool, point: f64) -> String {
     let target = match route {
-        Route::Fixed(target) if in_session => return format!("its session keeps {target}"),
-        Route::Fixed(target) => return format!("the caller named {target}"),
+        Route::Fixed(target) if in_session => return format!("the session is pinned to {target}"),
+        Route::Fixed(target) => return format!("the client named {target}"),
         Route::Cascade(cheap, strong) => return format!("a cascade from {cheap} to {strong}"),
         Route::Model(target) => target,
     };
     match snapshot.rollout(&target.model) {
         Some(rollout) => format!(
-            "{target}: the roll-out of {} has {}, and this request's point is {:.2}%",
+            "{target}: the share of the roll-out of {} is {}, and the request drew {:.2}%",
             rollout.to,
             rollout.share,
             point * 100.0
         ),
-        None => format!("{target} serves"),
+        None => format!("{target} is the serving version"),
     }
 }
 
+/// Joins the messages to one prompt, a line `ROLE: TEXT` each; content parts without text are
+/// skipped.
 fn prompt_text(messages: &[Message]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -377,13 +389,14 @@
     prompt
 }
 
-/// A random point from 0 to 1 that follows from the request's id.
+/// Derives a point from 0 to 1 from the request id, uniform over requests.
 fn rollout_point(id: &RequestId) -> f64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
+/// Hashes the workspace and the start of the prompt.
 fn prefix_hash(workspace: &WorkspaceEntry, prompt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.name.hash(&mut hasher);
@@ -392,12 +405,12 @@
     hasher.finish()
 }
 
-/// What a request asks: the workspace, the model as its caller names it and the whole prompt.
+/// Digests the workspace, the model as the client named it, and the whole prompt.
 fn content_digest(workspace: &WorkspaceEntry, model: &str, prompt: &str) -> Digest {
     unit::digest(&[workspace.name.as_str().as_bytes(), model.as_bytes(), prompt.as_bytes()])
 }
 
-/// `GET /v1/models`.
+/// `GET /v1/models`: lists the cascades, models and versions that the workspace may use.
 pub async fn list_models(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
     let caller = match admit(&vm, &request) {
         Ok(caller) => caller,
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,4 +1,4 @@
-//! What operators meet: health, counters, status, explanations, burn, live decisions.
+//! Operator endpoints: health, metrics, status, decision traces, error budget burn, live decisions.
 
 use actix_web::web::{Data, Path};
 use actix_web::{HttpRequest, HttpResponse};
@@ -11,12 +11,15 @@
 use crate::vm::{Errand, Vm};
 use crate::watch::{Slice, WINDOWS, show};
 
-/// Decisions waiting for a slow listener.
+/// Decision records buffered for a slow client of `/operator/decisions`.
 const CHANNEL_CAPACITY: usize = 256;
 
-/// Whether an operator asks: by key, or without one from this machine only.
+/// Returns a refusal unless the caller is an operator.
+///
+/// If an operator key is configured, the request must send it as a bearer token; otherwise it must
+/// come from a loopback address.
 fn check_access(vm: &Vm, request: &HttpRequest) -> Option<HttpResponse> {
-    let granted = match &vm.settings.operator_key {
+    let is_operator = match &vm.settings.operator_key {
         Some(key) => {
             let given = request.headers().get("authorization");
             let given = given.and_then(|value| value.as_bytes().strip_prefix(b"Bearer "));
@@ -24,18 +27,18 @@
         }
         None => request.peer_addr().is_some_and(|address| address.ip().is_loopback()),
     };
-    (!granted).then(|| {
-        let words = "the operators' key, or a call from the VM itself, is needed";
-        Refusal::with_detail(Kind::Unauthorised, words).to_response(vm.settings.vm.as_str(), None)
+    (!is_operator).then(|| {
+        let detail = "the operators' key, or a call from the VM itself, is needed";
+        Refusal::with_detail(Kind::Unauthorised, detail).to_response(vm.settings.vm.as_str(), None)
     })
 }
 
-/// `GET /healthz`: the process answers.
+/// `GET /healthz`: succeeds as long as the process responds.
 pub async fn health() -> HttpResponse {
     HttpResponse::Ok().body("ok\n")
 }
 
-/// `GET /readyz`: the balancer may send callers here.
+/// `GET /readyz`: succeeds if a load balancer may send clients here.
 pub async fn ready(vm: Data<Vm>) -> HttpResponse {
     if vm.is_stopping() {
         return HttpResponse::ServiceUnavailable().body("stopping\n");
@@ -46,7 +49,7 @@
     HttpResponse::Ok().body("ready\n")
 }
 
-/// `GET /metrics`.
+/// `GET /metrics`, in the Prometheus text format.
 pub async fn metrics(vm: Data<Vm>) -> HttpResponse {
     let slices = vm.burn.lock().expect("no panic while held").slices(vm.clock.date());
     for slice in slices {
@@ -59,12 +62,12 @@
     HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(vm.metrics.text())
 }
 
-/// Any other path.
+/// Refuses a request for an unknown path.
 pub async fn not_found(vm: Data<Vm>) -> HttpResponse {
     Refusal::new(Kind::NotFound).to_response(vm.settings.vm.as_str(), None)
 }
 
-/// `GET /operator/status`.
+/// `GET /operator/status`: configuration, roll-outs and members as this VM sees them.
 pub async fn status(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
     if let Some(check_access) = check_access(&vm, &request) {
         return check_access;
@@ -73,7 +76,7 @@
     let snapshot = vm.config();
     let gossip = vm.gossip.lock().expect("no panic while held");
     let pending = gossip.accepted() < gossip.revision() && gossip.revision() > Revision(0);
-    let waits: Vec<String> = if pending && gossip.is_accepter() {
+    let waiting_for: Vec<String> = if pending && gossip.is_accepter() {
         gossip.waiting_for().iter().map(ToString::to_string).collect()
     } else {
         Vec::new()
@@ -88,7 +91,7 @@
         "revision": gossip.revision(),
         "accepted": gossip.accepted(),
         "pending": pending,
-        "waits_for": waits,
+        "waits_for": waiting_for,
         "store_age_s": gossip.age(now).map(|age| age.as_secs()),
         "may_start": vm.may_start(now),
         "rollouts": snapshot.root.rollouts,
@@ -100,7 +103,7 @@
     }))
 }
 
-/// `GET /operator/explain/REQUEST`, from any VM.
+/// `GET /operator/explain/REQUEST`: the decision trace of a request, from whichever VM keeps it.
 pub async fn explain(vm: Data<Vm>, request: HttpRequest, id: Path<String>) -> HttpResponse {
     if let Some(check_access) = check_access(&vm, &request) {
         return check_access;
@@ -123,7 +126,7 @@
     }
 }
 
-/// `GET /operator/burn`, over all VMs.
+/// `GET /operator/burn`: error budget burn, summed over all VMs; as JSON with `?json`.
 pub async fn burn(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
     if let Some(check_access) = check_access(&vm, &request) {
         return check_access;
@@ -141,7 +144,7 @@
     HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(show(slices))
 }
 
-/// `GET /operator/decisions`: records as they are made, as server-sent events.
+/// `GET /operator/decisions`: streams decision records as server-sent events.
 pub async fn decisions(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
     if let Some(check_access) = check_access(&vm, &request) {
         return check_access;
--- a/src/entry/page.rs
+++ b/src/entry/page.rs
@@ -1,11 +1,11 @@
-//! A plain page that shows decisions and roll-outs as they happen.
+//! HTML page for operators that shows decisions and roll-outs live.
 
 use actix_web::HttpResponse;
 
-/// The page; it listens to the decisions of its VM and asks for the status each second.
+/// The page. It streams `/operator/decisions` and polls `/operator/status` every second.
 const PAGE: &str = include_str!("page.html");
 
-/// `GET /operator`.
+/// `GET /operator`: serves the page; the endpoints it reads check the operator key.
 pub async fn show() -> HttpResponse {
     HttpResponse::Ok().content_type("text/html; charset=utf-8").body(PAGE)
 }
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: one closed list of kinds, and one table from kind to answer.
+//! Refusals of requests: a closed list of kinds and the table of their HTTP responses.
 
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
@@ -8,77 +8,78 @@
 use crate::history::Ran;
 use crate::unit::{RequestId, Span};
 
-/// Why a request is refused or broken off.
+/// Reason why a request is refused or its answer ends early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The bearer key is missing or unknown.
+    /// The API key is missing or unknown.
     Unauthorised,
-    /// The body does not read.
+    /// The body can't be parsed.
     Malformed,
-    /// The body is larger than accepted.
+    /// The body exceeds the configured limit.
     TooLarge,
-    /// There is nothing under that path.
+    /// The path has no route.
     NotFound,
-    /// No model, version or cascade of that name.
+    /// No model, version, cascade or service has that name.
     UnknownModel,
-    /// The workspace may not use it.
+    /// The workspace may not use the model, version or service.
     NotAllowed,
     /// The version was withdrawn.
     Withdrawn,
-    /// The session's token is forged, foreign or expired.
+    /// The session token is forged, expired or of another workspace.
     BadSession,
-    /// The session's version was withdrawn; the session has ended.
+    /// The version that the session is pinned to was withdrawn.
     SessionEnded,
-    /// The VM is stopping as planned.
+    /// The VM is shutting down.
     Stopping,
-    /// The VM has had no contact with the others or the store.
+    /// The VM has lost contact with the other VMs and the store, or has no configuration yet.
     CutOff,
-    /// The VM could not catch up with the revision that the token names.
+    /// The VM could not fetch the revision that the session token requires.
     Behind,
-    /// The workspace's rate is used up.
+    /// The rate limit of the workspace is exhausted.
     Limited,
-    /// No backend server can take it now.
+    /// No backend server can accept the request.
     NoServer,
-    /// The deadline passed before it ran.
+    /// The deadline passed before the request ran, or is expected to.
     Late,
     /// The backend servers are too busy to answer in time.
     Busy,
-    /// The time was up while a backend server had the request.
+    /// The deadline passed while a backend server was processing the request.
     TimedOut,
-    /// Bills cannot be kept safe now.
+    /// Bills can't be stored durably.
     NoLedger,
-    /// A call that may not be repeated has no key.
+    /// A call that is not idempotent has no idempotency key.
     KeyMissing,
-    /// The key was used with another body.
+    /// The idempotency key was used with another body.
     KeyReused,
-    /// A call with that key is running.
+    /// A call with the same idempotency key is running.
     KeyRunning,
-    /// A call with that key may have run; nobody knows.
+    /// It is unknown if an earlier call with the same idempotency key ran, or its stored result is
+    /// incomplete.
     InDoubt,
-    /// No agreement on the key could be had.
+    /// The store is unavailable, so the idempotency key can't be claimed.
     StoreAway,
-    /// The back end broke off and the answer could not be completed.
+    /// The backend server closed the stream early and the answer could not be completed.
     Broken,
-    /// Backend servers crashed under requests with its content.
+    /// The content is quarantined because backend servers crashed while processing it.
     HeldBack,
-    /// The answer is complete, but its bill could not be made safe.
+    /// The request ran, but its bill could not be stored durably.
     Unbilled,
 }
 
-/// One row of the table.
+/// HTTP response of one kind of refusal.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// The kind.
+    /// Kind of refusal.
     pub kind: Kind,
-    /// Its name for programs.
+    /// Machine-readable name, sent as `kind`.
     pub name: &'static str,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Whether the request ran.
+    /// Tells the client if the request ran.
     pub ran: Ran,
-    /// Seconds after which to try again; none if trying again is no use.
+    /// Default seconds until a retry; `None` if the client should not retry.
     pub retry_after_s: Option<u64>,
-    /// A whole sentence that says what to do.
+    /// Sentence that says what went wrong or what the client can do.
     pub title: &'static str,
 }
 
@@ -95,7 +96,7 @@
     };
 }
 
-/// The table from kind to answer; `docs/PROMISES.md` names the evidence of each row.
+/// Responses of all kinds; `docs/PROMISES.md` lists the tests behind each row.
 pub const TABLE: &[Row] = rows![
     Unauthorised "unauthorised" 401 No None, "Send a workspace's key as `Authorization: Bearer KEY`.";
     Malformed "malformed" 400 No None, "Send a JSON body with `model` and `messages` in UTF-8.";
@@ -126,46 +127,46 @@
 ];
 
 impl Kind {
-    /// The kind's row.
+    /// Returns the row of this kind.
     pub fn row(self) -> &'static Row {
-        TABLE.iter().find(|row| row.kind == self).expect("each kind has its row")
+        TABLE.iter().find(|row| row.kind == self).expect("each kind has a row")
     }
 }
 
-/// A refusal of one request.
+/// Refusal of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// The kind.
+    /// Kind of refusal.
     pub kind: Kind,
-    /// When to come back, if it is known better than the table does.
+    /// Time until a retry, if known more precisely than in the table.
     pub delay: Option<Span>,
-    /// What in particular, if there is more to say.
+    /// Specifics of this case, for the client.
     pub detail: Option<String>,
 }
 
 impl Refusal {
-    /// A refusal of that kind.
+    /// Creates a refusal with the defaults of the table.
     pub fn new(kind: Kind) -> Refusal {
         Refusal { kind, delay: None, detail: None }
     }
 
-    /// With a detail.
+    /// Creates a refusal with a detail for the client.
     pub fn with_detail(kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal { detail: Some(detail.into()), ..Refusal::new(kind) }
     }
 
-    /// With a time to come back.
+    /// Creates a refusal with its own time until a retry.
     pub fn with_retry_after(kind: Kind, delay: Span) -> Refusal {
         Refusal { delay: Some(delay), ..Refusal::new(kind) }
     }
 
-    /// Whole seconds after which to come back.
+    /// Returns the whole seconds until a retry, at least 1; `None` if the client should not retry.
     pub fn retry_after(&self) -> Option<u64> {
         let seconds = self.delay.map(|span| (span.as_secs().ceil() as u64).max(1));
         seconds.or(self.kind.row().retry_after_s)
     }
 
-    /// The body, for an answer or in-band in a stream.
+    /// Returns the JSON body, used for responses and for errors inside an event stream.
     pub fn to_json(&self) -> serde_json::Value {
         let row = self.kind.row();
         json!({
@@ -180,9 +181,10 @@
         })
     }
 
-    /// The answer; `request` is none if the request was refused before it had an id.
+    /// Builds the HTTP response; `request` is `None` if the request got no id.
     pub fn to_response(&self, vm: &str, request: Option<&RequestId>) -> HttpResponse {
-        let status = StatusCode::from_u16(self.kind.row().status).expect("a status of the table");
+        let status =
+            StatusCode::from_u16(self.kind.row().status).expect("the table has valid status codes");
         let mut response = HttpResponse::build(status);
         response.insert_header((header::VM, vm));
         if let Some(request) = request {
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -1,4 +1,5 @@
-//! Calls of plain services; some may not be repeated.
+//! Calls of plain services. Calls that are not idempotent need an idempotency key and run at most
+//! once.
 
 use std::time::Duration;
 
@@ -26,16 +27,16 @@
 /// Price of a call, in micro-euros.
 const CALL_PRICE: Cost = Cost(10);
 
-/// Largest answer of a service.
+/// Maximum size of a service's response body.
 const MAX_RESPONSE_BYTES: usize = 4_000_000;
 
-/// Largest answer that is kept with a key, so that a chain's links stay small.
+/// Larger response bodies are not stored with the key, so that the links of the chain stay small.
 const MAX_STORED_BODY_BYTES: usize = 2_000;
 
-/// Longest key.
+/// Longer idempotency keys are ignored.
 const MAX_KEY_BYTES: usize = 256;
 
-/// A retry needs at least this much of the deadline.
+/// Minimum time until the deadline for a retry.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
 struct Call {
@@ -46,7 +47,7 @@
     body: Bytes,
     headers: Vec<(&'static str, String)>,
     key: Option<String>,
-    is_idempotent: bool,
+    is_retryable: bool,
     deadline: Moment,
 }
 
@@ -56,7 +57,8 @@
     body: Bytes,
 }
 
-/// `/v1/services/NAME/...`.
+/// `/v1/services/NAME/...`: forwards a call to a service, once only if it carries an idempotency
+/// key.
 pub async fn call(
     vm: Data<Vm>,
     engines: Data<Engines>,
@@ -69,7 +71,7 @@
         let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
         let call = prepare(&vm, &request, &caller, bytes, id.clone())?;
-        if call.is_idempotent {
+        if call.is_retryable {
             run(&vm, &engines, &caller, &call).await
         } else {
             run_once(&vm, &engines, &caller, &call).await
@@ -94,6 +96,7 @@
     answer
 }
 
+/// Checks that the workspace may call the service and that a call that is not idempotent has a key.
 fn prepare(
     vm: &Data<Vm>,
     request: &HttpRequest,
@@ -113,8 +116,8 @@
     };
     let path = format!("/{}", request.match_info().get("path").unwrap_or_default());
     let key = text(header::IDEMPOTENCY_KEY).filter(|key| key.len() <= MAX_KEY_BYTES);
-    let is_idempotent = is_idempotent(entry, &path, request.method()) && key.is_none();
-    if !is_idempotent && key.is_none() {
+    let is_retryable = is_idempotent(entry, &path, request.method()) && key.is_none();
+    if !is_retryable && key.is_none() {
         return Err(Refusal::new(Refused::KeyMissing));
     }
     let mut headers = vec![
@@ -134,17 +137,18 @@
         body,
         headers,
         key,
-        is_idempotent,
+        is_retryable,
         deadline: vm.clock.now() + caller.timeout,
     })
 }
 
+/// Returns true unless the path is configured as `once` and the method changes state.
 fn is_idempotent(entry: &ServiceEntry, path: &str, method: &Method) -> bool {
     let once = entry.once.iter().any(|prefix| path.starts_with(prefix.as_str()));
     !(once && *method != Method::GET && *method != Method::HEAD)
 }
 
-/// A claim of the call's key by its request.
+/// Builds the claim of the call's key. Keys are scoped to workspace and service.
 fn claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
     let key = call.key.as_deref().unwrap_or_default();
     Claim {
@@ -162,15 +166,17 @@
     }
 }
 
-/// What a call finds out about its key.
+/// State of an idempotency key that lets a call go on.
 enum KeyState {
-    /// It holds the key, under that request.
+    /// The call holds the key under this request id and may run.
     Acquired(RequestId),
-    /// A call with that key ended before.
+    /// An earlier call with the key ended; its outcome is replayed.
     Ended(Outcome),
 }
 
-/// Agrees on who runs a key's call, from the store or from the word of the key's holder.
+/// Acquires the key of a call through the store, or from the VM that reserved the key beforehand.
+///
+/// If the store is unavailable, all VMs are asked for a reservation of the key.
 async fn acquire_key(vm: &Data<Vm>, claim: &Claim) -> Result<KeyState, Refusal> {
     let (sender, answered) = oneshot::channel();
     vm.errand(Errand::Claim(claim.clone(), sender));
@@ -194,8 +200,8 @@
     }
 }
 
-/// Releases a claim that was not agreed on: it may yet stand in the store, and must not hold the
-/// key for good.
+/// Releases a claim that was not confirmed. It may still have reached the store, where it would
+/// block the key.
 fn release_claim(vm: &Data<Vm>, claim: &Claim) -> Refusal {
     let Claim { key, request, body, .. } = claim.clone();
     let outcome = Outcome::NotRun;
@@ -203,7 +209,7 @@
     Refusal::new(Refused::StoreAway)
 }
 
-/// Claims the key, runs the call at most once, and records how it ended.
+/// Acquires the key, runs the call at most once, and records its outcome.
 async fn run_once(
     vm: &Data<Vm>,
     engines: &Engines,
@@ -234,7 +240,8 @@
     outcome
 }
 
-/// `POST /v1/reservations/NAME`: sets the key of a call to come aside, while the store answers.
+/// `POST /v1/reservations/NAME`: reserves the key of a later call, so that the call can run even if
+/// the store is unavailable by then.
 pub async fn reserve(vm: Data<Vm>, request: HttpRequest, payload: Payload) -> HttpResponse {
     let id = vm.next_request();
     let outcome = async {
@@ -270,7 +277,8 @@
     }
 }
 
-/// A call with this key holds it; whether it can still end depends on its VM.
+/// Refuses a call whose key another call holds. If the VM of that call is gone, its outcome stays
+/// unknown.
 fn refuse_held_key(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
     let is_alive = gossip
@@ -279,22 +287,23 @@
     Refusal::new(if is_alive { Refused::KeyRunning } else { Refused::InDoubt })
 }
 
+/// Returns the stored response of an earlier call with the same key.
 fn replay(outcome: Outcome) -> Result<Response, Refusal> {
     match outcome {
         Outcome::Ran { status, content_type, body: Some(body) } => {
             Ok(Response { status, content_type, body: body.into() })
         }
         Outcome::Ran { status, .. } => {
-            let words =
+            let detail =
                 format!("it ran and was answered {status}; the answer was too large to keep");
-            Err(Refusal::with_detail(Refused::InDoubt, words))
+            Err(Refusal::with_detail(Refused::InDoubt, detail))
         }
         Outcome::NotRun => Err(Refusal::new(Refused::StoreAway)),
         Outcome::InDoubt => Err(Refusal::new(Refused::InDoubt)),
     }
 }
 
-/// Runs a call, elsewhere again where that is safe, and bills it.
+/// Runs a call, with retries on other servers where that is safe, and bills it.
 async fn run(
     vm: &Data<Vm>,
     engines: &Engines,
@@ -305,12 +314,14 @@
     let mut may_have_run = false;
     let outcome = try_servers(vm, engines, caller, call, &mut may_have_run).await;
     outcome.map_err(|refusal| match refusal.kind.row().ran {
-        // The last attempt's word is not that of those before it.
+        // The last attempt did not run, but an earlier one may have.
         Ran::No if may_have_run => Refusal::with_detail(Refused::Broken, refusal.kind.row().title),
         _ => refusal,
     })
 }
 
+/// Tries servers until one responds or no retry is allowed. Sets `may_have_run` if an attempt
+/// failed after it was sent.
 async fn try_servers(
     vm: &Data<Vm>,
     engines: &Engines,
@@ -347,18 +358,18 @@
             target: None,
             server: picked.server.clone(),
         });
-        // A service answers only when it is done, so the dispatch ends with the decision.
+        // A service responds only when the call is done, so the guard is released before sending.
         drop(dispatch_guard);
-        let sent = send(engines, picked.address, call, now).await;
+        let result = send(engines, picked.address, call, now).await;
         let now = vm.clock.now();
         {
             let mut fleet = vm.fleet.lock().expect("no panic while held");
             fleet.ended(&picked.server);
-            if sent.is_err() {
+            if result.is_err() {
                 fleet.failed(&picked.server, now);
             }
         }
-        let failure = match sent {
+        let failure = match result {
             Ok(response) => {
                 poison::ran_well(vm, content);
                 bill(vm, caller, call).await?;
@@ -371,22 +382,22 @@
             let request = OpenRequest { content, was_stable: false };
             poison::broke(vm, &picked.server, picked.address, request);
         }
-        let may = retry::is_allowed(
+        let can_retry = retry::is_allowed(
             failure,
-            call.is_idempotent,
+            call.is_retryable,
             attempts,
             now,
             call.deadline,
             MIN_RETRY_TIME,
         );
-        if !may || !vm.spend_retry() {
+        if !can_retry || !vm.spend_retry() {
             let kind = if failure == Failure::Broken { Refused::Broken } else { Refused::NoServer };
             return Err(Refusal::new(kind));
         }
     }
 }
 
-/// What a call asks, whoever of the workspace asks it and under whichever key.
+/// Digests workspace, service, method, path and body of a call, regardless of its key.
 fn content_digest(caller: &Caller, call: &Call) -> Digest {
     let texts = [
         caller.workspace.name.as_str(),
@@ -398,6 +409,7 @@
     digest(&[workspace, service, method, path, &call.body])
 }
 
+/// Sends a call to a server and reads the response until the deadline.
 async fn send(
     engines: &Engines,
     to: std::net::SocketAddr,
@@ -405,18 +417,20 @@
     now: Moment,
 ) -> Result<Response, Failure> {
     let head = request_head(to, call).ok_or(Failure::NotSent)?;
-    let within = Duration::from_micros(call.deadline.since(now).0);
+    let timeout = Duration::from_micros(call.deadline.since(now).0);
     let exchange = async {
-        let sent = engines.call(to, head, &call.body, call.is_idempotent, MAX_RESPONSE_BYTES).await;
-        let (head, body) = sent?;
+        let result =
+            engines.call(to, head, &call.body, call.is_retryable, MAX_RESPONSE_BYTES).await;
+        let (head, body) = result?;
         let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
         let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
         Ok(Response { status: head.status.as_u16(), content_type, body })
     };
-    tokio::time::timeout(within, exchange).await.unwrap_or(Err(Failure::Broken))
+    tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(Failure::Broken))
 }
 
-/// The head of a call of a service; nothing if a caller's path or header cannot be one.
+/// Builds the head of the request to a service, or `None` if a path or header value from the client
+/// is invalid.
 fn request_head(to: std::net::SocketAddr, call: &Call) -> Option<RequestHead> {
     let mut head = RequestHead::default();
     head.method = call.method.clone();
@@ -428,6 +442,7 @@
     Some(head)
 }
 
+/// Bills a call and waits until other VMs or the store hold the bill.
 async fn bill(vm: &Data<Vm>, caller: &Caller, call: &Call) -> Result<(), Refusal> {
     let entry = Entry {
         number: 0,
@@ -436,9 +451,9 @@
         date: vm.clock.date(),
         parts: vec![Part { why: Why::Call, target: None, tokens: 0, cost: CALL_PRICE }],
     };
-    let (sender, safe) = oneshot::channel();
+    let (sender, is_stored) = oneshot::channel();
     vm.errand(Errand::Bill(entry, sender));
-    if safe.await.unwrap_or(false) {
+    if is_stored.await.unwrap_or(false) {
         return Ok(());
     }
     Err(Refusal::new(Refused::Unbilled))
--- a/src/entry/session.rs
+++ b/src/entry/session.rs
@@ -1,4 +1,4 @@
-//! Session tokens: signed, so that any VM honours them and none has to remember.
+//! Session tokens. They are signed, so every VM can verify them and none has to store sessions.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,24 +9,25 @@
 use crate::unit::{Date, Revision, Span, Target, Workspace};
 use crate::vm::SessionKeys;
 
-/// A session lives this long.
+/// A token is valid for this long after the session was created.
 const SESSION_LIFETIME: Span = Span::secs(24 * 3600);
 
-/// Bytes of a signature.
+/// Length of an HMAC-SHA256 signature.
 const SIGNATURE_BYTES: usize = 32;
 
-/// What a token carries.
+/// Contents of a session token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Session {
-    /// Random; names the session in logs.
+    /// Random id of the session.
     pub id: u64,
-    /// Whose it is.
+    /// Workspace that owns the session.
     pub workspace: Workspace,
-    /// The version it keeps.
+    /// Model version that the session is pinned to.
     pub target: Target,
-    /// The revision at its birth; a VM with an older one catches up first.
+    /// Configuration revision at creation. A VM with an older one catches up before it serves the
+    /// session.
     pub revision: Revision,
-    /// When it was born.
+    /// When the session was created.
     pub created_at: Date,
 }
 
@@ -36,7 +37,7 @@
     mac
 }
 
-/// The token of a session.
+/// Encodes and signs a session with the first key.
 pub fn encode_token(session: &Session, keys: &SessionKeys) -> String {
     let body = postcard::to_stdvec(session).expect("a session is plain data");
     let (name, secret) = keys.0.first().expect("settings have a session key");
@@ -45,7 +46,8 @@
     format!("{name}.{}", URL_SAFE_NO_PAD.encode(bytes))
 }
 
-/// The session of a token; nothing if it is forged or expired.
+/// Verifies a token against all accepted keys and returns its session, or `None` if it is forged or
+/// expired.
 pub fn decode_token(token: &str, keys: &SessionKeys, now: Date) -> Option<Session> {
     let (name, text) = token.split_once('.')?;
     let (_, secret) = keys.0.iter().find(|(known, _)| known == name)?;
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -1,4 +1,4 @@
-//! A body that is fed through a channel; its reader's leaving closes the channel.
+//! HTTP response body fed through a channel. If the client disconnects, the channel closes.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,19 +9,19 @@
 
 use super::dispatch::InFlightGuard;
 
-/// The stream of a channel's items.
+/// Response body that streams the items of a channel.
 pub struct ChannelBody {
     from: Receiver<Result<Bytes, std::io::Error>>,
-    // Held until the body is dropped, which is after its last byte was written.
+    // Dropped with the body, which is after its last byte was written.
     _in_flight: Option<InFlightGuard>,
 }
 
-/// A body fed through `receiver`.
+/// Creates a response body from a channel.
 pub fn channel_body(receiver: Receiver<Result<Bytes, std::io::Error>>) -> ChannelBody {
     ChannelBody { from: receiver, _in_flight: None }
 }
 
-/// A body whose request is in flight until its last byte was written.
+/// Creates a response body whose request counts as in flight until its last byte is written.
 pub fn in_flight_body(
     receiver: Receiver<Result<Bytes, std::io::Error>>,
     in_flight: InFlightGuard,
--- a/src/once/claim.rs
+++ b/src/once/claim.rs
@@ -1,84 +1,84 @@
-//! Claims, their answers, and how a claimed call ended.
+//! Claims of idempotency keys, the answers to them, and the outcomes of claimed calls.
 
 use serde::{Deserialize, Serialize};
 
 use crate::evidence::Origin;
 use crate::unit::{Date, Digest, RequestId, Workspace};
 
-/// Shards of keys: few, so that many claims share a write.
+/// Number of shards of keys. Few, so that many claims share a write.
 pub const SHARDS: u64 = 4;
 
-/// The shard of a key.
+/// Returns the shard of a key.
 pub fn shard_of(key: Digest) -> u64 {
     key.0 % SHARDS
 }
 
-/// A claim to run a call.
+/// Claim of a key by a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Digest of workspace, service and the caller's key.
+    /// Digest of workspace, service and the client's key.
     pub key: Digest,
     /// Digest of method, path and body.
     pub body: Digest,
-    /// The request that wants to run.
+    /// Request that claims the key.
     pub request: RequestId,
-    /// The workspace, for the reader of the store.
+    /// Workspace of the request, for people who read the store.
     pub workspace: Workspace,
-    /// The VM that would run it.
+    /// VM that runs the call.
     pub holder: Origin,
-    /// When.
+    /// When the key was claimed.
     pub date: Date,
-    /// Whether it only sets the key aside, for a call to come through its holder's word.
+    /// True if the claim reserves the key for a later call, which its holder decides on.
     pub reserved: bool,
 }
 
-/// How a claimed call ended.
+/// Outcome of a claimed call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran; what the back end answered.
+    /// The call ran and the service responded.
     Ran {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// The content's type.
+        /// Content type of the response.
         #[serde(rename = "kind")]
         content_type: String,
-        /// The body, if it was small enough to keep.
+        /// Response body, if it was small enough to store.
         body: Option<Vec<u8>>,
     },
-    /// It surely did not run: the key is free again.
+    /// The call certainly did not run; the key is free again.
     NotRun,
-    /// Nobody knows.
+    /// It is unknown if the call ran.
     InDoubt,
 }
 
-/// An outcome, of a claim's holder.
+/// Outcome of the call of a claim, reported by the claim's holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The key.
+    /// Key of the claim.
     pub key: Digest,
-    /// The request that held it.
+    /// Request that held the key.
     pub request: RequestId,
-    /// Digest of the call's body, which a key set aside did not know yet.
+    /// Digest of the call's body, which the claim of a reserved key does not know yet.
     pub body: Digest,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
 }
 
-/// The answer to a claim.
+/// Answer to a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// The request holds the key and may run.
     Granted,
-    /// Another request holds it and has not ended.
+    /// Another request holds the key and has not ended.
     Running(Origin),
-    /// It is set aside; its holder alone says who may run.
+    /// The key is reserved; only its holder decides which call may run.
     Reserved(Origin),
-    /// It ended before.
+    /// An earlier call with the key ended.
     Ended(Outcome),
     /// The key was used with another body.
     #[serde(rename = "OtherBody")]
     BodyMismatch,
-    /// No agreement could be had; the request does not hold the key.
+    /// The store did not answer; the request does not hold the key.
     #[serde(rename = "Away")]
     Unavailable,
 }
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: claimed by key before the first byte leaves.
+//! Idempotency keys: a call that may run at most once claims its key before it is sent.
 
 mod claim;
 mod owner;
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -1,4 +1,4 @@
-//! The owner of shards: gathers claims and writes many of them in one link.
+//! Owner of the shards: batches claims and outcomes into links of their chains.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,41 +11,42 @@
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
 
-/// Links a second of one shard once its burst is spent; four shards make 20 writes a second.
+/// Sustained rate of links per shard; the four shards together make 20 writes per second.
 const LINKS_PER_SECOND: f64 = 5.0;
 
-/// Links that a shard may write at once after a rest.
+/// Links that a shard may write in a burst when it has been idle.
 const BURST_LINKS: f64 = 4.0;
 
-/// Outcomes wait this long for a claim to share a link with.
+/// Maximum time that outcomes wait for a claim to share a link with.
 pub const MAX_SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// Claims and outcomes in one link, well within 1 MB.
+/// Maximum number of claims and outcomes in one link, which keeps it well below 1 MB.
 const MAX_RECORDS_PER_LINK: usize = 200;
 
-/// Links that are joined into one object, so that a new owner reads a day in few calls.
+/// Number of links that are copied into one segment object, so that a new owner reads the chain of
+/// a day in few calls.
 const LINKS_PER_SEGMENT: u64 = 256;
 
-/// Largest joined object, within the platform's 1 MB.
+/// Maximum size of a segment, below the platform's limit of 1 MB.
 const MAX_SEGMENT_BYTES: usize = 900_000;
 
-/// Tries of one batch against a store that does not answer.
+/// Attempts to write a batch before its claims are answered as unavailable.
 const MAX_WRITE_ATTEMPTS: usize = 3;
 
-/// What an owner is asked.
+/// Command to the task of a shard.
 enum Command {
     Claim(Claim, oneshot::Sender<Answer>),
     Settle(Settlement),
 }
 
-/// A handle to the tasks of a VM's shards.
+/// Handle to the shard tasks of a VM.
 #[derive(Clone)]
 pub struct Owner {
     shards: Vec<mpsc::UnboundedSender<Command>>,
 }
 
 impl Owner {
-    /// Starts the tasks; they read their chain when first asked.
+    /// Starts one task per shard. Each reads its chain when it gets its first command.
     pub fn start(store: &Store, clock: Clock) -> Owner {
         let start = |number| {
             let (sender, receiver) = mpsc::unbounded_channel();
@@ -56,7 +57,7 @@
         Owner { shards: (0..SHARDS).map(start).collect() }
     }
 
-    /// Claims a key for a request.
+    /// Claims a key and returns the answer once the claim is decided.
     pub async fn claim(&self, claim: Claim) -> Answer {
         let (sender, receiver) = oneshot::channel();
         let shard = &self.shards[shard_of(claim.key) as usize];
@@ -64,7 +65,7 @@
         receiver.await.unwrap_or(Answer::Unavailable)
     }
 
-    /// Notes how a claimed call ended.
+    /// Records the outcome of a claimed call without waiting for the write.
     pub fn settle(&self, settled: Settlement) {
         let _ = self.shards[shard_of(settled.key) as usize].send(Command::Settle(settled));
     }
@@ -93,6 +94,7 @@
         }
     }
 
+    /// Batches commands into links until the owner is dropped.
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let mut settled = Vec::new();
         loop {
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Waits until the shard may write again, so that the fleet keeps under its share of writes.
+    /// Waits for the token bucket of the shard, so that the fleet keeps below its share of store
+    /// writes.
     async fn wait_for_write_token(&mut self) {
         let now = self.clock.now();
         let gained = now.since(self.refilled_at).as_secs() * LINKS_PER_SECOND;
@@ -135,6 +138,7 @@
         }
     }
 
+    /// Writes a batch of claims and outcomes and answers the claims.
     async fn write(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
@@ -142,77 +146,78 @@
     ) {
         self.shard.evict(self.clock.date());
         self.refresh(&claims).await;
-        let mut open = self.answer_known(claims, settled);
+        let mut pending = self.answer_known(claims, settled);
         for _ in 0..MAX_WRITE_ATTEMPTS {
-            if open.is_empty() && settled.is_empty() {
+            if pending.is_empty() && settled.is_empty() {
                 return;
             }
-            match self.try_append(&open, settled).await {
+            match self.try_append(&pending, settled).await {
                 Ok(true) => settled.clear(),
                 Ok(false) => {}
                 Err(_) => continue,
             }
-            open = self.answer_known(open, settled);
+            pending = self.answer_known(pending, settled);
         }
-        for (_, reply) in open {
+        for (_, reply) in pending {
             let _ = reply.send(Answer::Unavailable);
         }
-        // Without claims to refuse, outcomes wait for the store to come back.
+        // Unwritten outcomes are kept for the next write. Waiting gives the store time to recover.
         if !settled.is_empty() {
             tokio::time::sleep(MAX_SETTLE_DELAY).await;
         }
     }
 
-    /// Reads on before a key is called taken but not ended: another VM may have owned the shard
-    /// meanwhile and have written how its call ended.
+    /// Reads new links if a claimed key seems to be in use: meanwhile, another VM may have owned
+    /// the shard and written the outcome of the call.
     async fn refresh(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
-        let open = |claim: &Claim| {
+        let is_in_use = |claim: &Claim| {
             matches!(self.shard.answer(claim), Some(Answer::Running(_) | Answer::Reserved(_)))
         };
-        if !claims.iter().any(|(claim, _)| open(claim)) {
+        if !claims.iter().any(|(claim, _)| is_in_use(claim)) {
             return;
         }
-        // Without the store, what is known here must do.
+        // If the store is unavailable, the known state is used.
         if self.read_new_links().await.is_ok_and(|read| read > 0) {
             self.own_links.clear();
         }
     }
 
-    /// Answers what the chain decides already and returns the rest, one claim for each key.
+    /// Answers claims that the known state decides and returns the others, at most one per key.
     fn answer_known(
         &self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &[Settlement],
     ) -> Vec<(Claim, oneshot::Sender<Answer>)> {
-        let mut open: Vec<(Claim, oneshot::Sender<Answer>)> = Vec::new();
-        let mut first: HashMap<super::Digest, Claim> = HashMap::new();
+        let mut pending: Vec<(Claim, oneshot::Sender<Answer>)> = Vec::new();
+        let mut first_claims: HashMap<super::Digest, Claim> = HashMap::new();
         for (claim, reply) in claims {
             if let Some(answer) = self.shard.answer(&claim) {
                 let _ = reply.send(with_pending_outcome(answer, &claim, settled));
-            } else if let Some(before) = first.get(&claim.key) {
-                let same = before.body == claim.body || before.reserved || claim.reserved;
-                let holder = before.holder.clone();
-                let answer = if same { Answer::Running(holder) } else { Answer::BodyMismatch };
+            } else if let Some(earlier) = first_claims.get(&claim.key) {
+                let is_same = earlier.body == claim.body || earlier.reserved || claim.reserved;
+                let holder = earlier.holder.clone();
+                let answer = if is_same { Answer::Running(holder) } else { Answer::BodyMismatch };
                 let _ = reply.send(answer);
             } else {
-                first.insert(claim.key, claim.clone());
-                open.push((claim, reply));
+                first_claims.insert(claim.key, claim.clone());
+                pending.push((claim, reply));
             }
         }
-        open
+        pending
     }
 
-    /// Tries to create the next link; reads on if it was taken. Whether ours took effect.
+    /// Tries to create the next link and returns true if it succeeded. If another writer created it
+    /// first, reads the new links.
     async fn try_append(
         &mut self,
-        open: &[(Claim, oneshot::Sender<Answer>)],
+        pending: &[(Claim, oneshot::Sender<Answer>)],
         settled: &[Settlement],
     ) -> Result<bool, Error> {
-        // A shard that was never read has to be: its first free link is not known.
+        // A shard that was never read must be read first, because its next free link is unknown.
         if self.shard.next_link() == 0 && self.read_new_links().await? > 0 {
             return Ok(false);
         }
-        let claims = open.iter().map(|(claim, _)| Record::Claim(claim.clone()));
+        let claims = pending.iter().map(|(claim, _)| Record::Claim(claim.clone()));
         let outcomes = settled.iter().cloned().map(Record::Settled);
         let records: Vec<Record> = claims.chain(outcomes).collect();
         let body = serde_json::to_vec(&records).expect("records are plain data");
@@ -227,8 +232,9 @@
                 self.read_new_links().await?;
                 Ok(false)
             }
-            // Lost answer: what stands there tells. Request ids make equal bodies ours.
-            Err(fault) => match self.store.get(&key).await? {
+            // The response was lost, so read what the link contains. Request ids are unique, so an
+            // equal body is this write.
+            Err(error) => match self.store.get(&key).await? {
                 Some(object) if object.body == body => {
                     self.append_own(records).await;
                     Ok(true)
@@ -238,7 +244,7 @@
                     self.read_new_links().await?;
                     Ok(false)
                 }
-                None => Err(fault),
+                None => Err(error),
             },
         }
     }
@@ -251,7 +257,8 @@
         format!("once-segment/{}/{segment:012}", self.number)
     }
 
-    /// Reads the chain from where this shard stands: whole segments first, then links.
+    /// Reads the rest of the chain, whole segments first, then single links. Returns the number of
+    /// links read.
     async fn read_new_links(&mut self) -> Result<u64, Error> {
         let before = self.shard.next_link();
         while self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
@@ -267,7 +274,7 @@
             self.shard.apply_link(records);
             if self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
                 let links = std::mem::take(&mut links);
-                // Only a segment that was read from its beginning is known whole.
+                // Only a segment that was read link by link from its start is known completely.
                 if links.len() as u64 == LINKS_PER_SEGMENT {
                     self.write_segment(links).await;
                 }
@@ -276,10 +283,10 @@
         Ok(self.shard.next_link() - before)
     }
 
-    /// Joins the links that this shard has just read or written into a segment.
+    /// Writes the links that this task has just read or written as a segment.
     ///
-    /// Links never change, so every writer of a segment writes the same, and one that fails is
-    /// written by the next reader.
+    /// Links never change, so all writers of a segment write the same content. If a write fails,
+    /// the next reader repeats it.
     async fn write_segment(&self, links: Vec<Vec<Record>>) {
         let segment = self.shard.next_link() / LINKS_PER_SEGMENT - 1;
         let body = serde_json::to_vec(&links).expect("records are plain data");
@@ -288,7 +295,7 @@
         }
     }
 
-    /// Takes a link of this shard's own, and joins a segment when it is full.
+    /// Applies a link that this task wrote, and writes a segment when it is full.
     async fn append_own(&mut self, records: Vec<Record>) {
         self.own_links.push(records.clone());
         self.shard.apply_link(records);
@@ -296,7 +303,7 @@
             return;
         }
         let links = std::mem::take(&mut self.own_links);
-        // What was read rather than written here is joined by readers.
+        // A segment with links of other writers is written by the task that reads it.
         if links.len() as u64 == LINKS_PER_SEGMENT {
             self.write_segment(links).await;
         }
@@ -304,10 +311,10 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
-    serde_json::from_slice(body).map_err(|fault| Error::Store(fault.to_string()))
+    serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))
 }
 
-/// A call whose outcome waits for its link has ended, though the chain does not tell yet.
+/// Replaces a `Running` answer if the outcome of the call is known but not written yet.
 fn with_pending_outcome(answer: Answer, claim: &Claim, settled: &[Settlement]) -> Answer {
     let outcome = settled.iter().find(|s| s.key == claim.key).map(|s| &s.outcome);
     match (answer, outcome) {
@@ -316,6 +323,7 @@
     }
 }
 
+/// Adds a command to the pending claims or outcomes.
 fn enqueue(
     command: Command,
     claims: &mut Vec<(Claim, oneshot::Sender<Answer>)>,
--- a/src/once/reserved.rs
+++ b/src/once/reserved.rs
@@ -1,7 +1,8 @@
-//! Keys set aside beforehand, so that calls flow while no new agreement can be had.
+//! Keys reserved beforehand, so that calls can run while the store is unavailable.
 //!
-//! The store holds the claim already, and names this life of this VM. So this VM alone says which
-//! call may use the key, once, from memory; if it dies, nobody may.
+//! The store already holds the claim of a reserved key, with this incarnation of this VM as holder.
+//! So this VM alone decides, from memory, which one call may use the key. If the VM dies, no call
+//! may.
 
 use std::collections::HashMap;
 
@@ -10,22 +11,22 @@
 use super::Digest;
 use crate::unit::{Moment, RequestId, Span};
 
-/// Keys set aside on one VM at most; at 200 bytes each they take 2 MB.
+/// Maximum number of keys reserved on one VM; at 200 bytes each they take 2 MB.
 const MAX_RESERVED_KEYS: usize = 10_000;
 
-/// What the holder of a key says to a call.
+/// Decision of the holder of a reserved key on a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeyGrant {
-    /// It may run, under the reservation's request.
+    /// The call may run under the request id of the reservation.
     Granted(RequestId),
-    /// Another call has it.
+    /// Another call uses the key.
     InUse,
-    /// Another call has it, with another body.
+    /// Another call uses the key with another body.
     BodyMismatch,
 }
 
-/// A key is given out for this long: half of the time that the chain remembers it, so that it is
-/// never given out beside a later claim.
+/// A reserved key is granted for this long after its reservation. This is half of the time that the
+/// chain retains the claim, so the key can't be granted alongside a later claim.
 const GRANT_WINDOW: Span = Span::secs(12 * 3600);
 
 #[derive(Clone, Debug)]
@@ -35,31 +36,32 @@
     user: Option<(RequestId, Digest)>,
 }
 
-/// The keys set aside on this VM.
+/// Keys reserved on this VM.
 #[derive(Clone, Debug, Default)]
 pub struct Reserved {
     slots: HashMap<Digest, Slot>,
 }
 
 impl Reserved {
-    /// Whether one more key may be set aside.
+    /// Returns true if one more key may be reserved; removes those whose grant window has passed.
     pub fn has_room(&mut self, now: Moment) -> bool {
         self.slots.retain(|_, slot| now.since(slot.reserved_at) < GRANT_WINDOW);
         self.slots.len() < MAX_RESERVED_KEYS
     }
 
-    /// Sets a key aside whose claim the store holds.
+    /// Adds a key whose claim is in the store.
     pub fn add(&mut self, key: Digest, reservation: RequestId, now: Moment) {
         self.slots.entry(key).or_insert(Slot { reserved_at: now, reservation, user: None });
     }
 
-    /// Takes out the keys that no call has used, to be released before this VM leaves.
+    /// Removes and returns the keys that no call has used, to be released before this VM stops.
     pub fn take_unused(&mut self) -> Vec<(Digest, RequestId)> {
         let unused = self.slots.extract_if(|_, slot| slot.user.is_none());
         unused.map(|(key, slot)| (key, slot.reservation)).collect()
     }
 
-    /// Says whether a call may use a key; nothing if the key is not set aside here.
+    /// Decides if a call may use a key, or returns `None` if the key is not reserved here. The
+    /// first call gets the key; asking again for the same call gives the same decision.
     pub fn try_use(
         &mut self,
         key: Digest,
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -1,8 +1,8 @@
-//! One shard of keys: a chain of records, each link created once in the store.
+//! State of one shard of keys, built from a chain of links that are created once in the store.
 //!
-//! Whoever creates link n has read all links before it; a paused writer that still believes to
-//! own the shard finds link n taken and reads on. So agreement rests on the store alone, and
-//! ownership only spares conflicts.
+//! A writer creates link n only after it has read all links before it. A paused writer that still
+//! believes to own the shard finds link n taken and reads the new links. So consistency depends
+//! only on the store's create operation; shard ownership merely avoids conflicts.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -11,24 +11,25 @@
 use super::{Answer, Claim, Digest, Outcome, Settlement};
 use crate::unit::{Date, RequestId, Span};
 
-/// A key is remembered this long; callers repeat within it.
+/// How long a key is retained. Clients retry within this time.
 const RETENTION: Span = Span::secs(24 * 3600);
 
-/// An ended call is kept with its answer for this long, and by digest only after that.
+/// How long the outcome of a call is retained with its response; after that, only its digest and
+/// status are.
 const OUTCOME_RETENTION: Span = Span::secs(3600);
 
-/// Room for this many times what is held is given back.
+/// The map of recent keys is shrunk if its capacity exceeds its length by this factor.
 const SHRINK_FACTOR: usize = 8;
 
-/// Requests that gave up before their claim was written are remembered up to this number.
+/// Maximum number of retained requests that gave up before their claim was written.
 const MAX_ABANDONED_REQUESTS: usize = 500;
 
-/// One record of the chain.
+/// Record of the chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A claim that was granted.
+    /// Granted claim.
     Claim(Claim),
-    /// How a claimed call ended.
+    /// Outcome of a claimed call.
     Settled(Settlement),
 }
 
@@ -38,16 +39,17 @@
     outcome: Option<Outcome>,
 }
 
-/// A call that ended long ago: enough to refuse its key, in a tenth of the memory.
+/// Compact entry of a call that ended long ago. It suffices to refuse the key and takes a tenth of
+/// the memory of a `HeldKey`.
 #[derive(Clone, Copy, Debug)]
 struct EndedKey {
     body: Digest,
     date: Date,
-    /// The back end's status; nought if nobody knows whether it ran.
+    /// Status of the response; 0 if it is unknown whether the call ran.
     status: u16,
 }
 
-/// What the chain says, as far as it was read.
+/// State of the keys of a shard after the links read so far.
 #[derive(Clone, Debug, Default)]
 pub struct Shard {
     next_link: u64,
@@ -57,22 +59,22 @@
 }
 
 impl Shard {
-    /// Number of the link that would be created next.
+    /// Returns the number of the next link to create.
     pub fn next_link(&self) -> u64 {
         self.next_link
     }
 
-    /// Keys held.
+    /// Returns the number of retained keys.
     pub fn len(&self) -> usize {
         self.recent.len() + self.old.len()
     }
 
-    /// Whether no key is held.
+    /// Returns true if no key is retained.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes the next link of the chain.
+    /// Applies the next link of the chain.
     pub fn apply_link(&mut self, records: Vec<Record>) {
         self.next_link += 1;
         for record in records {
@@ -82,9 +84,10 @@
 
     fn apply(&mut self, record: Record) {
         match record {
-            // The first claim holds; a later one in the chain was never granted.
+            // The first claim wins; a later one of the same key was never granted.
             Record::Claim(claim) if self.old.contains_key(&claim.key) => {}
-            // Its request gave up before a slow owner wrote the claim: nobody would ever end it.
+            // The request gave up before a slow owner wrote its claim, so no outcome would follow
+            // and the key would stay blocked.
             Record::Claim(claim) if self.abandoned.contains(&claim.request) => {}
             Record::Claim(claim) => {
                 self.recent.entry(claim.key).or_insert(HeldKey { claim, outcome: None });
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Notes a request that gave up a key which it does not hold, or not yet.
+    /// Records a request that gave up a key that it does not hold, or not yet.
     fn record_abandoned(&mut self, settled: Settlement) {
         if settled.outcome != Outcome::NotRun {
             return;
@@ -118,7 +121,7 @@
         self.abandoned.push_back(settled.request);
     }
 
-    /// The answer to a claim from what was read; nothing if the key is free.
+    /// Returns the answer to a claim, or `None` if the key is free as far as the chain was read.
     pub fn answer(&self, claim: &Claim) -> Option<Answer> {
         if let Some(old) = self.old.get(&claim.key) {
             return Some(old.answer(claim));
@@ -139,7 +142,8 @@
         }
     }
 
-    /// Forgets keys that are older than callers repeat, and the answers of those ended long ago.
+    /// Removes keys older than `RETENTION`, and the responses of calls older than
+    /// `OUTCOME_RETENTION`.
     pub fn evict(&mut self, now: Date) {
         self.old.retain(|_, old| now.since(old.date) < RETENTION);
         let Shard { recent, old, .. } = self;
@@ -158,7 +162,7 @@
             }
             false
         });
-        // A map keeps the room of its fullest hour unless told otherwise.
+        // A map keeps the capacity of its busiest hour unless it is shrunk.
         if recent.capacity() > SHRINK_FACTOR * recent.len().max(SHRINK_FACTOR) {
             recent.shrink_to_fit();
         }
@@ -256,7 +260,7 @@
     }
 
     quickcheck! {
-        /// Several writers with stale views race for links; the store keeps the first of each.
+        /// Writers with stale states race to create links; the store keeps the first of each.
         fn a_key_is_granted_to_one_request_under_any_race(steps: Vec<(u8, u8, u8, bool)>) -> bool {
             let mut chain: Vec<Vec<Record>> = Vec::new();
             let mut writers = vec![Shard::default(); 3];
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -1,4 +1,5 @@
-//! What callers meet: answers, refusals whose `ran` is true, sessions, keys.
+//! Tests of the HTTP interface for clients: answers, refusals and their `ran` field, sessions, and
+//! idempotency keys.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,50 +11,51 @@
 use kitepulley::unit::{Span, Target};
 use serde_json::{Value, json};
 
-/// An answer as a caller sees it.
-struct Got {
+/// Response as a client receives it.
+struct Response {
     status: u16,
     body: Value,
     session: Option<String>,
-    retry: Option<String>,
+    retry_after: Option<String>,
     version: Option<String>,
 }
 
-/// A request that reads like a sentence.
-struct Ask {
+/// Builder of a client request.
+struct Request {
     path: String,
     key: String,
     body: Option<Vec<u8>>,
     headers: Vec<(&'static str, String)>,
 }
 
-fn chat(model: &str) -> Ask {
+fn chat(model: &str) -> Request {
     let body = json!({"model": model, "messages": [{"role": "user", "content": "hi"}],
         "max_tokens": 8});
-    Ask::post("/v1/chat/completions", body.to_string().into_bytes())
+    Request::post("/v1/chat/completions", body.to_string().into_bytes())
 }
 
-fn confirm(seat: u32, once: &str) -> Ask {
+fn confirm(seat: u32, idempotency_key: &str) -> Request {
     let body = json!({"seat": seat}).to_string().into_bytes();
-    Ask::post("/v1/services/tellimus-api/enrolments", body).with("idempotency-key", once)
+    Request::post("/v1/services/tellimus-api/enrolments", body)
+        .with_header("idempotency-key", idempotency_key)
 }
 
-impl Ask {
-    fn post(path: &str, body: Vec<u8>) -> Ask {
-        Ask { path: path.into(), key: key("roasters"), body: Some(body), headers: Vec::new() }
+impl Request {
+    fn post(path: &str, body: Vec<u8>) -> Request {
+        Request { path: path.into(), key: key("roasters"), body: Some(body), headers: Vec::new() }
     }
 
-    fn keyed(mut self, key: &str) -> Ask {
+    fn with_api_key(mut self, key: &str) -> Request {
         self.key = key.to_owned();
         self
     }
 
-    fn with(mut self, name: &'static str, value: &str) -> Ask {
+    fn with_header(mut self, name: &'static str, value: &str) -> Request {
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    fn to(&self, at: SocketAddr) -> Got {
+    fn send_to(&self, at: SocketAddr) -> Response {
         block(async {
             let http = awc::Client::builder().timeout(Duration::from_secs(20)).finish();
             let url = format!("http://{at}{}", self.path);
@@ -69,26 +71,31 @@
                 let value = answer.headers().get(name).and_then(|value| value.to_str().ok());
                 value.map(str::to_owned)
             };
-            Got {
+            Response {
                 status: answer.status().as_u16(),
                 body: serde_json::from_slice(&bytes).unwrap_or(Value::Null),
                 session: text("x-kitepulley-session"),
-                retry: text("retry-after"),
+                retry_after: text("retry-after"),
                 version: text("x-kitepulley-version"),
             }
         })
     }
 
-    /// Asks, and expects a refusal of that kind that says whether it ran.
-    fn refused(&self, at: SocketAddr, status: u16, kind: &str, ran: &str) -> Got {
-        let got = self.to(at);
-        assert_eq!((got.status, got.body["kind"].as_str()), (status, Some(kind)), "{}", got.body);
-        assert_eq!(got.body["ran"], ran, "{}", got.body);
-        got
+    /// Sends the request and checks that it is refused with this status, kind and `ran` value.
+    fn expect_refusal(&self, at: SocketAddr, status: u16, kind: &str, ran: &str) -> Response {
+        let response = self.send_to(at);
+        assert_eq!(
+            (response.status, response.body["kind"].as_str()),
+            (status, Some(kind)),
+            "{}",
+            response.body
+        );
+        assert_eq!(response.body["ran"], ran, "{}", response.body);
+        response
     }
 }
 
-fn world(vms: usize) -> (World, Vec<SocketAddr>) {
+fn start_world(vms: usize) -> (World, Vec<SocketAddr>) {
     let world = World::start(&Shape { vms, engines: 6, ..Shape::default() }).expect("it starts");
     let addresses = world.nodes.values().map(|node| node.address).collect();
     (world, addresses)
@@ -100,22 +107,32 @@
 
 #[test]
 fn bad_requests_are_refused_and_nothing_runs() {
-    let (world, vms) = world(2);
+    let (world, vms) = start_world(2);
     let at = vms[0];
-    chat("auto").keyed("wrong").refused(at, 401, "unauthorised", "no");
-    chat("no-such-model").refused(at, 404, "unknown_model", "no");
-    chat("roastmind@v9").refused(at, 404, "unknown_model", "no");
-    chat("roastmind@v4").keyed(&key("nestwise")).refused(at, 403, "not_allowed", "no");
+    chat("auto").with_api_key("wrong").expect_refusal(at, 401, "unauthorised", "no");
+    chat("no-such-model").expect_refusal(at, 404, "unknown_model", "no");
+    chat("roastmind@v9").expect_refusal(at, 404, "unknown_model", "no");
+    chat("roastmind@v4").with_api_key(&key("nestwise")).expect_refusal(
+        at,
+        403,
+        "not_allowed",
+        "no",
+    );
     let path = "/v1/chat/completions";
-    Ask::post(path, b"{oops".to_vec()).refused(at, 400, "malformed", "no");
-    Ask::post(path, vec![0xff, 0xfe, b'{']).refused(at, 400, "malformed", "no");
-    Ask::post(path, vec![b' '; 1_000_001]).refused(at, 413, "too_large", "no");
-    Ask::post("/v1/nothing", Vec::new()).refused(at, 404, "not_found", "no");
-    chat("auto").with("x-kitepulley-session", "forged.token").refused(at, 400, "bad_session", "no");
-    let late = chat("roastmind").with("x-kitepulley-deadline-ms", "0");
-    late.refused(at, 504, "late", "no");
-    let unkeyed = Ask::post("/v1/services/tellimus-api/enrolments", b"{}".to_vec());
-    unkeyed.refused(at, 400, "key_missing", "no");
+    Request::post(path, b"{oops".to_vec()).expect_refusal(at, 400, "malformed", "no");
+    Request::post(path, vec![0xff, 0xfe, b'{']).expect_refusal(at, 400, "malformed", "no");
+    Request::post(path, vec![b' '; 1_000_001]).expect_refusal(at, 413, "too_large", "no");
+    Request::post("/v1/nothing", Vec::new()).expect_refusal(at, 404, "not_found", "no");
+    chat("auto").with_header("x-kitepulley-session", "forged.token").expect_refusal(
+        at,
+        400,
+        "bad_session",
+        "no",
+    );
+    let late = chat("roastmind").with_header("x-kitepulley-deadline-ms", "0");
+    late.expect_refusal(at, 504, "late", "no");
+    let unkeyed = Request::post("/v1/services/tellimus-api/enrolments", b"{}".to_vec());
+    unkeyed.expect_refusal(at, 400, "key_missing", "no");
     assert!(world.services.iter().all(|service| service.ran().is_empty()));
     assert_eq!(engines_run(&world), 0);
     world.end();
@@ -123,44 +140,46 @@
 
 #[test]
 fn a_session_keeps_its_version_through_any_vm_and_ends_with_its_withdrawal() {
-    let (world, vms) = world(3);
-    let first = chat("roastmind").with("x-kitepulley-session", "new").to(vms[0]);
+    let (world, vms) = start_world(3);
+    let first = chat("roastmind").with_header("x-kitepulley-session", "new").send_to(vms[0]);
     assert_eq!(first.status, 200);
     let token = first.session.expect("a token");
-    let second = chat("roastmind").with("x-kitepulley-session", &token).to(vms[1]);
+    let second = chat("roastmind").with_header("x-kitepulley-session", &token).send_to(vms[1]);
     assert_eq!(second.version, first.version);
-    let foreign = chat("roastmind").with("x-kitepulley-session", &token).keyed(&key("nestwise"));
-    foreign.refused(vms[1], 400, "bad_session", "no");
+    let foreign = chat("roastmind")
+        .with_header("x-kitepulley-session", &token)
+        .with_api_key(&key("nestwise"));
+    foreign.expect_refusal(vms[1], 400, "bad_session", "no");
     let target: Target = first.version.expect("a version").parse().expect("a target");
     let words = format!("withdraw {} {}", target.model, target.version);
     let revision = intend(world.platform_at, &words, "test").expect("it is confirmed");
     assert!(world.accepted(revision, Span::secs(10)));
     for at in &vms {
-        chat("roastmind").with("x-kitepulley-session", &token).refused(
+        chat("roastmind").with_header("x-kitepulley-session", &token).expect_refusal(
             *at,
             410,
             "session_ended",
             "no",
         );
-        chat(&target.to_string()).refused(*at, 410, "withdrawn", "no");
+        chat(&target.to_string()).expect_refusal(*at, 410, "withdrawn", "no");
     }
     world.end();
 }
 
 #[test]
 fn a_confirmation_sent_twice_through_two_vms_runs_once() {
-    let (world, vms) = world(3);
-    let first = confirm(7, "seat-7").to(vms[0]);
+    let (world, vms) = start_world(3);
+    let first = confirm(7, "seat-7").send_to(vms[0]);
     assert_eq!(first.status, 200);
-    // The outcome travels to the key's owner beside the answer, so the first may still count as
-    // running for a moment; the refusal says when to come back.
+    // The outcome is sent to the owner of the key concurrently with the response, so the first call
+    // may still count as running for a moment. The refusal says when to retry.
     let again = (0..20).map(|_| {
         std::thread::sleep(Duration::from_millis(50));
-        confirm(7, "seat-7").to(vms[1]).status
+        confirm(7, "seat-7").send_to(vms[1]).status
     });
     let seen: Vec<u16> = again.take_while(|status| *status != 200).collect();
     assert!(seen.len() < 20 && seen.iter().all(|status| *status == 409), "{seen:?}");
-    confirm(8, "seat-7").refused(vms[2], 422, "key_reused", "no");
+    confirm(8, "seat-7").expect_refusal(vms[2], 422, "key_reused", "no");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-7").copied()).sum();
     assert_eq!(ran, 1);
     world.end();
@@ -168,41 +187,42 @@
 
 #[test]
 fn a_key_cannot_be_agreed_on_without_the_store_and_is_free_afterwards() {
-    let (world, vms) = world(2);
+    let (world, vms) = start_world(2);
     world.platform.switch(Switches { down: true, ..Switches::default() });
-    let refused = confirm(9, "seat-9").refused(vms[0], 503, "store_away", "no");
-    assert!(refused.retry.is_some());
-    // Models are served as before: their revision was agreed on earlier.
-    assert_eq!(chat("roastmind").to(vms[0]).status, 200);
+    let refused = confirm(9, "seat-9").expect_refusal(vms[0], 503, "store_away", "no");
+    assert!(refused.retry_after.is_some());
+    // Model requests don't need the store: their configuration revision is already in force.
+    assert_eq!(chat("roastmind").send_to(vms[0]).status, 200);
     world.platform.switch(Switches::default());
     let served = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
-        confirm(9, "seat-9").to(vms[1]).status == 200
+        confirm(9, "seat-9").send_to(vms[1]).status == 200
     });
     assert!(served);
     world.end();
 }
 
-fn reserve(once: &str) -> Ask {
-    Ask::post("/v1/reservations/tellimus-api", Vec::new()).with("idempotency-key", once)
+fn reserve(idempotency_key: &str) -> Request {
+    Request::post("/v1/reservations/tellimus-api", Vec::new())
+        .with_header("idempotency-key", idempotency_key)
 }
 
 #[test]
 fn a_key_set_aside_beforehand_flows_once_through_any_vm_while_the_store_is_away() {
-    let (world, vms) = world(3);
-    assert_eq!(reserve("seat-6").to(vms[0]).status, 201);
+    let (world, vms) = start_world(3);
+    assert_eq!(reserve("seat-6").send_to(vms[0]).status, 201);
     world.platform.switch(Switches { down: true, ..Switches::default() });
-    let granted = confirm(6, "seat-6").to(vms[1]);
+    let granted = confirm(6, "seat-6").send_to(vms[1]);
     assert_eq!(granted.status, 200, "{}", granted.body);
-    confirm(6, "seat-6").refused(vms[2], 409, "key_running", "unknown");
-    confirm(7, "seat-6").refused(vms[2], 422, "key_reused", "no");
-    reserve("seat-16").refused(vms[0], 503, "store_away", "no");
+    confirm(6, "seat-6").expect_refusal(vms[2], 409, "key_running", "unknown");
+    confirm(7, "seat-6").expect_refusal(vms[2], 422, "key_reused", "no");
+    reserve("seat-16").expect_refusal(vms[0], 503, "store_away", "no");
     world.platform.switch(Switches::default());
     let replayed = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
-        confirm(6, "seat-6").to(vms[2]).status == 200
+        confirm(6, "seat-6").send_to(vms[2]).status == 200
     });
-    assert!(replayed, "the outcome is told once the store is back");
+    assert!(replayed, "the outcome is not replayed after the store recovered");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-6").copied()).sum();
     assert_eq!(ran, 1);
     world.end();
@@ -210,21 +230,21 @@
 
 #[test]
 fn a_key_set_aside_on_a_vm_is_free_after_its_planned_stop_and_in_doubt_after_its_death() {
-    let (mut world, vms) = world(3);
+    let (mut world, vms) = start_world(3);
     let holder = world.nodes.keys().next().expect("a VM runs").clone();
-    assert_eq!(reserve("seat-1").to(vms[0]).status, 201);
+    assert_eq!(reserve("seat-1").send_to(vms[0]).status, 201);
     world.nodes.remove(&holder).expect("it runs").stop();
     let free = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
-        confirm(1, "seat-1").to(vms[1]).status == 200
+        confirm(1, "seat-1").send_to(vms[1]).status == 200
     });
     assert!(free);
     let holder = world.nodes.keys().next().expect("a VM runs").clone();
-    assert_eq!(reserve("seat-2").to(vms[1]).status, 201);
+    assert_eq!(reserve("seat-2").send_to(vms[1]).status, 201);
     world.nodes.remove(&holder).expect("it runs").kill();
     let last = (0..60).map(|_| {
         std::thread::sleep(Duration::from_millis(250));
-        confirm(2, "seat-2").to(vms[2]).body["kind"].clone()
+        confirm(2, "seat-2").send_to(vms[2]).body["kind"].clone()
     });
     assert!(last.into_iter().any(|kind| kind == "in_doubt"));
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-2").copied()).sum();
@@ -234,11 +254,12 @@
 
 #[test]
 fn the_outcome_of_a_vm_that_died_is_in_doubt_and_never_run_again() {
-    let (mut world, _) = world(3);
+    let (mut world, _) = start_world(3);
     let (victim, node) = world.nodes.pop_first().expect("a VM runs");
     let at = node.address;
-    // The services' stand-ins take three milliseconds; a slow store gives the time to die in.
-    let asking = std::thread::spawn(move || confirm(5, "seat-5").to(at));
+    // The simulated services take 3 ms per call, and a slow store leaves more time for the VM to die
+    // while the call is under way.
+    let asking = std::thread::spawn(move || confirm(5, "seat-5").send_to(at));
     std::thread::sleep(Duration::from_millis(1));
     node.kill();
     let _ = asking.join();
@@ -248,9 +269,9 @@
     let other = world.nodes.values().next().expect("another runs").address;
     let mut last = 0;
     for _ in 0..50 {
-        let got = confirm(5, "seat-5").to(other);
-        last = got.status;
-        if got.status == 200 || got.body["kind"] == "in_doubt" {
+        let response = confirm(5, "seat-5").send_to(other);
+        last = response.status;
+        if response.status == 200 || response.body["kind"] == "in_doubt" {
             break;
         }
         std::thread::sleep(Duration::from_millis(250));
@@ -262,7 +283,7 @@
 
 #[test]
 fn a_change_is_in_force_though_every_watch_is_silent() {
-    let (world, _) = world(3);
+    let (world, _) = start_world(3);
     world.platform.switch(Switches { quiet: true, ..Switches::default() });
     let revision =
         intend(world.platform_at, "withdraw roastmind v4", "test").expect("it is confirmed");
@@ -272,27 +293,27 @@
 
 #[test]
 fn a_vm_that_starts_without_the_store_takes_the_configuration_from_the_others() {
-    let (mut world, _) = world(2);
+    let (mut world, _) = start_world(2);
     world.platform.switch(Switches { down: true, ..Switches::default() });
     let vm = world.add_vm().expect("it starts");
     world.ready(3).expect("it becomes ready");
-    assert_eq!(chat("roastmind").to(world.nodes[&vm].address).status, 200);
+    assert_eq!(chat("roastmind").send_to(world.nodes[&vm].address).status, 200);
     world.end();
 }
 
 #[test]
 fn a_stopping_vm_refuses_truthfully_and_finishes_what_runs() {
-    let (mut world, _) = world(3);
+    let (mut world, _) = start_world(3);
     let (_, node) = world.nodes.pop_first().expect("a VM runs");
     let at = node.address;
     let long = json!({"model": "roastmind", "messages": [{"role": "user", "content": "long"}],
         "max_tokens": 600});
-    let long = Ask::post("/v1/chat/completions", long.to_string().into_bytes());
-    let running = std::thread::spawn(move || long.to(at));
+    let long = Request::post("/v1/chat/completions", long.to_string().into_bytes());
+    let running = std::thread::spawn(move || long.send_to(at));
     std::thread::sleep(Duration::from_millis(200));
     let stopping = std::thread::spawn(move || node.stop());
     std::thread::sleep(Duration::from_millis(50));
-    chat("roastmind").refused(at, 503, "stopping", "no");
+    chat("roastmind").expect_refusal(at, 503, "stopping", "no");
     assert_eq!(running.join().expect("it is answered").status, 200);
     assert_eq!(stopping.join().expect("it stops"), 0);
     world.end();
@@ -300,14 +321,14 @@
 
 #[test]
 fn an_answer_cut_by_its_engine_is_taken_up_elsewhere_and_comes_whole() {
-    let (world, vms) = world(2);
-    let whole = chat("roastmind@v3").to(vms[0]);
-    // Only one engine cuts, after two tokens; each request must still be whole.
+    let (world, vms) = start_world(2);
+    let whole = chat("roastmind@v3").send_to(vms[0]);
+    // One engine ends each stream after two tokens; every answer must still be complete.
     world.engines[1].turn(|now| now.cut_after = Some(2));
     for _ in 0..12 {
-        let got = chat("roastmind@v3").to(vms[0]);
-        assert_eq!(got.status, 200);
-        assert_eq!(got.body["choices"], whole.body["choices"]);
+        let response = chat("roastmind@v3").send_to(vms[0]);
+        assert_eq!(response.status, 200);
+        assert_eq!(response.body["choices"], whole.body["choices"]);
     }
     world.end();
 }
@@ -317,17 +338,22 @@
     let world = World::start(&Shape::default()).expect("the world starts");
     let at = world.nodes.values().next().expect("a VM").address;
     world.services.iter().for_each(|service| service.cut(1));
-    let got = confirm(1, "cut-1").to(at);
-    assert_eq!((got.status, got.body["ran"].as_str()), (502, Some("unknown")), "{}", got.body);
+    let response = confirm(1, "cut-1").send_to(at);
+    assert_eq!(
+        (response.status, response.body["ran"].as_str()),
+        (502, Some("unknown")),
+        "{}",
+        response.body
+    );
     let ran: u64 = world.services.iter().map(|service| service.ran().values().sum::<u64>()).sum();
     assert_eq!(ran, 1, "a call that may have run is not sent again");
 }
 
-/// An engine breaks off before its first token, and the others turn the request away: the refusal must not say that it did
-/// not run, whichever came last.
+/// One engine ends the stream before its first token and the others refuse the request. The refusal
+/// must not claim that the request did not run, in whichever order the engines were tried.
 #[test]
 fn what_may_have_run_is_never_told_as_not_run() {
-    let (world, vms) = world(1);
+    let (world, vms) = start_world(1);
     for (at, engine) in world.engines.iter().enumerate() {
         match at {
             1 => engine.turn(|now| now.cut_after = Some(0)),
@@ -337,15 +363,15 @@
     let ran = || {
         world.history.lines().iter().filter(|line| matches!(line.event, Event::Ran { .. })).count()
     };
-    let mut told = 0;
+    let mut ran_count = 0;
     for _ in 0..20 {
         let before = ran();
-        let got = chat("roastmind@v3").to(vms[0]);
-        assert_ne!(got.status, 200);
+        let response = chat("roastmind@v3").send_to(vms[0]);
+        assert_ne!(response.status, 200);
         let has_run = ran() > before;
-        assert!(!has_run || got.body["ran"] != "no", "it ran: {}", got.body);
-        told += u32::from(has_run);
+        assert!(!has_run || response.body["ran"] != "no", "it ran: {}", response.body);
+        ran_count += u32::from(has_run);
     }
-    assert!(told > 0, "no request met the engine that breaks off");
+    assert!(ran_count > 0, "no request reached the engine that ends the stream");
     world.end();
 }
