--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -56,6 +56,7 @@
         vec![self.trial_key(target), key]
     }
 
+    /// Counts a cheap answer of a cascade, whether kept or not, and may submit it for rating.
     pub(super) fn rate_cheap(&self, target: &Target, bin: usize, rule: &Rule, received: &[String]) {
         let key = Key::Cheap {
             workspace: self.job.workspace.name.clone(),
@@ -70,6 +71,8 @@
         }
     }
 
+    /// Counts a strong answer of a cascade and may submit it for rating. `bin` is the confidence bin
+    /// of the cheap answer before it, or `BINS` if the strong version ran alone.
     pub(super) fn rate_strong(
         &self,
         target: &Target,
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -53,7 +53,7 @@
     content: Value,
 }
 
-/// Client and header settings of a request that may enter.
+/// Authenticated client of a request, with the settings from its headers.
 pub struct Caller {
     /// Configuration at the time of the check.
     pub snapshot: Arc<Snapshot>,
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -33,7 +33,7 @@
     Stopping,
     /// The VM has lost contact with the other VMs and the store, or has no configuration yet.
     CutOff,
-    /// The VM could not fetch the revision that the session token requires.
+    /// The VM has not reached the configuration revision that the request requires.
     Behind,
     /// The rate limit of the workspace is exhausted.
     Limited,
