--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Counts a strong answer of a cascade and may submit it for rating. `bin` is the confidence bin
-    /// of the cheap answer before it, or `BINS` if the strong version ran alone.
+    /// Counts a strong answer of a cascade and may submit it for rating. `bin` is the confidence
+    /// bin of the cheap answer before it, or `BINS` if the strong version ran alone.
     pub(super) fn rate_strong(
         &self,
         target: &Target,
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -257,8 +257,8 @@
     let (mut world, _) = start_world(3);
     let (victim, node) = world.nodes.pop_first().expect("a VM runs");
     let at = node.address;
-    // The simulated services take 3 ms per call, and a slow store leaves more time for the VM to die
-    // while the call is under way.
+    // The simulated services take 3 ms per call, and a slow store leaves more time for the VM to
+    // die while the call is under way.
     let asking = std::thread::spawn(move || confirm(5, "seat-5").send_to(at));
     std::thread::sleep(Duration::from_millis(1));
     node.kill();
