--- a/src/cli.rs
+++ b/src/cli.rs
@@ -41,13 +41,13 @@
     Confirm(Confirm),
     /// The state of the configuration.
     #[options(help = "show the configuration, roll-outs and VMs as one VM sees them")]
-    Status(Ask),
+    Status(Query),
     /// A decision record.
     #[options(help = "say why a request went where it went")]
-    Explain(Ask),
+    Explain(Query),
     /// The burn report.
     #[options(help = "report service-level burn over all VMs")]
-    Burn(Ask),
+    Burn(Query),
     /// The bills.
     #[options(help = "read the bills from the platform's store")]
     Bill(Bill),
@@ -222,7 +222,7 @@
 
 /// Flags of commands that ask a VM.
 #[derive(Debug, Options)]
-pub struct Ask {
+pub struct Query {
     /// Show this help.
     #[options(help = "show this help")]
     pub help: bool,
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -6,11 +6,11 @@
 use crate::cli;
 use crate::error::Error;
 use crate::history::{judge, read};
-use crate::options::needed;
+use crate::options::required;
 
 /// Prints the verdicts; a breach is an error.
 pub fn run(flags: &cli::Check) -> Result<(), Error> {
-    let file: String = needed("file", flags.file.as_ref())?;
+    let file: String = required("file", flags.file.as_ref())?;
     let path = Path::new(&file);
     let opened = std::fs::File::open(path).map_err(|fault| Error::file(path, &fault))?;
     let mut lines = read(&file, BufReader::new(opened))?;
@@ -23,6 +23,6 @@
     }
     match report.broken() {
         0 => Ok(()),
-        count => Err(Error::Broken(count)),
+        count => Err(Error::BrokenPromises(count)),
     }
 }
--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -3,25 +3,25 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use super::{ask, block};
+use super::{block_on, query};
 use crate::cli;
 use crate::config::{Plan, digest};
 use crate::error::Error;
 use crate::operator::{Confirmed, confirm};
-use crate::options::{address, needed, optional};
+use crate::options::{address, optional, required};
 use crate::platform::Store;
 use crate::unit::Revision;
 use crate::vm::Clock;
 
 /// How long to ask whether the change is in force everywhere.
-const ASK_FOR: Duration = Duration::from_secs(20);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Applies the plan.
 pub fn run(flags: &cli::Confirm) -> Result<(), Error> {
-    let file: String = needed("plan", flags.plan.as_ref())?;
+    let file: String = required("plan", flags.plan.as_ref())?;
     let path = Path::new(&file);
     let text = std::fs::read_to_string(path).map_err(|fault| Error::file(path, &fault))?;
     let plan: Plan = serde_json::from_str(&text)
@@ -31,10 +31,10 @@
         let cause = "the plan was changed after it was made; plan anew".to_owned();
         return Err(Error::Format(file, 1, cause));
     }
-    let who: String = needed("who", flags.who.as_ref())?;
+    let who: String = required("who", flags.who.as_ref())?;
     let platform = address("platform", flags.platform.as_ref())?;
     let vm = optional("vm", flags.vm.as_ref())?;
-    block(async {
+    block_on(async {
         let date = Clock::default().date();
         let done = confirm(&Store::new(platform), &plan, &who, date).await?;
         let revision = match done {
@@ -48,23 +48,23 @@
             }
         };
         match vm {
-            Some(vm) => wait(vm, revision).await,
+            Some(vm) => wait_until_in_force(vm, revision).await,
             None => Ok(()),
         }
     })
 }
 
-async fn wait(vm: std::net::SocketAddr, revision: Revision) -> Result<(), Error> {
+async fn wait_until_in_force(vm: std::net::SocketAddr, revision: Revision) -> Result<(), Error> {
     let began = Instant::now();
     let mut waits = String::new();
-    while began.elapsed() < ASK_FOR {
-        let status = ask::json(vm, "operator/status").await?;
+    while began.elapsed() < IN_FORCE_TIMEOUT {
+        let status = query::get_json(vm, "operator/status").await?;
         if status["accepted"].as_u64().unwrap_or_default() >= revision.0 {
             println!("Revision {revision} is in force everywhere, after {:.1?}.", began.elapsed());
             return Ok(());
         }
         waits = status["waits_for"].to_string();
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     println!("Revision {revision} is still pending; it waits for {waits}. See `status`.");
     Ok(())
--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -5,10 +5,10 @@
 use crate::cli;
 use crate::demo::{Fault, Scenario, Shape, run as run_scenario};
 use crate::error::Error;
-use crate::options::{list, or, text};
+use crate::options::{list, value_of, with_default};
 
 /// Faults of the default run, in turn.
-const USUAL: [Fault; 7] = [
+const DEFAULT_FAULTS: [Fault; 7] = [
     Fault::StoreDown,
     Fault::Stop,
     Fault::AnswerLost,
@@ -20,44 +20,44 @@
 
 /// Runs the demo; a promise that breaks is an error.
 pub fn run(flags: &cli::Demo) -> Result<(), Error> {
-    let vms: usize = or("vms", flags.vms.as_ref(), 3)?;
+    let vms: usize = with_default("vms", flags.vms.as_ref(), 3)?;
     if !(2..=32).contains(&vms) {
         return Err(Error::flag("--vms", vms, "use 2 to 32."));
     }
-    let requests: usize = or("requests", flags.requests.as_ref(), 6000)?;
+    let requests: usize = with_default("requests", flags.requests.as_ref(), 6000)?;
     if requests > 1_000_000 {
         return Err(Error::flag("--requests", requests, "use at most 1000000."));
     }
     let scenario = Scenario {
         requests,
-        seed: or("seed", flags.seed.as_ref(), 1)?,
+        seed: with_default("seed", flags.seed.as_ref(), 1)?,
         faults: faults(flags)?,
         shape: Shape { vms, ..Shape::default() },
-        tell: true,
+        verbose: true,
     };
     println!("{vms} VMs, {} engines, seed {}", scenario.shape.engines, scenario.seed);
     let outcome = run_scenario(&scenario)?;
     let (whole, refused, broken) = outcome.counts;
     println!(
         "\n{whole} answers whole, {refused} refusals, {broken} broken, in {:.1?}",
-        outcome.took
+        outcome.duration
     );
     println!("\nBurn of the objectives (1.00 uses the allowance up in 30 days):\n{}", outcome.burn);
     println!("Promises:\n{}", outcome.report);
     if let Some(file) = &flags.history {
-        outcome.world.history.save(Path::new(file))?;
+        outcome.cluster.history.save(Path::new(file))?;
         println!("The history is in {file}; judge it again with `kitepulley check {file}`.");
     }
     match outcome.report.broken() {
         0 => Ok(()),
-        count => Err(Error::Broken(count)),
+        count => Err(Error::BrokenPromises(count)),
     }
 }
 
 fn faults(flags: &cli::Demo) -> Result<Vec<Vec<Fault>>, Error> {
     use crate::demo::ALL_FAULTS;
-    match text("faults", flags.faults.as_ref()).as_deref() {
-        None => Ok(USUAL.iter().map(|fault| vec![*fault]).collect()),
+    match value_of("faults", flags.faults.as_ref()).as_deref() {
+        None => Ok(DEFAULT_FAULTS.iter().map(|fault| vec![*fault]).collect()),
         Some("none") => Ok(Vec::new()),
         Some("all") => Ok(ALL_FAULTS.iter().map(|(fault, _)| vec![*fault]).collect()),
         Some("pairs") => {
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,12 +1,12 @@
 //! The commands: each takes its flags and runs to its end.
 
-mod ask;
 mod check;
 mod confirm;
 mod demo;
 mod entry;
 mod experiment;
 mod plan;
+mod query;
 mod serve;
 mod standin;
 
@@ -22,7 +22,7 @@
 /// What went wrong, as a sentence that says what to do.
 pub fn run(arguments: &[String]) -> Result<(), Error> {
     let cli = Cli::parse_args_default(arguments)
-        .map_err(|fault| Error::Contradiction(format!("{fault}; see `kitepulley --help`.")))?;
+        .map_err(|fault| Error::Usage(format!("{fault}; see `kitepulley --help`.")))?;
     if cli.version {
         println!("kitepulley {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
@@ -43,10 +43,10 @@
         Command::Demo(flags) => demo::run(flags),
         Command::Plan(flags) => plan::run(flags),
         Command::Confirm(flags) => confirm::run(flags),
-        Command::Status(flags) => ask::status(flags),
-        Command::Explain(flags) => ask::explain(flags),
-        Command::Burn(flags) => ask::burn(flags),
-        Command::Bill(flags) => ask::bill(flags),
+        Command::Status(flags) => query::status(flags),
+        Command::Explain(flags) => query::explain(flags),
+        Command::Burn(flags) => query::burn(flags),
+        Command::Bill(flags) => query::bill(flags),
         Command::Check(flags) => check::run(flags),
         Command::Experiment(flags) => experiment::run(flags),
         Command::Chart(flags) => draw(flags.name.as_ref()),
@@ -79,17 +79,17 @@
 }
 
 fn draw(name: Option<&String>) -> Result<(), Error> {
-    let name: String = options::needed("chart", name)?;
+    let name: String = options::required("chart", name)?;
     let Some((_, text)) = chart::FILES.iter().find(|(known, _)| *known == name) else {
         let known: Vec<&str> = chart::FILES.iter().map(|(known, _)| *known).collect();
         return Err(Error::flag("chart", name, format!("name one of {}.", known.join(", "))));
     };
-    let chart = chart::load(text).map_err(Error::Contradiction)?;
+    let chart = chart::load(text).map_err(Error::Usage)?;
     print!("{}", chart::mermaid(&chart));
     Ok(())
 }
 
 /// Runs a future on a system of its own.
-pub fn block<T>(future: impl Future<Output = T>) -> T {
+pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     actix_web::rt::System::new().block_on(future)
 }
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use super::block;
+use super::block_on;
 use crate::config::{self, Plan, Wish};
 use crate::error::Error;
 use crate::options::address;
@@ -13,7 +13,7 @@
 pub fn run(flags: &cli::Plan) -> Result<(), Error> {
     let wish = wish(&flags.wish)?;
     let platform = address("platform", flags.platform.as_ref())?;
-    let plan = block(async {
+    let plan = block_on(async {
         let snapshot = operator::snapshot(&Store::new(platform)).await?;
         config::make(&snapshot, &wish)
     })?;
@@ -31,14 +31,13 @@
 
 fn wish(words: &[String]) -> Result<Wish, Error> {
     let what = "Name a file or folder of declarations, or an intent; see `kitepulley plan --help`.";
-    let first = words.first().ok_or_else(|| Error::Contradiction(what.to_owned()))?;
+    let first = words.first().ok_or_else(|| Error::Usage(what.to_owned()))?;
     if words.len() == 1 && Path::new(first).exists() {
         return config::read(Path::new(first)).map(Wish::Declared);
     }
     let text = words.join(" ");
-    let fault = |fault: crate::unit::Fault| {
-        Error::Contradiction(format!("{fault} No file has that name either."))
-    };
+    let fault =
+        |fault: crate::unit::Fault| Error::Usage(format!("{fault} No file has that name either."));
     text.parse().map(Wish::Short).map_err(fault)
 }
 
--- a/src/command/ask.rs
+++ b/src/command/query.rs
@@ -6,23 +6,23 @@
 
 use serde_json::Value;
 
-use super::block;
+use super::block_on;
 use crate::cli;
 use crate::error::Error;
 use crate::ledger::{self, Entry};
-use crate::options::{address, needed, optional};
+use crate::options::{address, optional, required};
 use crate::platform::Store;
 use crate::unit::{Cost, Workspace};
 
 /// A VM that answers later is not waited for.
-const WITHIN: Duration = Duration::from_secs(5);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn get(vm: SocketAddr, path: &str) -> Result<(u16, String), Error> {
     let fault = |cause: String| {
         Error::Unreachable(format!("The VM at {vm} did not answer: {cause}. Ask another."))
     };
     let mut request =
-        awc::Client::builder().timeout(WITHIN).finish().get(format!("http://{vm}/{path}"));
+        awc::Client::builder().timeout(QUERY_TIMEOUT).finish().get(format!("http://{vm}/{path}"));
     if let Ok(key) = std::env::var("KITEPULLEY_OPERATOR_KEY") {
         request = request.insert_header(("authorization", format!("Bearer {key}")));
     }
@@ -32,12 +32,12 @@
 }
 
 /// JSON that a VM answers.
-pub async fn json(vm: SocketAddr, path: &str) -> Result<Value, Error> {
-    let text = text(vm, path).await?;
+pub async fn get_json(vm: SocketAddr, path: &str) -> Result<Value, Error> {
+    let text = get_text(vm, path).await?;
     serde_json::from_str(&text).map_err(|fault| Error::Unreachable(fault.to_string()))
 }
 
-async fn text(vm: SocketAddr, path: &str) -> Result<String, Error> {
+async fn get_text(vm: SocketAddr, path: &str) -> Result<String, Error> {
     match get(vm, path).await? {
         (200, body) => Ok(body),
         (_, body) => Err(Error::Unreachable(body.trim().to_owned())),
@@ -45,9 +45,9 @@
 }
 
 /// `status`.
-pub fn status(flags: &cli::Ask) -> Result<(), Error> {
+pub fn status(flags: &cli::Query) -> Result<(), Error> {
     let vm = address("vm", flags.vm.as_ref())?;
-    let status = block(json(vm, "operator/status"))?;
+    let status = block_on(get_json(vm, "operator/status"))?;
     if flags.json {
         println!("{status:#}");
         return Ok(());
@@ -86,18 +86,18 @@
 }
 
 /// `explain`.
-pub fn explain(flags: &cli::Ask) -> Result<(), Error> {
-    let request: String = needed("request", flags.request.as_ref())?;
+pub fn explain(flags: &cli::Query) -> Result<(), Error> {
+    let request: String = required("request", flags.request.as_ref())?;
     let vm = address("vm", flags.vm.as_ref())?;
-    print!("{}", block(text(vm, &format!("operator/explain/{request}")))?);
+    print!("{}", block_on(get_text(vm, &format!("operator/explain/{request}")))?);
     Ok(())
 }
 
 /// `burn`.
-pub fn burn(flags: &cli::Ask) -> Result<(), Error> {
+pub fn burn(flags: &cli::Query) -> Result<(), Error> {
     let vm = address("vm", flags.vm.as_ref())?;
     let path = if flags.json { "operator/burn?json" } else { "operator/burn" };
-    print!("{}", block(text(vm, path))?);
+    print!("{}", block_on(get_text(vm, path))?);
     Ok(())
 }
 
@@ -105,7 +105,7 @@
 pub fn bill(flags: &cli::Bill) -> Result<(), Error> {
     let platform = address("platform", flags.platform.as_ref())?;
     let only: Option<Workspace> = optional("workspace", flags.workspace.as_ref())?;
-    let mut entries = block(ledger::collect(&Store::new(platform)))?;
+    let mut entries = block_on(ledger::collect(&Store::new(platform)))?;
     entries.retain(|entry| only.as_ref().is_none_or(|only| entry.workspace == *only));
     if flags.json {
         println!("{}", serde_json::to_string(&entries).expect("entries are plain data"));
--- a/src/command/serve.rs
+++ b/src/command/serve.rs
@@ -2,7 +2,7 @@
 
 use actix_web::rt::signal::unix::{SignalKind, signal};
 
-use super::block;
+use super::block_on;
 use crate::error::Error;
 use crate::history::Sink;
 use crate::{cli, options, vm};
@@ -10,9 +10,9 @@
 /// Runs a VM; SIGTERM or SIGINT is a planned stop, a second one ends it at once.
 pub fn run(flags: &cli::Serve) -> Result<(), Error> {
     let settings = options::serve(flags)?;
-    block(async move {
+    block_on(async move {
         let handle = vm::start(settings, Sink::default())?;
-        wait().await;
+        wait_for_signal().await;
         let mut stop = std::pin::pin!(handle.stop());
         tokio::select! {
             cut = &mut stop => {
@@ -22,14 +22,14 @@
                 }
                 Ok(())
             }
-            () = wait() => Err(Error::Unreachable(
+            () = wait_for_signal() => Err(Error::Unreachable(
                 "A second signal ended it before its requests were finished.".to_owned(),
             )),
         }
     })
 }
 
-async fn wait() {
+async fn wait_for_signal() {
     let mut terminate = signal(SignalKind::terminate()).expect("signals can be watched");
     let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
     tokio::select! {
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::block;
+use super::block_on;
 use crate::error::Error;
 use crate::history::Sink;
-use crate::options::{address, needed, or};
-use crate::standin::engine::{Behaviour, Engine, Traits};
+use crate::options::{address, required, with_default};
+use crate::standin::engine::{Behaviour, Engine, Profile};
 use crate::standin::platform::{Platform, RATES};
 use crate::standin::rating::Rater;
 use crate::standin::service::Service;
@@ -17,7 +17,7 @@
 const QUEUE_PER_SLOT: u32 = 4;
 
 /// Time that a service's call takes.
-const CALL: Span = Span::millis(5);
+const SERVICE_CALL_TIME: Span = Span::millis(5);
 
 /// Runs a stand-in.
 pub fn run(flags: &cli::Standin) -> Result<(), Error> {
@@ -27,24 +27,24 @@
         return Err(Error::flag("standin", which, accepted));
     }
     let at = address("listen", flags.listen.as_ref())?;
-    let lag: Span = or("lag", flags.lag.as_ref(), Span::millis(500))?;
+    let lag: Span = with_default("lag", flags.lag.as_ref(), Span::millis(500))?;
     let running = match which {
         "platform" => Platform::new(RATES, Sink::default()).launch(at)?,
         "rating" => Rater::new(lag.duration()).launch(at)?,
         "service" => {
-            let name = needed("name", flags.name.as_ref())?;
-            Service::new(name, CALL.duration(), Sink::default()).launch(at)?
+            let name = required("name", flags.name.as_ref())?;
+            Service::new(name, SERVICE_CALL_TIME.duration(), Sink::default()).launch(at)?
         }
-        _ => Engine::new(traits(flags, lag)?, Sink::default()).launch(at)?,
+        _ => Engine::new(engine_profile(flags, lag)?, Sink::default()).launch(at)?,
     };
     eprintln!("The stand-in of the {which} listens at {}.", running.address);
-    block(async {
+    block_on(async {
         let _ = actix_web::rt::signal::ctrl_c().await;
     });
     Ok(())
 }
 
-fn traits(flags: &cli::Standin, lag: Span) -> Result<Traits, Error> {
+fn engine_profile(flags: &cli::Standin, lag: Span) -> Result<Profile, Error> {
     let mut versions = BTreeMap::new();
     for part in options::list::<String>("versions", flags.versions.as_ref())? {
         let fault = || Error::flag("--versions", &part, "write MODEL@VERSION=QUALITY,...");
@@ -53,10 +53,10 @@
         let quality: f64 = quality.parse().map_err(|_| fault())?;
         versions.insert(target, Behaviour { quality, errors: 0.0 });
     }
-    let slots = or("slots", flags.slots.as_ref(), 16)?;
-    let token_time: Span = or("token-time", flags.token_time.as_ref(), Span::millis(5))?;
-    Ok(Traits {
-        name: needed("name", flags.name.as_ref())?,
+    let slots = with_default("slots", flags.slots.as_ref(), 16)?;
+    let token_time: Span = with_default("token-time", flags.token_time.as_ref(), Span::millis(5))?;
+    Ok(Profile {
+        name: required("name", flags.name.as_ref())?,
         slots,
         queue: slots * QUEUE_PER_SLOT,
         first_us: token_time.0,
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -5,22 +5,22 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-use super::client::{Answer, Ask, Client};
+use super::client::{Answer, Client, Request};
 use super::work::Work;
 use crate::history::{Ran, Sink};
 use crate::unit::Vm;
 
 /// Callers at once.
-const CALLERS: usize = 32;
+const CALLER_COUNT: usize = 32;
 
 /// Tries of a request that was refused as "not run" or whose VM did not answer.
-const TRIES: usize = 6;
+const MAX_ATTEMPTS: usize = 6;
 
 /// Wait before another try.
-const AGAIN: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Time between setting a key aside and the call itself.
-const FILLS_IN: Duration = Duration::from_millis(400);
+const RESERVE_TO_CALL_DELAY: Duration = Duration::from_millis(400);
 
 /// The platform's balancer: the VMs that it believes to be ready.
 #[derive(Clone, Default)]
@@ -58,14 +58,14 @@
 /// Sends all work and returns when it is done.
 pub fn run(work: &Arc<Vec<Work>>, balancer: &Balancer, history: &Sink, progress: &Arc<Progress>) {
     actix_web::rt::System::new().block_on(async {
-        let callers = (0..CALLERS).map(|i| {
+        let callers = (0..CALLER_COUNT).map(|i| {
             let workspace = if i.is_multiple_of(2) { "roasters" } else { "nestwise" };
             let caller = Caller {
                 client: Client::new(workspace, history.clone()),
                 balancer: balancer.clone(),
                 progress: progress.clone(),
             };
-            caller.loops(work.clone())
+            caller.run_all(work.clone())
         });
         futures_util::future::join_all(callers).await;
     });
@@ -78,34 +78,34 @@
 }
 
 impl Caller {
-    async fn loops(self, work: Arc<Vec<Work>>) {
+    async fn run_all(self, work: Arc<Vec<Work>>) {
         loop {
             let at = self.progress.taken.fetch_add(1, Ordering::Relaxed);
             let Some(work) = work.get(at) else { return };
             match work {
                 Work::Single(ask) => {
-                    self.ask(ask).await;
+                    self.send(ask).await;
                 }
                 Work::Twice(ask) => {
-                    futures_util::future::join(self.ask(ask), self.ask(ask)).await;
+                    futures_util::future::join(self.send(ask), self.send(ask)).await;
                 }
                 Work::Reserved(ask) => {
                     let path = "/v1/reservations/tellimus-api".to_owned();
-                    let reserve = Ask { path, ..ask.clone() };
-                    self.ask(&reserve).await;
-                    tokio::time::sleep(FILLS_IN).await;
-                    self.ask(ask).await;
+                    let reserve = Request { path, ..ask.clone() };
+                    self.send(&reserve).await;
+                    tokio::time::sleep(RESERVE_TO_CALL_DELAY).await;
+                    self.send(ask).await;
                 }
                 Work::Talk(turns) => self.talk(turns).await,
             }
         }
     }
 
-    async fn talk(&self, turns: &[Ask]) {
+    async fn talk(&self, turns: &[Request]) {
         let mut session = "new".to_owned();
         for turn in turns {
-            let ask = Ask { session: Some(session.clone()), ..turn.clone() };
-            let answer = self.ask(&ask).await;
+            let ask = Request { session: Some(session.clone()), ..turn.clone() };
+            let answer = self.send(&ask).await;
             match answer.session {
                 Some(token) => session = token,
                 None => return,
@@ -114,9 +114,9 @@
     }
 
     /// Asks until there is an answer, or a refusal that asking again would not change.
-    async fn ask(&self, ask: &Ask) -> Answer {
+    async fn send(&self, ask: &Request) -> Answer {
         let mut answer = Answer::default();
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let Some((vm, address)) = self.balancer.next() else {
                 break;
             };
@@ -127,12 +127,13 @@
                 _ => &self.progress.broken,
             };
             counter.fetch_add(1, Ordering::Relaxed);
-            let again = answer.unopened || answer.ran == Some(Ran::No) && answer.status >= 429;
+            let again =
+                answer.connect_failed || answer.ran == Some(Ran::No) && answer.status >= 429;
             let running = ask.key.is_some() && answer.status == 409;
             if !again && !running {
                 break;
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         answer
     }
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -13,14 +13,14 @@
 use crate::unit::{RequestId, Target, Vm, Workspace};
 
 /// Callers' own numbers of requests, over all clients of the process.
-static ASKS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
 /// A caller that waits longer counts the answer as broken.
-const WITHIN: Duration = Duration::from_secs(40);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A connection that rested longer is not used again: VMs close those that rest for five seconds, and a request that meets
 /// the close is cut off unread.
-const RESTS: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A caller of one workspace.
 #[derive(Clone)]
@@ -33,7 +33,7 @@
 
 /// What a caller sends.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct Request {
     /// Path.
     pub path: String,
     /// JSON body; none makes it a GET.
@@ -66,7 +66,7 @@
     /// The version.
     pub target: Option<Target>,
     /// Whether the connection never opened, as a balancer would notice.
-    pub unopened: bool,
+    pub connect_failed: bool,
 }
 
 impl Client {
@@ -74,9 +74,9 @@
     pub fn new(workspace: &str, history: Sink) -> Client {
         Client {
             workspace: workspace.parse().expect("a name of the demo"),
-            key: super::key(workspace),
+            key: super::workspace_key(workspace),
             http: awc::Client::builder()
-                .connector(awc::Connector::new().conn_keep_alive(RESTS))
+                .connector(awc::Connector::new().conn_keep_alive(IDLE_TIMEOUT))
                 .disable_timeout()
                 .finish(),
             history,
@@ -84,8 +84,8 @@
     }
 
     /// Sends to a VM and reads the answer to its end.
-    pub async fn send(&self, to: SocketAddr, vm: &Vm, ask: &Ask) -> Answer {
-        let number = ASKS.fetch_add(1, Ordering::Relaxed);
+    pub async fn send(&self, to: SocketAddr, vm: &Vm, ask: &Request) -> Answer {
+        let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
         self.history.note(|| Event::Asked {
             ask: number,
             workspace: self.workspace.clone(),
@@ -93,7 +93,7 @@
             talk: ask.talk,
         });
         let exchange = self.exchange(to, ask);
-        let answer = tokio::time::timeout(WITHIN, exchange).await.unwrap_or_default();
+        let answer = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await.unwrap_or_default();
         self.history.note(|| Event::Answered {
             ask: number,
             request: answer.request.clone(),
@@ -107,7 +107,7 @@
         answer
     }
 
-    async fn exchange(&self, to: SocketAddr, ask: &Ask) -> Answer {
+    async fn exchange(&self, to: SocketAddr, ask: &Request) -> Answer {
         let url = format!("http://{to}{}", ask.path);
         let mut request = match ask.body {
             Some(_) => self.http.post(url),
@@ -129,8 +129,8 @@
         let mut response = match sent {
             Ok(response) => response,
             Err(fault) => {
-                let unopened = matches!(fault, awc::error::SendRequestError::Connect(_));
-                return Answer { unopened, ..Answer::default() };
+                let connect_failed = matches!(fault, awc::error::SendRequestError::Connect(_));
+                return Answer { connect_failed, ..Answer::default() };
             }
         };
         let text = |name: &str| {
@@ -186,7 +186,7 @@
     }
 }
 
-fn read_body(bytes: &[u8], read: bool, ask: &Ask, answer: &mut Answer) {
+fn read_body(bytes: &[u8], read: bool, ask: &Request, answer: &mut Answer) {
     let text = String::from_utf8_lossy(bytes).into_owned();
     let value: Value = serde_json::from_str(&text).unwrap_or_default();
     if answer.status >= 300 {
--- a/src/demo/world.rs
+++ b/src/demo/cluster.rs
@@ -14,8 +14,8 @@
 use crate::history::Sink;
 use crate::operator::{Confirmed, confirm, snapshot};
 use crate::platform::Store;
-use crate::standin::engine::{Behaviour, Engine, Traits};
-use crate::standin::platform::{Listed, Platform, RATES};
+use crate::standin::engine::{Behaviour, Engine, Profile};
+use crate::standin::platform::{Platform, RATES, VmEntry};
 use crate::standin::rating::Rater;
 use crate::standin::service::Service;
 use crate::standin::{self};
@@ -29,7 +29,7 @@
 const DATA_CENTRES: [&str; 2] = ["ulemiste", "kadriorg"];
 
 /// Stand-ins that run before the engines: the platform and the rating service.
-const FIRST_ENGINE: usize = 2;
+const STANDINS_BEFORE_ENGINES: usize = 2;
 
 /// How much there is of everything.
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
 }
 
 /// Everything outside the VMs, and the VMs.
-pub struct World {
+pub struct Cluster {
     /// The platform.
     pub platform: Platform,
     /// The rating service.
@@ -76,14 +76,14 @@
     /// Events.
     pub history: Sink,
     /// Where the platform listens.
-    pub platform_at: SocketAddr,
-    rating_at: SocketAddr,
-    born: usize,
-    running: Vec<standin::Running>,
+    pub platform_address: SocketAddr,
+    rating_address: SocketAddr,
+    started_vms: usize,
+    running: Vec<standin::Instance>,
 }
 
 /// The bearer key of a workspace of the demo.
-pub fn key(workspace: &str) -> String {
+pub fn workspace_key(workspace: &str) -> String {
     format!("{workspace}-secret-key")
 }
 
@@ -99,7 +99,7 @@
 /// # Errors
 /// If the plan cannot be made or the platform does not answer.
 pub fn apply(platform: SocketAddr, wish: &Wish, who: &str) -> Result<Revision, Error> {
-    crate::command::block(async move {
+    crate::command::block_on(async move {
         let store = Store::new(platform);
         let plan = config::make(&snapshot(&store).await?, wish)?;
         let date = Clock::default().date();
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// As `apply`.
-pub fn intend(platform: SocketAddr, words: &str, who: &str) -> Result<Revision, Error> {
+pub fn apply_intent(platform: SocketAddr, words: &str, who: &str) -> Result<Revision, Error> {
     let intent: Intent = words.parse().map_err(|e: crate::unit::Fault| Error::Plan(e.0))?;
     apply(platform, &Wish::Short(intent), who)
 }
@@ -140,54 +140,54 @@
     }
 }
 
-impl World {
+impl Cluster {
     /// Starts the stand-ins, confirms the declarations and starts the VMs.
     ///
     /// # Errors
     /// If something cannot be started.
-    pub fn start(shape: &Shape) -> Result<World, Error> {
+    pub fn start(shape: &Shape) -> Result<Cluster, Error> {
         let history = Sink::keeping();
         let loopback: SocketAddr = name(LOOPBACK);
         let platform = Platform::new(RATES, history.clone());
         let platform_running = platform.launch(loopback)?;
         let rater = Rater::new(shape.rating_lag.duration());
         let rating_running = rater.launch(loopback)?;
-        let mut world = World {
-            platform_at: platform_running.address,
-            rating_at: rating_running.address,
+        let mut cluster = Cluster {
+            platform_address: platform_running.address,
+            rating_address: rating_running.address,
             platform,
             rater,
             engines: Vec::new(),
             services: Vec::new(),
             nodes: BTreeMap::new(),
             history,
-            born: 0,
+            started_vms: 0,
             running: vec![platform_running, rating_running],
         };
-        let declared = world.back_ends(shape)?;
-        apply(world.platform_at, &Wish::Declared(declared), "demo")?;
+        let declared = cluster.start_servers(shape)?;
+        apply(cluster.platform_address, &Wish::Declared(declared), "demo")?;
         for _ in 0..shape.vms {
-            world.add_vm()?;
+            cluster.add_vm()?;
         }
-        world.ready(shape.vms)?;
-        Ok(world)
+        cluster.wait_ready(shape.vms)?;
+        Ok(cluster)
     }
 
-    fn back_ends(&mut self, shape: &Shape) -> Result<Declarations, Error> {
+    fn start_servers(&mut self, shape: &Shape) -> Result<Declarations, Error> {
         let loopback: SocketAddr = name(LOOPBACK);
         let mut declared = declarations();
         for i in 0..shape.engines {
-            let traits = traits(i, shape);
-            let engine = Engine::new(traits.clone(), self.history.clone());
+            let profile = profile(i, shape);
+            let engine = Engine::new(profile.clone(), self.history.clone());
             let running = engine.launch(loopback)?;
             declared.servers.push(ServerEntry {
-                name: traits.name,
+                name: profile.name,
                 address: running.address,
                 data_centre: name(DATA_CENTRES[i % DATA_CENTRES.len()]),
                 kind: ServerKind::Engine,
-                versions: traits.versions.keys().cloned().collect(),
+                versions: profile.versions.keys().cloned().collect(),
                 service: None,
-                slots: traits.slots,
+                slots: profile.slots,
                 checks_orders: true,
             });
             self.engines.push(engine);
@@ -219,36 +219,36 @@
     /// # Errors
     /// If it cannot be started.
     pub fn add_vm(&mut self) -> Result<Vm, Error> {
-        self.born += 1;
-        let vm = format!("vm{}", self.born);
-        let data_centre = DATA_CENTRES[self.born % DATA_CENTRES.len()];
+        self.started_vms += 1;
+        let vm = format!("vm{}", self.started_vms);
+        let data_centre = DATA_CENTRES[self.started_vms % DATA_CENTRES.len()];
         let settings = Settings {
-            rating: Some(self.rating_at),
+            rating: Some(self.rating_address),
             seeds: self.nodes.values().map(|node| node.peer).collect(),
-            ..settings(&vm, data_centre, self.platform_at)
+            ..settings(&vm, data_centre, self.platform_address)
         };
         let node = Node::start(settings, self.history.clone())?;
         let vm = node.vm.settings.vm.clone();
         self.nodes.insert(vm.clone(), node);
-        self.list();
+        self.publish_vms();
         Ok(vm)
     }
 
     /// Tells the platform's list which VMs there are.
-    pub fn list(&self) {
-        let listed = |node: &Node| Listed {
+    pub fn publish_vms(&self) {
+        let entry = |node: &Node| VmEntry {
             vm: node.vm.settings.vm.clone(),
             data_centre: node.vm.settings.data_centre.clone(),
             leaving: false,
         };
-        self.platform.list(self.nodes.values().map(listed).collect());
+        self.platform.set_vms(self.nodes.values().map(entry).collect());
     }
 
     /// Waits until so many VMs may start work.
     ///
     /// # Errors
     /// If they do not within ten seconds.
-    pub fn ready(&self, vms: usize) -> Result<(), Error> {
+    pub fn wait_ready(&self, vms: usize) -> Result<(), Error> {
         for _ in 0..1000 {
             let may = |node: &&Node| node.vm.may_start(node.vm.clock.now());
             if self.nodes.values().filter(may).count() >= vms {
@@ -260,7 +260,7 @@
     }
 
     /// Waits until a revision is in force everywhere; whether it came to that.
-    pub fn accepted(&self, revision: Revision, within: Span) -> bool {
+    pub fn wait_accepted(&self, revision: Revision, within: Span) -> bool {
         let began = std::time::Instant::now();
         while began.elapsed() < within.duration() {
             let knows = |node: &Node| node.vm.metrics.accepted() >= revision;
@@ -274,7 +274,7 @@
 
     /// Ends an engine's process as a crash would.
     pub fn crash_engine(&self, at: usize) {
-        self.running[FIRST_ENGINE + at].kill();
+        self.running[STANDINS_BEFORE_ENGINES + at].kill();
     }
 
     /// Starts an engine again where it listened before.
@@ -282,7 +282,7 @@
     /// # Errors
     /// If its address cannot be had within a second.
     pub fn start_engine(&mut self, at: usize) -> Result<(), Error> {
-        let running = &mut self.running[FIRST_ENGINE + at];
+        let running = &mut self.running[STANDINS_BEFORE_ENGINES + at];
         let mut launched = self.engines[at].launch(running.address);
         for _ in 0..100 {
             if launched.is_ok() {
@@ -297,7 +297,7 @@
 
     /// Where the engines listen, in their order.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
-        let engines = self.running.iter().skip(FIRST_ENGINE).take(self.engines.len());
+        let engines = self.running.iter().skip(STANDINS_BEFORE_ENGINES).take(self.engines.len());
         engines.map(|running| running.address).collect()
     }
 
@@ -307,12 +307,12 @@
     }
 
     /// Stops the stand-ins.
-    pub fn end(&self) {
-        self.running.iter().for_each(standin::Running::kill);
+    pub fn stop_standins(&self) {
+        self.running.iter().for_each(standin::Instance::kill);
     }
 }
 
-fn traits(i: usize, shape: &Shape) -> Traits {
+fn profile(i: usize, shape: &Shape) -> Profile {
     let good = |quality| Behaviour { quality, errors: 0.0 };
     let mut versions = BTreeMap::new();
     // A third of the engines run the cheap model, the others both versions of the strong one.
@@ -324,7 +324,7 @@
     }
     let loaded =
         versions.keys().filter(|target| target.version.as_str() != "v4").cloned().collect();
-    Traits {
+    Profile {
         name: name(&format!("engine-{i}")),
         slots: shape.slots,
         queue: shape.slots * 4,
@@ -344,7 +344,7 @@
 fn declarations() -> Declarations {
     let workspace = |workspace: &str| WorkspaceEntry {
         name: name::<Workspace>(workspace),
-        key_digest: digest(key(workspace).as_bytes()),
+        key_digest: digest(workspace_key(workspace).as_bytes()),
         versions: ["roasttag@v1", "roastmind@v3", "roastmind@v4"].map(name).to_vec(),
         services: vec![name("tellimus-api")],
         cascades: vec![Cascade {
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -2,14 +2,14 @@
 
 mod caller;
 mod client;
+mod cluster;
 mod fault;
 mod node;
 mod scenario;
 mod work;
-mod world;
 
 pub use client::{Answer, Client};
+pub use cluster::{Cluster, Shape, apply, apply_intent, settings, workspace_key};
 pub use fault::{ALL as ALL_FAULTS, Fault};
 pub use node::Node;
 pub use scenario::{Outcome, Scenario, run};
-pub use world::{Shape, World, apply, intend, key, settings};
--- a/src/demo/node.rs
+++ b/src/demo/node.rs
@@ -13,7 +13,7 @@
 use crate::vm::{self, Settings, Vm};
 
 /// What the thread is told.
-enum Order {
+enum Command {
     Stop,
     Kill,
     Pause(std::time::Duration),
@@ -29,7 +29,7 @@
     /// Where other VMs reach it.
     pub peer: SocketAddr,
     links: Links,
-    orders: mpsc::UnboundedSender<Order>,
+    commands: mpsc::UnboundedSender<Command>,
     ended: sync::Receiver<usize>,
 }
 
@@ -39,7 +39,7 @@
     /// # Errors
     /// If an address cannot be bound.
     pub fn start(settings: Settings, history: Sink) -> Result<Node, Error> {
-        let (orders, mut asked) = mpsc::unbounded_channel();
+        let (commands, mut received) = mpsc::unbounded_channel();
         let (started, wait) = sync::channel();
         let (end, ended) = sync::channel();
         std::thread::spawn(move || {
@@ -54,20 +54,20 @@
                 let peer = handle.links().address();
                 let links = handle.links().clone();
                 let _ = started.send(Ok((handle.vm.clone(), handle.address, peer, links)));
-                while let Some(order) = asked.recv().await {
-                    match order {
-                        Order::Stop => {
+                while let Some(command) = received.recv().await {
+                    match command {
+                        Command::Stop => {
                             let _ = end.send(handle.stop().await);
                             return;
                         }
-                        Order::Kill => {
+                        Command::Kill => {
                             handle.kill();
                             let _ = end.send(0);
                             return;
                         }
                         // Blocking the thread is the point: nothing of the control runs.
-                        Order::Pause(time) => std::thread::sleep(time),
-                        Order::Cut(addresses) => handle.links().cut(addresses),
+                        Command::Pause(time) => std::thread::sleep(time),
+                        Command::Cut(addresses) => handle.links().cut(addresses),
                     }
                 }
             });
@@ -75,7 +75,7 @@
         let gone = |_| Error::Unreachable("A VM's thread ended at its start.".to_owned());
         let (vm, address, peer, links) = wait.recv().map_err(gone)??;
         let peer = peer.unwrap_or(address);
-        Ok(Node { vm, address, peer, links, orders, ended })
+        Ok(Node { vm, address, peer, links, commands, ended })
     }
 
     /// Bytes of messages that it sent to other VMs.
@@ -85,23 +85,23 @@
 
     /// Stops as planned and returns the requests that were cut off.
     pub fn stop(self) -> usize {
-        let _ = self.orders.send(Order::Stop);
+        let _ = self.commands.send(Command::Stop);
         self.ended.recv().unwrap_or_default()
     }
 
     /// Ends at once.
     pub fn kill(self) {
-        let _ = self.orders.send(Order::Kill);
+        let _ = self.commands.send(Command::Kill);
         let _ = self.ended.recv();
     }
 
     /// Blocks its control thread for a while.
     pub fn pause(&self, time: std::time::Duration) {
-        let _ = self.orders.send(Order::Pause(time));
+        let _ = self.commands.send(Command::Pause(time));
     }
 
     /// Cuts its way to these peers; an empty set mends it.
-    pub fn cut(&self, addresses: HashSet<SocketAddr>) {
-        let _ = self.orders.send(Order::Cut(addresses));
+    pub fn cut_links(&self, addresses: HashSet<SocketAddr>) {
+        let _ = self.commands.send(Command::Cut(addresses));
     }
 }
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -9,11 +9,11 @@
 use rand::{Rng, SeedableRng};
 
 use super::caller::{self, Balancer, Progress};
+use super::cluster::apply_intent;
 use super::fault::Fault;
 use super::work;
-use super::world::intend;
-use super::{Shape, World};
-use crate::command::block;
+use super::{Cluster, Shape};
+use crate::command::block_on;
 use crate::error::Error;
 use crate::history::{Event, Report, judge};
 use crate::ledger;
@@ -25,22 +25,22 @@
 use crate::watch::{Slice, show};
 
 /// How long a fault that ends by itself lasts.
-const LASTS: Duration = Duration::from_millis(1500);
+const FAULT_DURATION: Duration = Duration::from_millis(1500);
 
 /// A pause lasts longer than a VM's permit.
-const PAUSE: Duration = Duration::from_secs(10);
+const PAUSE_DURATION: Duration = Duration::from_secs(10);
 
 /// The list of VMs lags by so much.
 const LIST_LAG: Duration = Duration::from_millis(1500);
 
 /// Answers lost in a fault of that name.
-const LOST: u32 = 12;
+const LOST_ANSWERS: u32 = 12;
 
 /// Share of the work after which the roll-out begins.
 const ROLLOUT_AT: f64 = 0.08;
 
 /// A run that makes no progress for this long is broken.
-const STALLED: Duration = Duration::from_secs(60);
+const STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What to run.
 pub struct Scenario {
@@ -53,7 +53,7 @@
     /// How much there is of everything.
     pub shape: Shape,
     /// Whether to print progress.
-    pub tell: bool,
+    pub verbose: bool,
 }
 
 /// What came of it.
@@ -61,24 +61,24 @@
     /// The verdicts.
     pub report: Report,
     /// The world, whose history may be saved.
-    pub world: World,
+    pub cluster: Cluster,
     /// What happened, in words.
-    pub told: Vec<String>,
+    pub log: Vec<String>,
     /// The burn report.
     pub burn: String,
     /// Requests answered whole, refused, broken.
     pub counts: (usize, usize, usize),
     /// How long the work took.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 struct Run {
-    world: World,
+    cluster: Cluster,
     balancer: Balancer,
     rng: SmallRng,
-    told: Vec<String>,
-    tell: bool,
-    began: Instant,
+    log_lines: Vec<String>,
+    verbose: bool,
+    started_at: Instant,
     burn: Vec<Slice>,
 }
 
@@ -87,52 +87,52 @@
 /// # Errors
 /// If something cannot be started.
 pub fn run(scenario: &Scenario) -> Result<Outcome, Error> {
-    let world = World::start(&scenario.shape)?;
+    let cluster = Cluster::start(&scenario.shape)?;
     let mut run = Run {
         balancer: Balancer::default(),
         rng: SmallRng::seed_from_u64(scenario.seed),
-        told: Vec::new(),
-        tell: scenario.tell,
-        began: Instant::now(),
+        log_lines: Vec::new(),
+        verbose: scenario.verbose,
+        started_at: Instant::now(),
         burn: Vec::new(),
-        world,
+        cluster,
     };
-    run.balance();
+    run.update_balancer();
     let all = Arc::new(work::draw(scenario.seed, scenario.requests));
     let progress = Arc::new(Progress::default());
     let callers = {
         let (all, progress) = (all.clone(), progress.clone());
-        let (balancer, history) = (run.balancer.clone(), run.world.history.clone());
+        let (balancer, history) = (run.balancer.clone(), run.cluster.history.clone());
         std::thread::spawn(move || caller::run(&all, &balancer, &history, &progress))
     };
-    run.direct(scenario, all.len(), &progress)?;
+    run.run_faults(scenario, all.len(), &progress)?;
     let _ = callers.join();
-    let took = run.began.elapsed();
+    let duration = run.started_at.elapsed();
     run.finish();
-    let report = judge(&run.world.history.lines());
+    let report = judge(&run.cluster.history.lines());
     let load = |counter: &std::sync::atomic::AtomicUsize| counter.load(Ordering::Relaxed);
     Ok(Outcome {
         report,
         burn: show(run.burn),
-        told: run.told,
+        log: run.log_lines,
         counts: (load(&progress.whole), load(&progress.refused), load(&progress.broken)),
-        took,
-        world: run.world,
+        duration,
+        cluster: run.cluster,
     })
 }
 
 impl Run {
-    fn tell(&mut self, words: String) {
-        let line = format!("{:>6.1}s  {words}", self.began.elapsed().as_secs_f64());
-        if self.tell {
+    fn log(&mut self, words: String) {
+        let line = format!("{:>6.1}s  {words}", self.started_at.elapsed().as_secs_f64());
+        if self.verbose {
             println!("{line}");
         }
-        self.told.push(line);
+        self.log_lines.push(line);
     }
 
-    fn balance(&self) {
+    fn update_balancer(&self) {
         let ready = |node: &super::Node| (node.vm.settings.vm.clone(), node.address);
-        self.balancer.set(self.world.nodes.values().map(ready).collect());
+        self.balancer.set(self.cluster.nodes.values().map(ready).collect());
     }
 
     /// Waits until a share of the work is taken.
@@ -145,30 +145,30 @@
             }
             if taken != last.0 {
                 last = (taken, Instant::now());
-            } else if last.1.elapsed() > STALLED {
-                let what = format!("No request ended for {STALLED:?}; {taken} were sent.");
+            } else if last.1.elapsed() > STALL_TIMEOUT {
+                let what = format!("No request ended for {STALL_TIMEOUT:?}; {taken} were sent.");
                 return Err(Error::Unreachable(what));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn direct(
+    fn run_faults(
         &mut self,
         scenario: &Scenario,
         all: usize,
         progress: &Progress,
     ) -> Result<(), Error> {
         self.wait(progress, (all as f64 * ROLLOUT_AT) as usize)?;
-        match intend(self.world.platform_at, "roll out roastmind v4", "mari") {
-            Ok(revision) => self.tell(format!("mari: roll out roastmind v4 (revision {revision})")),
-            Err(fault) => self.tell(format!("mari's roll-out was refused: {fault}")),
+        match apply_intent(self.cluster.platform_address, "roll out roastmind v4", "mari") {
+            Ok(revision) => self.log(format!("mari: roll out roastmind v4 (revision {revision})")),
+            Err(fault) => self.log(format!("mari's roll-out was refused: {fault}")),
         }
         let groups = scenario.faults.len();
         for (i, group) in scenario.faults.iter().enumerate() {
             let share = 0.15 + 0.7 * i as f64 / groups.max(1) as f64;
             self.wait(progress, (all as f64 * share) as usize)?;
-            self.group(group)?;
+            self.run_fault_group(group)?;
         }
         self.wait(progress, (all as f64 * 0.92) as usize)?;
         self.withdraw();
@@ -178,87 +178,87 @@
     fn withdraw(&mut self) {
         let target: Target = "roastmind@v4".parse().expect("a name of the demo");
         let withdrawn =
-            self.world.nodes.values().any(|n| n.vm.config().root.withdrawn.contains(&target));
+            self.cluster.nodes.values().any(|n| n.vm.config().root.withdrawn.contains(&target));
         if withdrawn {
-            self.tell("the system had withdrawn roastmind v4 by itself".to_owned());
+            self.log("the system had withdrawn roastmind v4 by itself".to_owned());
             return;
         }
-        match intend(self.world.platform_at, "withdraw roastmind v4", "juri") {
+        match apply_intent(self.cluster.platform_address, "withdraw roastmind v4", "juri") {
             Ok(revision) => {
-                let accepted = self.world.accepted(revision, Span::secs(15));
-                self.tell(format!("juri: withdraw roastmind v4 (revision {revision}, in force everywhere: {accepted})"));
+                let accepted = self.cluster.wait_accepted(revision, Span::secs(15));
+                self.log(format!("juri: withdraw roastmind v4 (revision {revision}, in force everywhere: {accepted})"));
             }
-            Err(fault) => self.tell(format!("juri's withdrawal was refused: {fault}")),
+            Err(fault) => self.log(format!("juri's withdrawal was refused: {fault}")),
         }
     }
 
     /// Causes the faults of a group at once, and mends what mends.
-    fn group(&mut self, group: &[Fault]) -> Result<(), Error> {
+    fn run_fault_group(&mut self, group: &[Fault]) -> Result<(), Error> {
         let names: Vec<String> = group.iter().map(ToString::to_string).collect();
         let name = names.join("+");
-        self.tell(format!("fault: {name}"));
-        self.note(&name, true);
+        self.log(format!("fault: {name}"));
+        self.record_fault(&name, true);
         let mut switches = Switches::default();
         for fault in group {
             match fault {
                 Fault::StoreDown => switches.down = true,
                 Fault::StoreSlow => switches.slow_ms = 250,
-                Fault::AnswerLost => switches.lose = LOST,
+                Fault::AnswerLost => switches.lose = LOST_ANSWERS,
                 Fault::WatchQuiet => switches.quiet = true,
                 _ => {}
             }
         }
-        self.world.platform.switch(switches);
+        self.cluster.platform.set_switches(switches);
         let mut paused = false;
         for fault in group {
             paused |= *fault == Fault::Pause;
-            self.cause(*fault)?;
+            self.inject(*fault)?;
         }
-        std::thread::sleep(LASTS);
-        self.mend(group);
+        std::thread::sleep(FAULT_DURATION);
+        self.clear_faults(group);
         if paused {
-            std::thread::sleep(PAUSE.saturating_sub(LASTS));
+            std::thread::sleep(PAUSE_DURATION.saturating_sub(FAULT_DURATION));
         }
-        self.note(&name, false);
-        self.balance();
+        self.record_fault(&name, false);
+        self.update_balancer();
         Ok(())
     }
 
-    fn note(&self, name: &str, began: bool) {
-        self.world.history.note(|| Event::Fault { name: name.to_owned(), began });
+    fn record_fault(&self, name: &str, began: bool) {
+        self.cluster.history.note(|| Event::Fault { name: name.to_owned(), began });
     }
 
-    fn any_vm(&mut self) -> Vm {
-        let at = self.rng.random_range(0..self.world.nodes.len());
-        self.world.nodes.keys().nth(at).expect("some VM runs").clone()
+    fn random_vm(&mut self) -> Vm {
+        let at = self.rng.random_range(0..self.cluster.nodes.len());
+        self.cluster.nodes.keys().nth(at).expect("some VM runs").clone()
     }
 
-    fn cause(&mut self, fault: Fault) -> Result<(), Error> {
+    fn inject(&mut self, fault: Fault) -> Result<(), Error> {
         match fault {
             Fault::Stop | Fault::Kill => self.replace(fault == Fault::Stop)?,
             Fault::Pause => {
-                let vm = self.any_vm();
-                self.tell(format!("{vm} is paused for {PAUSE:?}"));
-                self.world.nodes[&vm].pause(PAUSE);
+                let vm = self.random_vm();
+                self.log(format!("{vm} is paused for {PAUSE_DURATION:?}"));
+                self.cluster.nodes[&vm].pause(PAUSE_DURATION);
             }
             Fault::LinkCut => {
-                let vm = self.any_vm();
-                let others = self.world.nodes.values().filter(|n| n.vm.settings.vm != vm);
+                let vm = self.random_vm();
+                let others = self.cluster.nodes.values().filter(|n| n.vm.settings.vm != vm);
                 let others: HashSet<_> = others.map(|node| node.peer).collect();
-                self.world.nodes[&vm].cut(others);
+                self.cluster.nodes[&vm].cut_links(others);
             }
             Fault::RegionCut => self.cut_regions(),
-            Fault::Race => self.race(),
+            Fault::Race => self.race_operators(),
             Fault::Leave => {
-                let at = self.rng.random_range(0..self.world.engines.len());
+                let at = self.rng.random_range(0..self.cluster.engines.len());
                 let leaving = engine::Switches { leaving: true, ..engine::Switches::default() };
-                self.world.engines[at].switch(leaving);
+                self.cluster.engines[at].set_switches(leaving);
             }
             Fault::Cut => {
                 self.engines(&engine::Switches { cut_after: Some(5), ..Default::default() })
             }
             Fault::Noise => self.engines(&engine::Switches { noise: true, ..Default::default() }),
-            Fault::RatingsStop => self.world.rater.silence(true),
+            Fault::RatingsStop => self.cluster.rater.set_silent(true),
             Fault::StoreDown | Fault::StoreSlow | Fault::AnswerLost | Fault::WatchQuiet => {}
         }
         Ok(())
@@ -266,23 +266,23 @@
 
     /// Sets the switches of a few engines that are not leaving.
     fn engines(&self, switches: &engine::Switches) {
-        for engine in self.world.engines.iter().take(4) {
-            engine.turn(|now| {
+        for engine in self.cluster.engines.iter().take(4) {
+            engine.update_switches(|now| {
                 now.cut_after = switches.cut_after;
                 now.noise = switches.noise;
             });
         }
     }
 
-    fn mend(&mut self, group: &[Fault]) {
-        self.world.platform.switch(Switches::default());
+    fn clear_faults(&mut self, group: &[Fault]) {
+        self.cluster.platform.set_switches(Switches::default());
         for fault in group {
             match fault {
                 Fault::LinkCut | Fault::RegionCut => {
-                    self.world.nodes.values().for_each(|node| node.cut(HashSet::new()));
+                    self.cluster.nodes.values().for_each(|node| node.cut_links(HashSet::new()));
                 }
                 Fault::Cut | Fault::Noise => self.engines(&engine::Switches::default()),
-                Fault::RatingsStop => self.world.rater.silence(false),
+                Fault::RatingsStop => self.cluster.rater.set_silent(false),
                 _ => {}
             }
         }
@@ -290,85 +290,89 @@
 
     /// Replaces a VM; the new one may have to start without the store.
     fn replace(&mut self, planned: bool) -> Result<(), Error> {
-        let vm = self.any_vm();
-        let node = self.world.nodes.remove(&vm).expect("it runs");
-        self.balance();
+        let vm = self.random_vm();
+        let node = self.cluster.nodes.remove(&vm).expect("it runs");
+        self.update_balancer();
         if planned {
             let cut = node.stop();
-            self.tell(format!("{vm} stopped as planned; {cut} request(s) cut off"));
+            self.log(format!("{vm} stopped as planned; {cut} request(s) cut off"));
         } else {
             node.kill();
-            self.tell(format!("{vm} was killed"));
+            self.log(format!("{vm} was killed"));
         }
         std::thread::sleep(LIST_LAG);
-        let new = self.world.add_vm()?;
-        self.tell(format!("{new} takes its place"));
-        self.balance();
+        let new = self.cluster.add_vm()?;
+        self.log(format!("{new} takes its place"));
+        self.update_balancer();
         Ok(())
     }
 
     fn cut_regions(&self) {
-        for node in self.world.nodes.values() {
+        for node in self.cluster.nodes.values() {
             let home = &node.vm.settings.data_centre;
-            let others = self.world.nodes.values();
+            let others = self.cluster.nodes.values();
             let far = others.filter(|other| other.vm.settings.data_centre != *home);
-            node.cut(far.map(|other| other.peer).collect());
+            node.cut_links(far.map(|other| other.peer).collect());
         }
     }
 
-    fn race(&mut self) {
+    fn race_operators(&mut self) {
         let outcomes = std::thread::scope(|scope| {
-            let at = self.world.platform_at;
-            let one = scope.spawn(move || intend(at, "drain data centre kadriorg", "mari"));
-            let two = scope.spawn(move || intend(at, "drain data centre ulemiste", "juri"));
+            let at = self.cluster.platform_address;
+            let one = scope.spawn(move || apply_intent(at, "drain data centre kadriorg", "mari"));
+            let two = scope.spawn(move || apply_intent(at, "drain data centre ulemiste", "juri"));
             [one.join(), two.join()]
         });
         let mut won = 0;
         for outcome in outcomes {
             match outcome {
                 Ok(Ok(_)) => won += 1,
-                Ok(Err(fault)) => self.tell(format!("one operator was told: {fault}")),
+                Ok(Err(fault)) => self.log(format!("one operator was told: {fault}")),
                 Err(_) => {}
             }
         }
-        self.tell(format!("{won} of two racing plans took effect"));
+        self.log(format!("{won} of two racing plans took effect"));
         for name in ["kadriorg", "ulemiste"] {
-            let _ = intend(self.world.platform_at, &format!("fill data centre {name}"), "mari");
+            let _ = apply_intent(
+                self.cluster.platform_address,
+                &format!("fill data centre {name}"),
+                "mari",
+            );
         }
     }
 
     /// Stops all VMs as planned, gathers the bills, and notes them.
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
-        for node in self.world.nodes.values() {
+        for node in self.cluster.nodes.values() {
             self.burn.extend(node.vm.burn.lock().expect("no panic while held").slices(date));
         }
         // Peers bring the bills of the killed to the store; give them the time they state.
         std::thread::sleep(Duration::from_secs(7));
-        let names: Vec<Vm> = self.world.nodes.keys().cloned().collect();
+        let names: Vec<Vm> = self.cluster.nodes.keys().cloned().collect();
         for name in names {
-            if let Some(node) = self.world.nodes.remove(&name) {
+            if let Some(node) = self.cluster.nodes.remove(&name) {
                 node.stop();
             }
         }
-        let store = Store::new(self.world.platform_at);
-        let bills = block(ledger::collect(&store)).unwrap_or_default();
+        let store = Store::new(self.cluster.platform_address);
+        let bills = block_on(ledger::collect(&store)).unwrap_or_default();
         for bill in &bills {
-            self.world.history.note(|| Event::Billed {
+            self.cluster.history.note(|| Event::Billed {
                 request: bill.request.clone(),
                 workspace: bill.workspace.clone(),
                 cost: bill.cost().0,
             });
         }
-        let calls = self.world.platform.calls();
-        let roots = self.world.platform.bodies(ROOT).len();
-        self.tell(format!(
+        let calls = self.cluster.platform.calls();
+        let roots = self.cluster.platform.specs_with_prefix(ROOT).len();
+        self.log(format!(
             "{} bills in the store; {} reads, {} watches, {} writes of the platform, {roots} root",
             bills.len(),
             calls.reads,
             calls.watches,
             calls.writes
         ));
-        self.world.end();
+        self.cluster.stop_standins();
     }
 }
--- a/src/demo/work.rs
+++ b/src/demo/work.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::json;
 
-use super::client::Ask;
+use super::client::Request;
 
 /// Turns of a conversation.
 const TURNS: usize = 4;
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A single request.
-    Single(Ask),
+    Single(Request),
     /// A call that may not be repeated, sent twice with one key.
-    Twice(Ask),
+    Twice(Request),
     /// A call whose key is set aside first, as when a parent opens the form.
-    Reserved(Ask),
+    Reserved(Request),
     /// The turns of a conversation.
-    Talk(Vec<Ask>),
+    Talk(Vec<Request>),
 }
 
 impl Work {
@@ -33,8 +33,8 @@
     }
 }
 
-fn chat(model: &str, text: &str, stream: bool, max_tokens: u32, kind: &'static str) -> Ask {
-    Ask {
+fn chat(model: &str, text: &str, stream: bool, max_tokens: u32, kind: &'static str) -> Request {
+    Request {
         path: "/v1/chat/completions".to_owned(),
         body: Some(json!({
             "model": model,
@@ -43,25 +43,25 @@
             "max_tokens": max_tokens,
         })),
         kind: Some(kind),
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
-fn confirm(number: u64) -> Ask {
-    Ask {
+fn confirm(number: u64) -> Request {
+    Request {
         path: "/v1/services/tellimus-api/enrolments".to_owned(),
         body: Some(json!({"seat": number})),
         key: Some(format!("seat-{number}")),
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
-fn talk(rng: &mut SmallRng) -> Vec<Ask> {
+fn talk(rng: &mut SmallRng) -> Vec<Request> {
     let number = rng.random::<u64>() >> 1;
     let turn = |i: usize| {
         let text = format!("conversation {number}, turn {i}");
         let ask = chat("roastmind", &text, i.is_multiple_of(2), 16, "talk");
-        Ask { talk: Some(number), ..ask }
+        Request { talk: Some(number), ..ask }
     };
     (0..TURNS).map(turn).collect()
 }
@@ -76,9 +76,9 @@
         let work = match rng.random_range(0..100) {
             0..35 => Work::Single(chat("auto", &format!("tag order {number}"), false, 8, "tag")),
             35..50 => Work::Single(chat("roastmind", &format!("plan {number}"), true, 40, "draft")),
-            50..65 => Work::Single(Ask {
+            50..65 => Work::Single(Request {
                 path: format!("/v1/services/tellimus-api/seats?centre={number}"),
-                ..Ask::default()
+                ..Request::default()
             }),
             65..73 => Work::Single(confirm(number)),
             73..80 => Work::Reserved(confirm(number)),
--- a/src/error.rs
+++ b/src/error.rs
@@ -9,11 +9,11 @@
     #[derive(Debug)]
     pub enum Error {
         /// A flag or environment variable has a wrong value.
-        Settings(flag: String, value: String, accepted: String) {
+        InvalidValue(flag: String, value: String, accepted: String) {
             display("The value `{value}` of {flag} is not accepted: {accepted}")
         }
         /// Two settings contradict one another, or one is missing.
-        Contradiction(what: String) {
+        Usage(what: String) {
             display("{what}")
         }
         /// The declarations are faulty.
@@ -25,7 +25,7 @@
             display("{what}")
         }
         /// The configuration changed since the plan was made.
-        Moved(since: String) {
+        ConfigChanged(since: String) {
             display("The configuration has changed since this plan was made; plan anew. {since}")
         }
         /// A file cannot be read or written.
@@ -37,11 +37,11 @@
             display("{path}:{line}: {cause}")
         }
         /// The settings file is missing or cannot be read.
-        Unset(path: String, cause: String) {
+        SettingsFile(path: String, cause: String) {
             display("The settings file `{path}` cannot be read: {cause}.")
         }
         /// A field of a settings file is missing or does not read.
-        Field(path: String, field: String, cause: String) {
+        SettingsField(path: String, field: String, cause: String) {
             display("The field `{field}` of `{path}` is not accepted: {cause}.")
         }
         /// The platform's object API did not answer.
@@ -57,17 +57,17 @@
             display("The address {address} cannot be bound: {cause}. Choose another with its flag.")
         }
         /// A promise was broken.
-        Broken(count: usize) {
+        BrokenPromises(count: usize) {
             display("{count} promise(s) did not hold; the lines above name the first events.")
         }
     }
 }
 
 /// Exit code of a command that ran and found a breach or failed.
-const FAILED: i32 = 1;
+const EXIT_FAILURE: i32 = 1;
 
 /// Exit code of a command that was called wrongly or given a malformed file.
-const MISUSED: i32 = 2;
+const EXIT_USAGE: i32 = 2;
 
 impl Error {
     /// A file that cannot be used.
@@ -77,19 +77,19 @@
 
     /// A flag whose value is not accepted.
     pub fn flag(flag: &str, value: impl ToString, accepted: impl ToString) -> Error {
-        Error::Settings(flag.to_owned(), value.to_string(), accepted.to_string())
+        Error::InvalidValue(flag.to_owned(), value.to_string(), accepted.to_string())
     }
 
     /// The process's exit code.
-    pub fn code(&self) -> i32 {
+    pub fn exit_code(&self) -> i32 {
         match self {
-            Error::Settings(..)
-            | Error::Contradiction(_)
+            Error::InvalidValue(..)
+            | Error::Usage(_)
             | Error::Declarations(_)
             | Error::Format(..)
-            | Error::Unset(..)
-            | Error::Field(..) => MISUSED,
-            _ => FAILED,
+            | Error::SettingsFile(..)
+            | Error::SettingsField(..) => EXIT_USAGE,
+            _ => EXIT_FAILURE,
         }
     }
 }
--- a/src/experiment/once.rs
+++ b/src/experiment/once.rs
@@ -7,8 +7,8 @@
 use super::options::Options;
 use super::probe::client;
 use super::table::{Row, Table, quantile};
-use crate::command::block;
-use crate::demo::{Shape, World, key};
+use crate::command::block_on;
+use crate::demo::{Cluster, Shape, workspace_key};
 use crate::error::Error;
 use crate::ledger;
 use crate::standin::platform::Switches;
@@ -34,7 +34,13 @@
     Keyed,
 }
 
-async fn call(http: &awc::Client, world: &World, way: Way, vm: &Vm, number: usize) -> Option<f64> {
+async fn call(
+    http: &awc::Client,
+    world: &Cluster,
+    way: Way,
+    vm: &Vm,
+    number: usize,
+) -> Option<f64> {
     let began = Instant::now();
     let request = match way {
         Way::Direct => {
@@ -50,7 +56,8 @@
                 .insert_header(("idempotency-key", format!("key-{number}")))
         }
     };
-    let request = request.insert_header(("authorization", format!("Bearer {}", key("nestwise"))));
+    let request =
+        request.insert_header(("authorization", format!("Bearer {}", workspace_key("nestwise"))));
     let sent = match way {
         Way::Keyed => request.send_json(&json!({"seat": number})).await,
         _ => request.send().await,
@@ -60,8 +67,8 @@
     answer.status().is_success().then(|| began.elapsed().as_secs_f64() * 1e3)
 }
 
-fn idle(world: &World, way: Way) -> Vec<f64> {
-    block(async {
+fn idle(world: &Cluster, way: Way) -> Vec<f64> {
+    block_on(async {
         let http = client();
         let vms: Vec<&Vm> = world.nodes.keys().collect();
         let mut times = Vec::new();
@@ -82,12 +89,12 @@
     bytes: f64,
 }
 
-fn at_rate(world: &World, rate: usize) -> AtRate {
+fn at_rate(world: &Cluster, rate: usize) -> AtRate {
     let calls = world.platform.calls().writes;
     let sent = || world.nodes.values().map(crate::demo::Node::bytes_sent).sum::<u64>();
     let before = sent();
     let began = Instant::now();
-    let times = block(async {
+    let times = block_on(async {
         let http = client();
         let vms: Vec<&Vm> = world.nodes.keys().collect();
         let count = rate * SECONDS;
@@ -119,8 +126,8 @@
 /// # Errors
 /// If something cannot be started.
 pub fn run(_options: &Options) -> Result<Table, Error> {
-    let world = World::start(&Shape { vms: 5, engines: 3, ..Shape::default() })?;
-    world.platform.switch(Switches { slow_ms: STORE_MS, ..Switches::default() });
+    let world = Cluster::start(&Shape { vms: 5, engines: 3, ..Shape::default() })?;
+    world.platform.set_switches(Switches { slow_ms: STORE_MS, ..Switches::default() });
     let mut table = Table::default();
     let mut base = (0.0, 0.0);
     for (name, way) in
@@ -149,7 +156,7 @@
             .number("peer_bytes_per_request", run.bytes, 0);
         table.rows.push(row);
     }
-    world.end();
+    world.stop_standins();
     let vms = 330;
     let flushes = f64::from(vms) / ledger::interval(vms as usize).as_secs();
     table.notes.push(format!(
--- a/src/experiment/options.rs
+++ b/src/experiment/options.rs
@@ -2,7 +2,7 @@
 
 use crate::cli;
 use crate::error::Error;
-use crate::options::{list, optional, or};
+use crate::options::{list, optional, with_default};
 use crate::unit::{Parts, Span};
 
 /// What an experiment is run with.
@@ -45,7 +45,7 @@
     /// The first flag that does not read.
     pub fn check(flags: &cli::Experiment) -> Result<Options, Error> {
         let share = |flag: &str, given: Option<&String>, default: f64| -> Result<f64, Error> {
-            Ok(or(flag, given, Parts::of(default))?.fraction())
+            Ok(with_default(flag, given, Parts::of(default))?.fraction())
         };
         let positive = |flag: &str, given: Option<&String>| -> Result<Option<usize>, Error> {
             let number: Option<usize> = optional(flag, given)?;
@@ -55,18 +55,18 @@
             }
         };
         Ok(Options {
-            seed: or("seed", flags.seed.as_ref(), 1)?,
-            runs: or("runs", flags.runs.as_ref(), 1000)?,
+            seed: with_default("seed", flags.seed.as_ref(), 1)?,
+            runs: with_default("runs", flags.runs.as_ref(), 1000)?,
             requests: positive("requests", flags.requests.as_ref())?,
             vms: list("vms", flags.vms.as_ref())?,
             cheap_pass: share("cheap-pass", flags.cheap_pass.as_ref(), 0.7)?,
             rated_share: share("rated-share", flags.rated_share.as_ref(), 0.05)?,
-            rating_lag: or("rating-lag", flags.rating_lag.as_ref(), Span::secs(60))?,
+            rating_lag: with_default("rating-lag", flags.rating_lag.as_ref(), Span::secs(60))?,
             kinds: positive("kinds", flags.kinds.as_ref())?.unwrap_or(4),
-            drift: or("drift", flags.drift.as_ref(), 0)?,
+            drift: with_default("drift", flags.drift.as_ref(), 0)?,
             harm: share("harm", flags.harm.as_ref(), 0.1)?,
             good: flags.good,
-            report_lag: or("report-lag", flags.report_lag.as_ref(), Span::millis(500))?,
+            report_lag: with_default("report-lag", flags.report_lag.as_ref(), Span::millis(500))?,
             replicas: positive("replicas", flags.replicas.as_ref())?,
             load: optional("load", flags.load.as_ref())?,
         })
--- a/src/experiment/path.rs
+++ b/src/experiment/path.rs
@@ -5,8 +5,8 @@
 use super::options::Options;
 use super::probe::{Via, client, processor_seconds, resident_bytes};
 use super::table::{Row, Table, quantile};
-use crate::command::block;
-use crate::demo::{Shape, World, key};
+use crate::command::block_on;
+use crate::demo::{Cluster, Shape, workspace_key};
 use crate::error::Error;
 
 /// Requests one after the other, and tokens of each.
@@ -31,20 +31,20 @@
     stream_bytes: f64,
 }
 
-fn world(token_us: u64, slots: u32) -> Result<World, Error> {
-    World::start(&Shape { vms: 3, engines: 2, token_us, slots, ..Shape::default() })
+fn world(token_us: u64, slots: u32) -> Result<Cluster, Error> {
+    Cluster::start(&Shape { vms: 3, engines: 2, token_us, slots, ..Shape::default() })
 }
 
-fn ways(world: &World) -> (Via, Via) {
+fn ways(world: &Cluster) -> (Via, Via) {
     let engine = world.engine_addresses()[1];
     let node = world.nodes.values().next().expect("a VM runs");
-    (Via::Engine(engine), Via::Vm(node.address, key("nestwise")))
+    (Via::Engine(engine), Via::Vm(node.address, workspace_key("nestwise")))
 }
 
 /// Both ways in turn, so that a slow moment of the machine meets both.
-fn latencies(world: &World, requests: usize) -> ([Vec<f64>; 2], [Vec<f64>; 2]) {
+fn latencies(world: &Cluster, requests: usize) -> ([Vec<f64>; 2], [Vec<f64>; 2]) {
     let (direct, through) = ways(world);
-    block(async {
+    block_on(async {
         let http = client();
         let (mut first, mut token) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
         for number in 0..requests {
@@ -60,7 +60,7 @@
 }
 
 fn throughput(via: &Via) -> (f64, f64) {
-    block(async {
+    block_on(async {
         let http = client();
         let before = processor_seconds();
         let began = Instant::now();
@@ -84,7 +84,7 @@
 
 /// Memory of the whole process for each stream held open: caller, engine and what lies between.
 fn stream_bytes(via: &Via) -> f64 {
-    block(async {
+    block_on(async {
         let http = client();
         let before = resident_bytes();
         let opening = (0..STREAMS).map(|number| via.open(&http, 2_000_000 + number, TOKENS));
@@ -107,11 +107,11 @@
     let (mut first, mut token) = latencies(&fast, requests);
     let (direct, through) = ways(&fast);
     let rates = [throughput(&direct), throughput(&through)];
-    fast.end();
+    fast.stop_standins();
     let slow = world(SLOW_TOKEN, STREAMS as u32 * 4)?;
     let (direct, through) = ways(&slow);
     let memory = [stream_bytes(&direct), stream_bytes(&through)];
-    slow.end();
+    slow.stop_standins();
     let mut table = Table::default();
     let measured: Vec<Measured> = (0..2)
         .map(|i| Measured {
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -351,7 +351,7 @@
     fn an_owner_that_was_passed_over_for_a_while_learns_what_has_ended() {
         let platform = Platform::new(Rates { writes: 1e6, reads: 1e6 }, Sink::default());
         let running = platform.launch("127.0.0.1:0".parse().unwrap()).unwrap();
-        crate::command::block(async {
+        crate::command::block_on(async {
             let store = Store::new(running.address);
             let (mut first, mut second) = (task(&store), task(&store));
             let date = first.clock.date();
@@ -377,7 +377,7 @@
         const LINKS: u64 = 600;
         let platform = Platform::new(Rates { writes: 1e6, reads: 1e6 }, Sink::default());
         let running = platform.launch("127.0.0.1:0".parse().unwrap()).unwrap();
-        crate::command::block(async {
+        crate::command::block_on(async {
             let store = Store::new(running.address);
             let mut first = task(&store);
             let date = first.clock.date();
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -74,7 +74,7 @@
         return Ok(Confirmed::Before(record.revision));
     }
     if current.revision != plan.base {
-        return Err(Error::Moved(since(&current, plan.base)));
+        return Err(Error::ConfigChanged(since(&current, plan.base)));
     }
     let next = apply(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
@@ -94,7 +94,7 @@
         let record = current.log.iter().find(|record| record.plan == plan.id);
         return match record {
             Some(record) => Ok(Confirmed::Before(record.revision)),
-            None => Err(Error::Moved(since(&current, plan.base))),
+            None => Err(Error::ConfigChanged(since(&current, plan.base))),
         };
     }
     Ok(Confirmed::Now(next.revision))
--- a/src/options.rs
+++ b/src/options.rs
@@ -16,7 +16,7 @@
 const PREFIX: &str = "KITEPULLEY_";
 
 /// A flag's value, or its environment variable's.
-pub fn text(flag: &str, given: Option<&String>) -> Option<String> {
+pub fn value_of(flag: &str, given: Option<&String>) -> Option<String> {
     let name = format!("{PREFIX}{}", flag.replace('-', "_").to_ascii_uppercase());
     given.cloned().or_else(|| std::env::var(name).ok())
 }
@@ -30,7 +30,7 @@
     T: FromStr,
     T::Err: Display,
 {
-    let Some(text) = text(flag, given) else {
+    let Some(text) = value_of(flag, given) else {
         return Ok(None);
     };
     let fault = |fault: T::Err| Error::flag(&format!("--{flag}"), &text, fault);
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Names the flag, the value and what is accepted.
-pub fn or<T>(flag: &str, given: Option<&String>, default: T) -> Result<T, Error>
+pub fn with_default<T>(flag: &str, given: Option<&String>, default: T) -> Result<T, Error>
 where
     T: FromStr,
     T::Err: Display,
@@ -53,12 +53,12 @@
 ///
 /// # Errors
 /// Names the flag, and the value and what is accepted if it does not read.
-pub fn needed<T>(flag: &str, given: Option<&String>) -> Result<T, Error>
+pub fn required<T>(flag: &str, given: Option<&String>) -> Result<T, Error>
 where
     T: FromStr,
     T::Err: Display,
 {
-    let missing = || Error::Contradiction(format!("--{flag} is missing; give it a value."));
+    let missing = || Error::Usage(format!("--{flag} is missing; give it a value."));
     optional(flag, given)?.ok_or_else(missing)
 }
 
@@ -71,7 +71,7 @@
     T: FromStr,
     T::Err: Display,
 {
-    let Some(text) = text(flag, given) else {
+    let Some(text) = value_of(flag, given) else {
         return Ok(Vec::new());
     };
     let parse = |part: &str| {
@@ -97,14 +97,14 @@
     text.parse().map(Some).map_err(fault)
 }
 
-fn needed_secret<T>(name: &str) -> Result<T, Error>
+fn required_secret<T>(name: &str) -> Result<T, Error>
 where
     T: FromStr,
     T::Err: Display,
 {
     let missing = || {
         let what = format!("The environment variable {PREFIX}{name} is missing; set the secret.");
-        Error::Contradiction(what)
+        Error::Usage(what)
     };
     secret(name)?.ok_or_else(missing)
 }
@@ -114,32 +114,33 @@
 /// # Errors
 /// The first flag that is missing or does not read, or two that contradict.
 pub fn serve(flags: &cli::Serve) -> Result<Settings, Error> {
-    let rated: Parts = or("rated-share", flags.rated_share.as_ref(), Parts::of(0.05))?;
+    let rated: Parts = with_default("rated-share", flags.rated_share.as_ref(), Parts::of(0.05))?;
     let policy = Policy::default();
-    let doubling = or("rollout-doubling", flags.rollout_doubling.as_ref(), policy.doubling)?;
+    let doubling =
+        with_default("rollout-doubling", flags.rollout_doubling.as_ref(), policy.doubling)?;
     let settings = Settings {
-        vm: needed("vm", flags.vm.as_ref())?,
-        data_centre: needed("data-centre", flags.data_centre.as_ref())?,
-        listen: needed("listen", flags.listen.as_ref())?,
-        peer: needed("peer", flags.peer.as_ref())?,
-        platform: needed("platform", flags.platform.as_ref())?,
+        vm: required("vm", flags.vm.as_ref())?,
+        data_centre: required("data-centre", flags.data_centre.as_ref())?,
+        listen: required("listen", flags.listen.as_ref())?,
+        peer: required("peer", flags.peer.as_ref())?,
+        platform: required("platform", flags.platform.as_ref())?,
         rating: optional("rating", flags.rating.as_ref())?,
         seeds: list("seed", flags.seed.as_ref())?,
-        workers: or("workers", flags.workers.as_ref(), 2)?,
-        stop_within: or("stop-within", flags.stop_within.as_ref(), Span::secs(30))?,
-        body_limit: or("body-limit", flags.body_limit.as_ref(), Size(1_000_000))?,
+        workers: with_default("workers", flags.workers.as_ref(), 2)?,
+        stop_within: with_default("stop-within", flags.stop_within.as_ref(), Span::secs(30))?,
+        body_limit: with_default("body-limit", flags.body_limit.as_ref(), Size(1_000_000))?,
         rated_share: rated.fraction(),
         rollout: Policy { doubling, ..policy },
-        fleet_key: needed_secret("FLEET_KEY")?,
-        session_keys: needed_secret("SESSION_KEYS")?,
+        fleet_key: required_secret("FLEET_KEY")?,
+        session_keys: required_secret("SESSION_KEYS")?,
         operator_key: secret("OPERATOR_KEY")?,
     };
-    contradictions(&settings)?;
+    check_conflicts(&settings)?;
     Ok(settings)
 }
 
-fn contradictions(settings: &Settings) -> Result<(), Error> {
-    let fault = |what: &str| Err(Error::Contradiction(what.to_owned()));
+fn check_conflicts(settings: &Settings) -> Result<(), Error> {
+    let fault = |what: &str| Err(Error::Usage(what.to_owned()));
     if settings.workers == 0 {
         return Err(Error::flag("--workers", 0, "use at least 1."));
     }
@@ -163,11 +164,11 @@
     let port: Option<u16> = optional("metrics-port", flags.metrics_port.as_ref())?;
     let mut settings = settings::from_environment()?;
     settings.keep_confidence =
-        or("keep-confidence", flags.keep_confidence.as_ref(), settings.keep_confidence)?;
+        with_default("keep-confidence", flags.keep_confidence.as_ref(), settings.keep_confidence)?;
     if !(0.0..=100.0).contains(&settings.keep_confidence) {
         let given = settings.keep_confidence;
         let what = format!("--keep-confidence is {given}; give it a percentage from 0 to 100.");
-        return Err(Error::Contradiction(what));
+        return Err(Error::Usage(what));
     }
     settings.metrics = port.map(|port| SocketAddr::new(settings.ip, port));
     Ok(settings)
@@ -178,7 +179,7 @@
 /// # Errors
 /// Names the flag, and the value and what is accepted if it does not read.
 pub fn address(flag: &str, given: Option<&String>) -> Result<SocketAddr, Error> {
-    needed(flag, given)
+    required(flag, given)
 }
 
 #[cfg(test)]
@@ -187,10 +188,11 @@
 
     #[test]
     fn a_wrong_value_names_the_flag_the_value_and_what_is_accepted() {
-        let fault = or::<Span>("stop-within", Some(&"soon".to_owned()), Span(0)).unwrap_err();
+        let fault =
+            with_default::<Span>("stop-within", Some(&"soon".to_owned()), Span(0)).unwrap_err();
         let text = fault.to_string();
         assert!(text.contains("--stop-within") && text.contains("`soon`") && text.contains("5s"));
-        assert_eq!(fault.code(), 2);
+        assert_eq!(fault.exit_code(), 2);
     }
 
     #[test]
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -78,7 +78,7 @@
 pub fn from_environment() -> Result<Settings, Error> {
     let missing = || {
         let what = format!("{PATH_VARIABLE} is not set; give it the path of the settings file.");
-        Error::Contradiction(what)
+        Error::Usage(what)
     };
     let path = std::env::var_os(PATH_VARIABLE).ok_or_else(missing)?;
     read(Path::new(&path))
@@ -91,7 +91,7 @@
 /// sentence names the field.
 pub fn read(path: &Path) -> Result<Settings, Error> {
     let shown = path.display().to_string();
-    let unreadable = |e: std::io::Error| Error::Unset(shown.clone(), e.to_string());
+    let unreadable = |e: std::io::Error| Error::SettingsFile(shown.clone(), e.to_string());
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     parse(&text, &shown)
 }
@@ -137,13 +137,14 @@
     let cores = quota.unwrap_or(CORES);
     if !cores.is_finite() || cores < 0.0 {
         let why = format!("`{cores}` is not a share of a core; write a number such as 0.25");
-        return Err(Error::Field(path.to_owned(), "limits.cpu_quota".to_owned(), why));
+        return Err(Error::SettingsField(path.to_owned(), "limits.cpu_quota".to_owned(), why));
     }
     Ok(Millicores::of_cores(cores))
 }
 
 fn needed(path: &str, field: &str, value: Option<String>) -> Result<String, Error> {
-    let missing = || Error::Field(path.to_owned(), field.to_owned(), "it is missing".to_owned());
+    let missing =
+        || Error::SettingsField(path.to_owned(), field.to_owned(), "it is missing".to_owned());
     value.ok_or_else(missing)
 }
 
@@ -152,8 +153,9 @@
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
 {
-    let fault =
-        |e: T::Err| Error::Field(path.to_owned(), field.to_owned(), format!("`{text}`: {e}"));
+    let fault = |e: T::Err| {
+        Error::SettingsField(path.to_owned(), field.to_owned(), format!("`{text}`: {e}"))
+    };
     text.parse().map_err(fault)
 }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,7 @@
 use super::objects::{Objects, Read, Trouble};
 use crate::error::Error;
 use crate::forward::era::Tracker;
-use crate::standin::platform::Listed;
+use crate::standin::platform::VmEntry;
 use crate::unit::{Position, Span};
 
 /// Stands for `/` in the names of objects; no id of ours has it.
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// If the platform does not answer.
-    pub async fn vms(&self) -> Result<Vec<Listed>, Error> {
+    pub async fn vms(&self) -> Result<Vec<VmEntry>, Error> {
         let listed = self.all(VMS).await?;
         let read = |object: Raw| {
             serde_json::from_value(object.spec).map_err(|fault| Error::Store(fault.to_string()))
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -10,17 +10,17 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Semaphore, mpsc};
 
-use super::{Running, digest, draft, launch};
+use super::{Instance, complete, digest, launch};
 use crate::engine::wire::{Cancel, End, Frame, Generate, Load, NotRun, Order, Reason};
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::unit::{RequestId, Revision, Server, Target};
 
 /// Largest prompt it takes.
-const LARGEST: usize = 4_000_000;
+const MAX_BODY_BYTES: usize = 4_000_000;
 
 /// Frames made ahead of a slow reader.
-const AHEAD: usize = 64;
+const MAX_BUFFERED_FRAMES: usize = 64;
 
 /// How one version behaves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 
 /// What an engine is and does wrong.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Traits {
+pub struct Profile {
     /// Its name.
     pub name: Server,
     /// Requests it runs at once.
@@ -71,7 +71,7 @@
 }
 
 struct State {
-    traits: Traits,
+    profile: Profile,
     switches: Switches,
     loaded: HashSet<Target>,
     running: u32,
@@ -93,12 +93,12 @@
 
 impl Engine {
     /// An idle engine.
-    pub fn new(traits: Traits, history: Sink) -> Engine {
-        let loaded: HashSet<Target> = traits.loaded.iter().cloned().collect();
-        let slots = Arc::new(Semaphore::new(traits.slots as usize));
-        let reported = Load { loaded: traits.loaded.clone(), ..Load::default() };
+    pub fn new(profile: Profile, history: Sink) -> Engine {
+        let loaded: HashSet<Target> = profile.loaded.iter().cloned().collect();
+        let slots = Arc::new(Semaphore::new(profile.slots as usize));
+        let reported = Load { loaded: profile.loaded.clone(), ..Load::default() };
         let state = State {
-            traits,
+            profile,
             switches: Switches::default(),
             loaded,
             running: 0,
@@ -116,29 +116,29 @@
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub fn launch(&self, address: SocketAddr) -> Result<Running, Error> {
+    pub fn launch(&self, address: SocketAddr) -> Result<Instance, Error> {
         let engine = self.clone();
         launch(address, move |app| engine.routes(app))
     }
 
     /// Sets the switches.
-    pub fn switch(&self, switches: Switches) {
+    pub fn set_switches(&self, switches: Switches) {
         let mut state = self.lock();
         if switches.leaving && !state.switches.leaving {
-            let server = state.traits.name.clone();
+            let server = state.profile.name.clone();
             self.history.note(|| Event::Leaving { server });
         }
         state.switches = switches;
     }
 
     /// Changes some of the switches.
-    pub fn turn(&self, change: impl FnOnce(&mut Switches)) {
+    pub fn update_switches(&self, change: impl FnOnce(&mut Switches)) {
         change(&mut self.lock().switches);
     }
 
     /// Changes how a version behaves.
-    pub fn behave(&self, target: &Target, behaviour: Behaviour) {
-        self.lock().traits.versions.insert(target.clone(), behaviour);
+    pub fn set_behaviour(&self, target: &Target, behaviour: Behaviour) {
+        self.lock().profile.versions.insert(target.clone(), behaviour);
     }
 
     /// How many prompts that crash it it began to run.
@@ -158,7 +158,7 @@
 
     fn routes(&self, app: &mut ServiceConfig) {
         app.app_data(Data::new(self.clone()))
-            .app_data(web::JsonConfig::default().limit(LARGEST))
+            .app_data(web::JsonConfig::default().limit(MAX_BODY_BYTES))
             .route("/v1/generate", web::post().to(generate))
             .route("/v1/cancel", web::post().to(cancel))
             .route("/v1/load", web::get().to(load))
@@ -174,16 +174,16 @@
         if !state.loaded.contains(&work.target) {
             return Err(Reason::NotLoaded);
         }
-        let full = state.running + state.waiting >= state.traits.slots;
-        if state.waiting >= state.traits.queue || full && !work.wait {
+        let full = state.running + state.waiting >= state.profile.slots;
+        if state.waiting >= state.profile.queue || full && !work.wait {
             return Err(Reason::Full);
         }
         state.waiting += 1;
-        let behaviour = state.traits.versions.get(&work.target).cloned();
+        let behaviour = state.profile.versions.get(&work.target).cloned();
         let quality = behaviour.map_or(1.0, |behaviour| behaviour.quality);
-        let server = state.traits.name.clone();
+        let server = state.profile.name.clone();
         drop(state);
-        let text = draft(&work.prompt, &work.target, quality, work.max_tokens).tokens.concat();
+        let text = complete(&work.prompt, &work.target, quality, work.max_tokens).tokens.concat();
         // What an engine took counts as run, though it may still wait for a slot.
         self.history.note(|| Event::Ran {
             server,
@@ -196,14 +196,14 @@
         Ok(())
     }
 
-    fn begin(&self) {
+    fn start_running(&self) {
         let mut state = self.lock();
         state.waiting -= 1;
         state.running += 1;
     }
 
     /// Whether this prompt crashes it, which is counted.
-    fn falls_over(&self, work: &Generate) -> bool {
+    fn triggers_crash(&self, work: &Generate) -> bool {
         let mut state = self.lock();
         let needle = state.switches.crashes_on.as_deref();
         let falls = needle.is_some_and(|needle| work.prompt.contains(needle));
@@ -211,18 +211,18 @@
         falls
     }
 
-    fn take_cancel(&self, work: &Generate) -> bool {
+    fn remove_cancel(&self, work: &Generate) -> bool {
         self.lock().cancelled.remove(&(work.request.clone(), work.attempt))
     }
 
     /// Streams an answer until its end, a cancel, a vanished reader or a fault.
     async fn run(self, work: Generate, to: mpsc::Sender<Result<Bytes, std::io::Error>>) {
-        let (traits, behaviour) = {
+        let (profile, behaviour) = {
             let state = self.lock();
-            let behaviour = state.traits.versions.get(&work.target).cloned();
-            (state.traits.clone(), behaviour.unwrap_or(Behaviour { quality: 1.0, errors: 0.0 }))
+            let behaviour = state.profile.versions.get(&work.target).cloned();
+            (state.profile.clone(), behaviour.unwrap_or(Behaviour { quality: 1.0, errors: 0.0 }))
         };
-        let draft = draft(&work.prompt, &work.target, behaviour.quality, work.max_tokens);
+        let draft = complete(&work.prompt, &work.target, behaviour.quality, work.max_tokens);
         let Ok(_slot) = self.slots.acquire().await else {
             return;
         };
@@ -230,14 +230,14 @@
             self.lock().waiting -= 1;
             return;
         }
-        self.begin();
-        if self.falls_over(&work) {
+        self.start_running();
+        if self.triggers_crash(&work) {
             to.closed().await;
             self.lock().running -= 1;
             return;
         }
         let breaks = draft.confidence.fract() * 997.0 % 1.0 < behaviour.errors;
-        tokio::time::sleep(Duration::from_micros(traits.first_us)).await;
+        tokio::time::sleep(Duration::from_micros(profile.first_us)).await;
         let mut whole = true;
         for (i, token) in draft.tokens.iter().enumerate().skip(work.offset as usize) {
             let switches = self.lock().switches.clone();
@@ -245,20 +245,21 @@
                 to.closed().await;
             }
             let cut = switches.cut_after.is_some_and(|n| i as u32 >= n) || (breaks && i > 0);
-            if cut || self.take_cancel(&work) {
+            if cut || self.remove_cancel(&work) {
                 let broken = std::io::Error::other("cut");
                 let _ = to.send(Err(broken)).await;
                 whole = false;
                 break;
             }
             let line = frame(&work, i as u32, token, None);
-            let line = if switches.noise { noisy(&work, i as u32, &line) } else { line };
+            let line =
+                if switches.noise { with_stray_frames(&work, i as u32, &line) } else { line };
             if to.send(Ok(line)).await.is_err() {
                 whole = false;
                 break;
             }
-            if traits.token_us > 0 {
-                tokio::time::sleep(Duration::from_micros(traits.token_us)).await;
+            if profile.token_us > 0 {
+                tokio::time::sleep(Duration::from_micros(profile.token_us)).await;
             }
         }
         if whole {
@@ -278,7 +279,7 @@
 }
 
 /// A foreign frame, the frame, and the frame again.
-fn noisy(work: &Generate, offset: u32, line: &Bytes) -> Bytes {
+fn with_stray_frames(work: &Generate, offset: u32, line: &Bytes) -> Bytes {
     let foreign = Generate { request: "another".parse().expect("a name"), ..work.clone() };
     let mut out = frame(&foreign, offset, "foreign ", None).to_vec();
     out.extend_from_slice(line);
@@ -296,7 +297,7 @@
     if let Err(reason) = admitted {
         return HttpResponse::Conflict().json(NotRun { reason, load: (running, waiting) });
     }
-    let (sender, receiver) = mpsc::channel(AHEAD);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_FRAMES);
     actix_web::rt::spawn(engine.get_ref().clone().run(work, sender));
     HttpResponse::Ok()
         .insert_header((crate::engine::wire::LOAD, format!("{running}/{waiting}")))
@@ -312,7 +313,7 @@
 
 /// The report lags: it answers with what it noted `lag_ms` ago, but leaving is told at once.
 async fn load(engine: Data<Engine>) -> HttpResponse {
-    let lag = engine.lock().traits.lag_ms;
+    let lag = engine.lock().profile.lag_ms;
     let report = {
         let mut state = engine.lock();
         let mut loaded: Vec<Target> = state.loaded.iter().cloned().collect();
@@ -337,7 +338,7 @@
 
 async fn order(engine: Data<Engine>, order: Json<Order>) -> HttpResponse {
     let mut state = engine.lock();
-    if state.traits.checks_orders && order.fence < state.fence {
+    if state.profile.checks_orders && order.fence < state.fence {
         return HttpResponse::PreconditionFailed().finish();
     }
     state.fence = state.fence.max(order.fence);
@@ -347,6 +348,6 @@
 }
 
 async fn set_switches(engine: Data<Engine>, switches: Json<Switches>) -> HttpResponse {
-    engine.switch(switches.into_inner());
+    engine.set_switches(switches.into_inner());
     HttpResponse::Ok().finish()
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -8,5 +8,5 @@
 pub mod service;
 mod text;
 
-pub use server::{Running, launch, no_delay};
-pub use text::{Draft, digest, draft};
+pub use server::{Instance, launch, no_delay};
+pub use text::{Completion, complete, digest};
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use super::{Running, launch};
+use super::{Instance, launch};
 use crate::error::Error;
 use crate::history::Sink;
 use crate::unit::{DataCentre, Vm};
@@ -21,22 +21,22 @@
 use state::{Object, ROOT, State, confirmed};
 
 /// The kind of the objects that list the VMs.
-const VMS: &str = "vms";
+const VM_KIND: &str = "vms";
 
 /// Names the store's era on each answer.
-const ERA: &str = "Store-Era";
+const ERA_HEADER: &str = "Store-Era";
 
 /// Largest value of an object.
-const LARGEST: usize = 1_048_576;
+const MAX_OBJECT_BYTES: usize = 1_048_576;
 
 /// Longest that a watch waits.
-const LONGEST_WATCH: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 /// Objects on one page of a list.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// A late write takes effect after this.
-const LATE: Duration = Duration::from_secs(1);
+const LATE_WRITE_DELAY: Duration = Duration::from_secs(1);
 
 /// What the stand-in does wrong on request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
 
 /// A VM on the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct VmEntry {
     /// The VM.
     pub vm: Vm,
     /// Its data centre.
@@ -116,13 +116,13 @@
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub fn launch(&self, address: SocketAddr) -> Result<Running, Error> {
+    pub fn launch(&self, address: SocketAddr) -> Result<Instance, Error> {
         let platform = self.clone();
         launch(address, move |app| platform.routes(app))
     }
 
     /// Sets the switches.
-    pub fn switch(&self, switches: Switches) {
+    pub fn set_switches(&self, switches: Switches) {
         self.lock().switches = switches;
         self.changed.notify_waiters();
     }
@@ -133,22 +133,22 @@
     }
 
     /// Sets the list of VMs.
-    pub fn list(&self, listed: Vec<Listed>) {
+    pub fn set_vms(&self, listed: Vec<VmEntry>) {
         let mut state = self.lock();
-        let old: Vec<String> = state.names(VMS);
+        let old: Vec<String> = state.names(VM_KIND);
         for name in old.iter().filter(|name| !listed.iter().any(|one| one.vm.as_str() == **name)) {
-            state.delete(VMS, name);
+            state.delete(VM_KIND, name);
         }
         for one in listed {
             let spec = serde_json::to_value(&one).expect("an entry is plain data");
-            state.write(VMS, one.vm.as_str(), |object| object.spec = spec);
+            state.write(VM_KIND, one.vm.as_str(), |object| object.spec = spec);
         }
         drop(state);
         self.changed.notify_waiters();
     }
 
     /// The values of all objects whose key, kind and name with `/` between, begins so.
-    pub fn bodies(&self, prefix: &str) -> Vec<(String, Bytes)> {
+    pub fn specs_with_prefix(&self, prefix: &str) -> Vec<(String, Bytes)> {
         let state = self.lock();
         let keys = state.objects.iter().map(|((kind, name), object)| {
             (format!("{kind}/{}", name.replace('~', "/")), Bytes::from(object.spec.to_string()))
@@ -157,14 +157,14 @@
     }
 
     /// Writes an object as its owner does, whatever the switches; its revision.
-    pub fn put(&self, kind: &str, name: &str, spec: Value) -> u64 {
+    pub fn write_spec(&self, kind: &str, name: &str, spec: Value) -> u64 {
         let revision = self.lock().write(kind, name, |object| object.spec = spec);
         self.changed.notify_waiters();
         revision
     }
 
     /// Deletes an object as its owner does, whatever the switches.
-    pub fn remove(&self, kind: &str, name: &str) {
+    pub fn delete_object(&self, kind: &str, name: &str) {
         self.lock().delete(kind, name);
         self.changed.notify_waiters();
     }
@@ -183,10 +183,10 @@
     }
 
     /// Forgets all changes so far, so that watches from before them are answered 410.
-    pub fn forget(&self) {
+    pub fn compact(&self) {
         let mut state = self.lock();
         state.changes.clear();
-        state.forgotten = state.clock;
+        state.compacted_revision = state.clock;
         drop(state);
         self.changed.notify_waiters();
     }
@@ -208,8 +208,8 @@
 
     fn routes(&self, app: &mut ServiceConfig) {
         app.app_data(Data::new(self.clone()))
-            .app_data(web::PayloadConfig::new(LARGEST + 1))
-            .app_data(web::JsonConfig::default().limit(LARGEST + 1))
+            .app_data(web::PayloadConfig::new(MAX_OBJECT_BYTES + 1))
+            .app_data(web::JsonConfig::default().limit(MAX_OBJECT_BYTES + 1))
             .route("/v1/objects/{kind}", web::get().to(list_or_watch))
             .route("/v1/objects/{kind}", web::post().to(create))
             .route("/v1/objects/{kind}/{name}", web::get().to(get))
@@ -221,11 +221,11 @@
     }
 
     /// Counts a call and says what stops it, if anything.
-    async fn enter(&self, write: bool) -> Option<HttpResponse> {
+    async fn admit_call(&self, write: bool) -> Option<HttpResponse> {
         let (switches, within) = {
             let mut state = self.lock();
             let bucket = if write { &mut state.writes } else { &mut state.reads };
-            let within = bucket.take(Instant::now());
+            let within = bucket.try_take(Instant::now());
             match (within, write) {
                 (false, _) => state.calls.refused += 1,
                 (_, true) => state.calls.writes += 1,
@@ -233,25 +233,25 @@
             }
             (state.switches.clone(), within)
         };
-        let stopped = self.stopped(&switches).await;
+        let stopped = self.injected_fault(&switches).await;
         stopped.or_else(|| (!within).then(|| self.refuse(HttpResponse::TooManyRequests())))
     }
 
     /// The same for a read; one that may be old falls outside the rate.
-    async fn enter_read(&self, may_be_old: bool) -> Option<HttpResponse> {
-        if !may_be_old {
-            return self.enter(false).await;
+    async fn admit_read(&self, allows_stale: bool) -> Option<HttpResponse> {
+        if !allows_stale {
+            return self.admit_call(false).await;
         }
         let switches = {
             let mut state = self.lock();
             state.calls.stale += 1;
             state.switches.clone()
         };
-        self.stopped(&switches).await
+        self.injected_fault(&switches).await
     }
 
     /// What the switches answer in place of the store, after the time that they take.
-    async fn stopped(&self, switches: &Switches) -> Option<HttpResponse> {
+    async fn injected_fault(&self, switches: &Switches) -> Option<HttpResponse> {
         if switches.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(switches.slow_ms)).await;
         }
@@ -262,35 +262,40 @@
     }
 
     fn refuse(&self, answer: HttpResponseBuilder) -> HttpResponse {
-        in_era(&self.lock(), answer).finish()
+        with_era(&self.lock(), answer).finish()
     }
 
     /// Does a write, unless a switch delays it, and answers it, unless a switch loses the answer.
-    async fn written(&self, write: impl Fn(&mut State) -> Result<Value, Failure>) -> HttpResponse {
+    async fn respond_to_write(
+        &self,
+        write: impl Fn(&mut State) -> Result<Value, WriteError>,
+    ) -> HttpResponse {
         let (late, lose) = {
             let mut state = self.lock();
-            let late = take_one(&mut state.switches.late);
-            (late, !late && take_one(&mut state.switches.lose))
+            let late = decrement(&mut state.switches.late);
+            (late, !late && decrement(&mut state.switches.lose))
         };
         if late {
-            tokio::time::sleep(LATE).await;
+            tokio::time::sleep(LATE_WRITE_DELAY).await;
         }
         let mut state = self.lock();
         let written = write(&mut state);
         self.changed.notify_waiters();
         if late || lose {
-            return cut();
+            return broken_response();
         }
         match written {
-            Ok(object) => in_era(&state, HttpResponse::Ok()).json(object),
-            Err(Failure::Conflict(object)) => in_era(&state, HttpResponse::Conflict()).json(object),
-            Err(Failure::Missing) => in_era(&state, HttpResponse::NotFound()).finish(),
+            Ok(object) => with_era(&state, HttpResponse::Ok()).json(object),
+            Err(WriteError::Conflict(object)) => {
+                with_era(&state, HttpResponse::Conflict()).json(object)
+            }
+            Err(WriteError::Missing) => with_era(&state, HttpResponse::NotFound()).finish(),
         }
     }
 }
 
 /// Why a write did nothing.
-enum Failure {
+enum WriteError {
     /// The object stands otherwise, like this.
     Conflict(Value),
     /// There is no such object.
@@ -298,22 +303,22 @@
 }
 
 /// An answer that names the era of the state from which it is made.
-fn in_era(state: &State, mut answer: HttpResponseBuilder) -> HttpResponseBuilder {
+fn with_era(state: &State, mut answer: HttpResponseBuilder) -> HttpResponseBuilder {
     let era = state.switches.era.clone().unwrap_or_else(|| state.era.to_string());
     if !era.is_empty() {
-        answer.insert_header((ERA, era));
+        answer.insert_header((ERA_HEADER, era));
     }
     answer
 }
 
-fn take_one(count: &mut u32) -> bool {
+fn decrement(count: &mut u32) -> bool {
     let some = *count > 0;
     *count = count.saturating_sub(1);
     some
 }
 
 /// An answer that breaks off before its end.
-fn cut() -> HttpResponse {
+fn broken_response() -> HttpResponse {
     let broken = futures_util::stream::once(async {
         Err::<Bytes, std::io::Error>(std::io::ErrorKind::ConnectionReset.into())
     });
@@ -321,7 +326,7 @@
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct ReadQuery {
     watch: Option<u64>,
     wait_ms: Option<u64>,
     /// The name after which a list goes on.
@@ -330,8 +335,8 @@
     stale_ok: Option<u8>,
 }
 
-impl Asked {
-    fn may_be_old(&self) -> bool {
+impl ReadQuery {
+    fn allows_stale(&self) -> bool {
         self.stale_ok == Some(1)
     }
 }
@@ -339,14 +344,14 @@
 async fn list_or_watch(
     platform: Data<Platform>,
     kind: Path<String>,
-    asked: Query<Asked>,
+    query: Query<ReadQuery>,
 ) -> HttpResponse {
-    if let Some(stop) = platform.enter_read(asked.may_be_old()).await {
+    if let Some(stop) = platform.admit_read(query.allows_stale()).await {
         return stop;
     }
-    match asked.watch {
-        Some(after) => watch(&platform, &kind, after, asked.wait_ms).await,
-        None => page(&platform, &kind, asked.since_revision.as_deref().unwrap_or_default()),
+    match query.watch {
+        Some(after) => watch(&platform, &kind, after, query.wait_ms).await,
+        None => page(&platform, &kind, query.since_revision.as_deref().unwrap_or_default()),
     }
 }
 
@@ -356,35 +361,35 @@
         .objects
         .iter()
         .filter(|((of, name), _)| of == kind && name.as_str() > after)
-        .map(|((_, name), object)| object.shown(name));
-    let items: Vec<Value> = found.by_ref().take(PAGE).collect();
+        .map(|((_, name), object)| object.to_json(name));
+    let items: Vec<Value> = found.by_ref().take(PAGE_SIZE).collect();
     let has_more = found.next().is_some();
     let revision = state.clock;
     let list = json!({"items": items, "has_more": has_more, "store_revision": revision});
-    in_era(&state, HttpResponse::Ok()).json(list)
+    with_era(&state, HttpResponse::Ok()).json(list)
 }
 
 async fn watch(platform: &Platform, kind: &str, after: u64, wait_ms: Option<u64>) -> HttpResponse {
     platform.lock().calls.watches += 1;
-    let wait = Duration::from_millis(wait_ms.unwrap_or(1000)).min(LONGEST_WATCH);
+    let wait = Duration::from_millis(wait_ms.unwrap_or(1000)).min(MAX_WATCH_WAIT);
     let until = tokio::time::Instant::now() + wait;
     loop {
         let changed = platform.changed.notified();
         {
             let state = platform.lock();
             if state.switches.down {
-                return in_era(&state, HttpResponse::ServiceUnavailable()).finish();
+                return with_era(&state, HttpResponse::ServiceUnavailable()).finish();
             }
             let is_ahead = after > state.clock && !state.switches.quiet;
-            if after < state.forgotten || is_ahead {
-                return in_era(&state, HttpResponse::Gone()).finish();
+            if after < state.compacted_revision || is_ahead {
+                return with_era(&state, HttpResponse::Gone()).finish();
             }
             let events = state.events(kind, after);
             let waited = tokio::time::Instant::now() >= until;
             if waited || (!events.is_empty() && !state.switches.quiet) {
                 let events = if state.switches.quiet { Vec::new() } else { events };
                 let revision = if state.switches.quiet { after } else { state.clock };
-                return in_era(&state, HttpResponse::Ok())
+                return with_era(&state, HttpResponse::Ok())
                     .json(json!({"events": events, "store_revision": revision}));
             }
         }
@@ -396,16 +401,16 @@
 async fn get(
     platform: Data<Platform>,
     path: Path<(String, String)>,
-    asked: Query<Asked>,
+    query: Query<ReadQuery>,
 ) -> HttpResponse {
-    if let Some(stop) = platform.enter_read(asked.may_be_old()).await {
+    if let Some(stop) = platform.admit_read(query.allows_stale()).await {
         return stop;
     }
     let (kind, name) = path.into_inner();
     let state = platform.lock();
     match state.get(&kind, &name) {
-        Some(object) => in_era(&state, HttpResponse::Ok()).json(object.shown(&name)),
-        None => in_era(&state, HttpResponse::NotFound()).finish(),
+        Some(object) => with_era(&state, HttpResponse::Ok()).json(object.to_json(&name)),
+        None => with_era(&state, HttpResponse::NotFound()).finish(),
     }
 }
 
@@ -426,7 +431,7 @@
 }
 
 async fn create(platform: Data<Platform>, kind: Path<String>, body: Json<Body>) -> HttpResponse {
-    if let Some(stop) = platform.enter(true).await {
+    if let Some(stop) = platform.admit_call(true).await {
         return stop;
     }
     let Some(name) = body.metadata.name.clone() else {
@@ -434,11 +439,11 @@
     };
     let write = |state: &mut State| {
         if let Some(object) = state.get(&kind, &name) {
-            return Err(Failure::Conflict(object.shown(&name)));
+            return Err(WriteError::Conflict(object.to_json(&name)));
         }
         Ok(platform.change(state, &kind, &name, |object| object.spec = body.spec.clone()))
     };
-    platform.written(write).await
+    platform.respond_to_write(write).await
 }
 
 async fn replace(
@@ -463,30 +468,30 @@
     body: &Body,
     change: impl Fn(&mut Object),
 ) -> HttpResponse {
-    if let Some(stop) = platform.enter(true).await {
+    if let Some(stop) = platform.admit_call(true).await {
         return stop;
     }
     let write = |state: &mut State| {
-        let object = state.get(kind, name).ok_or(Failure::Missing)?;
+        let object = state.get(kind, name).ok_or(WriteError::Missing)?;
         if body.metadata.revision.is_some_and(|revision| revision != object.revision) {
-            return Err(Failure::Conflict(object.shown(name)));
+            return Err(WriteError::Conflict(object.to_json(name)));
         }
         Ok(platform.change(state, kind, name, &change))
     };
-    platform.written(write).await
+    platform.respond_to_write(write).await
 }
 
 async fn delete(platform: Data<Platform>, path: Path<(String, String)>) -> HttpResponse {
-    if let Some(stop) = platform.enter(true).await {
+    if let Some(stop) = platform.admit_call(true).await {
         return stop;
     }
     let (kind, name) = path.into_inner();
     let write = |state: &mut State| {
-        let object = state.get(&kind, &name).ok_or(Failure::Missing)?.shown(&name);
+        let object = state.get(&kind, &name).ok_or(WriteError::Missing)?.to_json(&name);
         state.delete(&kind, &name);
         Ok(object)
     };
-    platform.written(write).await
+    platform.respond_to_write(write).await
 }
 
 impl Platform {
@@ -502,7 +507,7 @@
         if (kind, name) == ROOT {
             self.history.note(|| confirmed(state));
         }
-        state.get(kind, name).map(|object| object.shown(name)).unwrap_or_default()
+        state.get(kind, name).map(|object| object.to_json(name)).unwrap_or_default()
     }
 }
 
@@ -511,6 +516,6 @@
 }
 
 async fn set_switches(platform: Data<Platform>, switches: Json<Switches>) -> HttpResponse {
-    platform.switch(switches.into_inner());
+    platform.set_switches(switches.into_inner());
     HttpResponse::Ok().finish()
 }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -13,10 +13,10 @@
 pub const ROOT: (&str, &str) = ("config", "root");
 
 /// Begins the names of the pieces of a configuration.
-const PIECE: &str = "piece~";
+const PIECE_PREFIX: &str = "piece~";
 
 /// Changes that are remembered.
-const HISTORY: usize = 20_000;
+const MAX_CHANGES: usize = 20_000;
 
 /// An object.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
 }
 
 impl Object {
-    pub fn shown(&self, name: &str) -> Value {
+    pub fn to_json(&self, name: &str) -> Value {
         let metadata = json!({
             "name": name,
             "revision": self.revision,
@@ -58,7 +58,7 @@
 }
 
 impl Bucket {
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_take(&mut self, now: Instant) -> bool {
         let gained = now.duration_since(self.at).as_secs_f64() * self.rate;
         self.level = (self.level + gained).min(self.rate);
         self.at = now;
@@ -75,7 +75,7 @@
 pub struct Snapshot {
     objects: BTreeMap<(String, String), Object>,
     changes: VecDeque<Change>,
-    forgotten: u64,
+    compacted_revision: u64,
     clock: u64,
 }
 
@@ -84,7 +84,7 @@
     pub objects: BTreeMap<(String, String), Object>,
     /// Changes that watches can ask for, and the revision up to which they are forgotten.
     pub changes: VecDeque<Change>,
-    pub forgotten: u64,
+    pub compacted_revision: u64,
     pub clock: u64,
     pub era: Era,
     pub switches: Switches,
@@ -100,7 +100,7 @@
         State {
             objects: BTreeMap::new(),
             changes: VecDeque::new(),
-            forgotten: 0,
+            compacted_revision: 0,
             clock: 0,
             era: Era::default(),
             switches: Switches::default(),
@@ -115,16 +115,16 @@
         Snapshot {
             objects: self.objects.clone(),
             changes: self.changes.clone(),
-            forgotten: self.forgotten,
+            compacted_revision: self.compacted_revision,
             clock: self.clock,
         }
     }
 
     /// Goes back to a copy; a new era begins.
     pub fn restore(&mut self, snapshot: Snapshot) {
-        let Snapshot { objects, changes, forgotten, clock } = snapshot;
+        let Snapshot { objects, changes, compacted_revision, clock } = snapshot;
         (self.objects, self.changes) = (objects, changes);
-        (self.forgotten, self.clock) = (forgotten, clock);
+        (self.compacted_revision, self.clock) = (compacted_revision, clock);
         self.era.0 += 1;
     }
 
@@ -156,7 +156,7 @@
         }
         object.revision = next;
         self.clock = next;
-        self.remember(kind, object.shown(name), false);
+        self.record_change(kind, object.to_json(name), false);
         self.objects.insert(key, object);
         next
     }
@@ -164,17 +164,17 @@
     pub fn delete(&mut self, kind: &str, name: &str) {
         if let Some(object) = self.objects.remove(&(kind.to_owned(), name.to_owned())) {
             self.clock += 1;
-            self.remember(kind, object.shown(name), true);
+            self.record_change(kind, object.to_json(name), true);
         }
     }
 
-    pub fn remember(&mut self, kind: &str, object: Value, deleted: bool) {
+    pub fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
         let revision = self.clock;
         self.changes.push_back(Change { revision, kind: kind.to_owned(), object, deleted });
-        if self.changes.len() > HISTORY
+        if self.changes.len() > MAX_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
-            self.forgotten = oldest.revision;
+            self.compacted_revision = oldest.revision;
         }
     }
 
@@ -196,7 +196,7 @@
         let Some(name) = name.strip_prefix("workspace/") else {
             continue;
         };
-        let body = value(&format!("{PIECE}{}", digest.as_str().unwrap_or_default()));
+        let body = value(&format!("{PIECE_PREFIX}{}", digest.as_str().unwrap_or_default()));
         if let Ok(name) = name.parse() {
             let versions = serde_json::from_value(body["versions"].clone());
             allowed.insert(name, versions.unwrap_or_default());
--- a/src/standin/rating.rs
+++ b/src/standin/rating.rs
@@ -9,7 +9,7 @@
 use actix_web::{HttpResponse, web};
 use serde::{Deserialize, Serialize};
 
-use super::{Running, launch, text};
+use super::{Instance, launch, text};
 use crate::error::Error;
 use crate::unit::{RequestId, Vm};
 
@@ -48,7 +48,7 @@
     }
 
     /// Makes ratings stop, or come again.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         *self.silent.lock().expect("no panic while held") = silent;
     }
 
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub fn launch(&self, address: SocketAddr) -> Result<Running, Error> {
+    pub fn launch(&self, address: SocketAddr) -> Result<Instance, Error> {
         let rater = self.clone();
         launch(address, move |app: &mut ServiceConfig| {
             app.app_data(Data::new(rater.clone()))
@@ -74,11 +74,11 @@
 }
 
 #[derive(Deserialize)]
-struct Whose {
+struct RatingQuery {
     vm: Vm,
 }
 
-async fn give(rater: Data<Rater>, whose: Query<Whose>) -> HttpResponse {
+async fn give(rater: Data<Rater>, query: Query<RatingQuery>) -> HttpResponse {
     if *rater.silent.lock().expect("no panic while held") {
         return HttpResponse::Ok().json(Vec::<Rating>::new());
     }
@@ -86,7 +86,7 @@
     let mut waiting = rater.waiting.lock().expect("no panic while held");
     let mut ready = Vec::new();
     waiting.retain(|(at, sample)| {
-        let due = now.duration_since(*at) >= rater.lag && sample.vm == whose.vm;
+        let due = now.duration_since(*at) >= rater.lag && sample.vm == query.vm;
         if due {
             let pass = !sample.answer.contains(text::POOR);
             ready.push(Rating { request: sample.request.clone(), pass });
--- a/src/standin/replica.rs
+++ b/src/standin/replica.rs
@@ -10,17 +10,17 @@
 use crate::error::Error;
 
 /// Longest head of a request.
-const LONGEST_HEAD: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Headers of a request at most.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// A connection without a request ends after this.
-const IDLE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What it does with one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     /// A signed answer of this status and body.
     Whole(u16, String),
     /// A success without a signature.
@@ -28,9 +28,9 @@
     /// It says that it did not run the request.
     NotRun,
     /// The same, with this text for the time in which it wants nothing.
-    TurnAway(String),
+    RetryAfter(String),
     /// It says that it is another server than expected.
-    Another,
+    Misdirected,
     /// It promises 100 bytes, sends five and closes.
     CutLength,
     /// It begins a chunk and closes.
@@ -41,9 +41,9 @@
         reset: bool,
     },
     /// The answer of another request, then its own.
-    StrangerFirst,
+    ForeignFirst,
     /// Its own answer, then one that nobody asked for.
-    StrangerAfter,
+    ForeignAfter,
     /// It answers when it has the head, and reads the body afterwards.
     Early,
     /// It reads the request and resets.
@@ -51,7 +51,7 @@
     /// It reads the request, says nothing for a time, then answers.
     Slow(Duration),
     /// Bytes that are no HTTP.
-    Noise,
+    Garbage,
     /// A stream of events up to this id; after so many it breaks off within one, if that is said.
     Events {
         /// The last event.
@@ -67,7 +67,7 @@
 
 /// A request as it arrived.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedRequest {
     /// Method, path and query.
     pub line: String,
     /// Names in lower case, and values.
@@ -78,7 +78,7 @@
     pub at: Instant,
 }
 
-impl Seen {
+impl RecordedRequest {
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
@@ -90,28 +90,28 @@
 #[derive(Clone, Debug)]
 pub struct Crash {
     /// A request whose body holds these bytes crashes it, whoever sends it.
-    pub on: Vec<u8>,
+    pub trigger: Vec<u8>,
     /// Time that it runs such a request before.
-    pub after: Duration,
+    pub delay: Duration,
     /// Time until its next life begins, at the same address.
-    pub back_after: Duration,
+    pub restart_after: Duration,
 }
 
 /// Tells that a life begins; the first one has number 0.
-type Started = Arc<dyn Fn(u64) + Send + Sync>;
+type StartCallback = Arc<dyn Fn(u64) + Send + Sync>;
 
 #[derive(Default)]
 struct State {
-    acts: VecDeque<Act>,
-    usual: Option<Act>,
-    seen: Vec<Seen>,
+    actions: VecDeque<Action>,
+    default_action: Option<Action>,
+    seen: Vec<RecordedRequest>,
     connections: usize,
     crash: Option<Crash>,
-    leaves: bool,
+    draining: bool,
     limit: Option<String>,
-    word: Option<String>,
-    turned_away: Vec<Instant>,
-    started: Option<Started>,
+    extra_header: Option<String>,
+    rejections: Vec<Instant>,
+    started: Option<StartCallback>,
     crashes: Vec<Instant>,
     /// Where it listens while it lives.
     listener: Option<TcpListener>,
@@ -121,10 +121,10 @@
 
 impl State {
     /// Lines that stand in the heads of all its answers.
-    fn said(&self) -> String {
-        let leaving = self.leaves.then(|| "Server-Leaving: 1".to_owned());
+    fn common_headers(&self) -> String {
+        let leaving = self.draining.then(|| "Server-Leaving: 1".to_owned());
         let limit = self.limit.as_ref().map(|limit| format!("Server-Limit: {limit}"));
-        let lines = [leaving, limit, self.word.clone()].into_iter().flatten();
+        let lines = [leaving, limit, self.extra_header.clone()].into_iter().flatten();
         lines.map(|line| line + "\r\n").collect()
     }
 }
@@ -148,12 +148,12 @@
         let listener = TcpListener::bind(at).map_err(fault)?;
         let address = listener.local_addr().map_err(fault)?;
         let replica = Replica { address, state: Arc::default() };
-        replica.live(listener).map_err(fault)?;
+        replica.accept_connections(listener).map_err(fault)?;
         Ok(replica)
     }
 
     /// Takes connections until this life of it ends.
-    fn live(&self, listener: TcpListener) -> std::io::Result<()> {
+    fn accept_connections(&self, listener: TcpListener) -> std::io::Result<()> {
         self.lock().listener = Some(listener.try_clone()?);
         let serving = self.clone();
         std::thread::spawn(move || {
@@ -175,7 +175,7 @@
     }
 
     /// It crashes on some requests.
-    pub fn crashes(&self, crash: Crash) -> &Replica {
+    pub fn set_crash(&self, crash: Crash) -> &Replica {
         self.lock().crash = Some(crash);
         self
     }
@@ -187,7 +187,7 @@
     }
 
     /// When its lives so far ended.
-    pub fn ends(&self) -> Vec<Instant> {
+    pub fn crash_times(&self) -> Vec<Instant> {
         self.lock().crashes.clone()
     }
 
@@ -208,7 +208,7 @@
         std::thread::spawn(move || {
             std::thread::sleep(back_after);
             let listener = TcpListener::bind(replica.address).expect("the address is its own");
-            replica.live(listener).expect("a listener can be cloned");
+            replica.accept_connections(listener).expect("a listener can be cloned");
             let (started, life) = {
                 let state = replica.lock();
                 (state.started.clone(), state.crashes.len() as u64)
@@ -220,52 +220,54 @@
     }
 
     /// Whether this request crashes it, which then has happened.
-    fn falls_over(&self, seen: &Seen) -> bool {
+    fn crash_if_triggered(&self, seen: &RecordedRequest) -> bool {
         let crash = self.lock().crash.clone();
-        let holds = |crash: &Crash| seen.body.windows(crash.on.len()).any(|part| part == crash.on);
+        let holds = |crash: &Crash| {
+            seen.body.windows(crash.trigger.len()).any(|part| part == crash.trigger)
+        };
         let Some(crash) = crash.filter(holds) else { return false };
-        std::thread::sleep(crash.after);
-        self.crash(Some(crash.back_after));
+        std::thread::sleep(crash.delay);
+        self.crash(Some(crash.restart_after));
         true
     }
 
     /// What it does with the coming requests, one after the other.
-    pub fn then(&self, act: Act) -> &Replica {
-        self.lock().acts.push_back(act);
+    pub fn push_action(&self, action: Action) -> &Replica {
+        self.lock().actions.push_back(action);
         self
     }
 
     /// What it does with all others.
-    pub fn usually(&self, act: Act) -> &Replica {
-        self.lock().usual = Some(act);
+    pub fn set_default_action(&self, action: Action) -> &Replica {
+        self.lock().default_action = Some(action);
         self
     }
 
     /// From now on it says in all its answers that it leaves.
-    pub fn leaves(&self) -> &Replica {
-        self.lock().leaves = true;
+    pub fn announce_draining(&self) -> &Replica {
+        self.lock().draining = true;
         self
     }
 
     /// From now on it names this limit in all its answers, or none.
-    pub fn names_limit(&self, limit: Option<&str>) -> &Replica {
+    pub fn set_limit_header(&self, limit: Option<&str>) -> &Replica {
         self.lock().limit = limit.map(str::to_owned);
         self
     }
 
     /// From now on it adds this line to the heads of all its answers.
-    pub fn says(&self, line: &str) -> &Replica {
-        self.lock().word = Some(line.to_owned());
+    pub fn set_extra_header(&self, line: &str) -> &Replica {
+        self.lock().extra_header = Some(line.to_owned());
         self
     }
 
     /// When it asked for rest.
-    pub fn turned_away(&self) -> Vec<Instant> {
-        self.lock().turned_away.clone()
+    pub fn rejection_times(&self) -> Vec<Instant> {
+        self.lock().rejections.clone()
     }
 
     /// The requests that arrived.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<RecordedRequest> {
         self.lock().seen.clone()
     }
 
@@ -280,44 +282,44 @@
 
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(IDLE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut buffer = Vec::new();
         loop {
-            let Some((mut seen, length)) = head(&mut stream, &mut buffer)? else {
+            let Some((mut seen, length)) = read_head(&mut stream, &mut buffer)? else {
                 return Ok(());
             };
-            let act = {
+            let action = {
                 let mut state = self.lock();
-                let next = state.acts.pop_front().or_else(|| state.usual.clone());
-                next.unwrap_or(Act::Whole(200, "fine".to_owned()))
+                let next = state.actions.pop_front().or_else(|| state.default_action.clone());
+                next.unwrap_or(Action::Whole(200, "fine".to_owned()))
             };
             let id = seen.header("x-attempt-id").unwrap_or_default().to_owned();
-            let said = self.lock().said();
-            let voice = Voice { id: &id, said: &said };
-            if matches!(act, Act::Early) {
-                stream.write_all(answer(&voice, 200, "early").as_bytes())?;
+            let common = self.lock().common_headers();
+            let response = ResponseHead { id: &id, common: &common };
+            if matches!(action, Action::Early) {
+                stream.write_all(answer(&response, 200, "early").as_bytes())?;
             }
             while buffer.len() < length {
-                fill(&mut stream, &mut buffer)?;
+                read_more(&mut stream, &mut buffer)?;
             }
             seen.body = buffer.drain(..length).collect();
             self.lock().seen.push(seen.clone());
-            if self.falls_over(&seen) {
+            if self.crash_if_triggered(&seen) {
                 return Ok(());
             }
-            let asks_rest = matches!(act, Act::TurnAway(_));
-            let goes_on = perform(&mut stream, &seen, &voice, act)?;
-            if asks_rest {
-                self.lock().turned_away.push(Instant::now());
+            let rejects = matches!(action, Action::RetryAfter(_));
+            let keep_alive = respond(&mut stream, &seen, &response, action)?;
+            if rejects {
+                self.lock().rejections.push(Instant::now());
             }
-            if !goes_on {
+            if !keep_alive {
                 return Ok(());
             }
         }
     }
 }
 
-fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<usize> {
+fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<usize> {
     let mut bytes = [0; 16 * 1024];
     let got = stream.read(&mut bytes)?;
     if got == 0 {
@@ -328,9 +330,12 @@
 }
 
 /// Reads a head; nothing if the caller closed before one.
-fn head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> std::io::Result<Option<(Seen, usize)>> {
+fn read_head(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> std::io::Result<Option<(RecordedRequest, usize)>> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let parsed = request.parse(buffer).map_err(|_| std::io::ErrorKind::InvalidData)?;
         if let httparse::Status::Complete(end) = parsed {
@@ -341,15 +346,15 @@
                 .iter()
                 .map(|header| (header.name.to_ascii_lowercase(), text(header.value)))
                 .collect();
-            let seen = Seen { line, headers, body: Vec::new(), at: Instant::now() };
+            let seen = RecordedRequest { line, headers, body: Vec::new(), at: Instant::now() };
             let length = seen.header("content-length").and_then(|text| text.parse().ok());
             buffer.drain(..end);
             return Ok(Some((seen, length.unwrap_or(0))));
         }
-        if buffer.len() > LONGEST_HEAD {
+        if buffer.len() > MAX_HEAD_BYTES {
             return Err(std::io::ErrorKind::InvalidData.into());
         }
-        match fill(stream, buffer) {
+        match read_more(stream, buffer) {
             Ok(_) => {}
             Err(_) if buffer.is_empty() => return Ok(None),
             Err(fault) => return Err(fault),
@@ -358,18 +363,18 @@
 }
 
 /// What all its answers to one request have in common.
-struct Voice<'a> {
+struct ResponseHead<'a> {
     /// The request's id.
     id: &'a str,
     /// What it says of itself, in lines.
-    said: &'a str,
+    common: &'a str,
 }
 
-impl Voice<'_> {
+impl ResponseHead<'_> {
     /// The head of an answer, up to what `more` adds.
     fn head(&self, status: u16, more: &str) -> String {
-        let Voice { id, said } = self;
-        format!("HTTP/1.1 {status} Status\r\nX-Attempt-Id: {id}\r\n{said}{more}")
+        let ResponseHead { id, common } = self;
+        format!("HTTP/1.1 {status} Status\r\nX-Attempt-Id: {id}\r\n{common}{more}")
     }
 
     fn signed(&self, status: u16, more: &str) -> String {
@@ -384,99 +389,106 @@
     }
 }
 
-fn answer(voice: &Voice, status: u16, body: &str) -> String {
-    voice.signed(status, &format!("Content-Length: {}\r\n\r\n{body}", body.len()))
+fn answer(response: &ResponseHead, status: u16, body: &str) -> String {
+    response.signed(status, &format!("Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-fn resets(stream: &TcpStream) -> std::io::Result<()> {
+fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
 /// Does what is asked; whether the connection goes on.
-fn perform(stream: &mut TcpStream, seen: &Seen, voice: &Voice, act: Act) -> std::io::Result<bool> {
-    let stranger = Voice { id: "stranger", ..*voice };
-    match act {
-        Act::Whole(status, body) => {
-            stream.write_all(answer(voice, status, &body).as_bytes())?;
+fn respond(
+    stream: &mut TcpStream,
+    seen: &RecordedRequest,
+    response: &ResponseHead,
+    action: Action,
+) -> std::io::Result<bool> {
+    let foreign = ResponseHead { id: "stranger", ..*response };
+    match action {
+        Action::Whole(status, body) => {
+            stream.write_all(answer(response, status, &body).as_bytes())?;
             return Ok(true);
         }
-        Act::Unsigned => {
-            stream.write_all(voice.head(200, "Content-Length: 2\r\n\r\nno").as_bytes())?;
+        Action::Unsigned => {
+            stream.write_all(response.head(200, "Content-Length: 2\r\n\r\nno").as_bytes())?;
             return Ok(true);
         }
-        Act::NotRun => {
-            stream.write_all(voice.not_run("").as_bytes())?;
+        Action::NotRun => {
+            stream.write_all(response.not_run("").as_bytes())?;
             return Ok(true);
         }
-        Act::TurnAway(rest) => {
+        Action::RetryAfter(rest) => {
             let more = format!("Retry-After: {rest}\r\nX-Server-Load: 0,0,8\r\n");
-            stream.write_all(voice.not_run(&more).as_bytes())?;
+            stream.write_all(response.not_run(&more).as_bytes())?;
             return Ok(true);
         }
-        Act::Another => {
+        Action::Misdirected => {
             stream.write_all(
                 b"HTTP/1.1 421 Misdirected\r\nX-Instance-Id: other\r\nContent-Length: 0\r\n\r\n",
             )?;
             return Ok(true);
         }
-        Act::CutLength => {
-            stream.write_all(voice.signed(200, "Content-Length: 100\r\n\r\nfive.").as_bytes())?;
+        Action::CutLength => {
+            stream
+                .write_all(response.signed(200, "Content-Length: 100\r\n\r\nfive.").as_bytes())?;
         }
-        Act::CutChunk => {
-            let text = voice.signed(200, "Transfer-Encoding: chunked\r\n\r\n64\r\nfive.");
+        Action::CutChunk => {
+            let text = response.signed(200, "Transfer-Encoding: chunked\r\n\r\n64\r\nfive.");
             stream.write_all(text.as_bytes())?;
         }
-        Act::Unframed { reset } => {
-            stream.write_all(voice.signed(200, "\r\nto the end").as_bytes())?;
+        Action::Unframed { reset } => {
+            stream.write_all(response.signed(200, "\r\nto the end").as_bytes())?;
             if reset {
                 std::thread::sleep(Duration::from_millis(50));
-                resets(stream)?;
+                reset_on_close(stream)?;
                 return Ok(false);
             }
         }
-        Act::StrangerFirst => {
-            let text = answer(&stranger, 200, "not yours") + &answer(voice, 200, "yours");
+        Action::ForeignFirst => {
+            let text = answer(&foreign, 200, "not yours") + &answer(response, 200, "yours");
             stream.write_all(text.as_bytes())?;
             return Ok(true);
         }
-        Act::StrangerAfter => {
-            let text = answer(voice, 200, "yours") + &answer(&stranger, 200, "not yours");
+        Action::ForeignAfter => {
+            let text = answer(response, 200, "yours") + &answer(&foreign, 200, "not yours");
             stream.write_all(text.as_bytes())?;
             return Ok(true);
         }
-        Act::Early => return Ok(true),
-        Act::Reset => {
-            resets(stream)?;
+        Action::Early => return Ok(true),
+        Action::Reset => {
+            reset_on_close(stream)?;
             return Ok(false);
         }
-        Act::Slow(time) => {
+        Action::Slow(time) => {
             std::thread::sleep(time);
-            stream.write_all(answer(voice, 200, "slow").as_bytes())?;
+            stream.write_all(answer(response, 200, "slow").as_bytes())?;
             return Ok(true);
         }
-        Act::Noise => stream.write_all(b"\x01\x02\x03 no answer at all\r\n\r\n")?,
-        Act::Events { last, cut_after, confidence, pause } => {
-            let opinion = confidence.map(|c| format!("X-Confidence: {c}\r\n")).unwrap_or_default();
+        Action::Garbage => stream.write_all(b"\x01\x02\x03 no answer at all\r\n\r\n")?,
+        Action::Events { last, cut_after, confidence, pause } => {
+            let confidence_header =
+                confidence.map(|c| format!("X-Confidence: {c}\r\n")).unwrap_or_default();
             let more = format!(
-                "{opinion}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+                "{confidence_header}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             );
-            stream.write_all(voice.signed(200, &more).as_bytes())?;
-            return events(stream, seen, last, cut_after, pause);
+            stream.write_all(response.signed(200, &more).as_bytes())?;
+            return stream_events(stream, seen, last, cut_after, pause);
         }
     }
     stream.shutdown(Shutdown::Both)?;
     Ok(false)
 }
 
-fn events(
+fn stream_events(
     stream: &mut TcpStream,
-    seen: &Seen,
+    seen: &RecordedRequest,
     last: u64,
     cut_after: Option<u64>,
     pause: Duration,
 ) -> std::io::Result<bool> {
-    let begun = seen.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0u64);
-    for (sent, id) in (begun + 1..=last).enumerate() {
+    let last_received = seen.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0u64);
+    for (sent, id) in (last_received + 1..=last).enumerate() {
         let event = format!("id: {id}\ndata: piece {id}\n\n");
         if cut_after == Some(sent as u64) {
             let part = &event[..event.len() / 2];
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -10,23 +10,23 @@
 use crate::error::Error;
 
 /// Seconds that open requests get when a stand-in stops.
-const GRACE_SECS: u64 = 1;
+const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
 /// Requests that may wait for their first answer; a load of a thousand streams must fit.
-const BACKLOG: u32 = 4096;
+const LISTEN_BACKLOG: u32 = 4096;
 
 /// Connections one stand-in takes.
-const CONNECTIONS: usize = 10_000;
+const MAX_CONNECTIONS: usize = 10_000;
 
 /// A stand-in that runs.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct Instance {
     /// Where it listens.
     pub address: SocketAddr,
     handle: ServerHandle,
 }
 
-impl Running {
+impl Instance {
     /// Stops it at once; open connections break.
     pub fn kill(&self) {
         drop(self.handle.stop(false));
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 /// If the address cannot be bound.
-pub fn launch<F>(address: SocketAddr, configure: F) -> Result<Running, Error>
+pub fn launch<F>(address: SocketAddr, configure: F) -> Result<Instance, Error>
 where
     F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
 {
@@ -58,10 +58,10 @@
             let server = HttpServer::new(app)
                 .on_connect(no_delay)
                 .workers(1)
-                .backlog(BACKLOG)
-                .max_connections(CONNECTIONS)
+                .backlog(LISTEN_BACKLOG)
+                .max_connections(MAX_CONNECTIONS)
                 .disable_signals()
-                .shutdown_timeout(GRACE_SECS)
+                .shutdown_timeout(SHUTDOWN_TIMEOUT_SECS)
                 .listen(listener);
             if let Ok(server) = server {
                 let server = server.run();
@@ -73,5 +73,5 @@
     let handle = receiver
         .recv()
         .map_err(|_| Error::Bind(address.to_string(), "the server did not start".into()))?;
-    Ok(Running { address, handle })
+    Ok(Instance { address, handle })
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -10,17 +10,17 @@
 use actix_web::{HttpRequest, HttpResponse, web};
 use futures_util::StreamExt;
 
-use super::{Running, digest, launch};
+use super::{Instance, digest, launch};
 use crate::entry::header;
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::unit::Server;
 
 /// Bytes of an answer that is broken off.
-const SENT_OF_CUT: usize = 5;
+const TRUNCATED_BODY_BYTES: usize = 5;
 
 /// Time between those bytes and the end of the connection.
-const CUT_AFTER: Duration = Duration::from_millis(20);
+const RESET_DELAY: Duration = Duration::from_millis(20);
 
 /// The stand-in.
 #[derive(Clone)]
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// If the address cannot be bound.
-    pub fn launch(&self, address: SocketAddr) -> Result<Running, Error> {
+    pub fn launch(&self, address: SocketAddr) -> Result<Instance, Error> {
         let service = self.clone();
         launch(address, move |app: &mut ServiceConfig| {
             app.app_data(Data::new(service.clone()))
@@ -53,7 +53,7 @@
     }
 
     /// Lets so many coming calls run and breaks their answer off.
-    pub fn cut(&self, calls: u32) {
+    pub fn truncate_next(&self, calls: u32) {
         self.cut.store(calls, Ordering::SeqCst);
     }
 
@@ -82,9 +82,9 @@
         text(header::REQUEST).unwrap_or_default(),
         String::from_utf8_lossy(&body)
     );
-    let ids = text(header::REQUEST).and_then(|id| id.parse().ok());
+    let request_id = text(header::REQUEST).and_then(|id| id.parse().ok());
     let workspace = text(header::WORKSPACE).and_then(|name| name.parse().ok());
-    if let (Some(id), Some(workspace)) = (ids, workspace) {
+    if let (Some(id), Some(workspace)) = (request_id, workspace) {
         service.history.note(|| Event::Served {
             server: service.name.clone(),
             request: id,
@@ -94,20 +94,20 @@
         });
     }
     tokio::time::sleep(service.delay).await;
-    let less = |left: u32| left.checked_sub(1);
-    if service.cut.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less).is_ok() {
-        return cut_off(answer);
+    let decrement = |left: u32| left.checked_sub(1);
+    if service.cut.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok() {
+        return truncated_response(answer);
     }
     HttpResponse::Ok().content_type("text/plain").body(answer)
 }
 
 /// Promises an answer and sends its first bytes only.
-fn cut_off(answer: String) -> HttpResponse {
+fn truncated_response(answer: String) -> HttpResponse {
     let length = answer.len() as u64;
-    let first = Bytes::from(answer).slice(..SENT_OF_CUT);
+    let first = Bytes::from(answer).slice(..TRUNCATED_BODY_BYTES);
     let then = async {
         // What was sent must have left before the connection ends.
-        tokio::time::sleep(CUT_AFTER).await;
+        tokio::time::sleep(RESET_DELAY).await;
         Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset))
     };
     let pieces = futures_util::stream::iter([Ok(first)]).chain(futures_util::stream::once(then));
--- a/src/standin/text.rs
+++ b/src/standin/text.rs
@@ -14,11 +14,11 @@
 pub const POOR: &str = "perhaps ";
 
 /// Fewest tokens of an answer.
-const SHORTEST: u32 = 4;
+const MIN_TOKENS: u32 = 4;
 
 /// An answer before it is streamed.
 #[derive(Clone, Debug)]
-pub struct Draft {
+pub struct Completion {
     /// Its tokens.
     pub tokens: Vec<&'static str>,
     /// Whether it is poor.
@@ -27,28 +27,28 @@
     pub confidence: f64,
 }
 
-fn point(seed: u64, salt: u64) -> f64 {
+fn unit_hash(seed: u64, salt: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, salt).hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// The answer of `target`, of that quality, to `prompt`.
-pub fn draft(prompt: &str, target: &Target, quality: f64, longest: u32) -> Draft {
+pub fn complete(prompt: &str, target: &Target, quality: f64, longest: u32) -> Completion {
     let mut hasher = DefaultHasher::new();
     prompt.hash(&mut hasher);
     target.hash(&mut hasher);
     let seed = hasher.finish();
-    let poor = point(seed, 1) >= quality;
-    let length = SHORTEST.max((f64::from(longest) * (0.5 + 0.5 * point(seed, 2))) as u32);
-    let word = |i: u32| WORDS[(point(seed, 3 + u64::from(i)) * WORDS.len() as f64) as usize];
+    let poor = unit_hash(seed, 1) >= quality;
+    let length = MIN_TOKENS.max((f64::from(longest) * (0.5 + 0.5 * unit_hash(seed, 2))) as u32);
+    let word = |i: u32| WORDS[(unit_hash(seed, 3 + u64::from(i)) * WORDS.len() as f64) as usize];
     let mut tokens: Vec<&'static str> = (0..length).map(word).collect();
     if poor {
         tokens[(length / 2) as usize] = POOR;
     }
-    let spread = point(seed, 0);
+    let spread = unit_hash(seed, 0);
     let confidence = if poor { spread * spread * 0.9 } else { 1.0 - spread * spread * 0.6 };
-    Draft { tokens, poor, confidence }
+    Completion { tokens, poor, confidence }
 }
 
 /// A short digest of a text, for histories.
@@ -63,8 +63,8 @@
     #[test]
     fn an_answer_is_the_same_wherever_it_is_made() {
         let target: Target = "m@v1".parse().unwrap();
-        let one = draft("hello", &target, 0.9, 50);
-        let two = draft("hello", &target, 0.9, 50);
+        let one = complete("hello", &target, 0.9, 50);
+        let two = complete("hello", &target, 0.9, 50);
         assert_eq!(one.tokens, two.tokens);
         assert!(one.tokens.len() >= 25);
     }
@@ -72,7 +72,7 @@
     #[test]
     fn poor_answers_come_as_often_as_the_quality_says() {
         let target: Target = "m@v1".parse().unwrap();
-        let poor = (0..2000).filter(|i| draft(&i.to_string(), &target, 0.9, 8).poor).count();
+        let poor = (0..2000).filter(|i| complete(&i.to_string(), &target, 0.9, 8).poor).count();
         assert!((150..250).contains(&poor), "{poor}");
     }
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -19,7 +19,7 @@
     kitepulley(&[&usual, extra].concat())
 }
 
-fn says(output: &Output, code: i32, parts: &[&str]) {
+fn assert_fails(output: &Output, code: i32, parts: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{text}");
     for part in parts {
@@ -29,21 +29,21 @@
 
 #[test]
 fn an_unknown_flag_is_named() {
-    says(&kitepulley(&["demo", "--sed", "1"]), 2, &["--sed", "--help"]);
+    assert_fails(&kitepulley(&["demo", "--sed", "1"]), 2, &["--sed", "--help"]);
 }
 
 #[test]
 fn a_wrong_value_names_flag_value_and_what_is_accepted() {
     let output = serve(&["--listen", "localhost", "--peer", "127.0.0.1:0"]);
-    says(&output, 2, &["--listen", "`localhost`"]);
-    says(&kitepulley(&["demo", "--vms", "99"]), 2, &["--vms", "`99`", "2 to 32"]);
-    says(&kitepulley(&["demo", "--faults", "gremlins"]), 2, &["`gremlins`", "store-down"]);
+    assert_fails(&output, 2, &["--listen", "`localhost`"]);
+    assert_fails(&kitepulley(&["demo", "--vms", "99"]), 2, &["--vms", "`99`", "2 to 32"]);
+    assert_fails(&kitepulley(&["demo", "--faults", "gremlins"]), 2, &["`gremlins`", "store-down"]);
 }
 
 #[test]
 fn flags_that_contradict_are_told_before_anything_starts() {
     let output = serve(&["--listen", "127.0.0.1:1", "--peer", "127.0.0.1:0"]);
-    says(&output, 2, &["--platform and --listen"]);
+    assert_fails(&output, 2, &["--platform and --listen"]);
 }
 
 #[test]
@@ -52,10 +52,10 @@
     command.args(["serve", "--vm", "vm1", "--data-centre", "dc1", "--platform", "127.0.0.1:1"]);
     command.args(["--listen", "127.0.0.1:0", "--peer", "127.0.0.1:0"]);
     let output = command.output().expect("the program starts");
-    says(&output, 2, &["KITEPULLEY_FLEET_KEY"]);
+    assert_fails(&output, 2, &["KITEPULLEY_FLEET_KEY"]);
     command.env("KITEPULLEY_FLEET_KEY", "tooshort");
     let output = command.output().expect("the program starts");
-    says(&output, 2, &["KITEPULLEY_FLEET_KEY", "16 characters"]);
+    assert_fails(&output, 2, &["KITEPULLEY_FLEET_KEY", "16 characters"]);
     assert!(!String::from_utf8_lossy(&output.stderr).contains("tooshort"));
 }
 
@@ -64,13 +64,13 @@
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let output = serve(&["--listen", &address, "--peer", "127.0.0.1:0"]);
-    says(&output, 1, &[&address, "cannot be bound"]);
+    assert_fails(&output, 1, &[&address, "cannot be bound"]);
 }
 
 #[test]
 fn a_platform_that_is_away_is_told() {
     let output = kitepulley(&["plan", "withdraw", "m", "v1", "--platform", "127.0.0.1:1"]);
-    says(&output, 1, &["did not answer"]);
+    assert_fails(&output, 1, &["did not answer"]);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     std::fs::write(&file, "{\"at\":1,\"event\":\"accepted\",\"revision\":1}\n{oops\n").unwrap();
     let output = kitepulley(&["check", file.to_str().unwrap()]);
     std::fs::remove_file(&file).unwrap();
-    says(&output, 2, &[":2:", "not an event"]);
+    assert_fails(&output, 2, &[":2:", "not an event"]);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     std::fs::write(&file, text).unwrap();
     let output = kitepulley(&["plan", file.to_str().unwrap(), "--platform", "127.0.0.1:1"]);
     std::fs::remove_file(&file).unwrap();
-    says(&output, 2, &["roastmind@v8", "under its target", ".toml:"]);
+    assert_fails(&output, 2, &["roastmind@v8", "under its target", ".toml:"]);
 }
 
 /// A settings file of the users' platform with every field that is needed.
@@ -119,30 +119,30 @@
         .env("KITEPULLEY_CONFIG", "/nowhere/node.json")
         .output()
         .unwrap();
-    says(&missing, 2, &["/nowhere/node.json", "cannot be read"]);
+    assert_fails(&missing, 2, &["/nowhere/node.json", "cannot be read"]);
     let unset = Command::new(env!("CARGO_BIN_EXE_kitepulley"))
         .arg("entry")
         .env_remove("KITEPULLEY_CONFIG")
         .output()
         .unwrap();
-    says(&unset, 2, &["KITEPULLEY_CONFIG is not set"]);
-    says(&entry("a", "{ node"), 2, &[":1:"]);
+    assert_fails(&unset, 2, &["KITEPULLEY_CONFIG is not set"]);
+    assert_fails(&entry("a", "{ node"), 2, &[":1:"]);
     for field in ["node_name", "ip", "zone", "frontend", "readiness", "address"] {
         let without = NODE.replace(&format!("\"{field}\""), "\"other\"");
-        says(&entry(field, &without), 2, &[&format!("{field}`"), "is missing"]);
+        assert_fails(&entry(field, &without), 2, &[&format!("{field}`"), "is missing"]);
     }
     let unread = NODE.replace("127.0.0.1:2", "localhost");
-    says(&entry("b", &unread), 2, &["listen.readiness", "`localhost`"]);
+    assert_fails(&entry("b", &unread), 2, &["listen.readiness", "`localhost`"]);
     let negative = NODE.trim_end().strip_suffix('}').expect("an object").to_owned();
     let negative = format!("{negative}, \"limits\": {{\"cpu_quota\": -1}}}}");
-    says(&entry("g", &negative), 2, &["limits.cpu_quota", "`-1`", "share of a core"]);
+    assert_fails(&entry("g", &negative), 2, &["limits.cpu_quota", "`-1`", "share of a core"]);
 }
 
 #[test]
 fn a_confidence_that_is_no_percentage_is_named() {
     for (name, given) in [("c", "101"), ("d", "-1"), ("e", "NaN"), ("f", "much")] {
         let flag = format!("--keep-confidence={given}");
-        says(&entry_with(name, NODE, &[&flag]), 2, &["--keep-confidence", given]);
+        assert_fails(&entry_with(name, NODE, &[&flag]), 2, &["--keep-confidence", given]);
     }
 }
 
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Story, clean};
+use common::{HistoryBuilder, clean};
 use kitepulley::history::{Event, Line, Ran, judge};
 use kitepulley::unit::{Date, Revision};
 
@@ -13,7 +13,7 @@
     verdicts.filter(|(_, verdict)| verdict.breaches > 0).map(|(i, _)| i + 1).collect()
 }
 
-fn planted(story: Story) -> Vec<usize> {
+fn planted(story: HistoryBuilder) -> Vec<usize> {
     broken(&story.lines())
 }
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_session_that_changes_its_version_is_named() {
-    let story = Story::default()
+    let story = HistoryBuilder::default()
         .revision(1, &["m@v1", "m@v2"], &[])
         .request(1, "m@v1", 1, Some(7))
         .request(2, "m@v2", 1, Some(7));
@@ -78,7 +78,7 @@
 
 #[test]
 fn work_long_after_a_server_began_to_leave_is_named() {
-    let story = clean().leaving("e1").after_seconds(5).request(20, "m@v1", 2, None);
+    let story = clean().leaving("e1").advance_seconds(5).request(20, "m@v1", 2, None);
     assert_eq!(planted(story), vec![8]);
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -83,7 +83,7 @@
 
 fn most_seen_in_a_second(server: &kitepulley::standin::replica::Replica, from: Instant) -> usize {
     let since = |at: Instant| Moment(at.duration_since(from).as_micros() as u64);
-    most_in_a_second(server.seen().iter().map(|seen| since(seen.at)).collect())
+    most_in_a_second(server.requests().iter().map(|seen| since(seen.at)).collect())
 }
 
 fn send(vm: &site::Vm, id: &str) -> u16 {
@@ -112,7 +112,7 @@
     let served = answers.iter().filter(|status| **status == 200).count();
     let refused = answers.iter().filter(|status| **status == 503).count();
     assert_eq!(served + refused, 24, "{answers:?}");
-    assert_eq!(cold.seen().len(), served, "a refused request has not run");
+    assert_eq!(cold.requests().len(), served, "a refused request has not run");
     assert!(served >= 6, "{served} served before the callers' deadlines");
     let most = most_seen_in_a_second(&cold, begun);
     assert!(most <= 4, "{most} requests in a second");
@@ -129,7 +129,7 @@
     let asked = Instant::now();
     (0..40).for_each(|number| assert_eq!(send(&vm, &format!("w{number}")), 200));
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
-    assert_eq!(cold.seen().len() + warm.seen().len(), 40);
+    assert_eq!(cold.requests().len() + warm.requests().len(), 40);
     assert!(most_seen_in_a_second(&cold, begun) <= 4);
     assert_eq!(vm.counter(&["kitepulley_cold_servers{", "api"]), 1.0);
     let passed = |line: &serde_json::Value| {
@@ -137,13 +137,13 @@
     };
     eventually("the log names the skipped cold server", || vm.lines().iter().any(passed));
     // Once warm, the server gets its share of the requests.
-    let before = cold.seen().len();
+    let before = cold.requests().len();
     site.list("r1", "v1", "ready", cold.address);
     eventually("it gets more requests than a cold server would", || {
         for _ in 0..10 {
             send(&vm, "more");
         }
-        cold.seen().len() > before + 10
+        cold.requests().len() > before + 10
     });
 }
 
@@ -152,10 +152,10 @@
     let mut site = site();
     let begun = Instant::now();
     let back = site.replica_with("r1", json!({"zone": "there"}));
-    site.store.put("evacuations", "there", json!({}));
+    site.store.write_spec("evacuations", "there", json!({}));
     let vm = site.start_ready();
     std::thread::sleep(Duration::from_millis(1600));
-    site.store.remove("evacuations", "there");
+    site.store.delete_object("evacuations", "there");
     eventually("the end of the evacuation is known", || {
         vm.lines().iter().any(|line| line["event"] == "evacuation withdrawn")
     });
@@ -167,7 +167,7 @@
             }))
         });
     });
-    assert!(!back.seen().is_empty());
+    assert!(!back.requests().is_empty());
     let most = most_seen_in_a_second(&back, begun);
     assert!(most <= 4, "{most} requests in a second");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 /// A history that reads like a story.
 #[derive(Default)]
-pub struct Story {
+pub struct HistoryBuilder {
     lines: Vec<Line>,
     now: u64,
 }
@@ -17,36 +17,42 @@
     text.parse().expect("a name of the story")
 }
 
-impl Story {
+impl HistoryBuilder {
     /// Adds an event a second after the last.
-    pub fn then(mut self, event: Event) -> Story {
+    pub fn event(mut self, event: Event) -> HistoryBuilder {
         self.now += 1_000_000;
         self.lines.push(Line { at: Date(self.now), event });
         self
     }
 
     /// Lets time pass.
-    pub fn after_seconds(mut self, seconds: u64) -> Story {
+    pub fn advance_seconds(mut self, seconds: u64) -> HistoryBuilder {
         self.now += seconds * 1_000_000;
         self
     }
 
     /// A revision takes effect and is in force everywhere.
-    pub fn revision(self, revision: u64, allowed: &[&str], withdrawn: &[&str]) -> Story {
+    pub fn revision(self, revision: u64, allowed: &[&str], withdrawn: &[&str]) -> HistoryBuilder {
         let targets = |list: &[&str]| list.iter().map(|target| name(target)).collect();
         let allowed = [(name("w"), targets(allowed))].into_iter().collect();
         let withdrawn = targets(withdrawn);
         let revision = Revision(revision);
-        self.then(Event::Confirmed { revision, allowed, withdrawn })
-            .then(Event::Adopted { vm: name("vm1"), incarnation: 1, revision })
-            .then(Event::Accepted { revision })
+        self.event(Event::Confirmed { revision, allowed, withdrawn })
+            .event(Event::Adopted { vm: name("vm1"), incarnation: 1, revision })
+            .event(Event::Accepted { revision })
     }
 
     /// A whole request: asked, started, run, billed, answered.
-    pub fn request(self, ask: u64, target: &str, revision: u64, talk: Option<u64>) -> Story {
+    pub fn request(
+        self,
+        ask: u64,
+        target: &str,
+        revision: u64,
+        talk: Option<u64>,
+    ) -> HistoryBuilder {
         let id = format!("r{ask}");
         self.asked(ask, None, talk)
-            .then(Event::Started {
+            .event(Event::Started {
                 vm: name("vm1"),
                 request: name(&id),
                 revision: Revision(revision),
@@ -59,13 +65,13 @@
     }
 
     /// A caller asks.
-    pub fn asked(self, ask: u64, key: Option<&str>, talk: Option<u64>) -> Story {
-        self.then(Event::Asked { ask, workspace: name("w"), key: key.map(str::to_owned), talk })
+    pub fn asked(self, ask: u64, key: Option<&str>, talk: Option<u64>) -> HistoryBuilder {
+        self.event(Event::Asked { ask, workspace: name("w"), key: key.map(str::to_owned), talk })
     }
 
     /// An engine runs it.
-    pub fn ran(self, ask: u64, target: &str, server: &str) -> Story {
-        self.then(Event::Ran {
+    pub fn ran(self, ask: u64, target: &str, server: &str) -> HistoryBuilder {
+        self.event(Event::Ran {
             server: name(server),
             request: name(&format!("r{ask}")),
             workspace: name("w"),
@@ -76,8 +82,8 @@
     }
 
     /// A service runs it.
-    pub fn served(self, ask: u64, key: &str) -> Story {
-        self.then(Event::Served {
+    pub fn served(self, ask: u64, key: &str) -> HistoryBuilder {
+        self.event(Event::Served {
             server: name("s1"),
             request: name(&format!("r{ask}")),
             workspace: name("w"),
@@ -87,8 +93,8 @@
     }
 
     /// The store holds its bill.
-    pub fn billed(self, ask: u64) -> Story {
-        self.then(Event::Billed {
+    pub fn billed(self, ask: u64) -> HistoryBuilder {
+        self.event(Event::Billed {
             request: name(&format!("r{ask}")),
             workspace: name("w"),
             cost: 1,
@@ -96,9 +102,15 @@
     }
 
     /// The caller has its answer, or a refusal if `ran` is given.
-    pub fn answered(self, ask: u64, target: Option<&str>, digest: &str, ran: Option<Ran>) -> Story {
+    pub fn answered(
+        self,
+        ask: u64,
+        target: Option<&str>,
+        digest: &str,
+        ran: Option<Ran>,
+    ) -> HistoryBuilder {
         let whole = ran.is_none();
-        self.then(Event::Answered {
+        self.event(Event::Answered {
             ask,
             request: Some(name(&format!("r{ask}"))),
             status: if whole { 200 } else { 503 },
@@ -111,8 +123,8 @@
     }
 
     /// An answer that breaks off.
-    pub fn cut(self, ask: u64) -> Story {
-        self.then(Event::Answered {
+    pub fn cut(self, ask: u64) -> HistoryBuilder {
+        self.event(Event::Answered {
             ask,
             request: Some(name(&format!("r{ask}"))),
             status: 200,
@@ -125,19 +137,19 @@
     }
 
     /// A backend server says that it is leaving.
-    pub fn leaving(self, server: &str) -> Story {
-        self.then(Event::Leaving { server: name(server) })
+    pub fn leaving(self, server: &str) -> HistoryBuilder {
+        self.event(Event::Leaving { server: name(server) })
     }
 
     /// A VM begins a planned stop.
-    pub fn stopping(self) -> Story {
-        self.then(Event::Stopping { vm: name("vm1") })
+    pub fn stopping(self) -> HistoryBuilder {
+        self.event(Event::Stopping { vm: name("vm1") })
     }
 
     /// A VM takes a revision.
-    pub fn adopted(self, revision: u64) -> Story {
+    pub fn adopted(self, revision: u64) -> HistoryBuilder {
         let revision = Revision(revision);
-        self.then(Event::Adopted { vm: name("vm1"), incarnation: 1, revision })
+        self.event(Event::Adopted { vm: name("vm1"), incarnation: 1, revision })
     }
 
     /// The lines.
@@ -147,8 +159,8 @@
 }
 
 /// A clean history in which every promise is put to the test.
-pub fn clean() -> Story {
-    Story::default()
+pub fn clean() -> HistoryBuilder {
+    HistoryBuilder::default()
         .revision(1, &["m@v1", "m@v2"], &[])
         .request(1, "m@v1", 1, Some(7))
         .request(2, "m@v1", 1, Some(7))
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -4,9 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use kitepulley::command::block;
+use kitepulley::command::block_on;
 use kitepulley::engine::check::{Found, check};
-use kitepulley::standin::replica::Act;
+use kitepulley::standin::replica::Action;
 use serde_json::{Value, json};
 use site::{Site, Vm, ask, eventually, head};
 
@@ -31,17 +31,17 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.then(Act::Reset);
+    replica.push_action(Action::Reset);
     ask(vm.callers, &head("GET /safe/x", "reset", ""), b"");
     eventually("the server is checked", || checks(&vm, "r1") == [("Lives".to_owned(), 1)]);
-    replica.usually(Act::Slow(Duration::from_millis(400)));
+    replica.set_default_action(Action::Slow(Duration::from_millis(400)));
     let waiting: Vec<_> = (0..3)
         .map(|at| {
             let (callers, head) = (vm.callers, head("GET /safe/x", &format!("lost{at}"), ""));
             std::thread::spawn(move || ask(callers, &head, b"").status)
         })
         .collect();
-    eventually("all three requests run", || replica.seen().len() == 4);
+    eventually("all three requests run", || replica.requests().len() == 4);
     replica.crash(None);
     for one in waiting {
         assert!(one.join().unwrap() >= 500);
@@ -60,10 +60,10 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.then(Act::Slow(Duration::from_millis(1500)));
+    replica.push_action(Action::Slow(Duration::from_millis(1500)));
     let (callers, head) = (vm.callers, head("GET /safe/x", "late", ""));
     let waiting = std::thread::spawn(move || ask(callers, &head, b"").status);
-    eventually("the request runs", || !replica.seen().is_empty());
+    eventually("the request runs", || !replica.requests().is_empty());
     site.list("r1", "v1", "draining", replica.address);
     eventually("the VM knows that the server is draining", || {
         vm.lines().iter().any(|line| line["event"] == "server entry" && line["ready"] == false)
@@ -113,7 +113,7 @@
     const ROUNDS: u64 = 3000;
     // A listener whose thread was delayed for longer may still be open when it is checked.
     const ENDED_WITHIN: Duration = Duration::from_millis(10);
-    let found: Vec<Found> = block(async {
+    let found: Vec<Found> = block_on(async {
         let mut found = Vec::new();
         for round in 0..ROUNDS {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kitepulley::command::block;
-use kitepulley::demo::{Shape, World, intend, key};
+use kitepulley::command::block_on;
+use kitepulley::demo::{Cluster, Shape, apply_intent, workspace_key};
 use kitepulley::history::Event;
 use kitepulley::standin::platform::Switches;
 use kitepulley::unit::{Span, Target};
@@ -40,7 +40,12 @@
 
 impl Ask {
     fn post(path: &str, body: Vec<u8>) -> Ask {
-        Ask { path: path.into(), key: key("roasters"), body: Some(body), headers: Vec::new() }
+        Ask {
+            path: path.into(),
+            key: workspace_key("roasters"),
+            body: Some(body),
+            headers: Vec::new(),
+        }
     }
 
     fn keyed(mut self, key: &str) -> Ask {
@@ -54,7 +59,7 @@
     }
 
     fn to(&self, at: SocketAddr) -> Got {
-        block(async {
+        block_on(async {
             let http = awc::Client::builder().timeout(Duration::from_secs(20)).finish();
             let url = format!("http://{at}{}", self.path);
             let mut request = if self.body.is_some() { http.post(url) } else { http.get(url) };
@@ -88,13 +93,13 @@
     }
 }
 
-fn world(vms: usize) -> (World, Vec<SocketAddr>) {
-    let world = World::start(&Shape { vms, engines: 6, ..Shape::default() }).expect("it starts");
+fn world(vms: usize) -> (Cluster, Vec<SocketAddr>) {
+    let world = Cluster::start(&Shape { vms, engines: 6, ..Shape::default() }).expect("it starts");
     let addresses = world.nodes.values().map(|node| node.address).collect();
     (world, addresses)
 }
 
-fn engines_run(world: &World) -> u32 {
+fn engines_run(world: &Cluster) -> u32 {
     world.engines.iter().map(|engine| engine.counts().1).sum()
 }
 
@@ -105,7 +110,7 @@
     chat("auto").keyed("wrong").refused(at, 401, "unauthorised", "no");
     chat("no-such-model").refused(at, 404, "unknown_model", "no");
     chat("roastmind@v9").refused(at, 404, "unknown_model", "no");
-    chat("roastmind@v4").keyed(&key("nestwise")).refused(at, 403, "not_allowed", "no");
+    chat("roastmind@v4").keyed(&workspace_key("nestwise")).refused(at, 403, "not_allowed", "no");
     let path = "/v1/chat/completions";
     Ask::post(path, b"{oops".to_vec()).refused(at, 400, "malformed", "no");
     Ask::post(path, vec![0xff, 0xfe, b'{']).refused(at, 400, "malformed", "no");
@@ -118,7 +123,7 @@
     unkeyed.refused(at, 400, "key_missing", "no");
     assert!(world.services.iter().all(|service| service.ran().is_empty()));
     assert_eq!(engines_run(&world), 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -129,12 +134,13 @@
     let token = first.session.expect("a token");
     let second = chat("roastmind").with("x-kitepulley-session", &token).to(vms[1]);
     assert_eq!(second.version, first.version);
-    let foreign = chat("roastmind").with("x-kitepulley-session", &token).keyed(&key("nestwise"));
+    let foreign =
+        chat("roastmind").with("x-kitepulley-session", &token).keyed(&workspace_key("nestwise"));
     foreign.refused(vms[1], 400, "bad_session", "no");
     let target: Target = first.version.expect("a version").parse().expect("a target");
     let words = format!("withdraw {} {}", target.model, target.version);
-    let revision = intend(world.platform_at, &words, "test").expect("it is confirmed");
-    assert!(world.accepted(revision, Span::secs(10)));
+    let revision = apply_intent(world.platform_address, &words, "test").expect("it is confirmed");
+    assert!(world.wait_accepted(revision, Span::secs(10)));
     for at in &vms {
         chat("roastmind").with("x-kitepulley-session", &token).refused(
             *at,
@@ -144,7 +150,7 @@
         );
         chat(&target.to_string()).refused(*at, 410, "withdrawn", "no");
     }
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -163,24 +169,24 @@
     confirm(8, "seat-7").refused(vms[2], 422, "key_reused", "no");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-7").copied()).sum();
     assert_eq!(ran, 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn a_key_cannot_be_agreed_on_without_the_store_and_is_free_afterwards() {
     let (world, vms) = world(2);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let refused = confirm(9, "seat-9").refused(vms[0], 503, "store_away", "no");
     assert!(refused.retry.is_some());
     // Models are served as before: their revision was agreed on earlier.
     assert_eq!(chat("roastmind").to(vms[0]).status, 200);
-    world.platform.switch(Switches::default());
+    world.platform.set_switches(Switches::default());
     let served = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
         confirm(9, "seat-9").to(vms[1]).status == 200
     });
     assert!(served);
-    world.end();
+    world.stop_standins();
 }
 
 fn reserve(once: &str) -> Ask {
@@ -191,13 +197,13 @@
 fn a_key_set_aside_beforehand_flows_once_through_any_vm_while_the_store_is_away() {
     let (world, vms) = world(3);
     assert_eq!(reserve("seat-6").to(vms[0]).status, 201);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let granted = confirm(6, "seat-6").to(vms[1]);
     assert_eq!(granted.status, 200, "{}", granted.body);
     confirm(6, "seat-6").refused(vms[2], 409, "key_running", "unknown");
     confirm(7, "seat-6").refused(vms[2], 422, "key_reused", "no");
     reserve("seat-16").refused(vms[0], 503, "store_away", "no");
-    world.platform.switch(Switches::default());
+    world.platform.set_switches(Switches::default());
     let replayed = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
         confirm(6, "seat-6").to(vms[2]).status == 200
@@ -205,7 +211,7 @@
     assert!(replayed, "the outcome is told once the store is back");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-6").copied()).sum();
     assert_eq!(ran, 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -229,7 +235,7 @@
     assert!(last.into_iter().any(|kind| kind == "in_doubt"));
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-2").copied()).sum();
     assert_eq!(ran, 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -242,7 +248,7 @@
     std::thread::sleep(Duration::from_millis(1));
     node.kill();
     let _ = asking.join();
-    let ran = |world: &World| -> u64 {
+    let ran = |world: &Cluster| -> u64 {
         world.services.iter().filter_map(|s| s.ran().get("seat-5").copied()).sum()
     };
     let other = world.nodes.values().next().expect("another runs").address;
@@ -257,27 +263,27 @@
     }
     assert!(last == 200 || last == 409, "{last} after {victim} died");
     assert!(ran(&world) <= 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn a_change_is_in_force_though_every_watch_is_silent() {
     let (world, _) = world(3);
-    world.platform.switch(Switches { quiet: true, ..Switches::default() });
-    let revision =
-        intend(world.platform_at, "withdraw roastmind v4", "test").expect("it is confirmed");
-    assert!(world.accepted(revision, Span::secs(14)));
-    world.end();
+    world.platform.set_switches(Switches { quiet: true, ..Switches::default() });
+    let revision = apply_intent(world.platform_address, "withdraw roastmind v4", "test")
+        .expect("it is confirmed");
+    assert!(world.wait_accepted(revision, Span::secs(14)));
+    world.stop_standins();
 }
 
 #[test]
 fn a_vm_that_starts_without_the_store_takes_the_configuration_from_the_others() {
     let (mut world, _) = world(2);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let vm = world.add_vm().expect("it starts");
-    world.ready(3).expect("it becomes ready");
+    world.wait_ready(3).expect("it becomes ready");
     assert_eq!(chat("roastmind").to(world.nodes[&vm].address).status, 200);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -295,7 +301,7 @@
     chat("roastmind").refused(at, 503, "stopping", "no");
     assert_eq!(running.join().expect("it is answered").status, 200);
     assert_eq!(stopping.join().expect("it stops"), 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -303,20 +309,20 @@
     let (world, vms) = world(2);
     let whole = chat("roastmind@v3").to(vms[0]);
     // Only one engine cuts, after two tokens; each request must still be whole.
-    world.engines[1].turn(|now| now.cut_after = Some(2));
+    world.engines[1].update_switches(|now| now.cut_after = Some(2));
     for _ in 0..12 {
         let got = chat("roastmind@v3").to(vms[0]);
         assert_eq!(got.status, 200);
         assert_eq!(got.body["choices"], whole.body["choices"]);
     }
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn an_answer_that_a_service_breaks_off_is_not_passed_on_as_whole() {
-    let world = World::start(&Shape::default()).expect("the world starts");
+    let world = Cluster::start(&Shape::default()).expect("the world starts");
     let at = world.nodes.values().next().expect("a VM").address;
-    world.services.iter().for_each(|service| service.cut(1));
+    world.services.iter().for_each(|service| service.truncate_next(1));
     let got = confirm(1, "cut-1").to(at);
     assert_eq!((got.status, got.body["ran"].as_str()), (502, Some("unknown")), "{}", got.body);
     let ran: u64 = world.services.iter().map(|service| service.ran().values().sum::<u64>()).sum();
@@ -330,8 +336,8 @@
     let (world, vms) = world(1);
     for (at, engine) in world.engines.iter().enumerate() {
         match at {
-            1 => engine.turn(|now| now.cut_after = Some(0)),
-            _ => engine.turn(|now| now.leaving = true),
+            1 => engine.update_switches(|now| now.cut_after = Some(0)),
+            _ => engine.update_switches(|now| now.leaving = true),
         }
     }
     let ran = || {
@@ -347,5 +353,5 @@
         told += u32::from(has_run);
     }
     assert!(told > 0, "no request met the engine that breaks off");
-    world.end();
+    world.stop_standins();
 }
--- a/tests/emptied.rs
+++ b/tests/emptied.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use kitepulley::standin::replica::Act;
+use kitepulley::standin::replica::Action;
 use serde_json::json;
 use site::{Site, are_ready, ask, eventually, head};
 
@@ -36,25 +36,25 @@
     // The second VM gets the order from the first.
     let vms = [site.start_in("there"), site.start_in("there")];
     are_ready(&vms);
-    site.store.put(EVACUATIONS, "there", json!({}));
+    site.store.write_spec(EVACUATIONS, "there", json!({}));
     eventually("all know the order", || {
         vms.iter().all(|vm| has_logged(vm, "data centre evacuated"))
     });
-    let before = evacuated.seen().len();
+    let before = evacuated.requests().len();
     for number in 0..20 {
         assert_eq!(send(&vms[number % 2], &format!("e{number}")), 200);
     }
-    assert_eq!(evacuated.seen().len(), before);
+    assert_eq!(evacuated.requests().len(), before);
     // A VM that starts during an evacuation reads the order before it is ready.
     let vm = site.start_in("there");
     are_ready(std::slice::from_ref(&vm));
     (0..20).for_each(|number| assert_eq!(send(&vm, &format!("n{number}")), 200));
-    assert_eq!(evacuated.seen().len(), before);
+    assert_eq!(evacuated.requests().len(), before);
     assert_eq!(vm.counter(&["kitepulley_emptied{", "there"]), 1.0);
-    site.store.remove(EVACUATIONS, "there");
+    site.store.delete_object(EVACUATIONS, "there");
     eventually("it gets requests again", || {
         send(&vms[0], "back");
-        evacuated.seen().len() > before
+        evacuated.requests().len() > before
     });
 }
 
@@ -63,19 +63,24 @@
     let mut site = site();
     let pause = Duration::from_millis(100);
     let evacuated = site.replica_with("r1", json!({"zone": "there"}));
-    evacuated.usually(Act::Events { last: 12, cut_after: None, confidence: None, pause });
+    evacuated.set_default_action(Action::Events {
+        last: 12,
+        cut_after: None,
+        confidence: None,
+        pause,
+    });
     let vm = site.start_ready();
     let answer = std::thread::scope(|scope| {
         let stream = || ask(vm.callers, &head("POST /stream/x", "s1", "X-Model: m\r\n"), b"x");
         let stream = scope.spawn(stream);
-        eventually("the stream has started", || !evacuated.seen().is_empty());
+        eventually("the stream has started", || !evacuated.requests().is_empty());
         site.replica("r2", "v1");
-        site.store.put(EVACUATIONS, "there", json!({}));
+        site.store.write_spec(EVACUATIONS, "there", json!({}));
         eventually("the order is known", || has_logged(&vm, "data centre evacuated"));
         stream.join().unwrap()
     });
     assert!(answer.whole);
-    assert_eq!(evacuated.seen().len(), 1);
+    assert_eq!(evacuated.requests().len(), 1);
 }
 
 #[test]
@@ -83,12 +88,12 @@
     let mut site = site();
     let evacuated = site.replica_with("r1", json!({"zone": "there"}));
     let vm = site.start_ready();
-    site.store.put(EVACUATIONS, "there", json!({}));
+    site.store.write_spec(EVACUATIONS, "there", json!({}));
     eventually("the order is known", || has_logged(&vm, "data centre evacuated"));
     let started = Instant::now();
     let answer = ask(vm.callers, &head("GET /safe/x", "r1", ""), b"");
     assert_eq!(answer.status, 503);
     assert!(answer.header("Retry-After").is_some());
     assert!(started.elapsed() < Duration::from_millis(250), "{:?}", started.elapsed());
-    assert!(evacuated.seen().is_empty());
+    assert!(evacuated.requests().is_empty());
 }
--- a/tests/entries.rs
+++ b/tests/entries.rs
@@ -9,7 +9,7 @@
 use kitepulley::forward::kind::Kind;
 use kitepulley::platform::object::{self, Object};
 use kitepulley::platform::objects::Listing;
-use kitepulley::standin::replica::Act;
+use kitepulley::standin::replica::Action;
 use kitepulley::unit::{Era, Moment, Position, Span};
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
@@ -88,7 +88,7 @@
         times,
     );
     let silent = site.replica_with("r1", json!({"born": 1_764_000_000_000u64}));
-    silent.usually(Act::Slow(Duration::from_secs(15)));
+    silent.set_default_action(Action::Slow(Duration::from_secs(15)));
     let vm = site.start_ready();
     let (safe, once) = std::thread::scope(|scope| {
         let send = |line: &'static str, id: &'static str| {
@@ -97,14 +97,14 @@
             scope.spawn(move || ask(callers, &line, b""))
         };
         let (safe, once) = (send("GET /safe/x", "a"), send("POST /once/x", "b"));
-        eventually("both requests have arrived", || silent.seen().len() == 2);
+        eventually("both requests have arrived", || silent.requests().len() == 2);
         // It restarts at another address under its id; the earlier incarnation never answers.
         let _again = site.replica_with("r1", json!({"born": 1_764_000_009_000u64}));
         (safe.join().unwrap(), once.join().unwrap())
     });
     assert_eq!(safe.status, 200, "it ran again at the later incarnation");
     assert!(matches!(once.status, 502 | 504), "whether it ran is not known: {}", once.status);
-    assert_eq!(silent.seen().len(), 2);
+    assert_eq!(silent.requests().len(), 2);
 }
 
 /// Entries that are no valid server entries.
@@ -238,13 +238,17 @@
     };
     for vm in &vms {
         (0..5).for_each(|_| assert_eq!(send(vm, "north", "k-free"), 200));
-        assert_eq!(there.seen().len(), 0, "the route binds to the north");
+        assert_eq!(there.requests().len(), 0, "the route binds to the north");
     }
-    let before = here.seen().len();
+    let before = here.requests().len();
     for vm in &vms {
         (0..5).for_each(|_| assert_eq!(send(vm, "any", "k-south"), 200));
     }
-    assert_eq!((here.seen().len(), there.seen().len()), (before, 10), "the workspace binds");
+    assert_eq!(
+        (here.requests().len(), there.requests().len()),
+        (before, 10),
+        "the workspace binds"
+    );
     assert_eq!(send(&vms[0], "north", "k-south"), 503, "both bind, and no region is left");
 }
 
