--- a/tests/forward.rs
+++ b/tests/forward.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::standin::platform::Switches;
-use kitepulley::standin::replica::Act;
+use kitepulley::standin::replica::Action;
 use serde_json::json;
 use site::{Site, ask, eventually, follows, head, try_ask};
 
@@ -26,8 +26,8 @@
         .route("talk", STREAM, json!({}))
 }
 
-fn events(last: u64, cut_after: Option<u64>) -> Act {
-    Act::Events { last, cut_after, confidence: None, pause: Duration::ZERO }
+fn events(last: u64, cut_after: Option<u64>) -> Action {
+    Action::Events { last, cut_after, confidence: None, pause: Duration::ZERO }
 }
 
 fn pieces(upto: u64) -> String {
@@ -43,7 +43,7 @@
     let answer = ask(vm.callers, &head("POST /once/a/b?c=d%20e", "id1", more), b"two bags");
     assert_eq!((answer.status, answer.text().as_str(), answer.whole), (200, "fine", true));
     assert_eq!(answer.header("x-response-signature").as_deref(), Some("sig.id1"));
-    let seen = replica.seen().pop().expect("it arrived");
+    let seen = replica.requests().pop().expect("it arrived");
     assert_eq!(seen.line, "POST /once/a/b?c=d%20e");
     assert_eq!(seen.body, b"two bags");
     assert_eq!(seen.header("x-attempt-id"), Some("id1"));
@@ -64,25 +64,28 @@
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
     let rows = [
-        (Act::Reset, 502),
-        (Act::CutLength, 502),
-        (Act::CutChunk, 502),
-        (Act::Noise, 502),
-        (Act::Unsigned, 502),
-        (Act::Unframed { reset: true }, 502),
-        (Act::Unframed { reset: false }, 200),
-        (Act::Whole(500, "failed".to_owned()), 500),
-        (Act::Whole(503, "ran and failed".to_owned()), 502),
-        (Act::Slow(Duration::from_secs(4)), 504),
+        (Action::Reset, 502),
+        (Action::CutLength, 502),
+        (Action::CutChunk, 502),
+        (Action::Garbage, 502),
+        (Action::Unsigned, 502),
+        (Action::Unframed { reset: true }, 502),
+        (Action::Unframed { reset: false }, 200),
+        (Action::Whole(500, "failed".to_owned()), 500),
+        (Action::Whole(503, "ran and failed".to_owned()), 502),
+        (Action::Slow(Duration::from_secs(4)), 504),
     ];
     for (number, (act, status)) in rows.into_iter().enumerate() {
         let id = format!("once{number}");
-        replica.then(act.clone());
+        replica.push_action(act.clone());
         let answer = ask(vm.callers, &head("POST /once/x", &id, ""), b"order");
         assert_eq!(answer.status, status, "{act:?}");
         assert!(answer.whole, "{act:?}");
-        let arrived =
-            replica.seen().iter().filter(|seen| seen.header("x-attempt-id") == Some(&id)).count();
+        let arrived = replica
+            .requests()
+            .iter()
+            .filter(|seen| seen.header("x-attempt-id") == Some(&id))
+            .count();
         assert_eq!(arrived, 1, "{act:?}");
     }
 }
@@ -94,31 +97,31 @@
     let other = site.replica("r2", "v1");
     let vm = site.start_ready();
     let acts = [
-        Act::Reset,
-        Act::CutLength,
-        Act::CutChunk,
-        Act::Noise,
-        Act::Unsigned,
-        Act::Unframed { reset: true },
-        Act::Whole(500, "failed".to_owned()),
-        Act::NotRun,
-        Act::Another,
+        Action::Reset,
+        Action::CutLength,
+        Action::CutChunk,
+        Action::Garbage,
+        Action::Unsigned,
+        Action::Unframed { reset: true },
+        Action::Whole(500, "failed".to_owned()),
+        Action::NotRun,
+        Action::Misdirected,
     ];
     for (number, act) in acts.into_iter().enumerate() {
         // Both servers do the same, as either may be tried first.
-        replica.then(act.clone());
-        other.then(act.clone());
+        replica.push_action(act.clone());
+        other.push_action(act.clone());
         let id = format!("safe{number}");
         let answer = ask(vm.callers, &head("GET /safe/x", &id, ""), b"");
         let arrived = |one: &kitepulley::standin::replica::Replica| {
-            one.seen().iter().filter(|seen| seen.header("x-attempt-id") == Some(&id)).count()
+            one.requests().iter().filter(|seen| seen.header("x-attempt-id") == Some(&id)).count()
         };
         let sends = arrived(&replica) + arrived(&other);
         assert!(sends == 2, "{act:?}: {sends} sends, {}", answer.status);
         // Both attempts failed alike, so the caller gets the final response for this outcome.
         let expected = match act {
-            Act::Whole(500, _) => 500,
-            Act::NotRun | Act::Another => 503,
+            Action::Whole(500, _) => 500,
+            Action::NotRun | Action::Misdirected => 503,
             _ => 502,
         };
         assert_eq!(answer.status, expected, "{act:?}");
@@ -133,21 +136,21 @@
 fn a_server_that_did_not_run_a_request_leaves_it_to_another() {
     let mut site = site();
     let replica = site.replica("r1", "v1");
-    replica.usually(Act::NotRun);
+    replica.set_default_action(Action::NotRun);
     let other = site.replica("r2", "v1");
     let vm = site.start_ready();
     for number in 0..6 {
         let answer = ask(vm.callers, &head("POST /once/x", &format!("n{number}"), ""), b"order");
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(other.seen().len(), 6);
+    assert_eq!(other.requests().len(), 6);
 }
 
 #[test]
 fn a_refusal_is_true_and_says_when_to_come_back() {
     let mut site = site();
     let replica = site.replica("r1", "v1");
-    replica.usually(Act::NotRun);
+    replica.set_default_action(Action::NotRun);
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /once/x", "refused", ""), b"order");
     assert_eq!(answer.status, 503);
@@ -169,7 +172,7 @@
         let answer = ask(vm.callers, &head("POST /once/x", &format!("d{number}"), ""), b"order");
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(good.seen().len(), 5);
+    assert_eq!(good.requests().len(), 5);
 }
 
 #[test]
@@ -177,8 +180,9 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    for act in [Act::StrangerFirst, Act::StrangerAfter, Act::Whole(200, "yours".to_owned())] {
-        replica.then(act.clone());
+    for act in [Action::ForeignFirst, Action::ForeignAfter, Action::Whole(200, "yours".to_owned())]
+    {
+        replica.push_action(act.clone());
         let answer = ask(vm.callers, &head("POST /once/x", "mine", ""), b"order");
         assert_eq!((answer.status, answer.text().as_str()), (200, "yours"), "{act:?}");
         assert_eq!(answer.header("x-attempt-id").as_deref(), Some("mine"));
@@ -190,26 +194,26 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.then(Act::Early);
+    replica.push_action(Action::Early);
     let answer = ask(vm.callers, &head("POST /once/x", "long", ""), &vec![b'x'; 90_000]);
     assert_eq!((answer.status, answer.text().as_str()), (200, "early"));
     let next = ask(vm.callers, &head("POST /once/x", "next", ""), b"order");
     assert_eq!((next.status, next.text().as_str()), (200, "fine"));
-    let bodies: Vec<usize> = replica.seen().iter().map(|seen| seen.body.len()).collect();
+    let bodies: Vec<usize> = replica.requests().iter().map(|seen| seen.body.len()).collect();
     assert!(bodies.iter().all(|length| *length == 90_000 || *length == 5), "{bodies:?}");
 }
 
 #[test]
 fn a_silent_server_does_not_use_up_the_time_of_what_may_be_repeated() {
     let mut site = site();
-    let slow = Act::Slow(Duration::from_secs(5));
+    let slow = Action::Slow(Duration::from_secs(5));
     let one = site.replica("r1", "v1");
     let two = site.replica("r2", "v1");
-    one.usually(slow.clone());
+    one.set_default_action(slow.clone());
     let vm = site.start_ready();
     // Sends requests until one was tried at the silent server.
     let mut number = 0;
-    while one.seen().is_empty() {
+    while one.requests().is_empty() {
         number += 1;
         let begun = Instant::now();
         let answer = ask(vm.callers, &head("GET /safe/x", &format!("silent{number}"), ""), b"");
@@ -217,7 +221,7 @@
         assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
         assert!(number < 50, "the silent server was never tried");
     }
-    assert_eq!(two.seen().len(), number);
+    assert_eq!(two.requests().len(), number);
 }
 
 #[test]
@@ -225,14 +229,14 @@
     let mut site = site();
     let one = site.replica("r1", "v1");
     let two = site.replica("r2", "v1");
-    one.usually(events(9, Some(4)));
-    two.usually(events(9, Some(4)));
+    one.set_default_action(events(9, Some(4)));
+    two.set_default_action(events(9, Some(4)));
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /stream/x", "s1", ""), b"prompt");
     assert_eq!(answer.status, 200);
     // Each server sends four events per attempt: 4 + 4 + 1 in three attempts.
     assert!(answer.text().starts_with(&pieces(8)), "{}", answer.text());
-    let seen: Vec<_> = one.seen().into_iter().chain(two.seen()).collect();
+    let seen: Vec<_> = one.requests().into_iter().chain(two.requests()).collect();
     let after: Vec<_> = seen.iter().map(|seen| seen.header("last-event-id")).collect();
     assert!(after.contains(&None) && after.contains(&Some("4")), "{after:?}");
     assert!(seen.len() <= 3, "{}", seen.len());
@@ -245,19 +249,24 @@
     let mut site = site();
     let pause = Duration::from_millis(300);
     let first = site.replica("r1", "v1");
-    first.usually(Act::Events { last: 6, cut_after: Some(3), confidence: None, pause });
+    first.set_default_action(Action::Events {
+        last: 6,
+        cut_after: Some(3),
+        confidence: None,
+        pause,
+    });
     // The server in the own data centre is tried before this one.
     let third = site.replica_with("r3", json!({"zone": "there"}));
-    third.usually(events(6, None));
+    third.set_default_action(events(6, None));
     let vm = site.start_ready();
     std::thread::scope(|scope| {
         let asked = scope.spawn(|| ask(vm.callers, &head("POST /stream/x", "t1", ""), b"prompt"));
-        eventually("it runs", || !first.seen().is_empty());
+        eventually("it runs", || !first.requests().is_empty());
         let silent = site.replica("r2", "v1");
-        silent.usually(Act::Slow(Duration::from_secs(5)));
+        silent.set_default_action(Action::Slow(Duration::from_secs(5)));
         let answer = asked.join().expect("no panic");
         assert!(answer.whole && answer.text() == pieces(6), "{}\n{}", answer.text(), vm.log_end());
-        let seen = [&first, &silent, &third].map(|server| server.seen().len());
+        let seen = [&first, &silent, &third].map(|server| server.requests().len());
         assert_eq!(seen, [1, 1, 1]);
     });
 }
@@ -266,38 +275,38 @@
 fn a_silent_server_that_still_opens_connections_keeps_its_streams() {
     let mut site = site();
     let slow = site.replica("r1", "v1");
-    let act = Act::Events {
+    let act = Action::Events {
         last: 3,
         cut_after: None,
         confidence: None,
         pause: Duration::from_millis(700),
     };
-    slow.then(act);
+    slow.push_action(act);
     let vm = site.start_ready();
     let other = site.replica("r2", "v1");
     let answer = ask(vm.callers, &head("GET /stream/x", "id1", ""), b"");
     assert!(answer.whole && answer.text() == pieces(3), "{}", answer.head);
-    assert!(other.seen().is_empty() || slow.seen().is_empty(), "it ran at one server only");
+    assert!(other.requests().is_empty() || slow.requests().is_empty(), "it ran at one server only");
 }
 
 #[test]
 fn a_stream_that_may_not_be_resumed_is_broken_off_and_does_not_look_whole() {
     let mut site = site();
     let one = site.replica("r1", "v1");
-    one.usually(events(9, Some(4)));
+    one.set_default_action(events(9, Some(4)));
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /talk/x", "t1", ""), b"prompt");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.text(), pieces(4));
     assert!(!answer.whole);
-    assert_eq!(one.seen().len(), 1);
+    assert_eq!(one.requests().len(), 1);
 }
 
 #[test]
 fn a_caller_that_goes_on_gets_what_it_lacks() {
     let mut site = site();
     let replica = site.replica("r1", "v1");
-    replica.usually(events(6, None));
+    replica.set_default_action(events(6, None));
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /stream/x", "l1", "Last-Event-Id: 4\r\n"), b"prompt");
     assert_eq!(answer.text(), "id: 5\ndata: piece 5\n\nid: 6\ndata: piece 6\n\n");
@@ -309,7 +318,12 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let pause = Duration::from_millis(100);
-    replica.usually(Act::Events { last: 100, cut_after: None, confidence: None, pause });
+    replica.set_default_action(Action::Events {
+        last: 100,
+        cut_after: None,
+        confidence: None,
+        pause,
+    });
     let vm = site.start_ready();
     let mut stream = TcpStream::connect(vm.callers).unwrap();
     let text = head("POST /stream/x", "leaves", "Content-Length: 1\r\n");
@@ -327,25 +341,25 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    let answers = |confidence| Act::Events {
+    let answers = |confidence| Action::Events {
         last: 2,
         cut_after: None,
         confidence: Some(confidence),
         pause: Duration::ZERO,
     };
     let models = |id: &str| -> Vec<String> {
-        let seen = replica.seen();
+        let seen = replica.requests();
         let of_id = seen.iter().filter(|seen| seen.header("x-attempt-id") == Some(id));
         of_id.map(|seen| seen.header("x-model").unwrap_or_default().to_owned()).collect()
     };
-    replica.then(answers(95));
+    replica.push_action(answers(95));
     let sure = ask(vm.callers, &head("POST /cascade/x", "sure", "X-Model: *\r\n"), b"prompt");
     assert_eq!((sure.text(), models("sure")), (pieces(2), vec!["small".to_owned()]));
-    replica.then(answers(5)).then(answers(50));
+    replica.push_action(answers(5)).push_action(answers(50));
     let unsure = ask(vm.callers, &head("POST /cascade/x", "unsure", "X-Model: *\r\n"), b"prompt");
     assert_eq!(unsure.text(), pieces(2));
     assert_eq!(models("unsure"), ["small", "large"]);
-    replica.then(answers(5));
+    replica.push_action(answers(5));
     ask(vm.callers, &head("POST /cascade/x", "named", "X-Model: small\r\n"), b"prompt");
     assert_eq!(models("named"), ["small"]);
 }
@@ -369,7 +383,7 @@
     assert_eq!(ask(vm.callers, &head("GET /b/", "p4", ""), b"").status, 404);
     let foreign = "GET /a/b/c HTTP/1.1\r\nHost: other.example\r\nX-Attempt-Id: p5\r\n";
     assert_eq!(ask(vm.callers, foreign, b"").status, 404);
-    assert_eq!(replica.seen().len(), 1);
+    assert_eq!(replica.requests().len(), 1);
 }
 
 #[test]
@@ -387,7 +401,7 @@
     eventually("the new key is known", || status("new") == 200);
     assert_eq!(status("old"), 401);
     // An older configuration that arrives late changes nothing.
-    site.store.put("config", "main", json!({"version": 1, "routes": [], "services": []}));
+    site.store.write_spec("config", "main", json!({"version": 1, "routes": [], "services": []}));
     std::thread::sleep(Duration::from_millis(400));
     assert_eq!(status("new"), 200);
 }
@@ -400,20 +414,20 @@
     let more = "Authorization: Token key\r\n";
     let status = || ask(vm.callers, &head("GET /safe/x", "f", more), b"").status;
     assert_eq!(status(), 200);
-    site.store.switch(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { down: true, ..Switches::default() });
     // The key is revoked while the store is unreachable.
     site.config["tenants"][0]["api_keys"] = json!([]);
     site.publish();
     let taken = Instant::now();
     std::thread::sleep(Duration::from_millis(2000));
-    let before = replica.seen().len();
+    let before = replica.requests().len();
     assert_eq!(status(), 503);
     assert!(!vm.is_ready(), "{:?}", taken.elapsed());
-    assert_eq!(replica.seen().len(), before);
-    site.store.switch(Switches::default());
+    assert_eq!(replica.requests().len(), before);
+    site.store.set_switches(Switches::default());
     eventually("it is ready again", || vm.is_ready());
     assert_eq!(status(), 401);
-    assert_eq!(replica.seen().len(), before);
+    assert_eq!(replica.requests().len(), before);
 }
 
 #[test]
@@ -430,13 +444,13 @@
     .into_iter()
     .enumerate()
     {
-        site.store.switch(switches);
+        site.store.set_switches(switches);
         let name = format!("round{round}");
         site = site.route(&name, SAFE, json!({}));
         site.publish();
-        site.store.forget();
+        site.store.compact();
         std::thread::sleep(Duration::from_millis(700));
-        site.store.switch(Switches::default());
+        site.store.set_switches(Switches::default());
         eventually("the new route is served", || status(&format!("/{name}/x")) == 200);
     }
     for event in ["watch history expired", "store regained"] {
@@ -449,7 +463,7 @@
     let mut site = site();
     site.replica("r1", "v1");
     let vm = site.start_ready();
-    site.store.put("config", "main", json!({"version": "seven", "routes": 3}));
+    site.store.write_spec("config", "main", json!({"version": "seven", "routes": 3}));
     eventually("it is counted", || vm.counter(&["kitepulley_unreadable", "config"]) >= 1.0);
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "g", ""), b"").status, 200);
     eventually("it is logged", || {
@@ -467,23 +481,23 @@
     eventually("the entry is known", || {
         vm.lines().iter().any(|line| line["event"] == "server entry" && line["ready"] == false)
     });
-    let before = leaving.seen().len();
+    let before = leaving.requests().len();
     for number in 0..6 {
         ask(vm.callers, &head("POST /once/x", &format!("l{number}"), ""), b"order");
     }
-    assert_eq!((leaving.seen().len(), staying.seen().len()), (before, 6 - before + before));
+    assert_eq!((leaving.requests().len(), staying.requests().len()), (before, 6 - before + before));
 }
 
 #[test]
 fn a_planned_stop_cuts_nothing_off_and_says_so_to_the_balancer() {
     let mut site = site();
     let replica = site.replica("r1", "v1");
-    replica.usually(Act::Slow(Duration::from_millis(1200)));
+    replica.set_default_action(Action::Slow(Duration::from_millis(1200)));
     let mut vm = site.start_ready();
     let callers = vm.callers;
     let asked =
         std::thread::spawn(move || ask(callers, &head("POST /once/x", "open", ""), b"order"));
-    eventually("it arrived", || !replica.seen().is_empty());
+    eventually("it arrived", || !replica.requests().is_empty());
     vm.signal(libc::SIGTERM);
     eventually("it is not ready", || !vm.is_ready());
     let answer = asked.join().unwrap();
@@ -502,7 +516,7 @@
     site.bounds["grace_s"] = json!(8);
     let replica = site.replica("r1", "v1");
     // Most of the time one request is running; the stop may end in the gap between two.
-    replica.usually(Act::Slow(Duration::from_millis(60)));
+    replica.set_default_action(Action::Slow(Duration::from_millis(60)));
     let mut vm = site.start_ready();
     vm.signal(libc::SIGTERM);
     let begun = Instant::now();
@@ -518,7 +532,7 @@
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    let seen = replica.seen();
+    let seen = replica.requests();
     let ran = |id: &&String| seen.iter().any(|seen| seen.header("x-attempt-id") == Some(id));
     let lost: Vec<&String> = unanswered.iter().filter(ran).collect();
     assert!(number > 5 && lost.is_empty(), "ran without an answer: {lost:?}");
@@ -543,7 +557,7 @@
     let vm = site.start_ready();
     let answer = ask(vm.callers, &head("POST /once/x", "big", ""), &vec![b'x'; 200_000]);
     assert_eq!(answer.status, 413);
-    assert!(replica.seen().is_empty());
+    assert!(replica.requests().is_empty());
 }
 
 /// Sends requests, each in its own session, until `holds` returns true.
@@ -560,7 +574,7 @@
 
 fn order(site: &Site, seconds: f64) {
     let order = json!({"service": "api", "target_version": "v2", "duration_s": seconds});
-    site.store.put("rollouts", "api", order);
+    site.store.write_spec("rollouts", "api", order);
 }
 
 #[test]
@@ -569,15 +583,15 @@
     site.replica("r1", "v1");
     let vm = site.start_ready();
     let bad = site.replica("r2", "v2");
-    bad.usually(Act::Whole(500, "bad".to_owned()));
+    bad.set_default_action(Action::Whole(500, "bad".to_owned()));
     order(&site, 60.0);
     load_until(&vm, "bad", || site.store.status("rollouts", "api")["state"] == "rolled_back");
-    let met = bad.seen().len();
+    let met = bad.requests().len();
     assert!((1..=40).contains(&met), "{met}");
     for number in 0..30 {
         ask(vm.callers, &head("GET /safe/x", &format!("after{number}"), ""), b"");
     }
-    assert_eq!(bad.seen().len(), met);
+    assert_eq!(bad.requests().len(), met);
     assert!(vm.lines().iter().any(|line| line["event"] == "roll-out moved"));
 }
 
@@ -591,15 +605,15 @@
     order(&site, 6.0);
     load_until(&vm, "good", || site.store.status("rollouts", "api")["state"] == "completed");
     assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
-    let before = old.seen().len();
-    let met = new.seen().len();
+    let before = old.requests().len();
+    let met = new.requests().len();
     for number in 0..10 {
         assert_eq!(
             ask(vm.callers, &head("GET /safe/x", &format!("g{number}"), ""), b"").status,
             200
         );
     }
-    assert_eq!((old.seen().len(), new.seen().len()), (before, met + 10));
+    assert_eq!((old.requests().len(), new.requests().len()), (before, met + 10));
 }
 
 #[test]
@@ -621,7 +635,7 @@
     for session in 0..40 {
         assert_eq!(send(session), 200);
     }
-    assert_eq!(new.seen().len(), 0, "live sessions stay on the old version");
+    assert_eq!(new.requests().len(), 0, "live sessions stay on the old version");
 }
 
 #[test]
@@ -724,10 +738,10 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    site.store.switch(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { down: true, ..Switches::default() });
     eventually("the store is lost", || vm.lines().iter().any(|line| line["event"] == "store lost"));
-    site.store.remove("servers", "r1");
-    site.store.switch(Switches::default());
+    site.store.delete_object("servers", "r1");
+    site.store.set_switches(Switches::default());
     eventually("its entry is gone", || {
         vm.lines().iter().any(|line| {
             line["event"] == "server gone"
@@ -738,7 +752,7 @@
     site.list("r1", "v1", "ready", replica.address);
     std::thread::sleep(Duration::from_secs(3));
     assert_eq!(ask(vm.callers, &head("GET /safe/x", "id2", ""), b"").status, 200);
-    site.store.remove("servers", "r1");
+    site.store.delete_object("servers", "r1");
     eventually("it is removed for good", || {
         ask(vm.callers, &head("GET /safe/x", "id3", ""), b"").status == 503
     });
@@ -749,11 +763,11 @@
     let mut site = site();
     site.replica("r1", "v1");
     let vm = site.start_ready();
-    site.store.switch(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { down: true, ..Switches::default() });
     // Long enough for the retry delay to grow.
     std::thread::sleep(Duration::from_millis(3500));
-    site.store.remove("servers", "r1");
-    site.store.switch(Switches::default());
+    site.store.delete_object("servers", "r1");
+    site.store.set_switches(Switches::default());
     let back = Instant::now();
     let status = || ask(vm.callers, &head("GET /safe/x", "id", ""), b"").status;
     while back.elapsed() < Duration::from_millis(1700) {
@@ -775,7 +789,7 @@
     site.replica("r1", "v1");
     let vm = site.start_ready();
     site.replica("r2", "v2");
-    site.store.switch(Switches { lose: 1, late: 1, ..Switches::default() });
+    site.store.set_switches(Switches { lose: 1, late: 1, ..Switches::default() });
     order(&site, 60.0);
     load_until(&vm, "lost", || site.store.status("rollouts", "api")["state"] == "in_progress");
     eventually("the VM knows", || {
@@ -791,7 +805,7 @@
     // As many servers as a request may have attempts: the old version serves only if none is left.
     let new = ["r2", "r3", "r4"].map(|id| site.replica(id, "v2"));
     for replica in &new {
-        replica.usually(Act::NotRun);
+        replica.set_default_action(Action::NotRun);
     }
     eventually("all are known", || {
         vm.lines().iter().filter(|line| line["version"] == "v2").count() == new.len()
@@ -799,7 +813,7 @@
     order(&site, 60.0);
     eventually("the trial runs", || site.store.status("rollouts", "api")["state"] == "in_progress");
     let ids = |replica: &kitepulley::standin::replica::Replica| -> Vec<String> {
-        let seen = replica.seen();
+        let seen = replica.requests();
         seen.iter().filter_map(|seen| seen.header("x-attempt-id").map(str::to_owned)).collect()
     };
     for number in 0..60 {
@@ -823,7 +837,12 @@
     site.bounds["grace_s"] = json!(6);
     let replica = site.replica("r1", "v1");
     let pause = Duration::from_millis(100);
-    replica.usually(Act::Events { last: 45, cut_after: None, confidence: None, pause });
+    replica.set_default_action(Action::Events {
+        last: 45,
+        cut_after: None,
+        confidence: None,
+        pause,
+    });
     let vm = site.start_ready();
     let long = |id: &str| {
         let line = "POST /long/x HTTP/1.1\r\nHost: h.example\r\nX-Deadline-Ms: 9000\r\n";
@@ -831,7 +850,7 @@
     };
     std::thread::scope(|scope| {
         let open = scope.spawn(|| long("before"));
-        eventually("it arrived", || !replica.seen().is_empty());
+        eventually("it arrived", || !replica.requests().is_empty());
         vm.signal(libc::SIGTERM);
         std::thread::sleep(Duration::from_millis(3200));
         let late = long("late");
@@ -840,12 +859,12 @@
         let answer = open.join().unwrap();
         assert!(answer.whole && answer.text() == pieces(45), "{}", answer.text());
     });
-    assert_eq!(replica.seen().len(), 1);
+    assert_eq!(replica.requests().len(), 1);
 }
 
 /// A stream with a low confidence.
-fn doubtful() -> Act {
-    Act::Events { last: 2, cut_after: None, confidence: Some(5), pause: Duration::ZERO }
+fn doubtful() -> Action {
+    Action::Events { last: 2, cut_after: None, confidence: Some(5), pause: Duration::ZERO }
 }
 
 #[test]
@@ -853,7 +872,7 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.then(doubtful()).usually(Act::NotRun);
+    replica.push_action(doubtful()).set_default_action(Action::NotRun);
     let answer = ask(vm.callers, &head("POST /cascade/x", "ran", "X-Model: *\r\n"), b"prompt");
     assert_eq!(answer.status, 502, "{}", answer.text());
     assert!(answer.text().contains("\"ran\":\"unknown\""), "{}", answer.text());
@@ -865,11 +884,11 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.then(doubtful()).then(Act::NotRun).then(events(2, None));
+    replica.push_action(doubtful()).push_action(Action::NotRun).push_action(events(2, None));
     let answer = ask(vm.callers, &head("POST /cascade/x", "again", "X-Model: *\r\n"), b"prompt");
     assert_eq!((answer.status, answer.text()), (200, pieces(2)));
     let models: Vec<String> = replica
-        .seen()
+        .requests()
         .iter()
         .map(|seen| seen.header("x-model").unwrap_or_default().to_owned())
         .collect();
@@ -881,10 +900,10 @@
     let mut site = site().route("final", STREAM, json!({"sizes": ["small", "large"]}));
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    replica.usually(doubtful());
+    replica.set_default_action(doubtful());
     let answer = ask(vm.callers, &head("POST /final/x", "once", "X-Model: *\r\n"), b"prompt");
     assert_eq!((answer.status, answer.text()), (200, pieces(2)));
-    assert_eq!(replica.seen().len(), 1);
+    assert_eq!(replica.requests().len(), 1);
 }
 
 /// A response header that is new to the platform must show in the metrics and the log.
@@ -899,11 +918,11 @@
     send();
     let page = ask(vm.metrics, "GET /metrics HTTP/1.1\r\nHost: x\r\n", b"");
     assert!(!String::from_utf8_lossy(&page.body).contains("kitepulley_unknown_headers{"));
-    server.says("Server-Mood: fine");
+    server.set_extra_header("Server-Mood: fine");
     (0..3).for_each(|_| send());
     assert_eq!(count("server-mood"), 3.0);
     (0..40).for_each(|number| {
-        server.says(&format!("Server-Word-{number}: fine"));
+        server.set_extra_header(&format!("Server-Word-{number}: fine"));
         send();
     });
     assert_eq!((count("server-word-30\""), count("others")), (1.0, 9.0));
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -27,7 +27,7 @@
 use kitepulley::forward::pinned::Draw;
 use kitepulley::platform::object::Object;
 use kitepulley::standin::platform::Switches;
-use kitepulley::standin::replica::{Act, Replica};
+use kitepulley::standin::replica::{Action, Replica};
 use kitepulley::unit::{Era, Position};
 use serde_json::json;
 use site::proxy::Proxy;
@@ -51,11 +51,11 @@
 fn assert_no_new_requests(vms: &[site::Vm], server: &Replica, drained_at: Instant) {
     let send = |vm: &site::Vm| ask(vm.callers, &head("GET /safe/x", "id", ""), b"").status;
     std::thread::sleep(DRAIN_TIMEOUT.saturating_sub(drained_at.elapsed()));
-    let before = server.seen().len();
+    let before = server.requests().len();
     while drained_at.elapsed() < DRAIN_TIMEOUT + OBSERVATION_TIME {
         for (at, vm) in vms.iter().enumerate() {
             assert_eq!(send(vm), 200);
-            let received = server.seen().len() - before;
+            let received = server.requests().len() - before;
             let late = drained_at.elapsed();
             let logs = || vms.iter().map(site::Vm::log_end).collect::<String>();
             assert_eq!(
@@ -231,7 +231,7 @@
     let mut site = site().route("talk", "streaming", json!({"timeout_ms": 9000}));
     let old = site.replica("r1", "v1");
     let pause = Duration::from_millis(1000);
-    old.usually(Act::Events { last: 5, cut_after: None, confidence: None, pause });
+    old.set_default_action(Action::Events { last: 5, cut_after: None, confidence: None, pause });
     let vm = site.start_ready();
     let sessions: Vec<String> = drawn_sessions().take(4).collect();
     let send = |session: &str| {
@@ -242,9 +242,9 @@
         for session in &sessions {
             scope.spawn(move || assert!(send(session).whole));
         }
-        eventually("all have come", || old.seen().len() == sessions.len());
+        eventually("all have come", || old.requests().len() == sessions.len());
         let order = json!({"service": "api", "target_version": "v2", "duration_s": 60.0});
-        site.store.put("rollouts", "api", order);
+        site.store.write_spec("rollouts", "api", order);
         site.replica("r2", "v2")
     });
     let state = site.store.status("rollouts", "api")["state"].clone();
@@ -252,7 +252,7 @@
     std::thread::scope(|scope| {
         sessions.iter().for_each(|session| drop(scope.spawn(move || send(session))));
     });
-    assert_eq!(new.seen().len(), 0, "their answers ended a moment ago");
+    assert_eq!(new.requests().len(), 0, "their answers ended a moment ago");
 }
 
 #[test]
@@ -273,21 +273,21 @@
     }
     let new = site.replica("r2", "v2");
     let order = json!({"service": "api", "target_version": "v2", "duration_s": 60.0});
-    site.store.put("rollouts", "api", order);
+    site.store.write_spec("rollouts", "api", order);
     eventually("the trial runs", || site.store.status("rollouts", "api")["state"] == "in_progress");
     std::thread::sleep(Duration::from_millis(500));
     for session in 0..300 {
         assert_eq!(send(&two, session), 200);
     }
     assert_eq!(
-        new.seen().len(),
+        new.requests().len(),
         0,
         "a tenth of the sessions is drawn, all were alive at the other VM"
     );
     for session in 300..600 {
         assert_eq!(send(&two, session), 200);
     }
-    assert!(!new.seen().is_empty(), "sessions that begin now are drawn");
+    assert!(!new.requests().is_empty(), "sessions that begin now are drawn");
 }
 
 /// Time after which a version that was found bad is out of use.
@@ -301,7 +301,7 @@
     site.publish();
     site.replica("r1", "v1");
     let order = json!({"service": "api", "target_version": "v2", "duration_s": 60.0});
-    site.store.put("rollouts", "api", order);
+    site.store.write_spec("rollouts", "api", order);
     let proxy = Proxy::new(site.store_server.address);
     let vm = site.start_through(proxy.address);
     eventually("it is ready", || vm.is_ready());
@@ -327,7 +327,7 @@
     site.replica("r2", "v1");
     let vm = site.start_ready();
     // Longer than the first timeout for a connection that may hang.
-    site.store.switch(Switches { slow_ms: 950, ..Switches::default() });
+    site.store.set_switches(Switches { slow_ms: 950, ..Switches::default() });
     std::thread::sleep(Duration::from_secs(2));
     site.list("r1", "v1", "draining", leaving.address);
     let has_logged =
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -23,7 +23,7 @@
 
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
-use kitepulley::command::block;
+use kitepulley::command::block_on;
 use kitepulley::decide::availability::Signal;
 use kitepulley::decide::outcome::AttemptOutcome;
 use kitepulley::decide::server_limit::{
@@ -33,7 +33,7 @@
 use kitepulley::forward::{self, attempt, selection};
 use kitepulley::platform::header;
 use kitepulley::standin::platform::Switches;
-use kitepulley::standin::replica::{Act, Replica};
+use kitepulley::standin::replica::{Action, Replica};
 use kitepulley::unit::{Moment, Rate, Span, hash};
 use quickcheck::quickcheck;
 use site::{Answer, Site, Vm, are_ready, ask, head, three_kinds};
@@ -68,8 +68,8 @@
     let server = |(at, limit): (usize, &Option<&str>)| {
         let server = site.replica(&format!("r{at}"), "v1");
         let pause = Duration::from_millis(2);
-        let short = Act::Events { last: 4, cut_after: None, confidence: None, pause };
-        server.usually(short).names_limit(*limit);
+        let short = Action::Events { last: 4, cut_after: None, confidence: None, pause };
+        server.set_default_action(short).set_limit_header(*limit);
         server
     };
     limits.iter().enumerate().map(server).collect()
@@ -106,7 +106,7 @@
 /// Returns the most requests that reached a server within any [`WINDOW`] from VMs that knew its
 /// limit: a VM knows it by the response to its first request.
 fn max_known_in_window(server: &Replica) -> usize {
-    let seen = server.seen();
+    let seen = server.requests();
     let Some(started) = seen.iter().map(|seen| seen.at).min() else { return 0 };
     let mut first_seen: HashMap<String, Instant> = HashMap::new();
     let mut at: Vec<Moment> = Vec::new();
@@ -192,9 +192,9 @@
             std::thread::sleep(Duration::from_secs(2));
             late.start_again();
             std::thread::sleep(Duration::from_secs(2));
-            site.store.switch(Switches { down: true, ..Switches::default() });
+            site.store.set_switches(Switches { down: true, ..Switches::default() });
             std::thread::sleep(Duration::from_secs(3));
-            site.store.switch(Switches::default());
+            site.store.set_switches(Switches::default());
         });
         load(&vms);
         change.join().expect("no panic");
@@ -212,18 +212,18 @@
     let vms = vms(&site, 14);
     site::eventually("one VM knows the limit", || {
         ask(vms[0].callers, &head("POST /safe/x", "vm0-first", ""), b"x");
-        !servers[0].seen().is_empty()
+        !servers[0].requests().is_empty()
     });
     // Messages take some hops among many VMs, each a few milliseconds.
     std::thread::sleep(4 * SIGNAL_DELAY);
-    let before = servers[0].seen().len();
+    let before = servers[0].requests().len();
     for number in 0..6 {
         for (at, vm) in vms.iter().enumerate() {
             let id = format!("vm{at}-{number}");
             assert_eq!(ask(vm.callers, &head("POST /safe/x", &id, ""), b"x").status, 200);
         }
     }
-    let more = servers[0].seen().len() - before;
+    let more = servers[0].requests().len() - before;
     assert!(more as f64 <= allowed(1.0), "{more} requests\n{}", logs(&vms));
 }
 
@@ -243,17 +243,17 @@
         send(0);
         vms.iter().all(limited)
     });
-    servers[0].names_limit(None);
-    let seen = servers[0].seen().len();
+    servers[0].set_limit_header(None);
+    let seen = servers[0].requests().len();
     site::eventually("one request was sent", || {
         send(1);
-        servers[0].seen().len() > seen
+        servers[0].requests().len() > seen
     });
     let over = Instant::now();
     std::thread::sleep(Duration::from_millis(200));
-    let seen = servers[0].seen().len();
+    let seen = servers[0].requests().len();
     (0..10).for_each(send);
-    let more = servers[0].seen().len() - seen;
+    let more = servers[0].requests().len() - seen;
     assert!(over.elapsed() < Duration::from_secs(1), "{:?}", over.elapsed());
     // An even share would be 15; a few fewer by chance.
     assert!(more >= 7, "{more} of 30\n{}", logs(&vms));
@@ -302,7 +302,7 @@
     let server = Replica::launch().unwrap();
     let (vm, incarnation) = vm_with_server(&server);
     let limit = LimitHeader::Present(Rate(1.0));
-    block(async {
+    block_on(async {
         assert_eq!(one_attempt(&vm, || ()).await, AttemptOutcome::Good);
         // The next send is due some time after the previous one.
         assert_eq!(
@@ -310,14 +310,14 @@
             AttemptOutcome::Withheld
         );
     });
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[test]
 fn a_turn_is_given_back_if_nothing_was_sent() {
     let server = Replica::launch().unwrap();
     let (vm, incarnation) = vm_with_server(&server);
-    server.names_limit(Some("0.5"));
+    server.set_limit_header(Some("0.5"));
     announce(&vm, &incarnation, LimitHeader::Present(Rate(0.5)));
     let backoff = Signal { backoff: Some(Span::millis(200)), ..Signal::default() };
     let announce_backoff = || {
@@ -329,7 +329,7 @@
             .availability
             .observe(backoff, now);
     };
-    block(async {
+    block_on(async {
         assert_eq!(one_attempt(&vm, announce_backoff).await, AttemptOutcome::Withheld);
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(one_attempt(&vm, || ()).await, AttemptOutcome::Good);
@@ -379,9 +379,11 @@
     };
     let limited = || vms[0].counter(&["kitepulley_limited_servers{", "api"]) == 1.0;
     site::eventually("the limit is known", || send(0) == 200 && limited());
-    servers[0].names_limit(None).usually(Act::NotRun);
-    let seen = servers[0].seen().len();
-    site::eventually("one request is refused", || send(1) == 200 && servers[0].seen().len() > seen);
+    servers[0].set_limit_header(None).set_default_action(Action::NotRun);
+    let seen = servers[0].requests().len();
+    site::eventually("one request is refused", || {
+        send(1) == 200 && servers[0].requests().len() > seen
+    });
     assert!(limited());
 }
 
--- a/tests/pause.rs
+++ b/tests/pause.rs
@@ -7,8 +7,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use kitepulley::command::block;
-use kitepulley::demo::{Shape, World, intend, key};
+use kitepulley::command::block_on;
+use kitepulley::demo::{Cluster, Shape, apply_intent, workspace_key};
 use serde_json::{Value, json};
 
 /// Longest wait for something that must come.
@@ -56,10 +56,10 @@
     }
 
     fn send(&self, path: &str, body: Option<Value>) -> Option<(u16, Value)> {
-        block(async {
+        block_on(async {
             let http = awc::Client::builder().timeout(Duration::from_secs(5)).finish();
             let url = format!("http://{}{path}", self.address);
-            let key = format!("Bearer {}", key("roasters"));
+            let key = format!("Bearer {}", workspace_key("roasters"));
             let sent = match body {
                 Some(body) => {
                     http.post(url).insert_header(("authorization", key)).send_json(&body).await
@@ -84,12 +84,12 @@
 
 #[test]
 fn a_vm_that_slept_past_its_permit_starts_nothing_on_a_version_withdrawn_meanwhile() {
-    let world = World::start(&Shape { vms: 0, engines: 3, ..Shape::default() }).unwrap();
-    let first = Process::start("vm1", world.platform_at, None);
+    let world = Cluster::start(&Shape { vms: 0, engines: 3, ..Shape::default() }).unwrap();
+    let first = Process::start("vm1", world.platform_address, None);
     until("the first VM", || first.get("/readyz").is_some_and(|(status, _)| status == 200));
     let others: Vec<Process> = ["vm2", "vm3"]
         .iter()
-        .map(|name| Process::start(name, world.platform_at, Some(first.peer)))
+        .map(|name| Process::start(name, world.platform_address, Some(first.peer)))
         .collect();
     for other in &others {
         until("another VM", || other.get("/readyz").is_some_and(|(status, _)| status == 200));
@@ -100,7 +100,7 @@
     assert_eq!(answered.map(|(status, _)| status), Some(200));
 
     first.signal(libc::SIGSTOP);
-    let revision = intend(world.platform_at, "withdraw roastmind v3", "test").unwrap();
+    let revision = apply_intent(world.platform_address, "withdraw roastmind v3", "test").unwrap();
     let accepted = |process: &Process| {
         let status = process.get("/operator/status").map(|(_, value)| value);
         status.is_some_and(|value| value["accepted"].as_u64() >= Some(revision.0))
@@ -120,15 +120,15 @@
     until("its return", || first.get("/readyz").is_some_and(|(status, _)| status == 200));
     let refused = first.send("/v1/chat/completions", Some(ask)).expect("it answers");
     assert_eq!((refused.0, refused.1["kind"].as_str()), (410, Some("withdrawn")));
-    world.end();
+    world.stop_standins();
 }
 
 /// Connections that were opened while the process was stopped are served, not told that their heads
 /// came late: the time that they waited is the process's own.
 #[test]
 fn connections_that_were_opened_while_a_vm_slept_are_served() {
-    let world = World::start(&Shape { vms: 0, engines: 1, ..Shape::default() }).unwrap();
-    let vm = Process::start("vm1", world.platform_at, None);
+    let world = Cluster::start(&Shape { vms: 0, engines: 1, ..Shape::default() }).unwrap();
+    let vm = Process::start("vm1", world.platform_address, None);
     until("the VM", || vm.get("/readyz").is_some_and(|(status, _)| status == 200));
     vm.signal(libc::SIGSTOP);
     std::thread::sleep(Duration::from_millis(6500));
@@ -145,5 +145,5 @@
     };
     let statuses: Vec<String> = streams.iter_mut().map(status).collect();
     assert!(!statuses.iter().any(|status| status == "408" || status == "none"), "{statuses:?}");
-    world.end();
+    world.stop_standins();
 }
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -20,9 +20,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use kitepulley::command::block;
-use kitepulley::demo::{Shape, World, key};
-use kitepulley::standin::replica::{Act, Crash, Replica};
+use kitepulley::command::block_on;
+use kitepulley::demo::{Cluster, Shape, workspace_key};
+use kitepulley::standin::replica::{Action, Crash, Replica};
 use serde_json::json;
 use site::{Site, Vm, are_ready, ask, head};
 
@@ -63,9 +63,9 @@
 
 fn crash() -> Crash {
     Crash {
-        on: POISON.into(),
-        after: Duration::from_millis(30),
-        back_after: Duration::from_millis(800),
+        trigger: POISON.into(),
+        delay: Duration::from_millis(30),
+        restart_after: Duration::from_millis(800),
     }
 }
 
@@ -81,13 +81,13 @@
 
 /// Returns the times of all crashes, in order.
 fn crashes(servers: &[Replica]) -> Vec<Instant> {
-    let mut crashes: Vec<Instant> = servers.iter().flat_map(Replica::ends).collect();
+    let mut crashes: Vec<Instant> = servers.iter().flat_map(Replica::crash_times).collect();
     crashes.sort();
     crashes
 }
 
 fn arrivals(servers: &[Replica], body: &str) -> Vec<Instant> {
-    let seen = servers.iter().flat_map(Replica::seen);
+    let seen = servers.iter().flat_map(Replica::requests);
     let mut at: Vec<Instant> =
         seen.filter(|seen| seen.body == body.as_bytes()).map(|seen| seen.at).collect();
     at.sort();
@@ -213,14 +213,14 @@
     const PROMPT: &str = "the question of the hour";
     let site = site();
     let servers = servers(&site, SERVERS);
-    let stream = Act::Events {
+    let stream = Action::Events {
         last: 6,
         cut_after: None,
         confidence: None,
         pause: Duration::from_millis(60),
     };
     for server in &servers {
-        server.usually(stream.clone());
+        server.set_default_action(stream.clone());
     }
     let vms = vms(&site, VMS);
     std::thread::scope(|scope| {
@@ -244,10 +244,10 @@
 fn chat(at: std::net::SocketAddr, prompt: &str) -> Option<String> {
     let body = json!({"model": "roastmind", "messages": [{"role": "user", "content": prompt}],
         "max_tokens": 4});
-    block(async {
+    block_on(async {
         let http = awc::Client::builder().timeout(Duration::from_secs(10)).finish();
         let url = format!("http://{at}/v1/chat/completions");
-        let key = format!("Bearer {}", key("roasters"));
+        let key = format!("Bearer {}", workspace_key("roasters"));
         let sent = http.post(url).insert_header(("authorization", key)).send_json(&body).await;
         let mut answer = sent.expect("the VM answers");
         let bytes = answer.body().await.expect("a body");
@@ -288,9 +288,9 @@
         log.clone(),
     )
     .expect("no other test of this program logs");
-    let mut world = World::start(&Shape { engines: 12, ..Shape::default() }).unwrap();
+    let mut world = Cluster::start(&Shape { engines: 12, ..Shape::default() }).unwrap();
     for engine in &world.engines {
-        engine.turn(|now| now.crashes_on = Some(POISON.to_owned()));
+        engine.update_switches(|now| now.crashes_on = Some(POISON.to_owned()));
     }
     let vms: Vec<_> = world.nodes.values().map(|node| node.address).collect();
     let callers = std::thread::spawn(move || {
@@ -324,5 +324,5 @@
     assert_eq!(ended as usize, CRASHES_BEFORE_QUARANTINE, "{refused:?}\n{}", log.text());
     assert_eq!(refused.last(), Some(&Some("\"no\"".to_owned())), "{refused:?}");
     assert_eq!(innocent, None);
-    world.end();
+    world.stop_standins();
 }
--- a/tests/restore.rs
+++ b/tests/restore.rs
@@ -48,10 +48,10 @@
 
 /// Takes the store down for a while and restores it from a backup.
 fn restore_after(site: &Site, copy: &Snapshot, away: Duration) {
-    site.store.switch(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { down: true, ..Switches::default() });
     std::thread::sleep(away);
     site.store.restore(copy.clone());
-    site.store.switch(Switches::default());
+    site.store.set_switches(Switches::default());
 }
 
 /// Source of objects that were read from the store at a position.
@@ -160,16 +160,16 @@
     replace_key(&mut site, "lost");
     assert_in_force(&vms, "lost", "first");
     // No call fails, and when the watches resume the revisions are past those before the restore.
-    site.store.switch(Switches { quiet: true, ..Switches::default() });
+    site.store.set_switches(Switches { quiet: true, ..Switches::default() });
     site.store.restore(copy);
     replace_key(&mut site, "second");
     let more = (0..LOST_CHANGES).map(|number| site.replica(&format!("more{number}"), "v1"));
     let more: Vec<Replica> = more.collect();
-    site.store.switch(Switches::default());
+    site.store.set_switches(Switches::default());
     assert_in_force(&vms, "second", "lost");
     eventually("all servers get requests", || {
         vms.iter().for_each(|vm| assert_eq!(status(vm, "second"), 200));
-        more.iter().all(|server| !server.seen().is_empty())
+        more.iter().all(|server| !server.requests().is_empty())
     });
 }
 
@@ -446,14 +446,14 @@
     let _old = site.replica("r1", "v1");
     let bad = site.replica("r2", "v2");
     let order = json!({"service": "api", "target_version": "v2", "duration_s": 60});
-    site.store.put("rollouts", "api", order.clone());
+    site.store.write_spec("rollouts", "api", order.clone());
     let running = json!({"target_version": "v2", "state": "in_progress", "share": 1.0});
     site.store.set_status("rollouts", "api", running);
     let copy = site.store.snapshot();
     let back = json!({"target_version": "v2", "state": "rolled_back"});
     site.store.set_status("rollouts", "api", back);
     let vms = start(&mut site);
-    let before = bad.seen().len();
+    let before = bad.requests().len();
     site.store.restore(copy);
     let state = |site: &Site| site.store.status("rollouts", "api")["state"].clone();
     assert_eq!(state(&site), "in_progress");
@@ -466,7 +466,7 @@
         }
     }
     assert_eq!(state(&site), "rolled_back");
-    assert_eq!(bad.seen().len(), before);
+    assert_eq!(bad.requests().len(), before);
     let moved = |vm: &Vm| vm.lines().iter().filter(|one| one["event"] == "roll-out moved").count();
     assert_eq!(vms.iter().map(moved).sum::<usize>(), 1);
 }
@@ -478,7 +478,7 @@
     site.publish();
     let copy = site.store.snapshot();
     let vms = start(&mut site);
-    let written = |kind: &str| site.store.bodies(kind);
+    let written = |kind: &str| site.store.specs_with_prefix(kind);
     let (entries, keys) = (written("kitepulley-vms/"), written("kitepulley-keys/"));
     assert_eq!((entries.len(), keys.len()), (VMS, 1));
     site.store.restore(copy);
@@ -494,7 +494,7 @@
 #[actix_web::test]
 async fn a_write_that_is_based_on_another_era_is_not_sent() {
     let site = Site::new();
-    site.store.put("kind", "one", json!("a"));
+    site.store.write_spec("kind", "one", json!("a"));
     let copy = site.store.snapshot();
     let mut client = Objects::new(site.store_server.address, Rc::default());
     let read = client.get("kind", "one", Read::Newest).await.unwrap().unwrap();
--- a/tests/restores.rs
+++ b/tests/restores.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use kitepulley::standin::platform::{Snapshot, Switches};
-use kitepulley::standin::replica::{Act, Replica};
+use kitepulley::standin::replica::{Action, Replica};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -232,18 +232,20 @@
     /// Writes the operator's present orders to the store.
     fn write_orders(&mut self) {
         match self.is_evacuation_ordered() {
-            true => drop(self.site.store.put("evacuations", EVACUATED_DATA_CENTRE, json!({}))),
-            false => self.site.store.remove("evacuations", EVACUATED_DATA_CENTRE),
+            true => {
+                self.site.store.write_spec("evacuations", EVACUATED_DATA_CENTRE, json!({}));
+            }
+            false => self.site.store.delete_object("evacuations", EVACUATED_DATA_CENTRE),
         }
         let order = json!({"service": "api", "target_version": "v2", "duration_s": 60});
         if self.bad.is_some() {
-            self.site.store.put("rollouts", "api", order);
+            self.site.store.write_spec("rollouts", "api", order);
         }
     }
 
     fn start_bad_version(&mut self) {
         let bad = self.site.replica_with("bad", json!({"version": "v2"}));
-        bad.usually(Act::Whole(500, "bad".to_owned()));
+        bad.set_default_action(Action::Whole(500, "bad".to_owned()));
         self.bad = Some(bad);
         self.write_orders();
     }
@@ -255,11 +257,11 @@
         let away = self.random.random_range(0..=1500);
         let started_at = Instant::now();
         if away > 300 {
-            self.site.store.switch(Switches { down: true, ..Switches::default() });
+            self.site.store.set_switches(Switches { down: true, ..Switches::default() });
             std::thread::sleep(Duration::from_millis(away));
         }
         self.site.store.restore(copy);
-        self.site.store.switch(Switches::default());
+        self.site.store.set_switches(Switches::default());
         self.restored.extend([started_at, Instant::now()]);
         self.copies.clear();
         // VMs may not know a drain that was written just before; the bound starts anew when it is
@@ -298,7 +300,7 @@
             Task::Order => self.write_orders(),
             Task::Remove(at) => {
                 let id = self.servers[at].id.clone();
-                self.site.store.remove("servers", &id);
+                self.site.store.delete_object("servers", &id);
             }
             Task::End(at) => {
                 self.servers[at].gone = true;
@@ -441,7 +443,7 @@
             }
         }
         for (server, closed) in self.servers.iter().zip(&self.closed) {
-            let seen = server.replica.seen();
+            let seen = server.replica.requests();
             let is_late = |at: Instant| closed.is_some_and(|closed| at > closed);
             let late = seen.iter().filter(|one| is_late(one.at) && !self.is_starting(one.at));
             let late: Vec<Duration> =
@@ -468,7 +470,7 @@
         }
         if let (Some(bad), Some(back)) = (&self.bad, self.rolled_back) {
             let is_late = |at: Instant| at > back + ROLLED_BACK_WITHIN && !self.is_starting(at);
-            let late = bad.seen().iter().filter(|one| is_late(one.at)).count();
+            let late = bad.requests().iter().filter(|one| is_late(one.at)).count();
             if late > 0 {
                 faults.push(format!("{late} requests at a version that was found bad"));
             }
--- a/tests/runs.rs
+++ b/tests/runs.rs
@@ -6,24 +6,24 @@
 /// Requests of a run; enough that each fault meets work of every kind.
 const REQUESTS: usize = 2500;
 
-fn holds(seed: u64, vms: usize, faults: &[&[Fault]]) -> Outcome {
+fn run_checked(seed: u64, vms: usize, faults: &[&[Fault]]) -> Outcome {
     let scenario = Scenario {
         requests: REQUESTS,
         seed,
         faults: faults.iter().map(|group| group.to_vec()).collect(),
         shape: Shape { vms, ..Shape::default() },
-        tell: false,
+        verbose: false,
     };
     let outcome = run(&scenario).expect("the run starts");
-    assert_eq!(outcome.report.broken(), 0, "{}\n{}", outcome.told.join("\n"), outcome.report);
+    assert_eq!(outcome.report.broken(), 0, "{}\n{}", outcome.log.join("\n"), outcome.report);
     outcome
 }
 
 /// What happened in a run, and the history of each answer that broke off or never came.
-fn broken(outcome: &Outcome) -> String {
-    let lines = outcome.world.history.lines();
+fn broken_answers(outcome: &Outcome) -> String {
+    let lines = outcome.cluster.history.lines();
     let text = |line: &Line| serde_json::to_string(line).unwrap_or_default();
-    let mut told = vec!["answers broken".to_owned(), outcome.told.join("\n")];
+    let mut report = vec!["answers broken".to_owned(), outcome.log.join("\n")];
     for line in &lines {
         let Event::Answered { ask, request, status, ran, whole: false, .. } = &line.event else {
             continue;
@@ -37,9 +37,9 @@
         about.retain(|one| {
             one.contains(&asked) || request.as_ref().is_some_and(|request| one.contains(request))
         });
-        told.extend(about);
+        report.extend(about);
     }
-    told.join("\n")
+    report.join("\n")
 }
 
 #[test]
@@ -49,7 +49,7 @@
         &[Fault::AnswerLost, Fault::Stop],
         &[Fault::StoreSlow, Fault::WatchQuiet],
     ];
-    let outcome = holds(11, 4, &faults);
+    let outcome = run_checked(11, 4, &faults);
     let occasions = |i: usize| outcome.report.verdicts[i].occasions;
     assert!(occasions(3) > 1000, "bills");
     assert!(occasions(6) > 100, "keys");
@@ -57,17 +57,17 @@
 
 #[test]
 fn promises_hold_when_engines_cut_repeat_and_mix_frames() {
-    holds(12, 3, &[&[Fault::Cut, Fault::Noise], &[Fault::Leave], &[Fault::RatingsStop]]);
+    run_checked(12, 3, &[&[Fault::Cut, Fault::Noise], &[Fault::Leave], &[Fault::RatingsStop]]);
 }
 
 #[test]
 fn a_region_cut_breaks_no_answer_even_without_the_store() {
     let cut: &[Fault] = &[Fault::RegionCut, Fault::StoreDown];
-    let outcome = holds(14, 6, &[&[Fault::RegionCut], cut]);
-    assert_eq!(outcome.counts.2, 0, "{}", broken(&outcome));
+    let outcome = run_checked(14, 6, &[&[Fault::RegionCut], cut]);
+    assert_eq!(outcome.counts.2, 0, "{}", broken_answers(&outcome));
 }
 
 #[test]
 fn promises_hold_when_links_are_cut_and_operators_race() {
-    holds(13, 9, &[&[Fault::LinkCut, Fault::Race], &[Fault::Kill, Fault::LinkCut]]);
+    run_checked(13, 9, &[&[Fault::LinkCut, Fault::Race], &[Fault::Kill, Fault::LinkCut]]);
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -23,7 +23,7 @@
 use kitepulley::forward::{Bounds, Settings, Vm as Inner};
 use kitepulley::history::Sink;
 use kitepulley::platform::header;
-use kitepulley::standin::Running;
+use kitepulley::standin::Instance;
 use kitepulley::standin::platform::{Platform, Rates};
 use kitepulley::standin::replica::{Crash, Replica};
 use kitepulley::unit::{Digest, Millicores, Span};
@@ -117,7 +117,7 @@
 /// A site: the store, and the configuration and bounds for the VMs.
 pub struct Site {
     pub store: Platform,
-    pub store_server: Running,
+    pub store_server: Instance,
     pub config: Value,
     pub bounds: Value,
     version: u64,
@@ -170,7 +170,7 @@
     pub fn publish(&mut self) {
         self.version += 1;
         self.config["version"] = json!(self.version);
-        self.store.put("config", "main", self.config.clone());
+        self.store.write_spec("config", "main", self.config.clone());
     }
 
     /// Starts a backend server of `api` and writes its entry.
@@ -198,21 +198,21 @@
         let replica = Replica::launch().unwrap();
         let (store, name, address) = (self.store.clone(), id.to_owned(), replica.address);
         let list = move |incarnation: u64| {
-            store.put(
+            store.write_spec(
                 "servers",
                 &name,
                 entry(address, json!({"born": FIRST_INCARNATION_MS + incarnation})),
             );
         };
         list(0);
-        replica.crashes(crash).on_start(list);
+        replica.set_crash(crash).on_start(list);
         replica
     }
 
     /// Writes the entry of a backend server: that of a ready one, except for these fields.
     pub fn list_with(&self, id: &str, address: SocketAddr, fields: Value) {
         let entry = entry(address, fields);
-        self.store.put("servers", id, entry);
+        self.store.write_spec("servers", id, entry);
     }
 
     /// Starts an entry VM in the data centre `here`, without waiting until it is ready.
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -23,7 +23,7 @@
 
 use actix_http::header::{HeaderValue, RETRY_AFTER};
 use actix_http::{ResponseHead, StatusCode};
-use kitepulley::command::block;
+use kitepulley::command::block_on;
 use kitepulley::decide::availability::{Availability, Signal, Unavailable};
 use kitepulley::decide::outcome::AttemptOutcome;
 use kitepulley::forward::replica::Replica as Life;
@@ -31,7 +31,7 @@
 use kitepulley::forward::{attempt, selection};
 use kitepulley::platform::header;
 use kitepulley::standin::platform::Switches;
-use kitepulley::standin::replica::{Act, Replica};
+use kitepulley::standin::replica::{Action, Replica};
 use kitepulley::unit::{Moment, Span};
 use quickcheck::quickcheck;
 use serde_json::json;
@@ -56,20 +56,20 @@
 const REQUEST_LINES: [&str; 3] = ["POST /safe/x", "POST /once/x", "POST /stream/x"];
 
 /// Returns the normal response of a server to a request line.
-fn serves(line: &str) -> Act {
+fn serves(line: &str) -> Action {
     match line.contains("stream") {
         true => {
             let pause = Duration::from_millis(2);
-            Act::Events { last: 4, cut_after: None, confidence: None, pause }
+            Action::Events { last: 4, cut_after: None, confidence: None, pause }
         }
-        false => Act::Whole(200, "fine".into()),
+        false => Action::Whole(200, "fine".into()),
     }
 }
 
 fn servers(site: &Site, count: usize, line: &str) -> Vec<Replica> {
     let servers: Vec<_> = (0..count).map(|at| site.replica(&format!("r{at}"), "v1")).collect();
     for server in &servers {
-        server.usually(serves(line));
+        server.set_default_action(serves(line));
     }
     servers
 }
@@ -111,7 +111,7 @@
 fn arrivals(server: &Replica, vm: usize) -> Vec<Instant> {
     let prefix = format!("vm{vm}-");
     let of_vm = |id: &str| id.starts_with(&prefix);
-    let seen = server.seen();
+    let seen = server.requests();
     let sent = seen.iter().filter(|seen| seen.header("x-attempt-id").is_some_and(of_vm));
     let mut at: Vec<Instant> = sent.map(|seen| seen.at).collect();
     at.sort();
@@ -160,9 +160,9 @@
         let site = three_kinds();
         let servers = servers(&site, 3, line);
         let vms = vms(&site, 2);
-        site.store.switch(Switches { down: true, ..Switches::default() });
+        site.store.set_switches(Switches { down: true, ..Switches::default() });
         let said = Instant::now();
-        servers[0].leaves();
+        servers[0].announce_draining();
         assert_all_served(&load(&vms, line));
         for vm in 0..vms.len() {
             let (late, by) = after_leaving(&servers[0], vm, said);
@@ -178,11 +178,11 @@
         let servers = servers(&site, 4, line);
         let vms = vms(&site, 2);
         for server in &servers[..2] {
-            server.usually(Act::TurnAway(BACKOFF.0.into()));
+            server.set_default_action(Action::RetryAfter(BACKOFF.0.into()));
         }
         assert_all_served(&load(&vms, line));
         for (at, server) in servers[..2].iter().enumerate() {
-            assert!(!server.turned_away().is_empty(), "the server got no request");
+            assert!(!server.rejection_times().is_empty(), "the server got no request");
             for vm in 0..vms.len() {
                 let late = count_during_backoff(server, vm);
                 assert_eq!(late, 0, "{line}: server {at}, VM {vm}\n{}", logs(&vms));
@@ -195,33 +195,33 @@
 #[test]
 fn leaving_is_heard_whatever_becomes_of_the_answer() {
     let acts = [
-        Act::Whole(200, "fine".into()),
-        Act::Whole(404, "none".into()),
-        Act::Whole(500, "failed".into()),
-        Act::NotRun,
-        Act::CutLength,
-        Act::CutChunk,
-        Act::Unframed { reset: true },
-        Act::StrangerFirst,
-        Act::Events { last: 9, cut_after: Some(1), confidence: None, pause: Duration::ZERO },
+        Action::Whole(200, "fine".into()),
+        Action::Whole(404, "none".into()),
+        Action::Whole(500, "failed".into()),
+        Action::NotRun,
+        Action::CutLength,
+        Action::CutChunk,
+        Action::Unframed { reset: true },
+        Action::ForeignFirst,
+        Action::Events { last: 9, cut_after: Some(1), confidence: None, pause: Duration::ZERO },
     ];
     for act in acts {
         let site = three_kinds();
         let servers = servers(&site, 2, "POST /safe/x");
         let vms = vms(&site, 1);
-        servers[0].usually(act.clone()).leaves();
+        servers[0].set_default_action(act.clone()).announce_draining();
         let started = Instant::now();
-        while servers[0].seen().is_empty() {
+        while servers[0].requests().is_empty() {
             assert!(started.elapsed() < LOAD_DURATION, "{act:?}: the server got no request");
             ask(vms[0].callers, &head("POST /safe/x", "first", ""), b"x");
         }
         std::thread::sleep(SIGNAL_DELAY);
-        let before = servers[0].seen().len();
+        let before = servers[0].requests().len();
         for number in 0..40 {
             let answer = ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, number), ""), b"x");
             assert_eq!(answer.status, 200, "{act:?}");
         }
-        assert_eq!(servers[0].seen().len(), before, "{act:?}\n{}", logs(&vms));
+        assert_eq!(servers[0].requests().len(), before, "{act:?}\n{}", logs(&vms));
     }
 }
 
@@ -232,23 +232,23 @@
     let servers = servers(&site, 2, "POST /stream/x");
     let vms = vms(&site, 1);
     let pause = Duration::from_millis(500);
-    let endless = Act::Events { last: 60, cut_after: None, confidence: None, pause };
+    let endless = Action::Events { last: 60, cut_after: None, confidence: None, pause };
     servers.iter().for_each(|server| {
-        server.usually(endless.clone()).leaves();
+        server.set_default_action(endless.clone()).announce_draining();
     });
     let text = head("POST /stream/x", "left", "") + "Content-Length: 1\r\n\r\nx";
     let mut caller = TcpStream::connect(vms[0].callers).unwrap();
     caller.write_all(text.as_bytes()).unwrap();
-    let asked = |server: &Replica| !server.seen().is_empty();
+    let asked = |server: &Replica| !server.requests().is_empty();
     site::eventually("a server got the request", || servers.iter().any(asked));
     std::thread::sleep(SIGNAL_DELAY);
     drop(caller);
     let (leaving, other) = if asked(&servers[0]) { (0, 1) } else { (1, 0) };
-    servers[other].usually(serves("POST /stream/x"));
+    servers[other].set_default_action(serves("POST /stream/x"));
     for number in 0..20 {
         ask(vms[0].callers, &head("POST /stream/x", &id(0, 0, number), ""), b"x");
     }
-    assert_eq!(servers[leaving].seen().len(), 1, "{}", logs(&vms));
+    assert_eq!(servers[leaving].requests().len(), 1, "{}", logs(&vms));
 }
 
 /// All servers are backing off: requests are refused at once, with a time to retry at which the
@@ -258,12 +258,12 @@
     let site = three_kinds();
     let servers = servers(&site, 2, "POST /safe/x");
     let vms = vms(&site, 1);
-    servers[0].usually(Act::TurnAway("1.0".into()));
-    servers[1].usually(Act::TurnAway("30".into()));
+    servers[0].set_default_action(Action::RetryAfter("1.0".into()));
+    servers[1].set_default_action(Action::RetryAfter("30".into()));
     for number in 0..4 {
         ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, number), ""), b"x");
     }
-    let before: Vec<usize> = servers.iter().map(|server| server.seen().len()).collect();
+    let before: Vec<usize> = servers.iter().map(|server| server.requests().len()).collect();
     let started = Instant::now();
     let patient = head("POST /safe/x", "refused", "").replace("2500", "9000");
     let refused = ask(vms[0].callers, &patient, b"x");
@@ -272,15 +272,15 @@
     let after: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     // The time to retry is at most a third of the deadline that the route leaves its callers.
     assert!((0.85..=1.0).contains(&after), "{after}");
-    assert_eq!(before, servers.iter().map(|server| server.seen().len()).collect::<Vec<_>>());
+    assert_eq!(before, servers.iter().map(|server| server.requests().len()).collect::<Vec<_>>());
     for server in &servers {
-        server.usually(serves("POST /safe/x"));
+        server.set_default_action(serves("POST /safe/x"));
     }
     site::eventually("the first server is available again", || {
         ask(vms[0].callers, &head("POST /safe/x", "again", ""), b"x").status == 200
     });
     assert!(started.elapsed() < Duration::from_millis(2000), "back after {:?}", started.elapsed());
-    assert_eq!(servers[1].seen().len(), before[1]);
+    assert_eq!(servers[1].requests().len(), before[1]);
 }
 
 /// The end of a draining server is no crash, even if its entry does not show yet that it drains.
@@ -290,14 +290,14 @@
     let servers = servers(&site, 2, "POST /stream/x");
     let vms = vms(&site, 1);
     let pause = Duration::from_millis(100);
-    let long = Act::Events { last: 30, cut_after: None, confidence: None, pause };
+    let long = Action::Events { last: 30, cut_after: None, confidence: None, pause };
     for server in &servers {
-        server.usually(long.clone()).leaves();
+        server.set_default_action(long.clone()).announce_draining();
     }
     std::thread::scope(|scope| {
         let first = scope.spawn(|| ask(vms[0].callers, &head("POST /stream/x", "one", ""), b"x"));
         site::eventually("the request runs", || {
-            servers.iter().any(|server| !server.seen().is_empty())
+            servers.iter().any(|server| !server.requests().is_empty())
         });
         std::thread::sleep(3 * pause);
         servers.iter().for_each(|server| server.crash(None));
@@ -316,11 +316,11 @@
     let mut site = Site::new().route("safe", "idempotent", json!({"latency_goal_ms": 2500}));
     site.publish();
     let server = &servers(&site, 1, "POST /safe/x")[0];
-    server.usually(Act::TurnAway("0.8".into()));
+    server.set_default_action(Action::RetryAfter("0.8".into()));
     let vms = vms(&site, 1);
     ask(vms[0].callers, &head("POST /safe/x", "first", ""), b"x");
     let asked = Instant::now();
-    server.usually(Act::Slow(Duration::from_millis(100)));
+    server.set_default_action(Action::Slow(Duration::from_millis(100)));
     let send = |number| ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, number), ""), b"x");
     let answers: Vec<Answer> = std::thread::scope(|scope| {
         let callers: Vec<_> =
@@ -392,7 +392,7 @@
     let (_, waiting) = job.begin_attempt(&place, None);
     let until = job.deadline;
     let attempt = attempt::run(&job, &place.replica, None, None, waiting, until);
-    (block(attempt).end, server.seen().len())
+    (block_on(attempt).end, server.requests().len())
 }
 
 #[test]
@@ -460,20 +460,20 @@
     let servers = servers(&site, 2, "POST /safe/x");
     let vms = vms(&site, 14);
     std::thread::sleep(Duration::from_secs(2));
-    site.store.switch(Switches { down: true, ..Switches::default() });
-    servers[0].leaves();
+    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    servers[0].announce_draining();
     site::eventually("one VM knows that it drains", || {
         ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, 0), ""), b"x");
-        !servers[0].seen().is_empty()
+        !servers[0].requests().is_empty()
     });
     // Messages take some hops among many VMs, each a few milliseconds.
     std::thread::sleep(4 * SIGNAL_DELAY);
-    let before = servers[0].seen().len();
+    let before = servers[0].requests().len();
     for (at, vm) in vms.iter().enumerate() {
         for number in 0..6 {
             let answer = ask(vm.callers, &head("POST /safe/x", &id(at, 1, number), ""), b"x");
             assert_eq!(answer.status, 200);
         }
     }
-    assert_eq!(servers[0].seen().len(), before, "{}", logs(&vms));
+    assert_eq!(servers[0].requests().len(), before, "{}", logs(&vms));
 }
