--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -2,6 +2,7 @@
 
 use tokio::sync::oneshot;
 
+use super::Dispatcher;
 use crate::decide::cascade::{self, Answer, BINS, Rule};
 use crate::evidence::{Counts, Key};
 use crate::ledger::{Entry, Part, Reason};
@@ -9,7 +10,6 @@
 use crate::unit::{Cost, Moment, RequestId, Span, Target};
 use crate::vm::{Command, Subject};
 use crate::watch::Trace;
-use super::Dispatcher;
 
 impl Dispatcher {
     /// Returns true if the first token came later than the first objective of the workspace allows,
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use super::{Abort, Dispatcher};
 use crate::config::{Allowed, Snapshot};
 use crate::decide::admission::Outcome;
 use crate::decide::poison::{OpenRequest, STABLE_AFTER};
@@ -14,7 +15,6 @@
 use crate::evidence::Counts;
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
-use super::{Abort, Dispatcher};
 
 /// Minimum time until the deadline for a retry.
 const MIN_RETRY_TIME: Span = Span::millis(20);
@@ -89,7 +89,8 @@
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm.with_admission(&target.model, |gate| gate.on_end(workspace, admission_outcome, now));
+        self.vm
+            .with_admission(&target.model, |gate| gate.on_end(workspace, admission_outcome, now));
     }
 
     /// Tries servers until one completes the answer or no retry is allowed.
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -5,11 +5,11 @@
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 
+use super::channel_body;
+use super::refusal::{Kind, Refusal};
 use crate::unit::Revision;
 use crate::vm::{Command, Vm};
 use crate::watch::{ObjectiveCounts, WINDOWS, burn_table};
-use super::channel_body;
-use super::refusal::{Kind, Refusal};
 
 /// Decision records buffered for a slow client of `/operator/decisions`.
 const CHANNEL_CAPACITY: usize = 256;
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -10,6 +10,10 @@
 use actix_web::{HttpRequest, HttpResponse};
 use tokio::sync::oneshot;
 
+use super::dispatch::InFlightGuard;
+use super::header;
+use super::models::{Caller, admit, read_body};
+use super::refusal::{Kind as Refused, Refusal};
 use crate::config::ServiceEntry;
 use crate::decide::poison::OpenRequest;
 use crate::decide::retry::{self, Failure};
@@ -19,10 +23,6 @@
 use crate::once::{Answer, Claim, KeyGrant, Outcome, Settlement};
 use crate::unit::{Cost, Digest, Moment, RequestId, Service, Span, digest};
 use crate::vm::{Command, Group, KeyUse, Vm, poison};
-use super::dispatch::InFlightGuard;
-use super::header;
-use super::models::{Caller, admit, read_body};
-use super::refusal::{Kind as Refused, Refusal};
 
 /// Price of a call, in micro-euros.
 const CALL_PRICE: Cost = Cost(10);
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -76,7 +76,7 @@
         return Ok(Confirmation::AlreadyApplied(record.revision));
     }
     if current.revision != plan.base {
-        return Err(Error::Moved(changes_since(&current, plan.base)));
+        return Err(Error::ConfigChanged(changes_since(&current, plan.base)));
     }
     let next = apply_plan(&current, plan, who, rand::random(), date)?;
     for change in &plan.changes {
@@ -96,7 +96,7 @@
         let record = current.log.iter().find(|record| record.plan == plan.id);
         return match record {
             Some(record) => Ok(Confirmation::AlreadyApplied(record.revision)),
-            None => Err(Error::Moved(changes_since(&current, plan.base))),
+            None => Err(Error::ConfigChanged(changes_since(&current, plan.base))),
         };
     }
     Ok(Confirmation::Applied(next.revision))
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kitepulley::command::block;
-use kitepulley::demo::{Shape, World, intend, key};
+use kitepulley::command::block_on;
+use kitepulley::demo::{Cluster, Shape, apply_intent, workspace_key};
 use kitepulley::history::Event;
 use kitepulley::standin::platform::Switches;
 use kitepulley::unit::{Span, Target};
@@ -42,7 +42,12 @@
 
 impl Request {
     fn post(path: &str, body: Vec<u8>) -> Request {
-        Request { path: path.into(), key: key("roasters"), body: Some(body), headers: Vec::new() }
+        Request {
+            path: path.into(),
+            key: workspace_key("roasters"),
+            body: Some(body),
+            headers: Vec::new(),
+        }
     }
 
     fn with_api_key(mut self, key: &str) -> Request {
@@ -56,7 +61,7 @@
     }
 
     fn send_to(&self, at: SocketAddr) -> Response {
-        block(async {
+        block_on(async {
             let http = awc::Client::builder().timeout(Duration::from_secs(20)).finish();
             let url = format!("http://{at}{}", self.path);
             let mut request = if self.body.is_some() { http.post(url) } else { http.get(url) };
@@ -95,13 +100,13 @@
     }
 }
 
-fn start_world(vms: usize) -> (World, Vec<SocketAddr>) {
-    let world = World::start(&Shape { vms, engines: 6, ..Shape::default() }).expect("it starts");
+fn start_world(vms: usize) -> (Cluster, Vec<SocketAddr>) {
+    let world = Cluster::start(&Shape { vms, engines: 6, ..Shape::default() }).expect("it starts");
     let addresses = world.nodes.values().map(|node| node.address).collect();
     (world, addresses)
 }
 
-fn engines_run(world: &World) -> u32 {
+fn engines_run(world: &Cluster) -> u32 {
     world.engines.iter().map(|engine| engine.counts().1).sum()
 }
 
@@ -112,7 +117,7 @@
     chat("auto").with_api_key("wrong").expect_refusal(at, 401, "unauthorised", "no");
     chat("no-such-model").expect_refusal(at, 404, "unknown_model", "no");
     chat("roastmind@v9").expect_refusal(at, 404, "unknown_model", "no");
-    chat("roastmind@v4").with_api_key(&key("nestwise")).expect_refusal(
+    chat("roastmind@v4").with_api_key(&workspace_key("nestwise")).expect_refusal(
         at,
         403,
         "not_allowed",
@@ -135,7 +140,7 @@
     unkeyed.expect_refusal(at, 400, "key_missing", "no");
     assert!(world.services.iter().all(|service| service.ran().is_empty()));
     assert_eq!(engines_run(&world), 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -148,12 +153,12 @@
     assert_eq!(second.version, first.version);
     let foreign = chat("roastmind")
         .with_header("x-kitepulley-session", &token)
-        .with_api_key(&key("nestwise"));
+        .with_api_key(&workspace_key("nestwise"));
     foreign.expect_refusal(vms[1], 400, "bad_session", "no");
     let target: Target = first.version.expect("a version").parse().expect("a target");
     let words = format!("withdraw {} {}", target.model, target.version);
-    let revision = intend(world.platform_at, &words, "test").expect("it is confirmed");
-    assert!(world.accepted(revision, Span::secs(10)));
+    let revision = apply_intent(world.platform_address, &words, "test").expect("it is confirmed");
+    assert!(world.wait_accepted(revision, Span::secs(10)));
     for at in &vms {
         chat("roastmind").with_header("x-kitepulley-session", &token).expect_refusal(
             *at,
@@ -163,7 +168,7 @@
         );
         chat(&target.to_string()).expect_refusal(*at, 410, "withdrawn", "no");
     }
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -182,24 +187,24 @@
     confirm(8, "seat-7").expect_refusal(vms[2], 422, "key_reused", "no");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-7").copied()).sum();
     assert_eq!(ran, 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn a_key_cannot_be_agreed_on_without_the_store_and_is_free_afterwards() {
     let (world, vms) = start_world(2);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let refused = confirm(9, "seat-9").expect_refusal(vms[0], 503, "store_away", "no");
     assert!(refused.retry_after.is_some());
     // Model requests don't need the store: their configuration revision is already in force.
     assert_eq!(chat("roastmind").send_to(vms[0]).status, 200);
-    world.platform.switch(Switches::default());
+    world.platform.set_switches(Switches::default());
     let served = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
         confirm(9, "seat-9").send_to(vms[1]).status == 200
     });
     assert!(served);
-    world.end();
+    world.stop_standins();
 }
 
 fn reserve(idempotency_key: &str) -> Request {
@@ -211,13 +216,13 @@
 fn a_key_set_aside_beforehand_flows_once_through_any_vm_while_the_store_is_away() {
     let (world, vms) = start_world(3);
     assert_eq!(reserve("seat-6").send_to(vms[0]).status, 201);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let granted = confirm(6, "seat-6").send_to(vms[1]);
     assert_eq!(granted.status, 200, "{}", granted.body);
     confirm(6, "seat-6").expect_refusal(vms[2], 409, "key_running", "unknown");
     confirm(7, "seat-6").expect_refusal(vms[2], 422, "key_reused", "no");
     reserve("seat-16").expect_refusal(vms[0], 503, "store_away", "no");
-    world.platform.switch(Switches::default());
+    world.platform.set_switches(Switches::default());
     let replayed = (0..40).any(|_| {
         std::thread::sleep(Duration::from_millis(250));
         confirm(6, "seat-6").send_to(vms[2]).status == 200
@@ -225,7 +230,7 @@
     assert!(replayed, "the outcome is not replayed after the store recovered");
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-6").copied()).sum();
     assert_eq!(ran, 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -249,7 +254,7 @@
     assert!(last.into_iter().any(|kind| kind == "in_doubt"));
     let ran: u64 = world.services.iter().filter_map(|s| s.ran().get("seat-2").copied()).sum();
     assert_eq!(ran, 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -263,7 +268,7 @@
     std::thread::sleep(Duration::from_millis(1));
     node.kill();
     let _ = asking.join();
-    let ran = |world: &World| -> u64 {
+    let ran = |world: &Cluster| -> u64 {
         world.services.iter().filter_map(|s| s.ran().get("seat-5").copied()).sum()
     };
     let other = world.nodes.values().next().expect("another runs").address;
@@ -278,27 +283,27 @@
     }
     assert!(last == 200 || last == 409, "{last} after {victim} died");
     assert!(ran(&world) <= 1);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn a_change_is_in_force_though_every_watch_is_silent() {
     let (world, _) = start_world(3);
-    world.platform.switch(Switches { quiet: true, ..Switches::default() });
-    let revision =
-        intend(world.platform_at, "withdraw roastmind v4", "test").expect("it is confirmed");
-    assert!(world.accepted(revision, Span::secs(14)));
-    world.end();
+    world.platform.set_switches(Switches { quiet: true, ..Switches::default() });
+    let revision = apply_intent(world.platform_address, "withdraw roastmind v4", "test")
+        .expect("it is confirmed");
+    assert!(world.wait_accepted(revision, Span::secs(14)));
+    world.stop_standins();
 }
 
 #[test]
 fn a_vm_that_starts_without_the_store_takes_the_configuration_from_the_others() {
     let (mut world, _) = start_world(2);
-    world.platform.switch(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { down: true, ..Switches::default() });
     let vm = world.add_vm().expect("it starts");
-    world.ready(3).expect("it becomes ready");
+    world.wait_ready(3).expect("it becomes ready");
     assert_eq!(chat("roastmind").send_to(world.nodes[&vm].address).status, 200);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -316,7 +321,7 @@
     chat("roastmind").expect_refusal(at, 503, "stopping", "no");
     assert_eq!(running.join().expect("it is answered").status, 200);
     assert_eq!(stopping.join().expect("it stops"), 0);
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
@@ -324,20 +329,20 @@
     let (world, vms) = start_world(2);
     let whole = chat("roastmind@v3").send_to(vms[0]);
     // One engine ends each stream after two tokens; every answer must still be complete.
-    world.engines[1].turn(|now| now.cut_after = Some(2));
+    world.engines[1].update_switches(|now| now.cut_after = Some(2));
     for _ in 0..12 {
         let response = chat("roastmind@v3").send_to(vms[0]);
         assert_eq!(response.status, 200);
         assert_eq!(response.body["choices"], whole.body["choices"]);
     }
-    world.end();
+    world.stop_standins();
 }
 
 #[test]
 fn an_answer_that_a_service_breaks_off_is_not_passed_on_as_whole() {
-    let world = World::start(&Shape::default()).expect("the world starts");
+    let world = Cluster::start(&Shape::default()).expect("the world starts");
     let at = world.nodes.values().next().expect("a VM").address;
-    world.services.iter().for_each(|service| service.cut(1));
+    world.services.iter().for_each(|service| service.truncate_next(1));
     let response = confirm(1, "cut-1").send_to(at);
     assert_eq!(
         (response.status, response.body["ran"].as_str()),
@@ -356,8 +361,8 @@
     let (world, vms) = start_world(1);
     for (at, engine) in world.engines.iter().enumerate() {
         match at {
-            1 => engine.turn(|now| now.cut_after = Some(0)),
-            _ => engine.turn(|now| now.leaving = true),
+            1 => engine.update_switches(|now| now.cut_after = Some(0)),
+            _ => engine.update_switches(|now| now.leaving = true),
         }
     }
     let ran = || {
@@ -373,5 +378,5 @@
         ran_count += u32::from(has_run);
     }
     assert!(ran_count > 0, "no request reached the engine that ends the stream");
-    world.end();
+    world.stop_standins();
 }
