--- a/src/peer/gossip/adoption.rs
+++ b/src/peer/gossip/adoption.rs
@@ -1,4 +1,8 @@
-//! Which revision is in force here and everywhere, and the permit to start work.
+//! Adoption of configuration revisions by all VMs, and the lease under which a VM starts work.
+//!
+//! A VM that enforces a new revision reports it to the accepters. These mark the revision as
+//! accepted when no VM can start work under an older one any more: each VM has reported it, is
+//! gone, or is unreachable for longer than its start lease lasts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,28 +13,29 @@
 use crate::peer::{Member, State, rendezvous_order};
 use crate::unit::{Moment, Revision, Span, Vm};
 
-/// Added to `START_LEASE` by an accepter, for clocks that do not run alike.
+/// Time that an accepter waits beyond `START_LEASE`, because clocks of VMs run at different rates.
 pub(super) const START_LEASE_MARGIN: Span = Span::secs(2);
 
-/// VMs that collect adoptions and find a revision accepted.
+/// Number of VMs that collect adoptions and decide that a revision is accepted.
 const ACCEPTER_COUNT: usize = 2;
 
-/// An adoption is told again after this until it is accepted.
+/// Interval at which a VM repeats the report of its adoption until the revision is accepted.
 const ADOPTION_RETRY_INTERVAL: Span = Span::secs(1);
 
-/// A configuration that was asked for is not asked for again within this, though several
-/// neighbours bring the news.
+/// Time before the same revision is requested again. Several neighbours announce a new revision at
+/// about the same time, and one reply suffices.
 const CONFIG_RETRY_INTERVAL: Span = Span::millis(300);
 
 impl Gossip {
-    /// Whether this VM may start work: it has a configuration, is known to an accepter, and had
-    /// contact within the permit.
+    /// Returns true if this VM may start work: it has a configuration, an accepter knows it, and
+    /// its last contact is less than `START_LEASE` ago.
     pub fn may_start(&self, now: Moment) -> bool {
         let contact = self.last_contact.is_some_and(|at| now.since(at) < START_LEASE);
         contact && self.revision() > Revision(0) && self.adoption_acked
     }
 
-    /// Until when this VM may start work; a moment long past if it may not.
+    /// Returns the end of the time in which this VM may start work, or `Moment(0)` if it may not
+    /// now.
     pub fn start_lease_until(&self, now: Moment) -> Moment {
         match self.last_contact {
             Some(at) if self.may_start(now) => at + START_LEASE,
@@ -38,7 +43,8 @@
         }
     }
 
-    /// The store answered a call that was sent at `sent` and holds no later root than ours.
+    /// Records that the store answered a call sent at `sent` and that its root is not newer than
+    /// the one adopted here.
     pub fn on_store_contact(&mut self, sent: Moment) {
         self.last_contact = self.last_contact.max(Some(sent));
         self.store_read_at = self.store_read_at.max(Some(sent));
@@ -47,15 +53,15 @@
         }
     }
 
-    /// The platform's list of VMs as it is told now.
+    /// Sets the VMs that the platform lists now; accepters don't wait for any other VM.
     pub fn set_listed_vms(&mut self, listed: &BTreeSet<Vm>) {
         let gone = self.known.keys().filter(|vm| !listed.contains(*vm));
         self.unlisted = gone.cloned().collect();
     }
 
-    /// Takes a configuration, from the store or a peer; an older one changes nothing.
+    /// Adopts a configuration from the store or another VM and announces it to all neighbours.
     ///
-    /// Returns whether it was taken.
+    /// Returns false and changes nothing if its revision is not higher than the present one.
     pub fn adopt(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.revision() <= self.revision() {
             return false;
@@ -65,7 +71,8 @@
         true
     }
 
-    /// All work that this VM sends from now on obeys `revision`; the accepters are told.
+    /// Records that all work that this VM sends from now on follows `revision`, and reports that to
+    /// the accepters with the next tick.
     pub fn set_enforced_revision(&mut self, revision: Revision) {
         if revision > self.enforced_revision {
             self.enforced_revision = revision;
@@ -75,7 +82,7 @@
         }
     }
 
-    /// Whether this VM is among those that collect adoptions.
+    /// Returns true if this VM is one of those that collect adoptions.
     pub fn is_accepter(&self) -> bool {
         self.accepters().contains(&self.me.vm)
     }
@@ -85,7 +92,7 @@
         rendezvous_order("accepter", present).into_iter().take(ACCEPTER_COUNT).cloned().collect()
     }
 
-    /// The VMs that a pending change waits for.
+    /// Returns the VMs that have not reported the present revision in their present incarnation.
     pub fn vms_pending(&self) -> Vec<Vm> {
         let revision = self.revision();
         let lacks = |member: &&Member| {
@@ -98,7 +105,9 @@
         lacking.filter(lacks).map(|member| member.vm.clone()).collect()
     }
 
-    /// Finds the revision accepted if everyone obeys it, is gone, or is alone and lapsed.
+    /// Marks the present revision as accepted if this VM is an accepter and each VM enforces the
+    /// revision, is not listed by the platform any more, or is the only one missing, dead, and its
+    /// start lease has run out.
     pub(super) fn try_accept(&mut self, now: Moment) {
         let revision = self.revision();
         if self.accepted >= revision || !self.is_accepter() {
@@ -112,7 +121,9 @@
                 self.accepted = revision;
                 return;
             }
-            // One VM alone has no one to renew its permit but those that obey already.
+            // A single VM can only have contact with VMs that enforce the revision already, which
+            // does not renew its lease before it adopts the revision too (see `on_ack`). Two or
+            // more could renew each other's leases.
             [one] => self.member(one).is_some_and(|member| member.state == State::Dead),
             _ => false,
         };
@@ -130,6 +141,7 @@
         }
     }
 
+    /// Reports the enforced revision to the accepters, if that is due.
     pub(super) fn send_adoption(&mut self, now: Moment, out: &mut Vec<Outgoing>) {
         let pending = self.accepted < self.revision() || !self.adoption_acked;
         let due = now.since(self.adoption_sent_at) >= ADOPTION_RETRY_INTERVAL
@@ -155,13 +167,15 @@
         }
     }
 
+    /// Takes over the accepted revision of another VM, unless it is ahead of the configuration
+    /// here.
     pub(super) fn merge_accepted(&mut self, status: ConfigStatus) {
         if status.accepted > self.accepted && status.accepted <= self.revision() {
             self.accepted = status.accepted;
         }
     }
 
-    /// Asks a VM for a later configuration.
+    /// Requests the configuration of `from` if its revision is higher than the one here.
     pub(super) fn request_config(
         &mut self,
         from: &Member,
@@ -169,20 +183,22 @@
         now: Moment,
         out: &mut Vec<Outgoing>,
     ) {
-        let asked = self.last_request.0 >= status.revision
+        let requested = self.last_request.0 >= status.revision
             && now.since(self.last_request.1) < CONFIG_RETRY_INTERVAL;
-        if status.revision > self.revision() && !asked {
+        if status.revision > self.revision() && !requested {
             self.last_request = (status.revision, now);
             out.push((from.clone(), self.config_request()));
         }
     }
 
-    /// A question for the configuration.
+    /// Returns a frame that requests a newer configuration than the one here.
     pub fn config_request(&self) -> Frame {
         let pieces = self.snapshot.pieces.keys().cloned().collect();
         Frame::ConfigRequest { have: self.revision(), pieces }
     }
 
+    /// Returns the reply to a request for the configuration; nothing if `to` is unknown or up to
+    /// date.
     pub(super) fn config_reply(&self, to: &Vm, have: Revision, pieces: &[String]) -> Vec<Outgoing> {
         let Some(member) = self.member(to) else {
             return Vec::new();
@@ -197,6 +213,8 @@
         vec![(member.clone(), Frame::Config { root, pieces })]
     }
 
+    /// Adopts a configuration received from a peer; one that is invalid, incomplete or not newer is
+    /// ignored.
     pub(super) fn on_config(&mut self, root: &[u8], pieces: Vec<Piece>) {
         let Ok(root) = serde_json::from_slice::<Root>(root) else {
             return;
--- a/src/peer/gossip/mod.rs
+++ b/src/peer/gossip/mod.rs
@@ -1,7 +1,9 @@
-//! Membership, spreading of the configuration and of evidence: a pure state machine.
+//! Gossip protocol for membership, configuration and evidence, after SWIM.
 //!
-//! It is driven by `tick` and `receive`, which return frames to send; the present time is an
-//! argument. The server drives it over QUIC, the experiments over queues in virtual time.
+//! VMs probe their neighbours, and each probe and acknowledgement carries the changes that the
+//! receiver lacks. The protocol is a state machine without I/O: `tick` and `receive` return the
+//! frames to send, and the present time is an argument. VMs run it over QUIC, experiments over
+//! queues in virtual time.
 
 mod adoption;
 
@@ -16,82 +18,101 @@
 use crate::evidence::Table;
 use crate::unit::{Incarnation, Moment, Revision, Span, Vm};
 
-/// A VM that had no contact with any other VM or the store for this long stops starting work.
+/// A VM stops starting work after this time without contact with another VM or the store.
 pub const START_LEASE: Span = Span::secs(8);
 
-/// Time between two probes that a VM sends at rest.
+/// Interval of the probes that a VM sends, to one neighbour each, while nothing changes.
 const PROBE_INTERVAL: Span = Span::secs(1);
 
-/// An answer to a probe is missed after this.
+/// A probe without acknowledgement counts as missed after this time.
 const ACK_TIMEOUT: Span = Span::millis(700);
 
-/// Misses in a row that make a suspect.
+/// Consecutive missed probes after which a VM is suspected.
 const MISSES_TO_SUSPECT: u32 = 3;
 
-/// A suspect that refutes nothing for this long is dead.
+/// A suspected VM is declared dead unless it refutes the suspicion within this time.
 const SUSPECT_TIMEOUT: Span = Span::secs(4);
 
-/// Rows of the dead and departed are kept this long, so that old news does not revive them.
+/// Records of VMs that are dead or left are kept for this time, so that outdated records from other
+/// VMs do not revive them.
 const TOMBSTONE_TTL: Span = Span::secs(600);
 
-/// Member rows in one frame.
+/// Most membership records in one frame.
 const MAX_DELTA_MEMBERS: usize = 64;
 
-/// Evidence cells in one frame.
+/// Most rows of evidence in one frame.
 const MAX_DELTA_EVIDENCE: usize = 256;
 
-/// A frame and whom it is for.
+/// A frame to send, with its receiver.
 pub type Outgoing = (Member, Frame);
 
-/// A VM known by address only, from the settings.
+/// Address, from the settings, of a VM through which this one joins.
 pub type Seed = std::net::SocketAddr;
 
 #[derive(Clone, Debug)]
 struct Known {
     member: Member,
+    /// Number of this VM's change that last altered the record.
     change: u64,
+    /// Time at which the record was last altered.
     since: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
+    /// Number of the open probe; 0 if none is open.
     number: u64,
     sent: Moment,
+    /// Consecutive probes without acknowledgement.
     missed: u32,
 }
 
-/// What one VM knows of the others and of the configuration.
+/// The state of the protocol at one VM.
 pub struct Gossip {
     me: Member,
     known: BTreeMap<Vm, Known>,
+    /// Number of the last membership change; deltas are selected by it.
     last_change: u64,
-    /// How far each VM has merged this one's news, and this one theirs.
+    /// Changes of this VM that each other VM has merged.
     acked: HashMap<Vm, Cursor>,
+    /// Changes of each other VM that this one has merged.
     merged: HashMap<Vm, Cursor>,
     probes: HashMap<Vm, Probe>,
+    /// Number of the last probe sent.
     number: u64,
     next_neighbour: usize,
+    /// Neighbours, and the `last_change` for which they were computed.
     ring_cache: (u64, Vec<Vm>),
+    /// Revision of the last request for a configuration, and its time.
     last_request: (Revision, Moment),
     last_probe: Moment,
+    /// Set if the next tick must probe all neighbours, to spread a change at once.
     probe_all: bool,
-    /// The configuration in force here.
+    /// The configuration adopted here.
     pub snapshot: Arc<Snapshot>,
+    /// Highest revision known to be accepted.
     accepted: Revision,
     enforced_revision: Revision,
+    /// Time at which the adopted revision was last known to be the newest of the store.
     store_read_at: Option<Moment>,
+    /// Last proof of contact with another VM or the store; the start lease runs from it.
     last_contact: Option<Moment>,
+    /// Revisions that VMs reported as enforced; accepters decide by them.
     adopted: BTreeMap<Vm, (Incarnation, Revision)>,
+    /// Known VMs that the platform does not list.
     unlisted: BTreeSet<Vm>,
+    /// Revision that only one dead VM lacks, and since when that is so.
     lone_dead_since: Option<(Revision, Moment)>,
+    /// Time of the last report to the accepters; `Moment(0)` if one is due at once.
     adoption_sent_at: Moment,
+    /// Set once an accepter knows this VM, so that no revision is accepted without it.
     adoption_acked: bool,
-    /// The evidence that VMs exchange.
+    /// Evidence that VMs exchange.
     pub evidence: Table,
 }
 
 impl Gossip {
-    /// A VM that knows itself only.
+    /// Creates the state of a VM that knows no other VM yet.
     pub fn new(me: Member, now: Moment) -> Gossip {
         let known = Known { member: me.clone(), change: 1, since: now };
         Gossip {
@@ -121,58 +142,59 @@
         }
     }
 
-    /// This VM's own row.
+    /// Returns the membership record of this VM.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// The revision in force here.
+    /// Returns the revision of the configuration adopted here.
     pub fn revision(&self) -> Revision {
         self.snapshot.revision()
     }
 
-    /// The highest revision known to be in force everywhere.
+    /// Returns the highest revision known to be accepted: no VM starts work under an older one.
     pub fn accepted(&self) -> Revision {
         self.accepted
     }
 
-    /// Rows of all VMs known, this one's too.
+    /// Returns the records of all known VMs, in any state, with this one.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.known.values().map(|known| &known.member)
     }
 
-    /// The VMs that may be working, this one too.
+    /// Returns the records of the VMs that may run work, with this one.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.state.is_present())
     }
 
-    /// The row of a VM.
+    /// Returns the record of a VM.
     pub fn member(&self, vm: &Vm) -> Option<&Member> {
         self.known.get(vm).map(|known| &known.member)
     }
 
-    /// How long a VM has been in its state.
+    /// Returns the time since the record of a VM last changed.
     pub fn time_in_state(&self, vm: &Vm, now: Moment) -> Option<Span> {
         self.known.get(vm).map(|known| now.since(known.since))
     }
 
-    /// How old the knowledge of the store is.
+    /// Returns the time since the adopted revision was last known to be the newest of the store;
+    /// none if it never was.
     pub fn store_age(&self, now: Moment) -> Option<Span> {
-        self.store_read_at.map(|fresh| now.since(fresh))
+        self.store_read_at.map(|at| now.since(at))
     }
 
     fn other_count(&self) -> usize {
         self.present().filter(|member| member.vm != self.me.vm).count()
     }
 
-    /// Takes rows that are known beforehand, as after a join that is long past.
+    /// Adds members that are known beforehand, so that an experiment can start with a joined fleet.
     pub fn add_members(&mut self, rows: impl IntoIterator<Item = Member>, now: Moment) {
         for row in rows {
             self.merge_member(row, now);
         }
     }
 
-    /// Advances to `now`: probes, suspicions, tellings.
+    /// Advances the state to `now` and returns the frames that are due: probes and adoptions.
     pub fn tick(&mut self, now: Moment) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.expire(now);
@@ -192,7 +214,7 @@
         out
     }
 
-    /// A first probe to an address whose VM is not known yet.
+    /// Returns a probe for a seed address, whose VM is not known yet.
     pub fn join_probe(&mut self) -> Frame {
         self.number += 1;
         Frame::Probe {
@@ -204,7 +226,7 @@
         }
     }
 
-    /// This VM leaves on purpose: everyone whom it may tell is told.
+    /// Marks this VM as left and returns probes that announce it to other VMs.
     pub fn leave(&mut self, now: Moment) -> Vec<Outgoing> {
         self.me.state = State::Left;
         self.upsert(self.me.clone(), now);
@@ -212,13 +234,14 @@
         neighbours.into_iter().map(|member| self.probe(member, now)).collect()
     }
 
+    /// Returns the VMs to which a leaving VM announces it; these pass it on.
     fn leave_recipients(&self) -> Vec<Member> {
         let present = self.present().filter(|member| member.vm != self.me.vm);
         present.take(8).cloned().collect()
     }
 
     fn neighbours(&mut self) -> Vec<Member> {
-        // The ring changes only with the rows, and is asked for at each tick.
+        // Cached, because it is needed at each tick and depends on the records alone.
         if self.ring_cache.0 != self.last_change {
             let all: Vec<Vm> = self.present().map(|member| member.vm.clone()).collect();
             self.ring_cache = (self.last_change, neighbours(&self.me.vm, &all));
@@ -239,7 +262,8 @@
         self.last_probe = now;
         let probe =
             self.probes.entry(to.vm.clone()).or_insert(Probe { number: 0, sent: now, missed: 0 });
-        // A probe that is still open keeps its time, or urgent ones would hide a miss.
+        // A probe that is still open keeps its time. Otherwise the extra probes on a change would
+        // postpone its timeout again and again.
         if probe.number == 0 {
             probe.number = self.number;
             probe.sent = now;
@@ -263,7 +287,7 @@
             Some(next) => next.change - 1,
             None => self.last_change,
         };
-        // Its own row is news to a VM only if others think ill of it.
+        // A VM needs its own record only to refute it.
         let is_useful =
             |known: &&Known| known.member.vm != *to || known.member.state != State::Alive;
         let rows = rows.into_iter().take(MAX_DELTA_MEMBERS).filter(is_useful);
@@ -276,6 +300,8 @@
         }
     }
 
+    /// Stores a record unless the stored one wins, and schedules probes of all neighbours if the
+    /// change must spread at once.
     fn upsert(&mut self, row: Member, now: Moment) {
         let vm = row.vm.clone();
         if let Some(known) = self.known.get(&vm)
@@ -295,7 +321,7 @@
         self.known.insert(vm, Known { member: row, change: self.last_change, since: now });
     }
 
-    /// Takes a row; one that speaks ill of this VM is refuted.
+    /// Merges a received record; one that calls this VM suspect, dead or left is refuted.
     fn merge_member(&mut self, row: Member, now: Moment) {
         if row.vm != self.me.vm {
             self.upsert(row, now);
@@ -312,6 +338,7 @@
         }
     }
 
+    /// Applies an event of the chart `vm` to the state of a VM.
     fn apply_event(&mut self, vm: &Vm, event: &str, now: Moment) {
         let Some(known) = self.known.get(vm) else {
             return;
@@ -329,6 +356,7 @@
         }
     }
 
+    /// Counts probes that timed out and repeats them to VMs that are neighbours still.
     fn check_probes(&mut self, now: Moment, neighbours: &[Member], out: &mut Vec<Outgoing>) {
         let late: Vec<Vm> = self
             .probes
@@ -353,6 +381,7 @@
         }
     }
 
+    /// Declares suspects dead after `SUSPECT_TIMEOUT` and forgets VMs after `TOMBSTONE_TTL`.
     fn expire(&mut self, now: Moment) {
         let mut dead = Vec::new();
         let mut expired = Vec::new();
@@ -378,7 +407,7 @@
         }
     }
 
-    /// Takes a frame from `from` and returns the answers.
+    /// Handles a frame from `from` and returns the frames to send in response.
     pub fn receive(&mut self, from: &Vm, frame: Frame, now: Moment) -> Vec<Outgoing> {
         match frame {
             Frame::Probe { number, me, status, delta, cursor } => {
@@ -419,7 +448,8 @@
                 out
             }
             Frame::AdoptionAck { revision, status } => {
-                // Only a word about the present revision proves that an accepter waits for us.
+                // Only an acknowledgement of the present revision proves that the accepter waits
+                // for this VM before it accepts a later one.
                 if revision == self.revision() && status.revision <= revision {
                     self.adoption_acked = true;
                 }
@@ -456,7 +486,8 @@
         self.merge_accepted(status);
     }
 
-    /// Notes how far a VM has merged this life's news; another life's places mean nothing.
+    /// Records which changes of this VM the sender has merged. A cursor of another incarnation is
+    /// ignored, because change numbers restart with each incarnation.
     fn on_cursor(&mut self, from: &Vm, cursor: Cursor) {
         if cursor.incarnation != self.me.incarnation {
             return;
@@ -471,13 +502,14 @@
             return;
         };
         if probe.number > 0 && number >= probe.number {
-            // The answer proves contact as of when the probe was sent, and no later.
-            // Contact with a VM that is ahead renews nothing until its revision is obeyed here:
-            // that revision may have been accepted while this VM counted as lapsed.
+            // The acknowledgement proves contact at the time when the probe was sent, not later.
+            // Contact with a VM that has a higher revision does not renew the start lease before
+            // that revision is adopted here: it may have been accepted in the belief that this
+            // VM's lease had run out.
             if status.revision <= self.snapshot.revision() {
                 self.last_contact = self.last_contact.max(Some(probe.sent));
             }
-            // A VM at the same revision that was as of the store then makes this one as of it too.
+            // The store's confirmation of that VM's revision holds for the same revision here.
             if status.revision == self.snapshot.revision()
                 && let Some(age) = status.age
             {
@@ -508,7 +540,7 @@
         }
     }
 
-    fn at(revision: u64) -> Snapshot {
+    fn snapshot(revision: u64) -> Snapshot {
         let root = Root { revision: Revision(revision), ..Root::default() };
         Snapshot::resolve(root, BTreeMap::new()).unwrap()
     }
@@ -531,7 +563,7 @@
     #[test]
     fn a_vm_without_contact_stops_starting_work() {
         let mut gossip = Gossip::new(member("a"), Moment(0));
-        gossip.adopt(at(1));
+        gossip.adopt(snapshot(1));
         assert!(!gossip.may_start(Moment(0)));
         gossip.on_store_contact(Moment(1_000_000));
         assert!(gossip.may_start(Moment(2_000_000)));
@@ -544,20 +576,20 @@
             (Gossip::new(member("a"), Moment(0)), Gossip::new(member("b"), Moment(0)));
         a.add_members([member("b")], Moment(0));
         b.add_members([member("a")], Moment(0));
-        a.adopt(at(1));
+        a.adopt(snapshot(1));
         a.adoption_acked = true;
         a.on_store_contact(Moment(1));
-        b.adopt(at(2));
-        let woken = Moment(1) + START_LEASE + Span::secs(1);
-        let (_, probe) = a.probe(member("b"), woken);
-        let answers = b.receive(&member("a").vm, probe, woken);
-        a.receive(&member("b").vm, answers[0].1.clone(), woken);
-        assert!(!a.may_start(woken));
-        a.adopt(at(2));
-        let (_, probe) = a.probe(member("b"), woken);
-        let answers = b.receive(&member("a").vm, probe, woken);
-        a.receive(&member("b").vm, answers[0].1.clone(), woken);
-        assert!(a.may_start(woken));
+        b.adopt(snapshot(2));
+        let resumed = Moment(1) + START_LEASE + Span::secs(1);
+        let (_, probe) = a.probe(member("b"), resumed);
+        let answers = b.receive(&member("a").vm, probe, resumed);
+        a.receive(&member("b").vm, answers[0].1.clone(), resumed);
+        assert!(!a.may_start(resumed));
+        a.adopt(snapshot(2));
+        let (_, probe) = a.probe(member("b"), resumed);
+        let answers = b.receive(&member("a").vm, probe, resumed);
+        a.receive(&member("b").vm, answers[0].1.clone(), resumed);
+        assert!(a.may_start(resumed));
     }
 
     #[test]
@@ -566,33 +598,33 @@
             (Gossip::new(member("a"), Moment(0)), Gossip::new(member("b"), Moment(0)));
         a.add_members([member("b")], Moment(0));
         b.add_members([member("a")], Moment(0));
-        a.adopt(at(1));
-        b.adopt(at(1));
+        a.adopt(snapshot(1));
+        b.adopt(snapshot(1));
         b.on_store_contact(Moment(5_000_000));
-        let asked = Moment(7_000_000);
-        let probes = a.tick(asked);
+        let sent = Moment(7_000_000);
+        let probes = a.tick(sent);
         let frame = probes.into_iter().map(|(_, frame)| frame);
         let probe = frame.into_iter().find(|frame| matches!(frame, Frame::Probe { .. })).unwrap();
-        let answers = b.receive(&member("a").vm, probe, asked);
+        let answers = b.receive(&member("a").vm, probe, sent);
         a.receive(&member("b").vm, answers[0].1.clone(), Moment(7_000_100));
-        assert_eq!(a.store_age(asked), Some(Span::secs(2)));
+        assert_eq!(a.store_age(sent), Some(Span::secs(2)));
     }
 
     #[test]
     fn news_that_was_merged_is_not_told_again_to_a_vm_that_is_never_probed() {
-        let mut told = Gossip::new(member("a"), Moment(0));
-        told.add_members([member("b"), member("c"), member("d")], Moment(0));
-        let mut asks = Gossip::new(member("b"), Moment(0));
-        let rows = |asks: &mut Gossip, told: &mut Gossip, now: u64| {
-            let (_, probe) = asks.probe(member("a"), Moment(now));
-            let answers = told.receive(&member("b").vm, probe, Moment(now));
+        let mut probed = Gossip::new(member("a"), Moment(0));
+        probed.add_members([member("b"), member("c"), member("d")], Moment(0));
+        let mut prober = Gossip::new(member("b"), Moment(0));
+        let rows = |prober: &mut Gossip, probed: &mut Gossip, now: u64| {
+            let (_, probe) = prober.probe(member("a"), Moment(now));
+            let answers = probed.receive(&member("b").vm, probe, Moment(now));
             let Frame::Ack { delta, .. } = &answers[0].1 else { panic!("a probe is answered") };
             let rows = delta.members.len();
-            asks.receive(&member("a").vm, answers[0].1.clone(), Moment(now));
+            prober.receive(&member("a").vm, answers[0].1.clone(), Moment(now));
             rows
         };
-        assert!(rows(&mut asks, &mut told, 1) > 0);
-        assert_eq!(rows(&mut asks, &mut told, 2), 0);
+        assert!(rows(&mut prober, &mut probed, 1) > 0);
+        assert_eq!(rows(&mut prober, &mut probed, 2), 0);
     }
 
     #[test]
@@ -608,7 +640,7 @@
     fn a_change_waits_for_everyone_and_for_a_lapsed_one_alone() {
         let mut gossip = Gossip::new(member("a"), Moment(0));
         gossip.merge_member(member("b"), Moment(0));
-        gossip.adopt(at(1));
+        gossip.adopt(snapshot(1));
         gossip.set_enforced_revision(Revision(1));
         gossip.tick(Moment(1));
         assert_eq!(gossip.vms_pending().len(), 1);
@@ -626,7 +658,7 @@
         for name in ["b", "c"] {
             gossip.upsert(Member { state: State::Dead, ..member(name) }, Moment(0));
         }
-        gossip.adopt(at(1));
+        gossip.adopt(snapshot(1));
         gossip.set_enforced_revision(Revision(1));
         gossip.tick(Moment(1));
         gossip.tick(Moment(500_000_000));
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,5 @@
-//! Links between VMs: QUIC with mutual TLS from the fleet's key.
+//! Connections between VMs: QUIC with mutual TLS, whose root certificate is derived from the fleet
+//! key.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -21,31 +22,34 @@
 use crate::error::Error;
 use crate::unit::Size;
 
-/// The name that every VM's certificate bears.
+/// DNS name in the certificate of every VM.
 const SERVER_NAME: &str = "vm.kitepulley";
 
-/// Largest message.
+/// Largest message that a VM reads.
 const MAX_MESSAGE_SIZE: Size = Size(8_000_000);
 
-/// A link without traffic is closed after this; neighbours probe more often.
+/// A connection without traffic is closed after this time; neighbours probe more often than that.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes of a connection's id.
+/// Length of a QUIC connection id.
 const CONNECTION_ID_BYTES: usize = 8;
 
-/// A call that takes longer is given up.
+/// Time limit for one message or call, with the connection setup.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What arrives on a link.
+/// A message received from another VM.
 pub enum Incoming {
     /// A one-way message.
     Frame(Vec<u8>),
-    /// A call, and where its answer goes.
+    /// A call, and the channel for its reply.
     Call(Vec<u8>, tokio::sync::oneshot::Sender<Vec<u8>>),
 }
 
-/// Key of stateless resets. It follows from the fleet's key, so that a process that starts again at its
-/// address resets the connections of the one before, which would else lose all messages until they idle out.
+/// Key of QUIC's stateless resets.
+///
+/// It is derived from the fleet key, so that a process that restarts at the same address resets the
+/// connections of the process before it. Otherwise peers would lose all messages that they send on
+/// these connections until `IDLE_TIMEOUT` closes them.
 struct ResetKey([u8; 32]);
 
 impl ResetKey {
@@ -73,7 +77,8 @@
     }
 }
 
-/// Draws the ids of connections. All ids are valid, so that those of the process before are reset.
+/// Generates random connection ids and accepts every id as valid, so that packets for connections
+/// of the previous process are answered by a stateless reset.
 struct RandomIds;
 
 impl ConnectionIdGenerator for RandomIds {
@@ -90,7 +95,7 @@
     }
 }
 
-/// The links of one VM.
+/// The connections of one VM to other VMs. Clones share them.
 #[derive(Clone)]
 pub struct Links {
     endpoint: Endpoint,
@@ -99,7 +104,8 @@
     bytes_sent: Arc<std::sync::atomic::AtomicU64>,
 }
 
-/// Keys and certificates that follow from the fleet's key alone.
+/// Certificates and key of this VM. The root depends on the fleet key alone, so that all VMs of a
+/// fleet trust each other's certificates.
 struct Identity {
     root: CertificateDer<'static>,
     chain: Vec<CertificateDer<'static>>,
@@ -128,7 +134,7 @@
     }
 }
 
-/// A private Ed25519 key of that seed, as RFC 8410 encodes it.
+/// Encodes an Ed25519 private key with this seed as PKCS #8 (RFC 8410).
 fn ed25519_pkcs8(seed: &[u8; 32]) -> Vec<u8> {
     const PKCS8_PREFIX: [u8; 16] = [
         0x30, 0x2e, 0x02, 0x01, 0, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x04, 0x22, 0x04, 0x20,
@@ -166,10 +172,12 @@
 }
 
 impl Links {
-    /// Binds `address`; whatever arrives goes to `inbox`. Must run where the process's reactor is.
+    /// Binds `address` and sends everything received to `inbox`.
+    ///
+    /// Must be called on a thread that runs an actix runtime, which drives the endpoint.
     ///
     /// # Errors
-    /// If the address cannot be bound.
+    /// Fails if the address cannot be bound or no certificate can be made from the key.
     pub fn bind(
         address: SocketAddr,
         fleet_key: &[u8],
@@ -180,7 +188,8 @@
         let reset_key = ResetKey::from_fleet_key(fleet_key);
         let mut config = EndpointConfig::new(Arc::new(reset_key));
         config.cid_generator(|| Box::new(RandomIds));
-        let runtime = quinn::default_runtime().ok_or_else(|| fault("no runtime".to_owned()))?;
+        let runtime = quinn::default_runtime()
+            .ok_or_else(|| fault("no async runtime on this thread".to_owned()))?;
         let socket = UdpSocket::bind(address).map_err(|e| fault(e.to_string()))?;
         let endpoint = Endpoint::new(config, Some(server), socket, runtime);
         let mut endpoint = endpoint.map_err(|e| fault(e.to_string()))?;
@@ -195,22 +204,23 @@
         Ok(links)
     }
 
-    /// Where the VM listens.
+    /// Returns the local address, with the port that the system chose if 0 was given.
     pub fn address(&self) -> Option<SocketAddr> {
         self.endpoint.local_addr().ok()
     }
 
-    /// Bytes of messages sent so far, without the transport's own.
+    /// Returns the bytes of messages sent so far, without the overhead of QUIC.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.load(std::sync::atomic::Ordering::Relaxed)
     }
 
-    /// Cuts or mends the way to these addresses, for tests of faults.
+    /// Blocks new messages to exactly these addresses, to simulate a network partition; an empty
+    /// set ends it.
     pub fn set_blocked(&self, addresses: HashSet<SocketAddr>) {
         *self.blocked.lock().expect("no panic while held") = addresses;
     }
 
-    /// Closes everything at once.
+    /// Closes all connections immediately, without waiting for messages in transit.
     pub fn close(&self) {
         self.endpoint.close(0u32.into(), b"");
     }
@@ -230,9 +240,9 @@
         if self.blocked.lock().expect("no panic while held").contains(&to) {
             return None;
         }
-        let held = self.open.lock().expect("no panic while held").get(&to).cloned();
-        if let Some(held) = held.filter(|held| held.close_reason().is_none()) {
-            return Some(held);
+        let open = self.open.lock().expect("no panic while held").get(&to).cloned();
+        if let Some(open) = open.filter(|open| open.close_reason().is_none()) {
+            return Some(open);
         }
         let connection = self.endpoint.connect(to, SERVER_NAME).ok()?.await.ok()?;
         self.open.lock().expect("no panic while held").insert(to, connection.clone());
@@ -243,7 +253,7 @@
         self.bytes_sent.fetch_add(bytes.len() as u64, std::sync::atomic::Ordering::Relaxed);
     }
 
-    /// Sends a one-way message; a lost one is the sender's to repeat.
+    /// Sends a one-way message, without a report of its delivery; the caller repeats it if needed.
     pub async fn send(&self, to: SocketAddr, bytes: Vec<u8>) {
         let send = async {
             let mut stream = self.connection(to).await?.open_uni().await.ok()?;
@@ -254,7 +264,7 @@
         let _ = tokio::time::timeout(CALL_TIMEOUT, send).await;
     }
 
-    /// Sends a call and waits for its answer; nothing if none came in time.
+    /// Sends a call and returns its reply, or none if it fails or takes longer than `CALL_TIMEOUT`.
     pub async fn call(&self, to: SocketAddr, bytes: Vec<u8>) -> Option<Vec<u8>> {
         let call = async {
             let (mut send, mut receive) = self.connection(to).await?.open_bi().await.ok()?;
@@ -283,10 +293,11 @@
                 let Ok((mut send, mut receive)) = streams else { return };
                 let inbox = inbox.clone();
                 actix_web::rt::spawn(async move {
-                    let Ok(bytes) = receive.read_to_end(MAX_MESSAGE_SIZE.0 as usize).await else { return };
-                    let (sender, answer) = tokio::sync::oneshot::channel();
+                    let bytes = receive.read_to_end(MAX_MESSAGE_SIZE.0 as usize).await;
+                    let Ok(bytes) = bytes else { return };
+                    let (sender, reply) = tokio::sync::oneshot::channel();
                     let _ = inbox.send(Incoming::Call(bytes, sender));
-                    if let Ok(bytes) = answer.await {
+                    if let Ok(bytes) = reply.await {
                         let _ = send.write_all(&bytes).await;
                         let _ = send.finish();
                     }
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -1,4 +1,4 @@
-//! One member's row and its merge.
+//! The membership record of one VM, and the order that decides which of two records wins.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,24 @@
 
 use crate::unit::{DataCentre, Incarnation, Vm};
 
-/// How a VM is seen; the states of the chart `vm`. Later ones win at the same beat.
+/// The state in which other VMs see a VM; the states of the chart `vm`.
+///
+/// Of two records with the same incarnation and number of refutations, the one with the later
+/// variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// It acknowledges probes.
     Alive,
-    /// It missed answers; others look.
+    /// It missed several probes in a row; its neighbours probe on and it may refute the suspicion.
     Suspect,
-    /// It refuted nothing for too long.
+    /// It was suspected and did not refute the suspicion in time.
     Dead,
-    /// It left on purpose.
+    /// It announced a planned stop.
     Left,
 }
 
 impl State {
-    /// The state's name in the chart.
+    /// Returns the name of the state in the chart `vm`.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -30,31 +33,31 @@
         }
     }
 
-    /// Whether a VM in this state may still work.
+    /// Returns true if a VM in this state may still run work.
     pub fn is_present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// A member as its row travels.
+/// The membership record of a VM, as VMs exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The VM.
+    /// Name of the VM.
     pub vm: Vm,
-    /// Where its peers reach it.
+    /// Address at which other VMs reach it.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre in which it runs.
     pub data_centre: DataCentre,
-    /// Its life; a replaced VM has a later one.
+    /// Incarnation of its process; a replacement of the VM has a higher one.
     pub incarnation: Incarnation,
-    /// Raised by the VM itself to refute a suspicion.
+    /// Number of suspicions that the VM refuted in this incarnation; only the VM itself raises it.
     pub refutations: u32,
-    /// How it is seen.
+    /// State in which it is seen.
     pub state: State,
 }
 
 impl Member {
-    /// Whether this row replaces `other` of the same VM.
+    /// Returns true if this record replaces `other`, a record of the same VM.
     pub fn supersedes(&self, other: &Member) -> bool {
         let order = |m: &Member| (m.incarnation, m.refutations, m.state);
         order(self) > order(other)
@@ -81,7 +84,7 @@
     fn fold(rows: &[Member]) -> Member {
         let mut rows = rows.iter();
         let first = rows.next().unwrap().clone();
-        rows.fold(first, |held, row| if row.supersedes(&held) { row.clone() } else { held })
+        rows.fold(first, |latest, row| if row.supersedes(&latest) { row.clone() } else { latest })
     }
 
     quickcheck! {
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,5 @@
-//! VMs among themselves: who is there, what revision is in force, evidence; and the links.
+//! Communication between VMs: membership, distribution of the configuration and of evidence, and
+//! the connections that carry the messages.
 
 mod gossip;
 mod link;
--- a/src/peer/ring.rs
+++ b/src/peer/ring.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom: a few neighbours on a ring, and rendezvous ranks for duties.
+//! Neighbours of a VM on a hash ring, and rendezvous hashing that assigns duties to VMs.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -11,26 +11,29 @@
     hasher.finish()
 }
 
-/// The neighbours of `me` among `all` (which holds `me`): those 1, 2, 4, 8, ... places on.
+/// Returns the neighbours of `me` among `all` (which contains `me`): the VMs 1, 2, 4, 8, ...
+/// positions further on the ring.
 ///
-/// So each VM has about log2 of the VMs' number as neighbours, is watched by as many, and news
-/// passes everyone in about as many hops.
+/// With n VMs, each VM has about log2(n) neighbours and is probed by as many, and an update reaches
+/// all VMs in about log2(n) hops. Returns nothing if `me` is not among `all`.
 pub fn neighbours(me: &Vm, all: &[Vm]) -> Vec<Vm> {
     let mut ring: Vec<(u64, &Vm)> = all.iter().map(|vm| (hash(vm, "ring"), vm)).collect();
     ring.sort();
-    let Some(at) = ring.iter().position(|(_, vm)| *vm == me) else {
+    let Some(position) = ring.iter().position(|(_, vm)| *vm == me) else {
         return Vec::new();
     };
-    let mut chosen = Vec::new();
+    let mut neighbours = Vec::new();
     let mut distance = 1;
     while distance < ring.len() {
-        chosen.push(ring[(at + distance) % ring.len()].1.clone());
+        neighbours.push(ring[(position + distance) % ring.len()].1.clone());
         distance *= 2;
     }
-    chosen
+    neighbours
 }
 
-/// The VMs in order of their claim to `duty`; everyone who knows the same VMs agrees.
+/// Returns the VMs ordered by their rendezvous hash for `duty`; the first one has the duty.
+///
+/// VMs that know the same members compute the same order.
 pub fn rendezvous_order<'a>(duty: &str, all: impl Iterator<Item = &'a Vm>) -> Vec<&'a Vm> {
     let mut ranked: Vec<(u64, &Vm)> = all.map(|vm| (hash(vm, duty), vm)).collect();
     ranked.sort();
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -1,4 +1,6 @@
 //! Messages between VMs, encoded by `postcard`.
+//!
+//! `postcard` encodes fields and variants by position: their order and types are the protocol.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,168 +12,169 @@
 use crate::once::{Answer, Claim, Digest, Settled, Word};
 use crate::unit::{Incarnation, RequestId, Revision, Span, Vm};
 
-/// What every frame says about the configuration.
+/// Configuration state of the sender, part of every probe and its acknowledgement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// The sender's revision.
+    /// Revision that the sender has adopted.
     pub revision: Revision,
-    /// The highest revision that the sender knows to be in force everywhere.
+    /// Highest revision that the sender knows to be enforced by every VM.
     pub accepted: Revision,
-    /// How long ago the sender's knowledge was as of the store; none if it never was.
+    /// Time since the sender's revision was last known to be the newest of the store; none if
+    /// never.
     pub age: Option<Span>,
 }
 
-/// News for one neighbour: rows that it may not have.
+/// Changes that the receiver has not acknowledged yet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Rows of members.
+    /// Changed membership records.
     pub members: Vec<Member>,
-    /// The sender's place in its sequence of member changes.
+    /// Number of the sender's last membership change that this delta covers.
     pub members_upto: u64,
-    /// Rows of evidence.
+    /// Changed rows of evidence.
     pub evidence: Vec<Row>,
-    /// The sender's place in its sequence of evidence changes.
+    /// Number of the sender's last evidence change that this delta covers.
     pub evidence_upto: u64,
 }
 
-/// How far a VM has merged the news of another's life.
+/// Position up to which a VM has merged the changes of one incarnation of another VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The life.
+    /// Incarnation of the other VM; its change numbers restart with each one.
     pub incarnation: Incarnation,
-    /// Its place in its sequence of member changes.
+    /// Number of its last membership change merged.
     pub members: u64,
-    /// Its place in its sequence of evidence changes.
+    /// Number of its last evidence change merged.
     pub evidence: u64,
 }
 
 /// A one-way message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Asks for a sign of life, and brings news.
+    /// Probes the receiver and sends it changes.
     Probe {
-        /// Counts the sender's probes.
+        /// Sequence number of the sender's probes.
         number: u64,
-        /// The sender's own row.
+        /// Membership record of the sender.
         me: Member,
-        /// Its stand.
+        /// Configuration state of the sender.
         status: ConfigStatus,
-        /// News.
+        /// Changes that the receiver lacks.
         delta: Delta,
-        /// What the sender has merged of the receiver's news.
+        /// Changes of the receiver that the sender has merged.
         cursor: Cursor,
     },
-    /// Answers a probe.
+    /// Acknowledges a probe and sends changes back.
     Ack {
-        /// The probe's number.
+        /// Number of the probe.
         number: u64,
-        /// The sender's own row.
+        /// Membership record of the sender.
         me: Member,
-        /// Its stand.
+        /// Configuration state of the sender.
         status: ConfigStatus,
-        /// News.
+        /// Changes that the receiver lacks.
         delta: Delta,
-        /// What the sender has merged of the prober's news.
+        /// Changes of the prober that the sender has merged.
         cursor: Cursor,
     },
-    /// Asks for the configuration, if the receiver's is later.
+    /// Requests the configuration, if the receiver has a higher revision.
     ConfigRequest {
-        /// The sender's revision.
+        /// Revision that the sender has.
         have: Revision,
-        /// Digests of the pieces that the sender has.
+        /// Digests of the pieces that the sender has already.
         pieces: Vec<String>,
     },
-    /// A configuration: the root, and the pieces that the receiver lacks.
+    /// Sends a configuration: the root, and the pieces that the receiver lacks.
     Config {
-        /// JSON of the root, as it stands in the store.
+        /// JSON of the root, as in the store.
         root: Vec<u8>,
-        /// Pieces.
+        /// Pieces that were not in the request.
         pieces: Vec<Piece>,
     },
-    /// Tells an accepter which revision the sender obeys.
+    /// Reports to an accepter which revision the sender enforces.
     Adopted {
-        /// The sender's own row, so that a new VM is known before it works.
+        /// Membership record of the sender, so that accepters know a new VM before it starts work.
         me: Member,
-        /// Its stand.
+        /// Configuration state of the sender.
         status: ConfigStatus,
-        /// All work that it sends from now on obeys this revision.
+        /// Revision that all work that it sends from now on follows.
         enforced_revision: Revision,
     },
-    /// An accepter has noted an `Adopted`.
+    /// Acknowledges an `Adopted`, from an accepter.
     AdoptionAck {
-        /// The revision noted.
+        /// Revision of the sender of the `Adopted`.
         revision: Revision,
-        /// The accepter's stand.
+        /// Configuration state of the accepter.
         status: ConfigStatus,
     },
 }
 
-/// A message that wants an answer.
+/// A message that expects a reply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
-    /// Keep copies of bills.
+    /// Stores copies of bills that are not in the store yet.
     CopyBills {
-        /// The VM that made them.
+        /// VM that created the bills.
         origin: Vm,
-        /// Its life.
+        /// Incarnation of that VM.
         incarnation: Incarnation,
-        /// The bills.
+        /// Bills to keep a copy of.
         entries: Vec<Entry>,
-        /// All up to this number are in the store.
+        /// Bills up to this number are in the store; their copies may go.
         flushed: u64,
     },
-    /// Claim a key, as the owner of its shard.
+    /// Claims an idempotency key at the owner of its shard.
     Claim(Claim),
-    /// Note how a claimed call ended.
+    /// Records how the call of a claimed key ended.
     Settle(Settled),
-    /// Ask the holder of a key that is set aside.
+    /// Asks the holder of a reserved key if a request may use it.
     UseReserved {
-        /// The key.
+        /// Digest of the key.
         key: Digest,
-        /// The request that would run.
+        /// Request that would run under the key.
         user: RequestId,
-        /// Digest of its body.
+        /// Digest of the body of that request.
         body: Digest,
     },
-    /// The decision record of a request.
+    /// Requests the decision record of a request.
     Explain {
-        /// The request's id.
+        /// Id of the request.
         request: String,
     },
-    /// The burn report's counts.
+    /// Requests the counts of the burn report, which measures the objectives of workspaces.
     Burn,
-    /// Contents under which servers crash.
+    /// Exchanges contents of requests under which servers crash.
     Poison(poison::Message),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It is done.
+    /// The call is complete and returns nothing.
     Done,
-    /// The answer to a claim.
+    /// Result of a claim.
     Claim(Answer),
-    /// The word of a key's holder; nothing if it is not set aside there.
+    /// Decision of the holder of a reserved key; none if the receiver has not reserved it.
     UseReserved(Option<Word>),
-    /// Text: an explanation, or JSON.
+    /// An explanation or JSON; none if the receiver has nothing to report.
     Text(Option<String>),
 }
 
-/// A frame or a call, and who sends it.
+/// A frame or a call, with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope<T> {
-    /// The sender.
+    /// Name of the sender.
     pub from: Vm,
-    /// The message.
+    /// The frame or call.
     pub body: T,
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     postcard::to_stdvec(message).expect("messages are plain data")
 }
 
-/// A message from its bytes; nothing if they are not one.
+/// Decodes a message; returns none if the bytes are not a valid one.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
