--- a/src/peer/gossip/adoption.rs
+++ b/src/peer/gossip/adoption.rs
@@ -206,8 +206,8 @@
         if self.revision() <= have {
             return Vec::new();
         }
-        let held: BTreeSet<&String> = pieces.iter().collect();
-        let lacking = self.snapshot.pieces.values().filter(|p| !held.contains(&p.digest));
+        let available: BTreeSet<&String> = pieces.iter().collect();
+        let lacking = self.snapshot.pieces.values().filter(|p| !available.contains(&p.digest));
         let root = serde_json::to_vec(&self.snapshot.root).expect("a root is plain data");
         let pieces = lacking.map(|piece| Piece::clone(piece)).collect();
         vec![(member.clone(), Frame::Config { root, pieces })]
@@ -222,9 +222,9 @@
         if root.revision <= self.revision() {
             return;
         }
-        let mut held = self.snapshot.pieces.clone();
-        held.extend(pieces.into_iter().map(|p| (p.digest.clone(), Arc::new(p))));
-        if let Ok(snapshot) = Snapshot::resolve(root, held) {
+        let mut available = self.snapshot.pieces.clone();
+        available.extend(pieces.into_iter().map(|p| (p.digest.clone(), Arc::new(p))));
+        if let Ok(snapshot) = Snapshot::resolve(root, available) {
             self.adopt(snapshot);
         }
     }
