--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -16,31 +16,32 @@
 use crate::forward::era::Tracker;
 use crate::unit::{Era, Position, Span};
 
-/// Time to open a connection to the store. It is some milliseconds away, and a way that heals is
-/// noticed the sooner.
-const OPEN_WITHIN: Span = Span::millis(400);
+/// Timeout for opening a connection to the store. The store is some milliseconds away, and a short
+/// timeout notices sooner that a broken network path works again.
+const CONNECT_TIMEOUT: Span = Span::millis(400);
 
-/// Time for an answer; the store usually takes some milliseconds.
+/// Timeout for a response; the store usually takes some milliseconds.
 pub const RESPONSE_TIMEOUT: Span = Span::millis(1200);
 
-/// Time for an answer where there must be time to ask anew, over another connection, if this one hangs.
+/// Timeout for a response where time must be left to repeat the request over another connection if
+/// this one hangs.
 pub const SHORT_RESPONSE_TIMEOUT: Span = Span::millis(800);
 
-/// Largest answer: a list of about 1 MB, with room for its framing.
-const LARGEST: usize = 4 * 1024 * 1024;
+/// Largest response body in bytes: a list of about 1 MB, with room for its framing.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// What is added to a path to read what may be some seconds old.
-const STALE: &str = "stale_ok=1";
+/// Query parameter that allows a stale read.
+const STALE_QUERY: &str = "stale_ok=1";
 
-/// Names the store's era on each of its answers.
-const ERA: &str = "Store-Era";
+/// Header with the store's era, in each response.
+const ERA_HEADER: &str = "Store-Era";
 
-/// How new an answer must be.
+/// Consistency of a read.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Consistency {
-    /// As new as any acknowledged write.
+    /// Sees all acknowledged writes.
     Strong,
-    /// Some seconds old at most; it costs a tenth.
+    /// May be some seconds old. Costs a tenth of a strong read.
     Stale,
 }
 
@@ -48,34 +49,37 @@
     fn query(self) -> Option<&'static str> {
         match self {
             Consistency::Strong => None,
-            Consistency::Stale => Some(STALE),
+            Consistency::Stale => Some(STALE_QUERY),
         }
     }
 }
 
-/// Why a call gave nothing.
+/// Error of a request to the store.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The history that a watch asked for is gone; list again.
+    /// The store no longer has the changes that a watch asked for; the caller must list again.
     HistoryGone,
-    /// The object was changed meanwhile; this is how it stands, if the store said so.
+    /// Another writer changed the object. Holds its current state, if the store sent it.
     Conflict(Option<Box<Object>>),
-    /// The store refused, and did nothing.
+    /// The store rejected the request with this HTTP status and changed nothing.
     Refused(u16),
-    /// The answer is of an era of the store that is older than the newest, or not yet believed.
+    /// The response is from an older era of the store than the newest, or from a newer one that is
+    /// not confirmed yet.
     StaleEra,
-    /// No answer; a write may have been done, or may be done later.
+    /// No usable response. A write may have taken effect, or may still do so. Holds the reason.
     NoAnswer(String),
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StoreError::HistoryGone => f.write_str("the history is gone"),
-            StoreError::Conflict(_) => f.write_str("the object was changed meanwhile"),
-            StoreError::Refused(status) => write!(f, "it answered {status}"),
-            StoreError::StaleEra => f.write_str("the answer is not of the newest era of the store"),
-            StoreError::NoAnswer(why) => write!(f, "no answer: {why}"),
+            StoreError::HistoryGone => f.write_str("the store no longer has the requested changes"),
+            StoreError::Conflict(_) => f.write_str("the object was changed by another writer"),
+            StoreError::Refused(status) => write!(f, "the store responded with status {status}"),
+            StoreError::StaleEra => {
+                f.write_str("the response is not from the newest era of the store")
+            }
+            StoreError::NoAnswer(reason) => write!(f, "no usable response: {reason}"),
         }
     }
 }
@@ -83,10 +87,10 @@
 /// All objects of a kind at one revision of the store.
 #[derive(Debug, Deserialize)]
 pub struct Listing {
-    /// The objects.
+    /// Objects, in the store's order.
     #[serde(deserialize_with = "each_object")]
     pub items: Vec<Object>,
-    /// Whether there are more after the last.
+    /// Set if there are more after the last.
     #[serde(default)]
     pub has_more: bool,
     store_revision: u64,
@@ -95,27 +99,28 @@
 }
 
 impl Listing {
-    /// Returns the store's position at which these were all objects.
+    /// Returns the position of the store that the list reflects. Changes after it are read by a
+    /// watch.
     pub fn position(&self) -> Position {
         Position::new(self.era, self.store_revision)
     }
 }
 
-/// A change of an object.
+/// Change of an object.
 #[derive(Debug, Deserialize)]
 pub struct Event {
-    /// The object as it stands, or stood.
+    /// State of the object after the change, or the last one before it was deleted.
     #[serde(deserialize_with = "one_object")]
     pub object: Object,
-    /// Whether it is gone.
+    /// Set if the object was deleted.
     #[serde(default)]
     pub deleted: bool,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Debug, Deserialize)]
 pub struct Events {
-    /// The changes in order; none if the wait ended before one.
+    /// Changes in order; empty if none happened during the wait.
     #[serde(default)]
     pub events: Vec<Event>,
     store_revision: u64,
@@ -124,28 +129,29 @@
 }
 
 impl Events {
-    /// Returns the position to go on from. If its era is not that of the question, changes are missing.
+    /// Returns the position from which to continue the watch. If its era differs from that of the
+    /// request, changes are missing.
     pub fn position(&self) -> Position {
         Position::new(self.era, self.store_revision)
     }
 }
 
-/// An answer that took effect.
-struct Answer {
+/// Response of a request that succeeded.
+struct Response {
     era: Era,
     body: Bytes,
 }
 
-impl Answer {
+impl Response {
     fn listing(&self) -> Result<Listing, StoreError> {
-        let mut listing: Listing = read(&self.body)?;
+        let mut listing: Listing = decode(&self.body)?;
         listing.era = self.era;
         listing.items.iter_mut().for_each(|object| object.metadata.position.era = self.era);
         Ok(listing)
     }
 
     fn events(&self) -> Result<Events, StoreError> {
-        let mut events: Events = read(&self.body)?;
+        let mut events: Events = decode(&self.body)?;
         events.era = self.era;
         let objects = events.events.iter_mut().map(|event| &mut event.object);
         objects.for_each(|object| object.metadata.position.era = self.era);
@@ -153,13 +159,13 @@
     }
 
     fn object(&self) -> Result<Object, StoreError> {
-        let mut object: Object = read(&self.body)?;
+        let mut object: Object = decode(&self.body)?;
         object.metadata.position.era = self.era;
         Ok(object)
     }
 }
 
-/// A client with one connection; one call at a time.
+/// Client with one connection, for one request at a time.
 pub struct Client {
     address: SocketAddr,
     eras: Rc<Tracker>,
@@ -167,27 +173,32 @@
 }
 
 impl Client {
-    /// A client of the store at `address`, whose answers tell `eras` their era; it connects at the
-    /// first call.
+    /// Creates a client of the store at `address`, which connects at the first request. The era of
+    /// each response is passed to `eras`.
     pub fn new(address: SocketAddr, eras: Rc<Tracker>) -> Client {
         Client { address, eras, connection: None }
     }
 
-    /// Forgets the connection, which may lead nowhere.
+    /// Drops the connection, so that the next request opens a new one.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// All objects of a kind, page after page.
+    /// Lists all objects of a kind, page by page.
     ///
     /// # Errors
-    /// If the store refuses or does not answer.
-    pub async fn list(&mut self, kind: &str, read_as: Consistency) -> Result<Listing, StoreError> {
+    /// If the store rejects the request or does not respond.
+    pub async fn list(
+        &mut self,
+        kind: &str,
+        consistency: Consistency,
+    ) -> Result<Listing, StoreError> {
         let mut whole: Option<Listing> = None;
         loop {
             let after = whole.as_ref().and_then(|list| list.items.last());
             let since = after.map(|last| format!("since_revision={}", last.metadata.name));
-            let query: Vec<&str> = since.as_deref().into_iter().chain(read_as.query()).collect();
+            let query: Vec<&str> =
+                since.as_deref().into_iter().chain(consistency.query()).collect();
             let path = match query.is_empty() {
                 true => format!("/v1/objects/{kind}"),
                 false => format!("/v1/objects/{kind}?{}", query.join("&")),
@@ -195,78 +206,80 @@
             let page = self.call(Method::GET, &path, None, RESPONSE_TIMEOUT).await?.listing()?;
             if whole.as_ref().is_some_and(|whole| whole.era != page.era) {
                 return Err(StoreError::NoAnswer(
-                    "restored between two pages of a list".to_owned(),
+                    "the store was restored between two pages of a list".to_owned(),
                 ));
             }
             let more = page.has_more && !page.items.is_empty();
             match &mut whole {
-                // Changes between two pages are told by a watch from the first page's revision.
+                // A watch from the first page's revision reports what changed between two pages.
                 Some(list) => list.items.extend(page.items),
                 None => whole = Some(page),
             }
             if !more {
-                return whole.ok_or_else(|| StoreError::NoAnswer("an empty list".to_owned()));
+                return whole.ok_or_else(|| StoreError::NoAnswer("the list is empty".to_owned()));
             }
         }
     }
 
-    /// Changes of a kind after a position, as soon as there is one, or none after `wait`.
+    /// Returns the changes of a kind after a position as soon as there is one, or none after
+    /// `wait`.
     ///
     /// # Errors
-    /// `HistoryGone` if the changes are no longer known; else if the store refuses or does not
-    /// answer.
+    /// `HistoryGone` if the store no longer has the changes or was restored; otherwise if it
+    /// rejects the request or does not respond.
     pub async fn watch(
         &mut self,
         kind: &str,
         from: Position,
         wait: Span,
     ) -> Result<Events, StoreError> {
-        self.events(kind, from, wait, Span(wait.0 + RESPONSE_TIMEOUT.0)).await
+        self.request_events(kind, from, wait, Span(wait.0 + RESPONSE_TIMEOUT.0)).await
     }
 
-    /// Changes of a kind after a position, as far as there are any now; the answer must come `within`.
+    /// Returns the changes of a kind after a position that exist now. The response must arrive
+    /// within `timeout`.
     ///
     /// # Errors
-    /// As [`Objects::watch`].
+    /// As [`Client::watch`].
     pub async fn changes(
         &mut self,
         kind: &str,
         from: Position,
-        within: Span,
+        timeout: Span,
     ) -> Result<Events, StoreError> {
-        self.events(kind, from, Span(0), within).await
+        self.request_events(kind, from, Span(0), timeout).await
     }
 
-    async fn events(
+    async fn request_events(
         &mut self,
         kind: &str,
         from: Position,
         wait: Span,
-        within: Span,
+        timeout: Span,
     ) -> Result<Events, StoreError> {
         let (from_revision, wait_ms) = (from.revision, wait.0 / 1000);
         let path = format!("/v1/objects/{kind}?watch={from_revision}&wait_ms={wait_ms}");
-        let events = self.call(Method::GET, &path, None, within).await?.events()?;
+        let events = self.call(Method::GET, &path, None, timeout).await?.events()?;
         match events.era == from.era {
             true => Ok(events),
             false => Err(StoreError::HistoryGone),
         }
     }
 
-    /// One object, if there is one.
+    /// Returns the object of a name, or `None` if there is none.
     ///
     /// # Errors
-    /// If the store refuses or does not answer.
+    /// If the store rejects the request or does not respond.
     pub async fn get(
         &mut self,
         kind: &str,
         name: &str,
-        read_as: Consistency,
+        consistency: Consistency,
     ) -> Result<Option<Object>, StoreError> {
-        let query = read_as.query().map(|query| format!("?{query}")).unwrap_or_default();
+        let query = consistency.query().map(|query| format!("?{query}")).unwrap_or_default();
         let path = format!("/v1/objects/{kind}/{name}{query}");
         match self.call(Method::GET, &path, None, RESPONSE_TIMEOUT).await {
-            Ok(answer) => Ok(Some(answer.object()?)),
+            Ok(response) => Ok(Some(response.object()?)),
             Err(StoreError::Refused(status)) if status == StatusCode::NOT_FOUND.as_u16() => {
                 Ok(None)
             }
@@ -274,10 +287,10 @@
         }
     }
 
-    /// Makes an object that must not exist yet.
+    /// Creates an object that must not exist yet.
     ///
     /// # Errors
-    /// `Conflict` if it does; `NoAnswer` if it is not known whether it was made.
+    /// `Conflict` if it exists; `NoAnswer` if it is not known whether it was created.
     pub async fn create(
         &mut self,
         kind: &str,
@@ -289,10 +302,10 @@
         self.call(Method::POST, &path, Some(body.into()), RESPONSE_TIMEOUT).await?.object()
     }
 
-    /// Writes an object that must still be at `position`.
+    /// Replaces an object if its last change is still at `position`.
     ///
     /// # Errors
-    /// `Conflict` if it is not; `NoAnswer` if it is not known whether it was written.
+    /// `Conflict` if it was changed; `NoAnswer` if it is not known whether it was written.
     pub async fn replace(
         &mut self,
         kind: &str,
@@ -303,13 +316,13 @@
         let path = format!("/v1/objects/{kind}/{name}");
         let metadata = json!({"name": name, "revision": position.revision});
         let body = json!({"metadata": metadata, "spec": spec});
-        self.put(&path, position, &body).await
+        self.put_conditional(&path, position, &body).await
     }
 
-    /// Removes an object; one that is not there is as good as removed.
+    /// Deletes an object. Succeeds if there is none.
     ///
     /// # Errors
-    /// If the store refuses or does not answer.
+    /// If the store rejects the request or does not respond.
     pub async fn delete(&mut self, kind: &str, name: &str) -> Result<(), StoreError> {
         let path = format!("/v1/objects/{kind}/{name}");
         match self.call(Method::DELETE, &path, None, RESPONSE_TIMEOUT).await {
@@ -319,10 +332,10 @@
         }
     }
 
-    /// Writes the status of an object that must still be at `position`.
+    /// Writes the status of an object if its last change is still at `position`.
     ///
     /// # Errors
-    /// `Conflict` if it is not; `NoAnswer` if it is not known whether it was written.
+    /// `Conflict` if it was changed; `NoAnswer` if it is not known whether it was written.
     pub async fn put_status(
         &mut self,
         kind: &str,
@@ -333,12 +346,13 @@
         let path = format!("/v1/objects/{kind}/{name}/status");
         let metadata = json!({"name": name, "revision": position.revision});
         let body = json!({"metadata": metadata, "status": status});
-        self.put(&path, position, &body).await
+        self.put_conditional(&path, position, &body).await
     }
 
-    /// Writes what must still be at `position`. Its revision may name another state in another era, so
-    /// the write is not sent then, and its outcome is not known if the era began meanwhile.
-    async fn put(
+    /// Writes to `path` if the object is still at `position`. The same revision may name another
+    /// state in another era, so the write is not sent if the store's era has changed, and its
+    /// outcome is unknown if the era changes while it is sent.
+    async fn put_conditional(
         &mut self,
         path: &str,
         position: Position,
@@ -348,10 +362,12 @@
             return Err(StoreError::Conflict(None));
         }
         let body = Bytes::from(body.to_string());
-        let answer = self.call(Method::PUT, path, Some(body), RESPONSE_TIMEOUT).await?;
-        match answer.era == position.era {
-            true => answer.object(),
-            false => Err(StoreError::NoAnswer("the store was restored meanwhile".to_owned())),
+        let response = self.call(Method::PUT, path, Some(body), RESPONSE_TIMEOUT).await?;
+        match response.era == position.era {
+            true => response.object(),
+            false => {
+                Err(StoreError::NoAnswer("the store was restored during the write".to_owned()))
+            }
         }
     }
 
@@ -360,17 +376,17 @@
         method: Method,
         path: &str,
         body: Option<Bytes>,
-        within: Span,
-    ) -> Result<Answer, StoreError> {
+        timeout: Span,
+    ) -> Result<Response, StoreError> {
         let exchange = self.exchange(method, path, body.unwrap_or_default());
-        let answered = tokio::time::timeout(within.duration(), exchange).await;
-        let answered = answered
-            .unwrap_or_else(|_| Err(StoreError::NoAnswer(format!("nothing within {within}"))));
-        // After a call without an answer the connection says nothing more.
-        if matches!(answered, Err(StoreError::NoAnswer(_))) {
+        let result = tokio::time::timeout(timeout.duration(), exchange).await;
+        let result = result
+            .unwrap_or_else(|_| Err(StoreError::NoAnswer(format!("timed out after {timeout}"))));
+        // A connection is not reused after a request without a usable response.
+        if matches!(result, Err(StoreError::NoAnswer(_))) {
             self.connection = None;
         }
-        answered
+        result
     }
 
     async fn exchange(
@@ -378,35 +394,36 @@
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<Response, StoreError> {
         let no_answer = |fault: Fault| match fault {
-            Fault::NotSent(why) | Fault::Broken(why) => StoreError::NoAnswer(why),
+            Fault::NotSent(reason) | Fault::Broken(reason) => StoreError::NoAnswer(reason),
         };
-        let held = self.connection.take().filter(Connection::is_idle);
-        let mut connection = match held {
+        let idle = self.connection.take().filter(Connection::is_idle);
+        let mut connection = match idle {
             Some(connection) => connection,
-            None => Connection::open(self.address, OPEN_WITHIN).await.map_err(no_answer)?,
+            None => Connection::open(self.address, CONNECT_TIMEOUT).await.map_err(no_answer)?,
         };
         let head = self.head(method, path)?;
         let head = connection.send(head, &body).await.map_err(no_answer)?;
-        let era = head.headers.get(ERA).map(|value| value.to_str().unwrap_or_default());
+        let era = head.headers.get(ERA_HEADER).map(|value| value.to_str().unwrap_or_default());
         let era = self.eras.observe(era);
-        let body = connection.read_body(LARGEST).await.map_err(no_answer)?;
+        let body = connection.read_body(MAX_RESPONSE_BYTES).await.map_err(no_answer)?;
         if connection.is_reusable() {
             self.connection = Some(connection);
         }
-        let answer = Answer { era: era.ok_or(StoreError::StaleEra)?, body };
+        let response = Response { era: era.ok_or(StoreError::StaleEra)?, body };
         match head.status {
-            StatusCode::OK | StatusCode::CREATED => Ok(answer),
+            StatusCode::OK | StatusCode::CREATED => Ok(response),
             StatusCode::GONE => Err(StoreError::HistoryGone),
-            StatusCode::CONFLICT => Err(StoreError::Conflict(answer.object().ok().map(Box::new))),
+            StatusCode::CONFLICT => Err(StoreError::Conflict(response.object().ok().map(Box::new))),
             other => Err(StoreError::Refused(other.as_u16())),
         }
     }
 
     fn head(&self, method: Method, path: &str) -> Result<RequestHead, StoreError> {
         let mut head = RequestHead::default();
-        let malformed = |what: String| StoreError::NoAnswer(format!("a malformed call: {what}"));
+        let malformed =
+            |what: String| StoreError::NoAnswer(format!("the request is malformed: {what}"));
         head.method = method;
         head.uri = path.parse().map_err(|fault| malformed(format!("{fault}")))?;
         let host = HeaderValue::from_str(&self.address.to_string());
@@ -416,33 +433,35 @@
     }
 }
 
-/// Reads an answer; bytes in it that are no text, which anybody may write into an object, spoil no other object.
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
+/// Decodes the body of a response. Invalid UTF-8 is replaced: any writer may put it into an object,
+/// and it must not make the other objects unreadable.
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
     let text = String::from_utf8_lossy(body);
     serde_json::from_str(&text)
-        .map_err(|fault| StoreError::NoAnswer(format!("unreadable: {fault}")))
+        .map_err(|fault| StoreError::NoAnswer(format!("the response does not decode: {fault}")))
 }
 
-/// An object whose contents nobody could read.
+/// Object of which only the metadata decode.
 #[derive(Deserialize)]
-struct Named {
+struct MetadataOnly {
     metadata: Metadata,
 }
 
-/// Reads one object. One whose contents do not read is as good as empty, so that its kind's own check finds it.
-fn object(raw: &RawValue) -> Result<Object, serde_json::Error> {
+/// Decodes one object. If its contents do not decode, it counts as empty, so that the check of its
+/// kind finds it.
+fn decode_object(raw: &RawValue) -> Result<Object, serde_json::Error> {
     serde_json::from_str(raw.get()).or_else(|_| {
-        let Named { metadata } = serde_json::from_str(raw.get())?;
+        let MetadataOnly { metadata } = serde_json::from_str(raw.get())?;
         Ok(Object { metadata, spec: Value::Null, status: Value::Null })
     })
 }
 
 fn one_object<'de, D: Deserializer<'de>>(from: D) -> Result<Object, D::Error> {
-    object(&Box::<RawValue>::deserialize(from)?).map_err(D::Error::custom)
+    decode_object(&Box::<RawValue>::deserialize(from)?).map_err(D::Error::custom)
 }
 
-/// Reads objects one by one. The store itself names them, so one without a name is left out.
+/// Decodes objects one by one. The store itself names all objects, so one without a name is skipped.
 fn each_object<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Object>, D::Error> {
     let raw = Vec::<Box<RawValue>>::deserialize(from)?;
-    Ok(raw.iter().filter_map(|raw| object(raw).ok()).collect())
+    Ok(raw.iter().filter_map(|raw| decode_object(raw).ok()).collect())
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Clients of the platform: object API, list of VMs, rating service.
+//! Adapter to the platform: clients of its object store and rating service, and the decoding of its
+//! headers, objects and settings file into types of this program.
 
 pub mod client;
 pub mod header;
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -1,4 +1,4 @@
-//! The platform's objects, decoded into the project's types.
+//! Decodes the objects of the platform's store into types of this program.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,44 +13,44 @@
     DataCentre, Era, Model, Position, Rate, Region, Revision, Service, Span, Version,
 };
 
-/// Kinds of objects, and the name of the operator's configuration.
+/// Kind of the operator's configurations.
 pub const CONFIG: &str = "config";
-/// The newest configuration's name.
+/// Name of the object with the newest configuration.
 pub const MAIN: &str = "main";
-/// Entries of backend servers.
+/// Kind of the entries of backend servers.
 pub const SERVERS: &str = "servers";
-/// Orders to empty a data centre of new work; each is named after it.
+/// Kind of the orders to send no new work to a data centre. Each is named after its data centre.
 pub const EVACUATIONS: &str = "evacuations";
-/// Orders to roll a version out.
+/// Kind of the orders to roll out a version.
 pub const ROLLOUTS: &str = "rollouts";
 
-/// Attempts of a route that names none.
-const ATTEMPTS: u32 = 1;
+/// Attempts per request of a route that does not set them.
+const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 
-/// Rank of a workspace or route that names none.
-const PRIORITY: u32 = 5;
+/// Priority of a workspace or route that does not set one.
+const DEFAULT_PRIORITY: u32 = 5;
 
-/// Weight of a part that names none.
-const WEIGHT: f64 = 1.0;
+/// Weight of a route's service that does not set one.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Timeout of a route that names none, in milliseconds.
-const TIMEOUT_MS: f64 = 30_000.0;
+/// Timeout of a route that does not set one.
+const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
 
-/// Goal of a route that names none, in milliseconds.
-const GOAL_MS: f64 = 1000.0;
+/// Latency goal of a route that does not set one.
+const DEFAULT_LATENCY_GOAL_MS: f64 = 1000.0;
 
-/// Connections that a server of a service that says nothing takes.
-const CONNECTIONS: u32 = 64;
+/// Connections per server of a service that does not limit them.
+const DEFAULT_MAX_CONNECTIONS: u32 = 64;
 
-/// An object of the store.
+/// Object of the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Object {
     /// Name and position.
     pub metadata: Metadata,
-    /// What its owner wrote.
+    /// Content written by the owner of the object.
     #[serde(default)]
     pub spec: Value,
-    /// What was answered to it.
+    /// Status written by whoever acts on the object.
     #[serde(default)]
     pub status: Value,
 }
@@ -59,13 +59,14 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(from = "Encoded", into = "Encoded")]
 pub struct Metadata {
-    /// Its name among its kind.
+    /// Name, unique within the kind.
     pub name: String,
     /// Position of its last change.
     pub position: Position,
 }
 
-/// Metadata as the store sends them, which leaves out the era, and as VMs pass them on.
+/// Encoding of [`Metadata`]. The store leaves out the era; VMs include it in what they forward to
+/// each other, unless it is the first.
 #[derive(Deserialize, Serialize)]
 struct Encoded {
     name: String,
@@ -91,15 +92,15 @@
 }
 
 impl Object {
-    /// The object in JSON, as VMs pass it on.
+    /// Encodes the object as JSON, as VMs forward it to each other.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).expect("names and JSON values encode")
     }
 
-    /// The object of a text that [`Object::to_json`] gave.
+    /// Decodes an object that [`Object::to_json`] encoded.
     ///
     /// # Errors
-    /// Why it does not read.
+    /// If the text is not such JSON; the error is the decoder's message.
     pub fn from_json(text: &str) -> Result<Object, String> {
         serde_json::from_str(text).map_err(|fault| fault.to_string())
     }
@@ -148,9 +149,9 @@
 struct ServiceEntry {
     name: Service,
     max_connections: Option<u32>,
-    /// Time that a server is cold after its start.
+    /// Time after its start during which a server is cold.
     cold_start_s: Option<f64>,
-    /// Requests that it bears then.
+    /// Requests per second that it accepts while it is cold.
     cold_per_s: Option<f64>,
 }
 
@@ -174,32 +175,32 @@
     Span((ms.max(0.0) * 1000.0) as u64)
 }
 
-/// The configuration of an object.
+/// Decodes a configuration.
 ///
 /// # Errors
-/// Why it does not read.
+/// If the object does not decode or a route has no service.
 pub fn decode_config(object: &Object) -> Result<Table, String> {
     let config: Config =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
-    let known = Limits::default();
+    let default = Limits::default();
     let entry = &config.limits;
     let limits = Limits {
-        body: entry.max_body_bytes.unwrap_or(known.body),
-        head_within: entry.header_timeout_ms.map_or(known.head_within, millis),
-        idle: entry.idle_timeout_ms.map_or(known.idle, millis),
+        body: entry.max_body_bytes.unwrap_or(default.body),
+        head_within: entry.header_timeout_ms.map_or(default.head_within, millis),
+        idle: entry.idle_timeout_ms.map_or(default.idle, millis),
     };
     let mut table = Table::new(Revision(config.version), limits, config.tenants.is_some());
     for entry in config.routes {
         let host = entry.host.clone();
-        table.add_route(&host, route(entry)?);
+        table.add_route(&host, decode_route(entry)?);
     }
     for entry in config.services {
-        let connections = entry.max_connections.unwrap_or(CONNECTIONS);
-        let cold = cold(&entry);
+        let connections = entry.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS);
+        let cold = decode_cold_start(&entry);
         table.add_pool(entry.name, Pool { connections, cold });
     }
     for tenant in config.tenants.into_iter().flatten() {
-        let priority = tenant.priority.unwrap_or(PRIORITY);
+        let priority = tenant.priority.unwrap_or(DEFAULT_PRIORITY);
         let regions = Regions::only(tenant.allowed_regions.unwrap_or_default());
         let holder = Rc::new(Holder { workspace: tenant.name, priority, regions });
         for key in &tenant.api_keys {
@@ -209,23 +210,24 @@
     Ok(table)
 }
 
-/// What a service says of servers that start; a rate of nought says that it has no limit.
-fn cold(entry: &ServiceEntry) -> Option<ColdStart> {
+/// Decodes the rate limit of servers that just started. A rate of 0 means no limit.
+fn decode_cold_start(entry: &ServiceEntry) -> Option<ColdStart> {
     let rate = entry.cold_per_s.filter(|rate| *rate > 0.0)?;
-    let lasts = millis(entry.cold_start_s.unwrap_or_default() * 1000.0);
-    Some(ColdStart { rate: Rate(rate), duration: lasts })
+    let duration = millis(entry.cold_start_s.unwrap_or_default() * 1000.0);
+    Some(ColdStart { rate: Rate(rate), duration })
 }
 
-fn route(entry: RouteEntry) -> Result<Route, String> {
+fn decode_route(entry: RouteEntry) -> Result<Route, String> {
     let streams = entry.r#type == "streaming";
     let repeat = match entry.r#type.as_str() {
         "idempotent" => Repeat::Safe,
         "streaming" if entry.stream_resume => Repeat::Resume,
         _ => Repeat::Never,
     };
-    let whole = entry.service.map(|service| vec![Part { service, weight: WEIGHT }]);
+    let whole = entry.service.map(|service| vec![Part { service, weight: DEFAULT_WEIGHT }]);
     let split = entry.backends.map(|parts| {
-        let part = |b: Backend| Part { service: b.service, weight: b.weight.unwrap_or(WEIGHT) };
+        let part =
+            |b: Backend| Part { service: b.service, weight: b.weight.unwrap_or(DEFAULT_WEIGHT) };
         parts.into_iter().map(part).collect()
     });
     let parts = split.or(whole).ok_or_else(|| format!("route `{}` has no service", entry.name))?;
@@ -235,50 +237,51 @@
         parts,
         repeat,
         streams,
-        timeout: millis(entry.timeout_ms.unwrap_or(TIMEOUT_MS)),
-        goal: millis(entry.latency_goal_ms.unwrap_or(GOAL_MS)),
-        attempts: entry.max_attempts.unwrap_or(ATTEMPTS).max(1),
-        priority: entry.priority.unwrap_or(PRIORITY),
+        timeout: millis(entry.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS)),
+        goal: millis(entry.latency_goal_ms.unwrap_or(DEFAULT_LATENCY_GOAL_MS)),
+        attempts: entry.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS).max(1),
+        priority: entry.priority.unwrap_or(DEFAULT_PRIORITY),
         public: entry.public,
         regions: Regions::only(entry.allowed_regions.unwrap_or_default()),
         cascade: entry.sizes.unwrap_or_default(),
     })
 }
 
-/// The entry of a backend server. Others than servers may write there too, so all of it must read.
+/// Entry of a backend server. Not only servers may write this kind, so an entry counts only if all
+/// of its fields decode.
 #[derive(Deserialize)]
-struct Entry {
+struct ServerEntry {
     service: Service,
     address: SocketAddr,
     zone: DataCentre,
     version: Version,
     capacity: u32,
-    state: State,
-    /// How much longer it is cold, when the entry was written.
+    state: ServerState,
+    /// Time for which it was still cold when the entry was written.
     cold_remaining_ms: f64,
-    /// Counts its writes; nobody needs it.
+    /// Number of writes of the entry. Not used, but required for the entry to decode.
     #[serde(rename = "sequence")]
     _sequence: u64,
-    /// The start of this life, in Unix milliseconds.
+    /// Start of the server's process, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
-/// What a server says of itself.
+/// State that a server reports in its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
-    /// It takes new work.
+enum ServerState {
+    /// Accepts new requests.
     Ready,
-    /// It leaves.
+    /// Is about to stop and must not receive new requests.
     Draining,
 }
 
-/// The backend server of an object.
+/// Decodes the entry of a backend server.
 ///
 /// # Errors
-/// Why it does not read.
+/// If a field does not decode or the object's name is not a server's.
 pub fn decode_replica(object: &Object) -> Result<Replica, String> {
-    let entry: Entry =
+    let entry: ServerEntry =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
     Ok(Replica {
         id: object.metadata.name.parse().map_err(|fault| format!("{fault}"))?,
@@ -289,49 +292,51 @@
         version: entry.version,
         slots: entry.capacity.max(1),
         cold: millis(entry.cold_remaining_ms),
-        ready: entry.state == State::Ready,
+        ready: entry.state == ServerState::Ready,
     })
 }
 
-/// The data centre that an order asks to empty. The name alone says it; the order stands while the object is there.
+/// Decodes the data centre of an evacuation. The object's name alone holds it; the order is in
+/// force while the object exists.
 ///
 /// # Errors
-/// Why it does not read.
+/// If the name is not that of a data centre.
 pub fn decode_evacuation(object: &Object) -> Result<DataCentre, String> {
     object.metadata.name.parse().map_err(|fault| format!("{fault}"))
 }
 
 #[derive(Deserialize)]
-struct Order {
+struct RolloutSpec {
     service: Service,
     target_version: Version,
     duration_s: f64,
 }
 
 #[derive(Default, Deserialize)]
-struct Progress {
+struct RolloutStatus {
     target_version: Option<Version>,
     state: Option<String>,
-    /// Our own field: what share of sessions the new version gets.
+    /// Share of sessions that use the new version, from 0 to 1. Written by this program alone.
     share: Option<f64>,
 }
 
-/// The roll-out of an object.
+/// Decodes a roll-out and how far it has come. A status that names another target version is that
+/// of an earlier order and does not count.
 ///
 /// # Errors
-/// Why it does not read.
+/// If the specification does not decode.
 pub fn decode_rollout(object: &Object) -> Result<Rollout, String> {
-    let order: Order =
+    let order: RolloutSpec =
         serde_json::from_value(object.spec.clone()).map_err(|fault| fault.to_string())?;
-    // A status that does not read counts as none: the next step writes a good one.
-    let progress: Progress = serde_json::from_value(object.status.clone()).unwrap_or_default();
-    let of_this_order = progress.target_version.as_ref() == Some(&order.target_version);
-    let phase = match progress.state.as_deref() {
-        _ if !of_this_order => None,
+    // A status that does not decode counts as none: the next step overwrites it.
+    let status: RolloutStatus = serde_json::from_value(object.status.clone()).unwrap_or_default();
+    let is_current = status.target_version.as_ref() == Some(&order.target_version);
+    let phase = match status.state.as_deref() {
+        _ if !is_current => None,
         Some("completed") => Some(Phase::Completed),
         Some("rolled_back") => Some(Phase::RolledBack),
         Some("in_progress") => {
-            Some(Phase::Running { share: progress.share.unwrap_or_default().clamp(0.0, 1.0) })
+            Some(Phase::Running { share: status.share.unwrap_or_default().clamp(0.0, 1.0) })
         }
         _ => None,
     };
@@ -345,7 +350,7 @@
     })
 }
 
-/// The status that says how far a roll-out has come.
+/// Returns the status to write to the store for a roll-out in a phase.
 pub fn rollout_status(rollout: &Rollout, phase: Phase) -> Value {
     let (state, share) = match phase {
         Phase::Running { share } => ("in_progress", share),
--- a/src/platform/rating.rs
+++ b/src/platform/rating.rs
@@ -1,4 +1,4 @@
-//! Client of the service that rates answers.
+//! Client of the service that rates responses of models.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::standin::rating::{Rating, Sample};
 use crate::unit::Vm;
 
-/// A call that takes longer is given up.
-const CALL_WITHIN: Duration = Duration::from_millis(1500);
+/// Timeout of a request to the rating service.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A client for one thread.
+/// Client of the rating service, for one thread; clones share its connections.
 #[derive(Clone)]
 pub struct RatingClient {
     address: SocketAddr,
@@ -19,23 +19,23 @@
 }
 
 impl RatingClient {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(address: SocketAddr) -> RatingClient {
-        RatingClient { address, client: Client::builder().timeout(CALL_WITHIN).finish() }
+        RatingClient { address, client: Client::builder().timeout(REQUEST_TIMEOUT).finish() }
     }
 
-    /// Gives answers to rate; whether they were taken.
+    /// Submits samples to be rated. Returns true if the service accepted them.
     pub async fn submit(&self, samples: &[Sample]) -> bool {
         let url = format!("http://{}/samples", self.address);
-        let sent = self.client.post(url).send_json(&samples).await;
-        sent.is_ok_and(|answer| answer.status().is_success())
+        let result = self.client.post(url).send_json(&samples).await;
+        result.is_ok_and(|response| response.status().is_success())
     }
 
-    /// Ratings that are ready for a VM; nothing if the service does not answer.
+    /// Returns the ratings that are ready for a VM, or none if the service does not respond.
     pub async fn fetch(&self, vm: &Vm) -> Vec<Rating> {
         let url = format!("http://{}/ratings?vm={vm}", self.address);
         match self.client.get(url).send().await {
-            Ok(mut answer) => answer.json().await.unwrap_or_default(),
+            Ok(mut response) => response.json().await.unwrap_or_default(),
             Err(_) => Vec::new(),
         }
     }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file, decoded once.
+//! Reads the platform's settings file, in which each VM finds its name, addresses and bounds.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,10 +12,10 @@
 use crate::forward::{Bounds, Settings};
 use crate::unit::{DataCentre, Millicores, Region, Span};
 
-/// The variable that holds the file's path.
+/// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "KITEPULLEY_CONFIG";
 
-/// Bounds that a file leaves out, in milliseconds; those of the smallest published site.
+/// Defaults of the bounds that a file leaves out: those of the smallest published site.
 const CONTACT_MS: f64 = 3000.0;
 const CONFIG_APPLY_MS: f64 = 2000.0;
 const DRAIN_MS: f64 = 2000.0;
@@ -29,23 +29,23 @@
 const RETRY_WINDOW_S: f64 = 10.0;
 const EXPOSURE_SHARE: f64 = 0.15;
 
-/// Cores of a VM whose file does not say.
-const CORES: f64 = 1.0;
+/// Processor quota of a VM whose file sets none, as a share of each core.
+const DEFAULT_QUOTA: f64 = 1.0;
 
-/// The largest bound that is believed, so that a slip in the file cannot overflow a time.
-const LARGEST_MS: f64 = 86_400_000.0;
+/// Upper limit of the bounds, so that a mistake in the file cannot overflow a time.
+const MAX_BOUND_MS: f64 = 86_400_000.0;
 
 #[derive(Deserialize)]
-struct File {
+struct SettingsFile {
     node_name: Option<String>,
     ip: Option<String>,
     zone: Option<String>,
-    /// The region of each data centre.
+    /// Region of each data centre.
     #[serde(default)]
     zones: HashMap<String, String>,
     listen: Option<Listen>,
     platform: Option<Store>,
-    /// First and last of the ports that are free for links between VMs.
+    /// First and last port reserved for connections between VMs.
     #[serde(default)]
     port_range: Vec<u16>,
     #[serde(default)]
@@ -56,7 +56,7 @@
 
 #[derive(Default, Deserialize)]
 struct Limits {
-    /// Share of each core.
+    /// Processor quota, as a share of each core.
     cpu_quota: Option<f64>,
 }
 
@@ -71,10 +71,10 @@
     address: Option<String>,
 }
 
-/// Reads the settings file that the environment names.
+/// Reads the settings file whose path is in [`PATH_VARIABLE`].
 ///
 /// # Errors
-/// If the variable is not set, or as [`read`] says.
+/// If the variable is not set; otherwise as [`read`].
 pub fn from_environment() -> Result<Settings, Error> {
     let missing = || {
         let what = format!("{PATH_VARIABLE} is not set; give it the path of the settings file.");
@@ -84,11 +84,11 @@
     read(Path::new(&path))
 }
 
-/// Reads a settings file; fields that it does not know are passed over.
+/// Reads a settings file. Ignores unknown fields.
 ///
 /// # Errors
-/// If the file cannot be read, is not JSON, lacks a field, or an address does not read; the
-/// sentence names the field.
+/// If the file cannot be read or is not JSON, or if a required field is missing or invalid; the
+/// error names the field.
 pub fn read(path: &Path) -> Result<Settings, Error> {
     let shown = path.display().to_string();
     let unreadable = |e: std::io::Error| Error::Unset(shown.clone(), e.to_string());
@@ -96,29 +96,29 @@
     parse(&text, &shown)
 }
 
-/// Reads the text of a settings file; `path` is for the errors.
+/// Parses the text of a settings file. `path` is used in errors only.
 ///
 /// # Errors
 /// As [`read`].
 pub fn parse(text: &str, path: &str) -> Result<Settings, Error> {
     let malformed = |e: serde_json::Error| Error::Format(path.to_owned(), e.line(), format!("{e}"));
-    let file: File = serde_json::from_str(text).map_err(malformed)?;
+    let file: SettingsFile = serde_json::from_str(text).map_err(malformed)?;
     let listen = file.listen.unwrap_or(Listen { frontend: None, readiness: None });
     let store = file.platform.unwrap_or(Store { address: None });
-    let ip: IpAddr = reads(path, "ip", needed(path, "ip", file.ip)?)?;
+    let ip: IpAddr = parse_field(path, "ip", required(path, "ip", file.ip)?)?;
     Ok(Settings {
-        vm: reads(path, "node_name", needed(path, "node_name", file.node_name)?)?,
-        data_centre: reads(path, "zone", needed(path, "zone", file.zone)?)?,
+        vm: parse_field(path, "node_name", required(path, "node_name", file.node_name)?)?,
+        data_centre: parse_field(path, "zone", required(path, "zone", file.zone)?)?,
         regions: regions(path, &file.zones)?,
         ip,
-        share: share(path, file.limits.cpu_quota)?,
-        callers: address(path, "listen.frontend", listen.frontend)?,
-        readiness: address(path, "listen.readiness", listen.readiness)?,
-        store: address(path, "platform.address", store.address)?,
+        share: parse_quota(path, file.limits.cpu_quota)?,
+        callers: parse_address(path, "listen.frontend", listen.frontend)?,
+        readiness: parse_address(path, "listen.readiness", listen.readiness)?,
+        store: parse_address(path, "platform.address", store.address)?,
         links: file.port_range.first().map(|port| SocketAddr::new(ip, *port)),
         metrics: None,
         keep_confidence: KEEP_CONFIDENCE,
-        bounds: bounds(&file.bounds),
+        bounds: parse_bounds(&file.bounds),
     })
 }
 
@@ -126,28 +126,28 @@
     path: &str,
     zones: &HashMap<String, String>,
 ) -> Result<HashMap<DataCentre, Region>, Error> {
-    let read = |(zone, region): (&String, &String)| {
+    let parse = |(zone, region): (&String, &String)| {
         let field = format!("zones.{zone}");
-        Ok((reads(path, &field, zone.clone())?, reads(path, &field, region.clone())?))
+        Ok((parse_field(path, &field, zone.clone())?, parse_field(path, &field, region.clone())?))
     };
-    zones.iter().map(read).collect()
+    zones.iter().map(parse).collect()
 }
 
-fn share(path: &str, quota: Option<f64>) -> Result<Millicores, Error> {
-    let cores = quota.unwrap_or(CORES);
+fn parse_quota(path: &str, quota: Option<f64>) -> Result<Millicores, Error> {
+    let cores = quota.unwrap_or(DEFAULT_QUOTA);
     if !cores.is_finite() || cores < 0.0 {
-        let why = format!("`{cores}` is not a share of a core; write a number such as 0.25");
-        return Err(Error::Field(path.to_owned(), "limits.cpu_quota".to_owned(), why));
+        let reason = format!("`{cores}` is not a share of a core; write a number such as 0.25");
+        return Err(Error::Field(path.to_owned(), "limits.cpu_quota".to_owned(), reason));
     }
     Ok(Millicores::from_cores(cores))
 }
 
-fn needed(path: &str, field: &str, value: Option<String>) -> Result<String, Error> {
+fn required(path: &str, field: &str, value: Option<String>) -> Result<String, Error> {
     let missing = || Error::Field(path.to_owned(), field.to_owned(), "it is missing".to_owned());
     value.ok_or_else(missing)
 }
 
-fn reads<T>(path: &str, field: &str, text: String) -> Result<T, Error>
+fn parse_field<T>(path: &str, field: &str, text: String) -> Result<T, Error>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
@@ -157,16 +157,17 @@
     text.parse().map_err(fault)
 }
 
-fn address(path: &str, field: &str, value: Option<String>) -> Result<SocketAddr, Error> {
-    reads(path, field, needed(path, field, value)?)
+fn parse_address(path: &str, field: &str, value: Option<String>) -> Result<SocketAddr, Error> {
+    parse_field(path, field, required(path, field, value)?)
 }
 
-fn bounds(fields: &serde_json::Map<String, Value>) -> Bounds {
+/// Reads the bounds. One that is missing, not a number or negative gets its default.
+fn parse_bounds(fields: &serde_json::Map<String, Value>) -> Bounds {
     let number = |name: &str, default: f64| {
         let value = fields.get(name).and_then(Value::as_f64);
         value.filter(|value| *value >= 0.0).unwrap_or(default)
     };
-    let millis = |value: f64| Span((value.min(LARGEST_MS) * 1000.0) as u64);
+    let millis = |value: f64| Span((value.min(MAX_BOUND_MS) * 1000.0) as u64);
     let strict = fields.get("strict_revocation").and_then(Value::as_bool).unwrap_or(true);
     Bounds {
         settling_time: millis(number("contact_ms", CONTACT_MS)),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,5 +1,5 @@
-//! The platform's object store as `serve` and the operators' commands use it: keys and JSON values,
-//! kept as objects whose kind is the key's first part.
+//! Key-value view of the platform's object store, for `serve` and the operators' commands. Values
+//! are JSON; the first segment of a key is the object's kind, the rest its name.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,60 +15,61 @@
 use crate::standin::platform::Listed;
 use crate::unit::{Position, Span};
 
-/// Stands for `/` in the names of objects; no id of ours has it.
+/// Replaces `/` in the names of objects; no identifier of this program contains it.
 const SEPARATOR: &str = "~";
 
-/// The kind of the objects that list the VMs.
-const VMS: &str = "vms";
+/// Kind of the objects that list the VMs.
+const VMS_KIND: &str = "vms";
 
-/// Connections that rest at most.
-const RESTING: usize = 4;
+/// Idle clients, each with a connection, that are kept for reuse.
+const MAX_IDLE_CLIENTS: usize = 4;
 
-/// An object as it stands.
+/// Current state of an object.
 #[derive(Clone, Debug)]
 pub struct Object {
     /// Position of its last change.
     pub position: Position,
-    /// The value.
+    /// Value, in JSON.
     pub body: Bytes,
 }
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It took effect.
     Applied,
-    /// The condition did not hold.
+    /// The object existed already or was changed by another writer.
     Conflict,
 }
 
-/// A client for one thread; calls may run at the same time.
+/// Client for one thread, whose requests may run concurrently.
 #[derive(Clone)]
 pub struct Store {
     address: SocketAddr,
     eras: Rc<Tracker>,
-    resting: Rc<RefCell<Vec<Client>>>,
+    idle: Rc<RefCell<Vec<Client>>>,
 }
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Store {
-        Store { address, eras: Rc::default(), resting: Rc::default() }
+        Store { address, eras: Rc::default(), idle: Rc::default() }
     }
 
-    /// An object, if there is one.
+    /// Returns the object at a key, or `None` if there is none.
     ///
     /// # Errors
     /// If the platform does not answer.
     pub async fn get(&self, key: &str) -> Result<Option<Object>, Error> {
-        let (kind, name) = parts(key);
-        let mut client = self.take();
+        let (kind, name) = split_key(key);
+        let mut client = self.checkout();
         let answer = client.get(kind, &name, Consistency::Strong).await;
-        self.rest(client);
-        Ok(answer.map_err(failed)?.map(|object| shown(&object)))
+        self.release(client);
+        Ok(answer.map_err(to_error)?.map(|object| to_object(&object)))
     }
 
-    /// Waits up to `wait` for a change after `after`; nothing if none came.
+    /// Waits up to `wait` for a change of the object at a key after position `after`. Returns
+    /// `None` if there was none.
     ///
     /// # Errors
     /// If the platform does not answer.
@@ -78,33 +79,33 @@
         after: Position,
         wait: Span,
     ) -> Result<Option<Object>, Error> {
-        let (kind, name) = parts(key);
-        let mut client = self.take();
+        let (kind, name) = split_key(key);
+        let mut client = self.checkout();
         let watched = wait_for(&mut client, kind, &name, after, wait).await;
-        self.rest(client);
+        self.release(client);
         match watched {
             Err(StoreError::HistoryGone) => {
                 let object = self.get(key).await?;
                 Ok(object.filter(|object| object.position > after))
             }
-            watched => Ok(watched.map_err(failed)?.map(|object| shown(&object))),
+            watched => Ok(watched.map_err(to_error)?.map(|object| to_object(&object))),
         }
     }
 
-    /// Writes an object that must not exist yet.
+    /// Creates an object that must not exist yet.
     ///
     /// # Errors
     /// If the platform does not answer; the write may have taken effect.
     pub async fn create(&self, key: &str, body: Vec<u8>) -> Result<WriteOutcome, Error> {
-        let (kind, name) = parts(key);
-        let spec = value(&body)?;
-        let mut client = self.take();
+        let (kind, name) = split_key(key);
+        let spec = parse_value(&body)?;
+        let mut client = self.checkout();
         let written = client.create(kind, &name, spec).await;
-        self.rest(client);
-        outcome(written)
+        self.release(client);
+        to_outcome(written)
     }
 
-    /// Writes an object that must still be at `position`.
+    /// Replaces an object if its last change is still at `position`.
     ///
     /// # Errors
     /// If the platform does not answer; the write may have taken effect.
@@ -114,22 +115,22 @@
         position: Position,
         body: Vec<u8>,
     ) -> Result<WriteOutcome, Error> {
-        let (kind, name) = parts(key);
-        let spec = value(&body)?;
-        let mut client = self.take();
+        let (kind, name) = split_key(key);
+        let spec = parse_value(&body)?;
+        let mut client = self.checkout();
         let written = client.replace(kind, &name, position, spec).await;
-        self.rest(client);
-        outcome(written)
+        self.release(client);
+        to_outcome(written)
     }
 
-    /// The keys that begin with `prefix`, in order.
+    /// Returns the keys that begin with `prefix`, sorted. The prefix must contain the whole kind.
     ///
     /// # Errors
     /// If the platform does not answer.
     pub async fn list(&self, prefix: &str) -> Result<Vec<String>, Error> {
-        let (kind, start) = parts(prefix);
+        let (kind, start) = split_key(prefix);
         let key = |name: &str| format!("{kind}/{}", name.replace(SEPARATOR, "/"));
-        let listed = self.all(kind).await?;
+        let listed = self.list_objects(kind).await?;
         let names = listed.iter().map(|object| object.metadata.name.as_str());
         let mut keys: Vec<String> =
             names.filter(|name| name.starts_with(&start)).map(key).collect();
@@ -137,39 +138,39 @@
         Ok(keys)
     }
 
-    /// The list of VMs, which lags.
+    /// Returns the VMs that the platform lists. The list lags behind the VMs that run.
     ///
     /// # Errors
     /// If the platform does not answer.
     pub async fn vms(&self) -> Result<Vec<Listed>, Error> {
-        let listed = self.all(VMS).await?;
+        let listed = self.list_objects(VMS_KIND).await?;
         let read = |object: Raw| {
             serde_json::from_value(object.spec).map_err(|fault| Error::Store(fault.to_string()))
         };
         listed.into_iter().map(read).collect()
     }
 
-    async fn all(&self, kind: &str) -> Result<Vec<Raw>, Error> {
-        let mut client = self.take();
+    async fn list_objects(&self, kind: &str) -> Result<Vec<Raw>, Error> {
+        let mut client = self.checkout();
         let listed = client.list(kind, Consistency::Strong).await;
-        self.rest(client);
-        Ok(listed.map_err(failed)?.items)
+        self.release(client);
+        Ok(listed.map_err(to_error)?.items)
     }
 
-    fn take(&self) -> Client {
-        let resting = self.resting.borrow_mut().pop();
-        resting.unwrap_or_else(|| Client::new(self.address, self.eras.clone()))
+    fn checkout(&self) -> Client {
+        let idle = self.idle.borrow_mut().pop();
+        idle.unwrap_or_else(|| Client::new(self.address, self.eras.clone()))
     }
 
-    fn rest(&self, client: Client) {
-        let mut resting = self.resting.borrow_mut();
-        if resting.len() < RESTING {
-            resting.push(client);
+    fn release(&self, client: Client) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE_CLIENTS {
+            idle.push(client);
         }
     }
 }
 
-/// Watches a kind until the object of that name changes; changes of others are passed over.
+/// Watches a kind until the object of that name changes or `wait` ends. Ignores other objects.
 async fn wait_for(
     client: &mut Client,
     kind: &str,
@@ -177,44 +178,45 @@
     after: Position,
     wait: Span,
 ) -> Result<Option<Raw>, StoreError> {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut from = after;
     loop {
-        let left = Span(wait.0.saturating_sub(begun.elapsed().as_micros() as u64));
-        let events = client.watch(kind, from, left).await?;
-        let ours = |object: &Raw| object.metadata.name == name && object.metadata.position > after;
+        let remaining = Span(wait.0.saturating_sub(started.elapsed().as_micros() as u64));
+        let events = client.watch(kind, from, remaining).await?;
+        let is_watched =
+            |object: &Raw| object.metadata.name == name && object.metadata.position > after;
         from = from.max(events.position());
         let changes = events.events.into_iter().filter(|event| !event.deleted);
-        let newest = changes.map(|event| event.object).rfind(ours);
-        if newest.is_some() || begun.elapsed() >= wait.duration() {
+        let newest = changes.map(|event| event.object).rfind(is_watched);
+        if newest.is_some() || started.elapsed() >= wait.duration() {
             return Ok(newest);
         }
     }
 }
 
-/// Kind and name of a key.
-fn parts(key: &str) -> (&str, String) {
+/// Splits a key into the kind and the name of its object.
+fn split_key(key: &str) -> (&str, String) {
     let (kind, name) = key.split_once('/').unwrap_or((key, ""));
     (kind, name.replace('/', SEPARATOR))
 }
 
-fn shown(object: &Raw) -> Object {
+fn to_object(object: &Raw) -> Object {
     Object { position: object.metadata.position, body: Bytes::from(object.spec.to_string()) }
 }
 
-fn value(body: &[u8]) -> Result<Value, Error> {
+fn parse_value(body: &[u8]) -> Result<Value, Error> {
     serde_json::from_slice(body)
-        .map_err(|fault| Error::Store(format!("a value is no JSON: {fault}")))
+        .map_err(|fault| Error::Store(format!("the value is not JSON: {fault}")))
 }
 
-fn outcome(written: Result<Raw, StoreError>) -> Result<WriteOutcome, Error> {
+fn to_outcome(written: Result<Raw, StoreError>) -> Result<WriteOutcome, Error> {
     match written {
         Ok(_) => Ok(WriteOutcome::Applied),
         Err(StoreError::Conflict(_)) => Ok(WriteOutcome::Conflict),
-        Err(trouble) => Err(failed(trouble)),
+        Err(fault) => Err(to_error(fault)),
     }
 }
 
-fn failed(trouble: StoreError) -> Error {
-    Error::Store(trouble.to_string())
+fn to_error(fault: StoreError) -> Error {
+    Error::Store(fault.to_string())
 }
