--- a/src/unit/digest.rs
+++ b/src/unit/digest.rs
@@ -1,11 +1,11 @@
-//! Digests that all VMs work out alike and that nobody can aim at.
+//! Cryptographic digests: equal on all VMs, and collisions cannot be constructed.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// A digest: the first 128 bits of SHA-256.
+/// First 128 bits of a SHA-256 digest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +17,8 @@
     }
 }
 
-/// Digest of parts, each told apart from the next.
+/// Returns the digest of a sequence of parts. The length of each part is hashed too, so that other
+/// splits of the same bytes give other digests.
 pub fn digest(parts: &[&[u8]]) -> Digest {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -25,9 +26,9 @@
         hasher.update(part);
     }
     let bytes = hasher.finalize();
-    let number = |at: usize| {
-        let eight: [u8; 8] = bytes[at..at + 8].try_into().expect("eight bytes");
+    let word = |start: usize| {
+        let eight: [u8; 8] = bytes[start..start + 8].try_into().expect("eight bytes");
         u64::from_be_bytes(eight)
     };
-    Digest(number(0), number(8))
+    Digest(word(0), word(8))
 }
--- a/src/unit/id.rs
+++ b/src/unit/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is a newtype with `Display` and a checking `FromStr`.
+//! Identifiers. Each is a newtype with `Display` and a validating `FromStr`.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// The longest accepted identifier; it must fit a header and a log line.
-const LONGEST: usize = 64;
+/// Maximum length of an identifier in bytes, so that it fits into a header and a log line.
+const MAX_LENGTH: usize = 64;
 
-/// Why a text is not the identifier it was read as.
+/// Error of parsing a text as an identifier or quantity: a sentence for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError(pub String);
 
@@ -21,26 +21,26 @@
 
 impl std::error::Error for ParseError {}
 
-fn checked(text: &str) -> Result<Arc<str>, ParseError> {
-    let fits = !text.is_empty() && text.len() <= LONGEST;
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if fits && text.chars().all(plain) {
+fn validate(text: &str) -> Result<Arc<str>, ParseError> {
+    let has_valid_length = !text.is_empty() && text.len() <= MAX_LENGTH;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if has_valid_length && text.chars().all(is_allowed) {
         return Ok(text.into());
     }
     Err(ParseError(format!(
-        "`{}` is not a name; use 1 to {LONGEST} letters, digits, `-`, `_` or `.`.",
-        text.chars().take(LONGEST).collect::<String>()
+        "`{}` is not a name; use 1 to {MAX_LENGTH} letters, digits, `-`, `_` or `.`.",
+        text.chars().take(MAX_LENGTH).collect::<String>()
     )))
 }
 
-macro_rules! name {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -56,7 +56,7 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, ParseError> {
-                checked(text).map($name)
+                validate(text).map($name)
             }
         }
 
@@ -69,48 +69,48 @@
     };
 }
 
-name!(
-    /// A customer's workspace.
+string_id!(
+    /// Workspace of a customer.
     Workspace
 );
-name!(
-    /// A region, which holds data centres.
+string_id!(
+    /// Region, which contains data centres.
     Region
 );
-name!(
-    /// A model, whatever its version.
+string_id!(
+    /// Model, without its version.
     Model
 );
-name!(
-    /// A version of some model.
+string_id!(
+    /// Version of a model.
     Version
 );
-name!(
-    /// One of the system's own VMs.
+string_id!(
+    /// VM that runs this router.
     Vm
 );
-name!(
-    /// A data centre.
+string_id!(
+    /// Data centre.
     DataCentre
 );
-name!(
-    /// A backend server: a model engine or a plain service's replica.
+string_id!(
+    /// Backend server: a model engine or a replica of a plain service.
     Server
 );
-name!(
-    /// A plain application service.
+string_id!(
+    /// Application service without a model.
     Service
 );
-name!(
-    /// A request, unique over all VMs and incarnations.
+string_id!(
+    /// Request, unique over all VMs and their incarnations.
     RequestId
 );
-name!(
-    /// A kind of work, as the caller names it (`tag`, `draft`).
+string_id!(
+    /// Kind of work as the caller names it, such as `tag` or `draft`.
     Kind
 );
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -136,21 +136,22 @@
     };
 }
 
-number!(
-    /// A revision of the configuration; only rises. Also the fence number of orders.
+numeric_id!(
+    /// Revision of the configuration, which never decreases. Also the fencing token of orders to
+    /// engines.
     Revision
 );
-number!(
-    /// One life of a VM: the wall time of its start in microseconds.
+numeric_id!(
+    /// Incarnation of a VM's process: the wall-clock time of its start, in microseconds.
     Incarnation
 );
 
-/// A model at a version.
+/// Model and version, written as `MODEL@VERSION`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Target {
-    /// The model.
+    /// Model.
     pub model: Model,
-    /// The version of the model.
+    /// Version of the model.
     pub version: Version,
 }
 
--- a/src/unit/mod.rs
+++ b/src/unit/mod.rs
@@ -1,4 +1,4 @@
-//! Units and identifiers: every quantity and name has a type of its own.
+//! Units and identifiers: each quantity and name has its own type.
 
 mod digest;
 pub mod hash;
--- a/src/unit/position.rs
+++ b/src/unit/position.rs
@@ -1,4 +1,4 @@
-//! Points in the history of the platform's store.
+//! Positions in the history of the platform's store.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,8 +7,8 @@
 
 use super::ParseError;
 
-/// Number of times that the store was restored from a copy; revisions of different eras have nothing
-/// to do with each other.
+/// Number of times that the store was restored from a backup. Revisions of different eras are not
+/// comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -31,20 +31,20 @@
     }
 }
 
-/// A revision of the store in one of its eras. Positions of a later era are later, whatever their
-/// revisions.
+/// Revision of the store within one of its eras. Any position of a later era is later, whatever its
+/// revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The era.
+    /// Era of the store.
     pub era: Era,
-    /// The revision, which rises with each change within the era.
+    /// Revision, which increases with each change within the era.
     pub revision: u64,
 }
 
 impl Position {
-    /// The position at a revision of an era.
+    /// Creates the position of a revision in an era.
     pub fn new(era: Era, revision: u64) -> Position {
         Position { era, revision }
     }
--- a/src/unit/quantity.rs
+++ b/src/unit/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates, money and shares, and the one place where they are shown.
+//! Sizes, rates, money and shares, with the text format of each.
 
 use std::fmt;
 use std::ops::{Add, AddAssign};
@@ -8,25 +8,25 @@
 
 use super::ParseError;
 
-/// Micro-euros in a euro.
+/// Micro-euros per euro.
 const MICROS: u64 = 1_000_000;
 
-/// Tokens that a version's price is stated for.
-const PRICED_TOKENS: u64 = 1_000;
+/// Number of tokens to which the price of a version refers.
+const TOKENS_PER_PRICE: u64 = 1_000;
 
-/// Bytes in a kilobyte, as operators write `64KB`.
+/// Bytes per kilobyte, which is decimal (`64KB` is 64,000 bytes).
 const KILO: u64 = 1_000;
 
-/// An amount of money in micro-euros.
+/// Amount of money in micro-euros.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Cost(pub u64);
 
 impl Cost {
-    /// The cost of `tokens` at this price for a thousand tokens.
+    /// Returns the cost of `tokens` if `self` is the price of a thousand tokens.
     pub fn for_tokens(self, tokens: u64) -> Cost {
-        Cost(self.0 * tokens / PRICED_TOKENS)
+        Cost(self.0 * tokens / TOKENS_PER_PRICE)
     }
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A count of bytes.
+/// Size in bytes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -98,7 +98,7 @@
     }
 }
 
-/// Events a second.
+/// Rate in events per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct Rate(pub f64);
 
@@ -118,19 +118,19 @@
     }
 }
 
-/// Thousandths of a processor core.
+/// Processor time in thousandths of a core.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Millicores(pub u32);
 
 impl Millicores {
-    /// Thousandths in a core.
-    const CORE: f64 = 1_000.0;
+    /// Millicores per core.
+    const PER_CORE: f64 = 1_000.0;
 
-    /// The number nearest to a part of a core.
+    /// Rounds a number of cores to millicores. A negative number counts as 0.
     pub fn from_cores(cores: f64) -> Millicores {
-        Millicores((cores.max(0.0) * Millicores::CORE).round() as u32)
+        Millicores((cores.max(0.0) * Millicores::PER_CORE).round() as u32)
     }
 }
 
@@ -149,7 +149,7 @@
     }
 }
 
-/// A share of traffic in parts of a million.
+/// Share of traffic in millionths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -159,12 +159,12 @@
     /// All traffic.
     pub const ALL: TrafficShare = TrafficShare(1_000_000);
 
-    /// The share nearest to a fraction from 0 to 1.
+    /// Rounds a fraction to millionths, after clamping it to the range from 0 to 1.
     pub fn from_fraction(fraction: f64) -> TrafficShare {
         TrafficShare((fraction.clamp(0.0, 1.0) * f64::from(TrafficShare::ALL.0)).round() as u32)
     }
 
-    /// The share as a fraction from 0 to 1.
+    /// Returns the share as a fraction from 0 to 1.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / f64::from(TrafficShare::ALL.0)
     }
--- a/src/unit/time.rs
+++ b/src/unit/time.rs
@@ -1,4 +1,4 @@
-//! Time: moments on a monotonic clock, spans between them, and wall-clock dates.
+//! Moments of a monotonic clock, spans of time and wall-clock dates, all in microseconds.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -9,47 +9,47 @@
 
 use super::ParseError;
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond, and milliseconds per second.
 const MILLI: u64 = 1_000;
 
-/// A length of time in microseconds.
+/// Duration in microseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Span(pub u64);
 
 impl Span {
-    /// A span of milliseconds.
+    /// Creates a span of `n` milliseconds.
     pub const fn millis(n: u64) -> Span {
         Span(n * MILLI)
     }
 
-    /// A span of seconds.
+    /// Creates a span of `n` seconds.
     pub const fn secs(n: u64) -> Span {
         Span(n * MILLI * MILLI)
     }
 
-    /// The span in milliseconds, with its fraction.
+    /// Returns the span in milliseconds, including the fraction.
     pub fn as_millis(self) -> f64 {
         self.0 as f64 / MILLI as f64
     }
 
-    /// The span in seconds, with its fraction.
+    /// Returns the span in seconds, including the fraction.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / (MILLI * MILLI) as f64
     }
 
-    /// Half of the span.
+    /// Returns half of the span, rounded down to microseconds.
     pub const fn half(self) -> Span {
         Span(self.0 / 2)
     }
 
-    /// A part of the span, from 0 to 1.
+    /// Returns the span multiplied by `factor`, rounded down to microseconds.
     pub fn mul_f64(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as u64)
     }
 
-    /// The span as the standard library's type.
+    /// Converts the span to the standard library's type.
     pub fn duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
@@ -80,14 +80,15 @@
     }
 }
 
-/// A moment on a process's monotonic clock, in microseconds since some start.
+/// Moment of a process's monotonic clock, in microseconds since an arbitrary start. Moments of
+/// different processes are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Moment(pub u64);
 
 impl Moment {
-    /// The time from `earlier` until this moment; nothing if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or 0 if `earlier` is later than this moment.
     pub fn since(self, earlier: Moment) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -109,14 +110,14 @@
     }
 }
 
-/// A wall-clock time in microseconds since 1970.
+/// Wall-clock time in microseconds since the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Date(pub u64);
 
 impl Date {
-    /// The time from `earlier` until this date; nothing if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or 0 if `earlier` is later than this date.
     pub fn since(self, earlier: Date) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
