--- a/src/watch/burn.rs
+++ b/src/watch/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: how fast each objective's allowance is used up.
+//! Burn rates: how fast the error budget of each service-level objective is consumed.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,7 +7,7 @@
 
 use crate::unit::{Date, Span, Target, Workspace};
 
-/// The windows of the report.
+/// Names and lengths of the report's windows.
 pub const WINDOWS: [(&str, Span); 4] = [
     ("5m", Span::secs(300)),
     ("1h", Span::secs(3600)),
@@ -15,11 +15,11 @@
     ("3d", Span::secs(3 * 24 * 3600)),
 ];
 
-/// Slots that a window is kept in: the report is exact to a thirtieth of its window.
-const SLOTS: usize = 30;
+/// Slots per window, which limit the accuracy of the report to a thirtieth of the window.
+const SLOTS_PER_WINDOW: usize = 30;
 
-/// The period over which an allowance lasts if it is used evenly.
-const PERIOD: Span = Span::secs(30 * 24 * 3600);
+/// Period for which an error budget is granted.
+const BUDGET_PERIOD: Span = Span::secs(30 * 24 * 3600);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
@@ -31,26 +31,27 @@
 #[derive(Clone, Debug, Default)]
 struct Series {
     good: f64,
-    rings: [[Slot; SLOTS]; 4],
+    rings: [[Slot; SLOTS_PER_WINDOW]; 4],
 }
 
-/// Counts of one objective on one or more VMs.
+/// Counts of one objective, on one VM or summed over several.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectiveCounts {
-    /// The workspace.
+    /// Workspace of the requests.
     pub workspace: Workspace,
-    /// The version.
+    /// Model and version that served them.
     pub target: Target,
-    /// The objective's number in the workspace.
+    /// Index of the objective in the workspace's configuration.
     pub objective: usize,
-    /// Share of requests that must be good.
+    /// Share of requests that must meet the objective, from 0 to 1.
     pub good: f64,
-    /// Requests and bad ones for each of `WINDOWS`.
+    /// For each of [`WINDOWS`], the requests and those of them that missed the objective.
     pub counts: [(u64, u64); 4],
 }
 
 impl ObjectiveCounts {
-    /// Burn over a window: 1 uses the allowance up in exactly its period.
+    /// Returns the burn rate over a window of [`WINDOWS`]. At a rate of 1 the error budget lasts
+    /// exactly for its period.
     pub fn burn_rate(&self, window: usize) -> f64 {
         let (all, bad) = self.counts[window];
         if all == 0 {
@@ -60,14 +61,14 @@
     }
 }
 
-/// All objectives on one VM.
+/// Request counts of all objectives on one VM.
 #[derive(Debug, Default)]
 pub struct BurnTracker {
     series: BTreeMap<(Workspace, Target, usize), Series>,
 }
 
 impl BurnTracker {
-    /// Counts a request against an objective.
+    /// Counts a request for an objective; `good` is the share that must meet it.
     pub fn record(
         &mut self,
         workspace: &Workspace,
@@ -81,8 +82,8 @@
         let series = self.series.entry(key).or_default();
         series.good = good;
         for (ring, (_, window)) in series.rings.iter_mut().zip(WINDOWS) {
-            let number = date.0 / (window.0 / SLOTS as u64);
-            let slot = &mut ring[(number % SLOTS as u64) as usize];
+            let number = date.0 / (window.0 / SLOTS_PER_WINDOW as u64);
+            let slot = &mut ring[(number % SLOTS_PER_WINDOW as u64) as usize];
             if slot.number != number {
                 *slot = Slot { number, all: 0, bad: 0 };
             }
@@ -91,16 +92,17 @@
         }
     }
 
-    /// The counts over each window that ends now.
+    /// Returns the counts of all objectives, over the windows that end at `date`.
     pub fn counts(&self, date: Date) -> Vec<ObjectiveCounts> {
-        let slice =
+        let sum_windows =
             |((workspace, target, objective), series): (&(Workspace, Target, usize), &Series)| {
                 let mut counts = [(0, 0); 4];
                 for ((count, ring), (_, window)) in
                     counts.iter_mut().zip(&series.rings).zip(WINDOWS)
                 {
-                    let number = date.0 / (window.0 / SLOTS as u64);
-                    let recent = ring.iter().filter(|slot| slot.number + SLOTS as u64 > number);
+                    let number = date.0 / (window.0 / SLOTS_PER_WINDOW as u64);
+                    let recent =
+                        ring.iter().filter(|slot| slot.number + SLOTS_PER_WINDOW as u64 > number);
                     *count = recent.fold((0, 0), |sum, slot| (sum.0 + slot.all, sum.1 + slot.bad));
                 }
                 ObjectiveCounts {
@@ -111,23 +113,23 @@
                     counts,
                 }
             };
-        self.series.iter().map(slice).collect()
+        self.series.iter().map(sum_windows).collect()
     }
 }
 
-/// Adds up slices of several VMs and shows them as a table.
-pub fn burn_table(slices: Vec<ObjectiveCounts>) -> String {
+/// Sums the counts of several VMs and formats the burn rates as a table, one objective per line.
+pub fn burn_table(all_counts: Vec<ObjectiveCounts>) -> String {
     let mut merged: BTreeMap<(Workspace, Target, usize), ObjectiveCounts> = BTreeMap::new();
-    for slice in slices {
-        let key = (slice.workspace.clone(), slice.target.clone(), slice.objective);
+    for counts in all_counts {
+        let key = (counts.workspace.clone(), counts.target.clone(), counts.objective);
         match merged.get_mut(&key) {
-            Some(held) => {
-                for (count, more) in held.counts.iter_mut().zip(slice.counts) {
+            Some(sum) => {
+                for (count, more) in sum.counts.iter_mut().zip(counts.counts) {
                     *count = (count.0 + more.0, count.1 + more.1);
                 }
             }
             None => {
-                merged.insert(key, slice);
+                merged.insert(key, counts);
             }
         }
     }
@@ -135,25 +137,25 @@
         "{:<14} {:<18} {:>8} {:>8} {:>7} {:>7} {:>7} {:>7}  {}\n",
         "workspace", "version", "requests", "bad", "5m", "1h", "6h", "3d", "left at this rate"
     );
-    for slice in merged.values() {
-        let (all, bad) = slice.counts[3];
-        let recent = slice.burn_rate(1);
+    for counts in merged.values() {
+        let (all, bad) = counts.counts[3];
+        let recent = counts.burn_rate(1);
         let left = if recent > 0.0 {
-            format!("{:.1} days", PERIOD.as_secs() / recent / 86_400.0)
+            format!("{:.1} days", BUDGET_PERIOD.as_secs() / recent / 86_400.0)
         } else {
             "all".to_owned()
         };
         let _ = writeln!(
             out,
             "{:<14} {:<18} {:>8} {:>8} {:>7.2} {:>7.2} {:>7.2} {:>7.2}  {left}",
-            slice.workspace.to_string(),
-            slice.target.to_string(),
+            counts.workspace.to_string(),
+            counts.target.to_string(),
             all,
             bad,
-            slice.burn_rate(0),
-            slice.burn_rate(1),
-            slice.burn_rate(2),
-            slice.burn_rate(3)
+            counts.burn_rate(0),
+            counts.burn_rate(1),
+            counts.burn_rate(2),
+            counts.burn_rate(3)
         );
     }
     out
@@ -171,8 +173,8 @@
         for i in 0..100 {
             burn.record(&workspace, &target, 0, 0.95, i < 10, start);
         }
-        let slices = burn.counts(start);
-        assert!((slices[0].burn_rate(0) - 2.0).abs() < 1e-9);
+        let counts = burn.counts(start);
+        assert!((counts[0].burn_rate(0) - 2.0).abs() < 1e-9);
         let later = Date(start.0 + Span::secs(301).0);
         assert_eq!(burn.counts(later)[0].counts[0], (0, 0));
         assert_eq!(burn.counts(later)[0].counts[1], (100, 10));
--- a/src/watch/label.rs
+++ b/src/watch/label.rs
@@ -1,26 +1,27 @@
-//! Names that others use and this program does not know.
+//! Bounded sets of names that come from other systems, for metric labels and log lines.
 
 use std::collections::HashSet;
 
-/// Names that are told apart.
-const MOST: usize = 32;
+/// Maximum number of names that are counted separately.
+const MAX_LABELS: usize = 32;
 
-/// What names beyond those count as.
-const OTHERS: &str = "others";
+/// Label of all further names.
+const OVERFLOW_LABEL: &str = "others";
 
-/// Names that were met.
+/// Names seen so far, of which only the first [`MAX_LABELS`] count separately, since the sender
+/// chooses how many there are.
 #[derive(Debug, Default)]
 pub struct LabelSet {
-    met: HashSet<String>,
+    seen: HashSet<String>,
 }
 
 impl LabelSet {
-    /// Takes a name that was met: what it counts as, and whether that is met for the first time.
+    /// Records a name. Returns the label to count it under, and true if that label is new.
     pub fn observe<'a>(&mut self, name: &'a str) -> (&'a str, bool) {
-        if self.met.contains(name) {
+        if self.seen.contains(name) {
             return (name, false);
         }
-        let name = if self.met.len() < MOST { name } else { OTHERS };
-        (name, self.met.insert(name.to_owned()))
+        let name = if self.seen.len() < MAX_LABELS { name } else { OVERFLOW_LABEL };
+        (name, self.seen.insert(name.to_owned()))
     }
 }
--- a/src/watch/log.rs
+++ b/src/watch/log.rs
@@ -1,7 +1,7 @@
-//! Structured log lines on standard output: JSON, one a line, bounded, never blocking.
+//! Structured log on standard output: one JSON object per line, written without blocking.
 //!
-//! Lines are gathered and written by a task when standard output takes them. What does not fit is
-//! counted, and the count is told with the next line that does.
+//! Lines are buffered, and a task writes them when standard output accepts them. When the buffer is
+//! full, lines are dropped and counted; the next line that fits reports the count.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -13,16 +13,16 @@
 
 use crate::unit::{Date, Moment};
 
-/// Bytes that may wait for standard output; some hundred lines.
-const WAITING: usize = 64 * 1024;
+/// Bytes that may be buffered until standard output accepts them: some hundred lines.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// A value of a field.
+/// Value of a field of a log line.
 pub enum Value<'a> {
-    /// Text.
+    /// Text, which is quoted and escaped.
     Text(&'a str),
-    /// A number.
+    /// Number, written with at most three decimals; `null` if it is not finite.
     Number(f64),
-    /// True or false.
+    /// Boolean.
     Flag(bool),
 }
 
@@ -64,73 +64,75 @@
 
 #[derive(Default)]
 struct Buffer {
-    waiting: Vec<u8>,
+    pending: Vec<u8>,
     dropped: u64,
-    /// Where they go; nowhere if the process has no standard output.
+    /// Standard output; `None` for a logger that discards its lines.
     out: Option<ManuallyDrop<File>>,
 }
 
-/// Writer of the lines of one process; clones share it.
+/// Logger of a process. Clones share one buffer.
 #[derive(Clone, Default)]
 pub struct Logger {
     buffer: Rc<RefCell<Buffer>>,
 }
 
 impl Logger {
-    /// A writer to standard output, which from now on refuses what it cannot take at once, in
-    /// place of blocking the process.
+    /// Creates a logger that writes to standard output, and sets standard output to non-blocking
+    /// mode, so that a slow reader cannot block the process.
     pub fn to_stdout() -> Logger {
-        // SAFETY: the descriptor is open from the start of the process, and is never closed here.
+        // SAFETY: the descriptor is open from the start of the process and is never closed here.
         let out = ManuallyDrop::new(unsafe { File::from_raw_fd(libc::STDOUT_FILENO) });
-        never_block(&out);
+        set_nonblocking(&out);
         let buffer = Buffer { out: Some(out), ..Buffer::default() };
         Logger { buffer: Rc::new(RefCell::new(buffer)) }
     }
 
-    /// Adds a line: what happened, when, and the fields that decided it.
+    /// Appends a line with the event, the time and the fields to the buffer. Drops it if the buffer
+    /// is full.
     pub fn log(&self, event: &str, date: Date, now: Moment, fields: &[(&str, Value)]) {
         let mut buffer = self.buffer.borrow_mut();
-        if buffer.waiting.len() > WAITING {
+        if buffer.pending.len() > MAX_BUFFERED_BYTES {
             buffer.dropped += 1;
             return;
         }
         let mut line = String::with_capacity(200);
         // Writing to a string cannot fail.
         let _ = write!(line, "{{\"at_ms\":{},\"up_ms\":{}", date.0 / 1000, now.0 / 1000);
-        push(&mut line, "event", &Value::Text(event));
+        push_field(&mut line, "event", &Value::Text(event));
         for (name, value) in fields {
-            push(&mut line, name, value);
+            push_field(&mut line, name, value);
         }
         let dropped = std::mem::take(&mut buffer.dropped);
         if dropped > 0 {
-            push(&mut line, "lines_dropped_before", &Value::from(dropped));
+            push_field(&mut line, "lines_dropped_before", &Value::from(dropped));
         }
         line.push_str("}\n");
-        buffer.waiting.extend_from_slice(line.as_bytes());
+        buffer.pending.extend_from_slice(line.as_bytes());
     }
 
-    /// Hands to standard output what it takes now.
+    /// Writes as much of the buffer as standard output accepts without blocking.
     pub fn flush(&self) {
         let buffer = &mut *self.buffer.borrow_mut();
         let Some(out) = &mut buffer.out else {
-            buffer.waiting.clear();
+            buffer.pending.clear();
             return;
         };
         let mut sent = 0;
-        while sent < buffer.waiting.len() {
-            match out.write(&buffer.waiting[sent..]) {
+        while sent < buffer.pending.len() {
+            match out.write(&buffer.pending[sent..]) {
                 Ok(0) => break,
                 Ok(count) => sent += count,
                 Err(fault) if fault.kind() == std::io::ErrorKind::Interrupted => {}
-                // A full pipe takes the rest later; a closed one never does, and the bound holds.
+                // A full pipe accepts the rest later. A closed one never does; the buffer's limit
+                // then bounds the memory.
                 Err(_) => break,
             }
         }
-        buffer.waiting.drain(..sent);
+        buffer.pending.drain(..sent);
     }
 }
 
-fn never_block(out: &File) {
+fn set_nonblocking(out: &File) {
     // SAFETY: both calls read and set the flags of an open descriptor, and touch no memory.
     unsafe {
         let flags = libc::fcntl(out.as_raw_fd(), libc::F_GETFL);
@@ -140,10 +142,10 @@
     }
 }
 
-fn push(line: &mut String, name: &str, value: &Value) {
+fn push_field(line: &mut String, name: &str, value: &Value) {
     let _ = write!(line, ",\"{name}\":");
     match value {
-        Value::Text(text) => quote(line, text),
+        Value::Text(text) => push_quoted(line, text),
         Value::Number(number) if number.is_finite() => {
             let _ = write!(line, "{}", (number * 1000.0).round() / 1000.0);
         }
@@ -152,7 +154,7 @@
     }
 }
 
-fn quote(line: &mut String, text: &str) {
+fn push_quoted(line: &mut String, text: &str) {
     line.push('"');
     for c in text.chars() {
         match c {
--- a/src/watch/metrics.rs
+++ b/src/watch/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters for `/metrics`.
+//! Prometheus metrics of a VM, served at `/metrics`.
 
 use prometheus::{
     Encoder, GaugeVec, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts,
@@ -7,45 +7,46 @@
 
 use crate::unit::Revision;
 
-/// Bounds of the latency histograms, in seconds.
-const BOUNDS: [f64; 12] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.4, 2.5, 5.0, 10.0];
+/// Upper bounds of the latency histograms' buckets, in seconds.
+const LATENCY_BUCKETS: [f64; 12] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.4, 2.5, 5.0, 10.0];
 
-/// The counters of one VM.
+/// Metrics of one VM.
 pub struct Metrics {
     registry: Registry,
     accepted: IntGauge,
     /// Requests by workspace and outcome.
     pub requests: IntCounterVec,
-    /// Refusals by kind.
+    /// Rejected requests by kind.
     pub refusals: IntCounterVec,
     /// Attempts by version and outcome.
     pub attempts: IntCounterVec,
-    /// Tokens given to callers.
+    /// Tokens sent to callers.
     pub tokens: IntCounter,
-    /// First token after the request, seconds.
+    /// Time from the request to the first token, in seconds.
     pub first_token: Histogram,
-    /// Time that a bill took to be safe, seconds.
+    /// Time until a bill was stored durably, in seconds.
     pub bill: Histogram,
-    /// Bills not in the store yet, own and copies.
+    /// Bills that are not in the store yet: those of this VM and copies of those of others.
     pub bills_held: IntGauge,
-    /// The revision in force.
+    /// Configuration revision that this VM enforces.
     pub revision: IntGauge,
     /// Control messages to other VMs, by kind.
     pub messages: IntCounterVec,
-    /// Burn of this VM's requests, by workspace, version and window.
+    /// Burn rates of this VM's requests, by workspace, version and window.
     pub burn: GaugeVec,
-    /// Bytes of messages sent to other VMs, without the transport's own.
+    /// Bytes of messages sent to other VMs, excluding the overhead of the transport.
     pub peer_bytes: IntGauge,
-    /// Calls to the platform that failed.
+    /// Failed requests to the platform.
     pub store_failures: IntCounter,
-    /// Events that did not fit a state chart.
+    /// Events that a state chart does not allow in the current state.
     pub invalid_transitions: IntCounter,
-    /// Frames of back ends that belonged to another request or came twice.
+    /// Frames from servers that belonged to another request or were duplicates.
     pub stray_frames: IntCounter,
 }
 
 impl Metrics {
-    /// All counters at nought.
+    /// Registers all metrics, with the value 0.
     pub fn new() -> Metrics {
         let registry = Registry::new();
         let vec = |name: &str, help: &str, labels: &[&str]| {
@@ -64,7 +65,7 @@
             gauge
         };
         let histogram = |name: &str, help: &str| {
-            let options = HistogramOpts::new(name, help).buckets(BOUNDS.to_vec());
+            let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
             let histogram = Histogram::with_opts(options).expect("a plain name");
             registry.register(Box::new(histogram.clone())).expect("a name used once");
             histogram
@@ -95,17 +96,17 @@
         }
     }
 
-    /// The highest revision found to be in force everywhere.
+    /// Returns the highest revision known to be in force on all VMs.
     pub fn accepted(&self) -> Revision {
         Revision(self.accepted.get() as u64)
     }
 
-    /// Sets the highest revision found to be in force everywhere.
+    /// Sets the highest revision known to be in force on all VMs.
     pub fn set_accepted(&self, revision: Revision) {
         self.accepted.set(revision.0 as i64);
     }
 
-    /// All counters in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut out = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut out);
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Watching: decision records, the burn report, counters.
+//! Observability: log lines, metrics, decision records and the error-budget report.
 
 mod burn;
 pub mod label;
--- a/src/watch/trace.rs
+++ b/src/watch/trace.rs
@@ -1,4 +1,4 @@
-//! Decision records: why a request went where it went.
+//! Decision records: the steps by which a request was routed, for operators.
 
 use std::collections::VecDeque;
 
@@ -6,26 +6,26 @@
 
 use crate::unit::{Date, RequestId, Revision, Workspace};
 
-/// Records kept; older ones are dropped.
-const KEPT: usize = 4000;
+/// Maximum number of records kept; the oldest are dropped.
+const MAX_RECORDS: usize = 4000;
 
-/// The record of one request.
+/// Decision record of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trace {
-    /// The request.
+    /// Request.
     pub request: RequestId,
-    /// Its workspace.
+    /// Workspace of the request.
     pub workspace: Workspace,
-    /// The revision it was decided under.
+    /// Configuration revision that applied to it.
     pub revision: Revision,
-    /// When it came.
+    /// Time at which it arrived.
     pub date: Date,
-    /// What was weighed and met, a sentence each, in order.
+    /// Decisions and events in order, one sentence each.
     pub steps: Vec<String>,
 }
 
 impl Trace {
-    /// The record in words.
+    /// Formats the record for operators, one step per line.
     pub fn to_text(&self) -> String {
         let mut text = format!(
             "request {} of {} under revision {}\n",
@@ -40,36 +40,37 @@
     }
 }
 
-/// The latest records, and who listens to new ones.
+/// Latest decision records, and the subscribers to new ones.
 #[derive(Debug, Default)]
 pub struct TraceLog {
-    kept: VecDeque<Trace>,
-    listeners: Vec<tokio::sync::mpsc::Sender<String>>,
+    records: VecDeque<Trace>,
+    subscribers: Vec<tokio::sync::mpsc::Sender<String>>,
 }
 
 impl TraceLog {
-    /// Keeps a record and tells listeners; one that does not keep up misses records.
+    /// Stores a record and sends it to all subscribers. A subscriber whose channel is full misses
+    /// it.
     pub fn record(&mut self, trace: Trace) {
-        if !self.listeners.is_empty() {
-            let text = serde_json::to_string(&trace).expect("a record is plain data");
-            self.listeners.retain(|to| !to.is_closed());
-            for to in &self.listeners {
+        if !self.subscribers.is_empty() {
+            let text = serde_json::to_string(&trace).expect("a decision record serializes");
+            self.subscribers.retain(|to| !to.is_closed());
+            for to in &self.subscribers {
                 let _ = to.try_send(text.clone());
             }
         }
-        if self.kept.len() >= KEPT {
-            self.kept.pop_front();
+        if self.records.len() >= MAX_RECORDS {
+            self.records.pop_front();
         }
-        self.kept.push_back(trace);
+        self.records.push_back(trace);
     }
 
-    /// The record of a request.
+    /// Returns the newest record of a request, if it is still kept.
     pub fn find(&self, request: &str) -> Option<&Trace> {
-        self.kept.iter().rev().find(|trace| trace.request.as_str() == request)
+        self.records.iter().rev().find(|trace| trace.request.as_str() == request)
     }
 
-    /// Listens to records to come.
+    /// Subscribes a channel to new records, which are sent as JSON.
     pub fn subscribe(&mut self, to: tokio::sync::mpsc::Sender<String>) {
-        self.listeners.push(to);
+        self.subscribers.push(to);
     }
 }
