--- a/src/chart/draw.rs
+++ b/src/chart/draw.rs
@@ -1,10 +1,10 @@
-//! Drawings of charts for the docs.
+//! Diagrams of charts, for the documentation.
 
 use std::fmt::Write;
 
 use super::Chart;
 
-/// The chart as a Mermaid state diagram.
+/// Formats a chart as a Mermaid state diagram.
 pub fn mermaid(chart: &Chart) -> String {
     let mut out = format!("stateDiagram-v2\n    [*] --> {}\n", chart.start);
     for step in &chart.steps {
--- a/src/chart/machine.rs
+++ b/src/chart/machine.rs
@@ -1,4 +1,4 @@
-//! The interpreter: one chart, one state, one event at a time.
+//! Parsing and validation of charts, and the state machine that executes one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -6,59 +6,70 @@
 
 use serde::Deserialize;
 
-/// A state chart as its file declares it.
+/// State chart, as declared in its file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Chart {
-    /// The chart's name.
+    /// Name of the chart.
     pub name: String,
-    /// The state that every life begins in.
+    /// Initial state.
     pub start: String,
-    /// The states that nothing leaves.
+    /// Final states, which have no transitions.
     pub ends: Vec<String>,
-    /// The closed list of events.
+    /// All events. An event that is not listed is an error of the file.
     pub events: Vec<String>,
-    /// The moves out of each state; an event missing there is refused on purpose.
+    /// Transitions of each state. An event that a state does not list is rejected deliberately.
     #[serde(rename = "step")]
     pub steps: Vec<Step>,
 }
 
-/// The moves out of one state.
+/// Transitions of one state.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// The state.
+    /// State that the transitions leave.
     pub from: String,
-    /// The next state for each event.
+    /// Next state for each event.
     pub on: BTreeMap<String, String>,
 }
 
-/// An event that does not fit the state it met.
+/// Error: an event that the chart does not allow in the current state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidTransition {
-    /// The chart.
+    /// Name of the chart.
     pub chart: String,
-    /// The state the event met.
+    /// Current state, which is kept.
     pub state: String,
-    /// The event.
+    /// Rejected event.
     pub event: String,
 }
 
 impl fmt::Display for InvalidTransition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "A {} in state `{}` takes no `{}`.", self.chart, self.state, self.event)
+        write!(
+            f,
+            "A {} in state `{}` does not accept event `{}`.",
+            self.chart, self.state, self.event
+        )
     }
 }
 
-/// Reads a chart and checks it as a whole.
+/// Parses and validates a chart.
+///
+/// # Errors
+/// If the text is not a chart, a state is declared twice, a transition names an undeclared state or
+/// event, an event is never used, or a state is unreachable.
 pub fn load(text: &str) -> Result<Chart, String> {
     let chart: Chart = toml::from_str(text).map_err(|fault| fault.to_string())?;
-    chart.check()?;
+    chart.validate()?;
     Ok(chart)
 }
 
 impl Chart {
-    /// The state after `event` in `state`.
+    /// Returns the state that follows `state` after `event`.
+    ///
+    /// # Errors
+    /// If the chart does not allow the event in that state.
     pub fn next(&self, state: &str, event: &str) -> Result<&str, InvalidTransition> {
         let step = self.steps.iter().find(|step| step.from == state);
         let to = step.and_then(|step| step.on.get(event));
@@ -69,12 +80,12 @@
         })
     }
 
-    /// Whether nothing leaves `state`.
+    /// Returns true if `state` is final.
     pub fn is_end(&self, state: &str) -> bool {
         self.ends.iter().any(|end| end == state)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         let mut states: BTreeSet<&str> = self.ends.iter().map(String::as_str).collect();
         for step in &self.steps {
             if !states.insert(&step.from) {
@@ -93,34 +104,34 @@
                 used.insert(event);
             }
         }
-        let idle = self.events.iter().find(|event| !used.contains(event));
-        if let Some(event) = idle {
-            return Err(format!("{}: no state takes event `{event}`.", self.name));
+        let unused = self.events.iter().find(|event| !used.contains(event));
+        if let Some(event) = unused {
+            return Err(format!("{}: no state accepts event `{event}`.", self.name));
         }
-        let reached = self.reached();
-        match states.iter().find(|state| !reached.contains(*state)) {
+        let reachable = self.reachable();
+        match states.iter().find(|state| !reachable.contains(*state)) {
             Some(state) => Err(format!("{}: state `{state}` is never reached.", self.name)),
             None => Ok(()),
         }
     }
 
-    fn reached(&self) -> BTreeSet<&str> {
-        let mut reached = BTreeSet::from([self.start.as_str()]);
+    fn reachable(&self) -> BTreeSet<&str> {
+        let mut reachable = BTreeSet::from([self.start.as_str()]);
         loop {
-            let before = reached.len();
+            let before = reachable.len();
             for step in &self.steps {
-                if reached.contains(step.from.as_str()) {
-                    reached.extend(step.on.values().map(String::as_str));
+                if reachable.contains(step.from.as_str()) {
+                    reachable.extend(step.on.values().map(String::as_str));
                 }
             }
-            if reached.len() == before {
-                return reached;
+            if reachable.len() == before {
+                return reachable;
             }
         }
     }
 }
 
-/// One life that follows a chart.
+/// State machine that executes a chart.
 #[derive(Clone, Debug)]
 pub struct Machine {
     chart: Arc<Chart>,
@@ -128,25 +139,28 @@
 }
 
 impl Machine {
-    /// A life at its chart's start.
+    /// Creates a machine in the chart's initial state.
     pub fn new(chart: Arc<Chart>) -> Machine {
         let state = chart.start.clone();
         Machine { chart, state }
     }
 
-    /// The present state.
+    /// Returns the current state.
     pub fn state(&self) -> &str {
         &self.state
     }
 
-    /// Takes an event; one that does not fit changes nothing.
+    /// Applies an event and returns the new state.
+    ///
+    /// # Errors
+    /// If the chart does not allow the event in the current state, which is then kept.
     pub fn apply(&mut self, event: &str) -> Result<&str, InvalidTransition> {
         let next = self.chart.next(&self.state, event)?.to_owned();
         self.state = next;
         Ok(&self.state)
     }
 
-    /// Whether this life has ended.
+    /// Returns true if the machine is in a final state.
     pub fn ended(&self) -> bool {
         self.chart.is_end(&self.state)
     }
--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -1,4 +1,4 @@
-//! State charts: read from the files in `charts/`, checked, drawn and interpreted.
+//! State machines, declared by the files in `charts/`: parsing, validation, diagrams and execution.
 
 mod draw;
 mod machine;
@@ -6,7 +6,7 @@
 pub use draw::mermaid;
 pub use machine::{Chart, InvalidTransition, Machine, load};
 
-/// The charts of the tree, by name, as their files' text.
+/// Names and file contents of all charts in `charts/`.
 pub const FILES: [(&str, &str); 5] = [
     ("request", include_str!("../../charts/request.toml")),
     ("rollout", include_str!("../../charts/rollout.toml")),
@@ -15,17 +15,17 @@
     ("vm", include_str!("../../charts/vm.toml")),
 ];
 
-/// The chart of that name.
+/// Returns the chart of a name from [`FILES`].
 ///
 /// # Panics
-/// If the tree has no such chart or its file is faulty; a test loads each of them.
+/// If there is no such chart or a file is invalid; a test loads each of them.
 pub fn named(name: &str) -> std::sync::Arc<Chart> {
     use std::sync::{Arc, OnceLock};
     static LOADED: OnceLock<Vec<Arc<Chart>>> = OnceLock::new();
     let charts = LOADED.get_or_init(|| {
-        let read = |(_, text): &(&str, &str)| Arc::new(load(text).expect("a checked chart"));
-        FILES.iter().map(read).collect()
+        let parse = |(_, text): &(&str, &str)| Arc::new(load(text).expect("all charts are valid"));
+        FILES.iter().map(parse).collect()
     });
     let found = charts.iter().find(|chart| chart.name == name);
-    found.expect("a chart of the tree").clone()
+    found.expect("the chart is in `FILES`").clone()
 }
--- a/src/engine/check.rs
+++ b/src/engine/check.rs
@@ -1,7 +1,8 @@
-//! Whether a backend server's process is there.
+//! Checks whether the process of a backend server is running.
 //!
-//! A broken answer alone does not say: a connection may be reset, a link cut, an answer garbled by a server that lives on. One
-//! whose process is gone refuses connections.
+//! A broken response alone does not prove that it stopped: a running server's connection may be
+//! reset, its network link cut or its response garbled. A server whose process is gone refuses
+//! connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,72 +11,83 @@
 
 use crate::unit::Span;
 
-/// A server that neither takes nor refuses a connection within this leaves open whether it lives.
-const WITHIN: Span = Span::millis(350);
+/// Timeout for a connection to be accepted or refused. After it the state of the process is
+/// unknown.
+const CONNECT_TIMEOUT: Span = Span::millis(350);
 
-/// A process that is about to end may take a connection yet, which then closes within this.
-const ENDS_WITHIN: Span = Span::millis(30);
+/// Time for which an accepted connection must stay open. A process that is about to end may still
+/// accept a connection, which then closes within this time.
+const STABLE_TIME: Span = Span::millis(30);
 
-/// Connections that a check opens at most. A process that ends closes its listener under connections that are just being opened: they may be
-/// reset before they are open, be open and closed at once, or stay open at this end alone. With two, and a reset told as neither, 12 and 13 of
-/// 3,000 checks of a listener that closed at that moment did not find it gone; with four, of which two must stay open, none.
-const TRIES: u32 = 4;
-const STAY: u32 = 2;
+/// Maximum number of connections that a check opens.
+///
+/// A process that ends closes its listener while connections are being opened: they may be reset
+/// before they are open, be closed as soon as they are open, or stay open at this end alone. With
+/// two connections, and a reset that ended the check as unknown, 12 and 13 of 3,000 checks of a
+/// listener that closed at that moment did not find it gone; with four connections, of which
+/// [`REQUIRED_STABLE`] must stay open, none.
+const MAX_CONNECTIONS: u32 = 4;
 
-/// What a check found.
+/// Number of connections that must stay open for the process to count as running.
+const REQUIRED_STABLE: u32 = 2;
+
+/// Result of a check. The variants' names are written to logs and must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It takes connections.
+    /// The process accepts connections.
     Lives,
-    /// It refuses them.
+    /// The process has ended: its address refuses connections.
     IsGone,
-    /// Neither.
+    /// Neither is known: a connection timed out or failed otherwise, or all were reset.
     Unknown,
 }
 
-/// How one connection went.
-enum Opened {
-    /// It stays open.
-    Stays,
-    /// It opened and was closed at once.
+/// Result of one connection.
+enum ConnectOutcome {
+    /// Opened and stayed open.
+    Stable,
+    /// Opened, then closed at once by the server.
     Closed,
-    /// It was reset before it was open.
+    /// Reset before it was open.
     Reset,
-    /// It was refused.
+    /// Refused.
     Refused,
-    /// It did not open in time, or for another reason.
-    Silent,
+    /// Not opened, because of a timeout or another error.
+    Failed,
 }
 
-/// Checks the server at an address by a few connections, one after the other. A server that goes on closing them lives.
+/// Checks the process of the server at an address by opening a few connections, one after the
+/// other. A server that keeps closing them without refusing any counts as running.
 pub async fn check_process(address: SocketAddr) -> ProcessState {
-    let (mut found, mut stay) = (ProcessState::Unknown, 0);
-    for _ in 0..TRIES {
-        match open(address).await {
-            Opened::Stays if stay + 1 == STAY => return ProcessState::Lives,
-            Opened::Stays => (found, stay) = (ProcessState::Lives, stay + 1),
-            Opened::Refused => return ProcessState::IsGone,
-            Opened::Silent => return ProcessState::Unknown,
-            Opened::Closed => found = ProcessState::Lives,
-            Opened::Reset => {}
+    let (mut state, mut stable) = (ProcessState::Unknown, 0);
+    for _ in 0..MAX_CONNECTIONS {
+        match connect(address).await {
+            ConnectOutcome::Stable if stable + 1 == REQUIRED_STABLE => return ProcessState::Lives,
+            ConnectOutcome::Stable => (state, stable) = (ProcessState::Lives, stable + 1),
+            ConnectOutcome::Refused => return ProcessState::IsGone,
+            ConnectOutcome::Failed => return ProcessState::Unknown,
+            ConnectOutcome::Closed => state = ProcessState::Lives,
+            ConnectOutcome::Reset => {}
         }
     }
-    found
+    state
 }
 
-async fn open(address: SocketAddr) -> Opened {
-    let opened = tokio::time::timeout(WITHIN.duration(), TcpStream::connect(address)).await;
-    match opened.map(|opened| opened.map_err(|fault| fault.kind())) {
-        Ok(Ok(stream)) if closes(&stream).await => Opened::Closed,
-        Ok(Ok(_)) => Opened::Stays,
-        Ok(Err(io::ErrorKind::ConnectionRefused)) => Opened::Refused,
-        Ok(Err(io::ErrorKind::ConnectionReset)) => Opened::Reset,
-        Ok(Err(_)) | Err(_) => Opened::Silent,
+async fn connect(address: SocketAddr) -> ConnectOutcome {
+    let result =
+        tokio::time::timeout(CONNECT_TIMEOUT.duration(), TcpStream::connect(address)).await;
+    match result.map(|result| result.map_err(|fault| fault.kind())) {
+        Ok(Ok(stream)) if is_closed(&stream).await => ConnectOutcome::Closed,
+        Ok(Ok(_)) => ConnectOutcome::Stable,
+        Ok(Err(io::ErrorKind::ConnectionRefused)) => ConnectOutcome::Refused,
+        Ok(Err(io::ErrorKind::ConnectionReset)) => ConnectOutcome::Reset,
+        Ok(Err(_)) | Err(_) => ConnectOutcome::Failed,
     }
 }
 
-/// Whether the other end closes a connection at once, on which nothing was asked.
-async fn closes(stream: &TcpStream) -> bool {
-    let peeked = tokio::time::timeout(ENDS_WITHIN.duration(), stream.peek(&mut [0; 1])).await;
+/// Returns true if the other end closes or resets the connection within [`STABLE_TIME`], before
+/// anything was sent on it.
+async fn is_closed(stream: &TcpStream) -> bool {
+    let peeked = tokio::time::timeout(STABLE_TIME.duration(), stream.peek(&mut [0; 1])).await;
     peeked.is_ok()
 }
--- a/src/engine/client.rs
+++ b/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! Client of engines and services, one for each thread.
+//! Client of model engines and plain services, one per thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,26 +20,26 @@
 use crate::unit::Span;
 use crate::vm::Clock;
 
-/// A load report that takes longer is a failure.
-const LOAD_WITHIN: Duration = Duration::from_millis(800);
+/// Timeout of load reports and cancellations.
+const LOAD_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// An order may take long: weights are loaded.
-const ORDER_WITHIN: Duration = Duration::from_secs(60);
+/// Timeout of orders, which is long because an engine may have to load weights.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection that does not open within this never will.
-const OPEN_WITHIN: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection to an engine; one that takes longer is not expected to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same for services.
-const SERVICE_OPEN: Span = Span::millis(500);
+/// Timeout for opening a connection to a service.
+const SERVICE_CONNECT_TIMEOUT: Span = Span::millis(500);
 
-/// An engine says within this whether it takes a request; a change of configuration may wait
-/// for that word.
-const TAKEN_WITHIN: Duration = Duration::from_secs(3);
+/// Timeout for an engine to accept or reject a request. A change of configuration may wait for that
+/// response.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest line of an answer's stream.
-const LONGEST_LINE: usize = 1 << 20;
+/// Maximum length in bytes of a frame in a response stream.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// A client for one thread.
+/// Client for one thread; clones share its connections.
 #[derive(Clone)]
 pub struct EngineClient {
     client: Client,
@@ -47,19 +47,19 @@
     clock: Clock,
 }
 
-/// Why an attempt gave no stream.
+/// Error of an attempt for which the engine returned no stream.
 #[derive(Clone, Debug)]
 pub struct AttemptError {
-    /// What it means for a retry.
+    /// What the error proves about the work, which decides whether a retry is safe.
     pub failure: Failure,
-    /// The engine's own word that it did not run the work, if it gave it.
+    /// The engine's statement that it did not run the work, if it sent one.
     pub not_run: Option<NotRun>,
-    /// In words, for the decision record.
+    /// Description for the decision record.
     pub reason: String,
 }
 
 impl AttemptError {
-    /// Whether the engine had no free slot.
+    /// Returns true if the engine stated that it had no free slot.
     pub fn is_full(&self) -> bool {
         self.not_run.as_ref().is_some_and(|not_run| not_run.reason == Reason::Full)
     }
@@ -68,107 +68,108 @@
 type Body =
     std::pin::Pin<Box<dyn futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>>>>;
 
-/// The frames of one attempt.
+/// Stream of the frames of one attempt.
 pub struct Frames {
     body: Body,
     buffer: BytesMut,
-    /// Requests running and waiting when the engine answered.
+    /// Requests running and waiting when the engine accepted the request, if it reported them.
     pub load: Option<(u32, u32)>,
 }
 
 impl EngineClient {
-    /// A client.
+    /// Creates a client without open connections.
     pub fn new() -> EngineClient {
-        let connector = Connector::new().timeout(OPEN_WITHIN).limit(0);
+        let connector = Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
         let client = Client::builder().connector(connector).disable_timeout().finish();
         EngineClient { client, services: Rc::default(), clock: Clock::default() }
     }
 
-    /// Calls a service and reads its whole answer, of at most `most` bytes.
+    /// Sends a request to a service and reads the whole response, of at most `max_bytes`.
     ///
     /// # Errors
-    /// What a failed call proves.
+    /// What the failure proves about whether the request was sent.
     pub async fn call(
         &self,
         to: SocketAddr,
         head: RequestHead,
         body: &Bytes,
         repeatable: bool,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(ResponseHead, Bytes), Failure> {
         let failure = |fault| match fault {
             connection::Fault::NotSent(_) => Failure::NotSent,
             connection::Fault::Broken(_) => Failure::Broken,
         };
-        let resting = {
+        let idle = {
             let mut pools = self.services.borrow_mut();
             pools.entry(to).or_default().checkout(repeatable, self.clock.now())
         };
         let mut connection =
-            pool::reuse_or_open(resting, to, SERVICE_OPEN).await.map_err(failure)?;
+            pool::reuse_or_open(idle, to, SERVICE_CONNECT_TIMEOUT).await.map_err(failure)?;
         let head = connection.send(head, body).await.map_err(failure)?;
-        let body = connection.read_body(most).await.map_err(failure)?;
+        let body = connection.read_body(max_bytes).await.map_err(failure)?;
         let mut pools = self.services.borrow_mut();
         pools.entry(to).or_default().release(connection, None, self.clock.now());
         Ok((head, body))
     }
 
-    /// Starts work on an engine.
+    /// Starts work on an engine and returns the stream of its frames.
     ///
     /// # Errors
-    /// Why there is no stream, and whether the work may have run.
+    /// If there is no stream; the error states whether the work may have run.
     pub async fn generate(&self, to: SocketAddr, work: &Generate) -> Result<Frames, AttemptError> {
         let request = self.client.post(format!("http://{to}/v1/generate"));
-        let sent = tokio::time::timeout(TAKEN_WITHIN, request.send_json(work)).await;
-        let silent = |_| AttemptError {
+        let sent = tokio::time::timeout(ACCEPT_TIMEOUT, request.send_json(work)).await;
+        let timed_out = |_| AttemptError {
             failure: Failure::Broken,
             not_run: None,
-            reason: format!("it did not say within {TAKEN_WITHIN:?} whether it took the work"),
+            reason: format!("it neither accepted nor rejected the work within {ACCEPT_TIMEOUT:?}"),
         };
-        let mut answer = sent.map_err(silent)?.map_err(|fault| classify(&fault))?;
-        match answer.status() {
+        let mut response = sent.map_err(timed_out)?.map_err(|fault| classify(&fault))?;
+        match response.status() {
             StatusCode::OK => {
-                let load = answer.headers().get(LOAD).and_then(|value| value.to_str().ok());
+                let load = response.headers().get(LOAD).and_then(|value| value.to_str().ok());
                 let load = load.and_then(|text| {
                     let (running, waiting) = text.split_once('/')?;
                     Some((running.parse().ok()?, waiting.parse().ok()?))
                 });
-                Ok(Frames { body: Box::pin(answer), buffer: BytesMut::new(), load })
+                Ok(Frames { body: Box::pin(response), buffer: BytesMut::new(), load })
             }
             StatusCode::CONFLICT => {
-                let told = answer.json::<NotRun>().await.ok();
-                let failure = if told.is_some() { Failure::NotRun } else { Failure::Broken };
-                let reason = told.as_ref().map(|not_run| not_run.reason);
+                let not_run = response.json::<NotRun>().await.ok();
+                let failure = if not_run.is_some() { Failure::NotRun } else { Failure::Broken };
+                let reason = not_run.as_ref().map(|not_run| not_run.reason);
                 Err(AttemptError {
                     failure,
-                    not_run: told,
+                    not_run,
                     reason: format!("it did not run: {reason:?}"),
                 })
             }
             other => Err(AttemptError {
                 failure: Failure::Broken,
                 not_run: None,
-                reason: format!("it answered {other}"),
+                reason: format!("it responded with status {other}"),
             }),
         }
     }
 
-    /// Gives up work on an engine; one that does not hear it finds the connection closed.
+    /// Cancels work on an engine. Failures are ignored: an engine that does not receive the request
+    /// notices that the connection of the stream is closed.
     pub async fn cancel(&self, to: SocketAddr, cancel: &Cancel) {
-        let request = self.client.post(format!("http://{to}/v1/cancel")).timeout(LOAD_WITHIN);
+        let request = self.client.post(format!("http://{to}/v1/cancel")).timeout(LOAD_TIMEOUT);
         let _ = request.send_json(cancel).await;
     }
 
-    /// An engine's load report.
+    /// Returns the load report of an engine, or `None` if it sends no valid one in time.
     pub async fn load(&self, to: SocketAddr) -> Option<Load> {
-        let request = self.client.get(format!("http://{to}/v1/load")).timeout(LOAD_WITHIN);
+        let request = self.client.get(format!("http://{to}/v1/load")).timeout(LOAD_TIMEOUT);
         request.send().await.ok()?.json().await.ok()
     }
 
-    /// Sends an order; whether it was obeyed.
+    /// Sends an order. Returns true if the engine carried it out.
     pub async fn order(&self, to: SocketAddr, order: &Order) -> bool {
-        let request = self.client.post(format!("http://{to}/v1/orders")).timeout(ORDER_WITHIN);
-        request.send_json(order).await.is_ok_and(|answer| answer.status().is_success())
+        let request = self.client.post(format!("http://{to}/v1/orders")).timeout(ORDER_TIMEOUT);
+        request.send_json(order).await.is_ok_and(|response| response.status().is_success())
     }
 }
 
@@ -178,7 +179,7 @@
     }
 }
 
-/// What a failed exchange proves: only a connection that never opened sent nothing.
+/// Returns what a failed request proves: only if the connection never opened, nothing was sent.
 fn classify(fault: &SendRequestError) -> AttemptError {
     let never_opened = match fault {
         SendRequestError::Connect(inner) => !matches!(inner, ConnectError::Disconnected),
@@ -190,18 +191,18 @@
 }
 
 impl Frames {
-    /// The next frame; nothing at the stream's end.
+    /// Returns the next frame, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// If the stream broke or held something else.
+    /// If the stream breaks, or a frame is too long or does not decode.
     pub async fn next(&mut self) -> Option<Result<Frame, String>> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(end + 1);
                 let frame = serde_json::from_slice(&line[..end]);
-                return Some(frame.map_err(|fault| format!("a frame does not read: {fault}")));
+                return Some(frame.map_err(|fault| format!("a frame does not decode: {fault}")));
             }
-            if self.buffer.len() > LONGEST_LINE {
+            if self.buffer.len() > MAX_FRAME_BYTES {
                 return Some(Err("a frame is too long".to_owned()));
             }
             match self.body.next().await? {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! What model engines meet: the messages, and the client that sends them.
+//! Protocol of the model engines: messages, client, and the check of a server's process.
 
 pub mod check;
 pub mod client;
--- a/src/engine/wire.rs
+++ b/src/engine/wire.rs
@@ -1,109 +1,111 @@
-//! Messages between a VM and a model engine: JSON bodies and one JSON line a frame.
+//! Messages between a VM and a model engine: JSON bodies, and streams with one JSON frame per line.
 
 use serde::{Deserialize, Serialize};
 
 use crate::unit::{RequestId, Revision, Target, Workspace};
 
-/// The header in which an engine reports its load with each answer: `running/waiting`.
+/// Response header with the load of the engine: `RUNNING/WAITING`.
 pub const LOAD: &str = "x-load";
 
-/// Starts work.
+/// Request to generate a response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Generate {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Counts the attempts of the request, from 0.
+    /// Number of this attempt, from 0.
     pub attempt: u32,
-    /// The workspace it is for.
+    /// Workspace of the caller.
     pub workspace: Workspace,
-    /// The version.
+    /// Model and version to run.
     pub target: Target,
-    /// The whole prompt.
+    /// Whole prompt.
     pub prompt: String,
-    /// Longest answer in tokens.
+    /// Maximum length of the response in tokens.
     pub max_tokens: u32,
-    /// Tokens that the caller has already.
+    /// Tokens that the caller received from earlier attempts, which are not sent again.
     pub offset: u32,
-    /// Higher goes first.
+    /// Priority; a higher one is served first.
     pub priority: u8,
-    /// Whether it may wait for a slot; otherwise a full engine says at once that it did not run.
+    /// If set, the request may wait for a slot; otherwise a full engine responds at once that it
+    /// did not run it.
     pub wait: bool,
 }
 
-/// One piece of an answer.
+/// Frame of a response stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Frame {
-    /// The request it belongs to.
+    /// Request that the frame belongs to.
     pub request: RequestId,
-    /// The attempt it belongs to.
+    /// Attempt that the frame belongs to.
     pub attempt: u32,
-    /// Tokens of the answer before this piece.
+    /// Tokens of the response before this frame.
     pub offset: u32,
-    /// The text of one token.
+    /// Text of one token.
     pub text: String,
     /// Set on the last frame, which has no text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub end: Option<End>,
 }
 
-/// The end of an answer.
+/// Totals at the end of a response.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct End {
-    /// Tokens of the whole answer.
+    /// Tokens of the whole response.
     pub tokens: u32,
-    /// The engine's own confidence, 0 to 1.
+    /// Confidence that the engine reports for the response, from 0 to 1.
     pub confidence: f64,
 }
 
-/// An engine's word that it did not run a request.
+/// Statement of an engine that it did not run a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NotRun {
-    /// Why.
+    /// Reason for the rejection.
     pub reason: Reason,
-    /// Requests running and waiting, so that the sender knows better at once.
+    /// Requests running and waiting, which update the sender's view of the load without a probe.
     #[serde(default)]
     pub load: (u32, u32),
 }
 
-/// Why an engine did not run a request.
+/// Reason why an engine did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It is leaving.
+    /// It is draining.
     Leaving,
     /// It has not loaded the version.
     NotLoaded,
-    /// It has no room.
+    /// It has no free slot.
     Full,
 }
 
-/// Gives up a request.
+/// Request to cancel an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Cancel {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u32,
 }
 
-/// A report of load, some moments old.
+/// Load report of an engine, which may be slightly out of date.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait for a slot.
     pub waiting: u32,
-    /// Whether the engine is leaving.
+    /// Set if the engine is draining.
     pub leaving: bool,
-    /// Versions loaded.
+    /// Models and versions that are loaded.
     pub loaded: Vec<Target>,
 }
 
-/// A fenced order.
+/// Order to load a version, with a fencing token against late delivery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Order {
-    /// Rises with each revision of the configuration; a lower one is late.
+    /// Fencing token: the revision of the configuration. An order with a lower one than the last is
+    /// out of date.
     pub fence: Revision,
-    /// The version to load.
+    /// Model and version to load.
     pub load: Target,
 }
