--- a/src/watch/label.rs
+++ b/src/watch/label.rs
@@ -8,7 +8,7 @@
 /// Label of all further names.
 const OVERFLOW_LABEL: &str = "others";
 
-/// Names seen so far, of which only the first [`MAX_LABELS`] count separately, since the sender
+/// Names seen so far, of which only the first `MAX_LABELS` count separately, since the sender
 /// chooses how many there are.
 #[derive(Debug, Default)]
 pub struct LabelSet {
