--- /dev/null
+++ b/src/experiment/bound/simulation.rs
@@ -0,0 +1,413 @@
+//! VMs, servers that name limits and callers in virtual time.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap, VecDeque};
+
+use rand::Rng;
+use rand::rngs::SmallRng;
+
+use super::{CallerSpread, Strategy};
+use crate::decide::server_limit::{
+    LIMIT_WINDOW, Limit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender,
+    max_senders,
+};
+use crate::peer::neighbours;
+use crate::unit::{Moment, Rate, Span, Vm as Name, hash};
+
+/// A server for so many VMs, and at least this many.
+const VMS_PER_SERVER: usize = 2;
+const MIN_SERVERS: usize = 8;
+
+/// Limits that servers name, and how often they name another.
+const LIMIT_RANGE: std::ops::Range<f64> = 0.5..4.0;
+const LIMIT_CHANGE_INTERVAL: Span = Span::secs(3);
+
+/// Length of a run, and the part of it that counts for what is used: VMs have heard of the limits.
+pub const RUN_LENGTH: Span = Span::secs(20);
+const MEASURED_FROM: Span = Span::secs(2);
+
+/// Requests that callers send, in parts of what all servers name.
+const DEMAND: f64 = 1.3;
+
+/// Time that a request may wait for its turn.
+const MAX_WAIT: Span = Span::millis(1500);
+
+/// Callers that are refused come back once, after this.
+const CALLER_RETRY_DELAY: Span = Span::millis(1000);
+
+/// One way between two processes, at most.
+const MAX_ONE_WAY_DELAY: Span = Span::millis(2);
+
+/// A server of which no limit is known yet.
+const UNLIMITED: Share = Share { senders: 1, interval: Span(0) };
+
+/// Bytes of one word between VMs.
+const MESSAGE_BYTES: u64 = 120;
+
+/// Up to this number every VM tells every other.
+const MAX_FULL_MESH: usize = 12;
+
+/// A VM's word binds it from so soon after it was heard.
+const REACTION_TIME: Span = Span::millis(50);
+
+/// What a run brought.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Counts {
+    /// Requests of callers, those that came back not counted anew.
+    pub requests: u64,
+    /// Requests that reached a server in time.
+    pub in_time: u64,
+    /// Requests that reached a server, while use is counted.
+    pub reached: u64,
+    /// Requests that the servers' limits allow meanwhile.
+    pub allowed: f64,
+    /// The most requests beyond a limit in a window of four seconds, from VMs that had heard of it, and the most in parts of what users allow.
+    pub excess: f64,
+    pub rule_ratio: f64,
+    /// Bytes that VMs sent one another.
+    pub bytes: u64,
+}
+
+struct Request {
+    vm: usize,
+    arrived_at: Moment,
+    is_retry: bool,
+}
+
+enum Event {
+    Arrival(Request),
+    /// Its turn has come.
+    Send(Request, usize),
+    /// It reaches the server, which says its limit.
+    ServerReceives(Request, usize, Moment),
+    /// The head of the answer is there.
+    ResponseReceived(usize, usize, Rate, Moment),
+    /// A word of another VM.
+    LimitReceived(usize, usize, Update),
+    /// A server names another limit.
+    LimitChange(usize),
+}
+
+#[derive(Clone, Copy, Default)]
+struct View {
+    limit: Limit,
+    pacer: Pacer,
+    first_known_at: Option<Moment>,
+}
+
+struct Server {
+    rate: Rate,
+    /// Limits that it named, with the moment at which each ended, and arrivals from VMs that had heard of them; those of the last window.
+    previous_limits: VecDeque<(Moment, Rate)>,
+    arrivals: VecDeque<Moment>,
+    /// The dispatcher's turns.
+    pacer: Pacer,
+    hash: u64,
+}
+
+/// One run.
+pub struct Simulation {
+    strategy: Strategy,
+    rng: SmallRng,
+    now: Moment,
+    sequence: u64,
+    queue: BinaryHeap<Reverse<(Moment, u64)>>,
+    events: HashMap<u64, Event>,
+    names: Vec<u64>,
+    partitioned: Vec<bool>,
+    neighbours: Vec<Vec<usize>>,
+    views: Vec<Vec<View>>,
+    servers: Vec<Server>,
+    /// What it brought.
+    pub counts: Counts,
+}
+
+impl Simulation {
+    /// Before the run.
+    pub fn new(
+        vms: usize,
+        strategy: Strategy,
+        spread: CallerSpread,
+        cut: f64,
+        mut rng: SmallRng,
+    ) -> Simulation {
+        let count = (vms / VMS_PER_SERVER).max(MIN_SERVERS);
+        let name = |vm: usize| format!("vm{vm:04}").parse::<Name>().expect("a name");
+        let all: Vec<Name> = (0..vms).map(name).collect();
+        let at: HashMap<&Name, usize> = all.iter().enumerate().map(|(at, vm)| (vm, at)).collect();
+        let near = |vm: usize| -> Vec<usize> {
+            match vms <= MAX_FULL_MESH {
+                true => (0..vms).filter(|other| *other != vm).collect(),
+                false => neighbours(&all[vm], &all).iter().map(|name| at[name]).collect(),
+            }
+        };
+        let server = |number: usize, rng: &mut SmallRng| Server {
+            rate: Rate(rng.random_range(LIMIT_RANGE)),
+            previous_limits: VecDeque::new(),
+            arrivals: VecDeque::new(),
+            pacer: Pacer::default(),
+            hash: hash::stable(&[&format!("i-{number}")]),
+        };
+        let servers = (0..count).map(|number| server(number, &mut rng)).collect();
+        let mut simulation = Simulation {
+            strategy,
+            now: Moment(0),
+            sequence: 0,
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            names: all.iter().map(|name| hash::stable(&[name.as_str()])).collect(),
+            partitioned: (0..vms).map(|vm| (vm as f64) < cut * vms as f64).collect(),
+            neighbours: (0..vms).map(near).collect(),
+            views: vec![vec![View::default(); count]; vms],
+            servers,
+            counts: Counts::default(),
+            rng,
+        };
+        simulation.schedule_run(spread);
+        simulation
+    }
+
+    fn schedule_run(&mut self, spread: CallerSpread) {
+        let mean = (LIMIT_RANGE.start + LIMIT_RANGE.end) / 2.0;
+        let all = (self.servers.len() as f64 * mean * DEMAND * RUN_LENGTH.as_secs()) as u64;
+        let callers = spread.vms(self.names.len());
+        for _ in 0..all {
+            let at = Moment(self.rng.random_range(0..RUN_LENGTH.0));
+            let vm = self.rng.random_range(0..callers);
+            self.counts.requests += 1;
+            self.schedule(at, Event::Arrival(Request { vm, arrived_at: at, is_retry: false }));
+        }
+        for server in 0..self.servers.len() {
+            let at = Moment(self.rng.random_range(0..LIMIT_CHANGE_INTERVAL.0));
+            self.schedule(at, Event::LimitChange(server));
+        }
+    }
+
+    fn schedule(&mut self, at: Moment, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence)));
+        self.events.insert(self.sequence, event);
+    }
+
+    /// Plays the run.
+    pub fn run(&mut self) {
+        let mut before = Moment(0);
+        while let Some(Reverse((at, number))) = self.queue.pop() {
+            if at > Moment(0) + RUN_LENGTH {
+                break;
+            }
+            if before >= Moment(0) + MEASURED_FROM {
+                let rates: f64 = self.servers.iter().map(|server| server.rate.0).sum();
+                self.counts.allowed += rates * at.since(before).as_secs();
+            }
+            (before, self.now) = (at, at);
+            match self.events.remove(&number).expect("each event is pushed once") {
+                Event::Arrival(request) => self.dispatch(request),
+                Event::Send(request, server) => self.send(request, server),
+                Event::ServerReceives(request, server, sent_at) => {
+                    self.on_server_receives(request, server, sent_at)
+                }
+                Event::ResponseReceived(vm, server, rate, sent_at) => {
+                    self.on_response(vm, server, rate, sent_at)
+                }
+                Event::LimitReceived(vm, server, update) => self.on_limit(vm, server, update),
+                Event::LimitChange(server) => self.change_limit(server),
+            }
+        }
+    }
+
+    fn change_limit(&mut self, at: usize) {
+        let server = &mut self.servers[at];
+        server.previous_limits.push_back((self.now, server.rate));
+        server.rate = Rate(self.rng.random_range(LIMIT_RANGE));
+        self.schedule(self.now + LIMIT_CHANGE_INTERVAL, Event::LimitChange(at));
+    }
+
+    /// A VM's part of the limit of a server by its way; none if it has no part. `Err` if it knows of no limit.
+    fn share(&self, vm: usize, server: usize) -> Result<Option<Share>, ()> {
+        let rate = self.views[vm][server].limit.rate(self.now).ok_or(())?;
+        let vms = self.names.len();
+        let each = |rate: f64| Some(Share { senders: vms, interval: Span((1e6 / rate) as u64) });
+        let share = match self.strategy {
+            Strategy::Unlimited => return Err(()),
+            Strategy::PerVm => each(rate.0),
+            Strategy::EvenShares => each(rate.0 / vms as f64),
+            Strategy::OneSender => {
+                self.as_sender(vm, server, Share::new(&RateLimit::advertised(rate), 1))
+            }
+            Strategy::FewSenders | Strategy::Leases | Strategy::Dispatcher => {
+                self.as_sender(vm, server, Share::new(&RateLimit::advertised(rate), vms))
+            }
+        };
+        Ok(share)
+    }
+
+    fn as_sender(&self, vm: usize, server: usize, share: Share) -> Option<Share> {
+        let others: Vec<u64> =
+            (0..self.names.len()).filter(|at| *at != vm).map(|at| self.names[at]).collect();
+        let server_hash = self.servers[server].hash;
+        is_sender(&share, server_hash, self.names[vm], &others).then_some(share)
+    }
+
+    /// When a request may leave for a server, if it may.
+    fn next_send(&self, vm: usize, server: usize) -> Option<Moment> {
+        let (now, at) = (self.now, &self.servers[server]);
+        match self.strategy {
+            Strategy::Dispatcher => return Some(at.pacer.next_send(&full_share(at.rate), now)),
+            Strategy::Leases => {
+                return self.leased_share(vm, server).map(|share| at.pacer.next_send(&share, now));
+            }
+            _ => {}
+        }
+        match self.share(vm, server) {
+            Err(()) => Some(self.now),
+            Ok(share) => Some(self.views[vm][server].pacer.next_send(&share?, self.now)),
+        }
+    }
+
+    /// What the first VM for a server, which alone counts its turns, grants another; a VM that does not reach it gets none.
+    fn leased_share(&self, vm: usize, server: usize) -> Option<Share> {
+        let server_hash = self.servers[server].hash;
+        let weight = |at: &usize| hash::mix(server_hash, self.names[*at]);
+        let first = (0..self.names.len()).max_by_key(weight)?;
+        let is_reachable = vm == first || !(self.partitioned[vm] || self.partitioned[first]);
+        let rate = self.views[first][server].limit.rate(self.now);
+        let rate = rate.or(self.views[vm][server].limit.rate(self.now));
+        is_reachable
+            .then(|| rate.map_or(UNLIMITED, |rate| Share::new(&RateLimit::advertised(rate), 1)))
+    }
+
+    fn reserve(&mut self, vm: usize, server: usize) {
+        let now = self.now;
+        if self.strategy == Strategy::Dispatcher {
+            let server = &mut self.servers[server];
+            server.pacer.reserve(&full_share(server.rate), now);
+        } else if self.strategy == Strategy::Leases {
+            let share = self.leased_share(vm, server).expect("its turn was asked for");
+            self.servers[server].pacer.reserve(&share, now);
+            self.counts.bytes += 2 * MESSAGE_BYTES;
+        } else if let Ok(Some(share)) = self.share(vm, server) {
+            self.views[vm][server].pacer.reserve(&share, self.now);
+        }
+    }
+
+    /// Finds the server whose turn comes first, by chance among equals.
+    fn dispatch(&mut self, request: Request) {
+        let offset = self.rng.random_range(0..self.servers.len());
+        let order = (0..self.servers.len()).map(|at| (at + offset) % self.servers.len());
+        let slots = order.filter_map(|server| Some((self.next_send(request.vm, server)?, server)));
+        let first = slots.min_by_key(|(at, _)| *at);
+        match first.filter(|(at, _)| *at <= request.arrived_at + MAX_WAIT) {
+            Some((at, server)) => {
+                self.reserve(request.vm, server);
+                self.schedule(at, Event::Send(request, server));
+            }
+            None => self.refuse(request),
+        }
+    }
+
+    fn refuse(&mut self, mut request: Request) {
+        if std::mem::replace(&mut request.is_retry, true) {
+            return;
+        }
+        let callers = request.vm;
+        // The balancer takes a caller that comes back to another VM of its data centre.
+        request.vm = (callers + self.rng.random_range(0..=callers)) % self.names.len();
+        let apart = Span(self.rng.random_range(0..CALLER_RETRY_DELAY.0));
+        self.schedule(self.now + CALLER_RETRY_DELAY + apart, Event::Arrival(request));
+    }
+
+    fn send(&mut self, request: Request, server: usize) {
+        let delay = Span(self.rng.random_range(500..MAX_ONE_WAY_DELAY.0));
+        self.schedule(self.now + delay, Event::ServerReceives(request, server, self.now));
+    }
+
+    fn on_server_receives(&mut self, request: Request, at: usize, sent_at: Moment) {
+        let now = self.now;
+        let known_at = self.views[request.vm][at].first_known_at;
+        if known_at.is_some_and(|known_at| sent_at >= known_at + REACTION_TIME) {
+            self.measure_excess(at);
+        }
+        self.counts.in_time += u64::from(sent_at <= request.arrived_at + MAX_WAIT);
+        self.counts.reached += u64::from(now >= Moment(0) + MEASURED_FROM);
+        let delay = Span(self.rng.random_range(500..MAX_ONE_WAY_DELAY.0));
+        let rate = self.servers[at].rate;
+        self.schedule(now + delay, Event::ResponseReceived(request.vm, at, rate, sent_at));
+    }
+
+    /// Notes an arrival from a VM that had heard of the limit.
+    fn measure_excess(&mut self, at: usize) {
+        let now = self.now;
+        let server = &mut self.servers[at];
+        server.arrivals.push_back(now);
+        while server.arrivals.front().is_some_and(|first| now.since(*first) >= LIMIT_WINDOW) {
+            server.arrivals.pop_front();
+        }
+        while server
+            .previous_limits
+            .front()
+            .is_some_and(|(ended, _)| now.since(*ended) >= LIMIT_WINDOW)
+        {
+            server.previous_limits.pop_front();
+        }
+        let got = server.arrivals.len() as f64;
+        // A window in which the limit changed is judged by the greatest that was named.
+        let named =
+            server.previous_limits.iter().map(|(_, rate)| rate.0).fold(server.rate.0, f64::max);
+        let allowed = named * LIMIT_WINDOW.as_secs();
+        self.counts.excess = self.counts.excess.max(got - allowed);
+        self.counts.rule_ratio = self.counts.rule_ratio.max(got / (1.5 * allowed + 5.0));
+    }
+
+    fn on_response(&mut self, vm: usize, server: usize, rate: Rate, sent_at: Moment) {
+        let now = self.now;
+        let view = &mut self.views[vm][server];
+        view.first_known_at = view.first_known_at.or(Some(now));
+        view.limit.observe(LimitHeader::Present(rate), sent_at, now);
+        match view.limit.next_announcement(now) {
+            Some((update, Recipients::All)) => self.broadcast(vm, server, update),
+            Some((update, Recipients::Senders(rates))) => {
+                self.send_to_senders(vm, server, rates, update)
+            }
+            None => {}
+        }
+    }
+
+    fn on_limit(&mut self, vm: usize, server: usize, update: Update) {
+        let view = &mut self.views[vm][server];
+        if view.limit.merge(update, self.now) {
+            self.broadcast(vm, server, update);
+        }
+    }
+
+    fn broadcast(&mut self, vm: usize, server: usize, update: Update) {
+        let near = self.neighbours[vm].clone();
+        self.send_update(vm, server, &near, update);
+    }
+
+    fn send_to_senders(&mut self, vm: usize, server: usize, rates: [Rate; 2], update: Update) {
+        let mut all: Vec<usize> = (0..self.names.len()).collect();
+        let weight = |at: &usize| Reverse(hash::mix(self.servers[server].hash, self.names[*at]));
+        all.sort_unstable_by_key(weight);
+        all.truncate(max_senders(rates, self.names.len()));
+        self.send_update(vm, server, &all, update);
+    }
+
+    fn send_update(&mut self, vm: usize, server: usize, others: &[usize], update: Update) {
+        if !self.strategy.exchanges_limits() || self.partitioned[vm] {
+            return;
+        }
+        for to in others.iter().copied().filter(|to| *to != vm) {
+            self.counts.bytes += MESSAGE_BYTES;
+            if !self.partitioned[to] {
+                let delay = Span(self.rng.random_range(500..MAX_ONE_WAY_DELAY.0));
+                self.schedule(self.now + delay, Event::LimitReceived(to, server, update));
+            }
+        }
+    }
+}
+
+/// All of a limit, for one that sends for all.
+fn full_share(rate: Rate) -> Share {
+    Share { senders: 1, interval: Span((1e6 / rate.0) as u64) }
+}
--- a/src/experiment/poison/fleet.rs
+++ b/src/experiment/poison/fleet.rs
@@ -8,33 +8,34 @@
 use crate::unit::{Digest, Vm, hash};
 
 /// More VMs than this tell their neighbours only, and gatherers what they see of a content.
-const FEW: usize = 13;
-const GATHERERS: usize = 3;
+const MAX_FULL_MESH: usize = 13;
+const AGGREGATORS: usize = 3;
 
 /// What VMs do about such contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     /// Nothing.
-    Nothing,
+    Unprotected,
     /// Each goes by what it saw itself.
-    Alone,
+    PerVm,
     /// They tell one another: the way of the server.
-    Told,
+    Shared,
     /// Beside that all are told of suspects, and one VM, the same for all, lets each suspect run one at a time.
     OneAtATime,
 }
 
-impl Way {
+impl Strategy {
     /// All of them.
-    pub const ALL: [Way; 4] = [Way::Nothing, Way::Alone, Way::Told, Way::OneAtATime];
+    pub const ALL: [Strategy; 4] =
+        [Strategy::Unprotected, Strategy::PerVm, Strategy::Shared, Strategy::OneAtATime];
 
     /// Its name in the table.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Nothing => "nothing",
-            Way::Alone => "each alone",
-            Way::Told => "told",
-            Way::OneAtATime => "told, one at a time",
+            Strategy::Unprotected => "nothing",
+            Strategy::PerVm => "each alone",
+            Strategy::Shared => "told",
+            Strategy::OneAtATime => "told, one at a time",
         }
     }
 }
@@ -54,7 +55,7 @@
             names.iter().enumerate().map(|(at, vm)| (vm, at)).collect();
         let near = |vm: &Vm| neighbours(vm, &names).iter().map(|other| index[other]).collect();
         let all = |own: &Vm| (0..vms).filter(|at| names[*at] != *own).collect();
-        let few = vms <= FEW;
+        let few = vms <= MAX_FULL_MESH;
         let neighbours = names.iter().map(|vm| if few { all(vm) } else { near(vm) }).collect();
         let hashes = names.iter().map(|vm| hash::stable(&[vm.as_str()])).collect();
         Fleet { neighbours, hashes }
@@ -66,8 +67,8 @@
     }
 
     /// How news go round.
-    pub fn ways(&self) -> Topology {
-        if self.vms() <= FEW { Topology::Direct } else { Topology::Gossip }
+    pub fn topology(&self) -> Topology {
+        if self.vms() <= MAX_FULL_MESH { Topology::Direct } else { Topology::Gossip }
     }
 
     /// The VMs that one tells what all are to know.
@@ -76,10 +77,10 @@
     }
 
     /// The VMs that gather what is known of a content, the first first.
-    pub fn gatherers(&self, content: Digest) -> Vec<usize> {
+    pub fn aggregators(&self, content: Digest) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.vms()).collect();
         order.sort_by_key(|at| Reverse(hash::mix(content.0, self.hashes[*at])));
-        order.truncate(GATHERERS);
+        order.truncate(AGGREGATORS);
         order
     }
 }
--- a/src/experiment/poison/mod.rs
+++ b/src/experiment/poison/mod.rs
@@ -5,45 +5,45 @@
 //! servers crash for no request's sake. The way of the server, in which VMs tell one another, runs beside three others.
 
 mod fleet;
-mod world;
+mod simulation;
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use super::options::Options;
 use super::table::{Row, Table, quantile};
-use fleet::{Fleet, Way};
-use world::{POISONS, World};
+use fleet::{Fleet, Strategy};
+use simulation::{CONTENTS, Simulation};
 
 /// Numbers of VMs that are played if none are given: the users' sites.
-const VMS: [usize; 3] = [23, 84, 295];
+const DEFAULT_VMS: [usize; 3] = [23, 84, 295];
 
 /// Shares of VMs that nothing reaches, though callers and servers do.
-const CUT: [f64; 2] = [0.0, 0.1];
+const PARTITIONED_SHARES: [f64; 2] = [0.0, 0.1];
 
 /// Seeds if none are given.
-const SEEDS: u64 = 100;
+const DEFAULT_SEEDS: u64 = 100;
 
 /// The default of the option for seeds, which other experiments share.
-const OTHERS_SEEDS: u64 = 1000;
+const SHARED_DEFAULT_SEEDS: u64 = 1000;
 
-fn row(fleet: &Fleet, way: Way, cut: f64, seeds: std::ops::Range<u64>) -> Row {
+fn row(fleet: &Fleet, strategy: Strategy, cut: f64, seeds: std::ops::Range<u64>) -> Row {
     let (mut lost, mut late, mut waits) = (Vec::new(), Vec::new(), Vec::new());
     let (mut refused, mut innocent, mut bytes) = (0, 0, Vec::new());
     for seed in seeds {
-        let mut world = World::new(fleet, way, cut, SmallRng::seed_from_u64(seed));
-        world.run();
-        for poison in 0..POISONS {
-            lost.push(f64::from(world.lost[poison]));
-            late.push(f64::from(world.late[poison]));
+        let mut simulation = Simulation::new(fleet, strategy, cut, SmallRng::seed_from_u64(seed));
+        simulation.run();
+        for poison in 0..CONTENTS {
+            lost.push(f64::from(simulation.crashes[poison]));
+            late.push(f64::from(simulation.late_retries[poison]));
         }
-        waits.extend(world.waits.iter().map(|wait| wait.as_millis()));
-        refused += world.refused;
-        innocent += world.innocent;
-        bytes.push(world.bytes_each());
+        waits.extend(simulation.waits.iter().map(|wait| wait.as_millis()));
+        refused += simulation.refused;
+        innocent += simulation.innocent;
+        bytes.push(simulation.bytes_per_vm_second());
     }
     let million = refused as f64 * 1e6 / innocent.max(1) as f64;
-    Row::named("way", way.name())
+    Row::named("way", strategy.name())
         .with("vms", fleet.vms())
         .number("cut off", cut, 2)
         .number("lost median", quantile(&mut lost, 0.5), 0)
@@ -57,13 +57,13 @@
 
 /// Runs it.
 pub fn run(options: &Options) -> Table {
-    let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let seeds = if options.runs == OTHERS_SEEDS { SEEDS } else { options.runs };
+    let vms = if options.vms.is_empty() { DEFAULT_VMS.to_vec() } else { options.vms.clone() };
+    let seeds = if options.runs == SHARED_DEFAULT_SEEDS { DEFAULT_SEEDS } else { options.runs };
     let mut rows = Vec::new();
     for fleet in vms.into_iter().map(Fleet::new) {
-        for cut in CUT {
+        for cut in PARTITIONED_SHARES {
             let seeds = options.seed..options.seed + seeds;
-            rows.extend(Way::ALL.map(|way| row(&fleet, way, cut, seeds.clone())));
+            rows.extend(Strategy::ALL.map(|strategy| row(&fleet, strategy, cut, seeds.clone())));
         }
     }
     let notes = vec![
--- /dev/null
+++ b/src/experiment/poison/simulation.rs
@@ -0,0 +1,425 @@
+//! VMs, servers and callers in virtual time.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap, HashSet};
+
+use rand::Rng;
+use rand::rngs::SmallRng;
+use rand::seq::IteratorRandom;
+
+use super::fleet::{Fleet, Strategy};
+use crate::decide::poison::{
+    Effects, Exchange, Message, OpenRequest, Recipients, STABLE_AFTER, ServerIncarnation, Topology,
+};
+use crate::peer::wire::encode;
+use crate::unit::{Digest, Moment, Span, digest};
+
+/// Contents that crash servers, one after the other.
+pub const CONTENTS: usize = 3;
+
+/// Time from one such content to the next, repeats of it within the first second, and after that in a second, for so long.
+const CONTENT_INTERVAL: Span = Span::secs(15);
+const BURST_REQUESTS: usize = 50;
+const REPEATS_PER_SECOND: usize = 3;
+const REPEAT_SECONDS: u64 = 10;
+
+/// When a quarter of the servers crash for no request's sake, within so long, and when a run ends.
+const MASS_CRASH_AT: Span = Span::secs(50);
+const MASS_CRASH_SPREAD: Span = Span::secs(2);
+const END: Span = Span::secs(60);
+
+/// VMs without trouble know after this what others know.
+const PROPAGATION_LIMIT: Span = Span::secs(3);
+
+/// Servers for each VM, as on the users' large site; and the fewest.
+const SERVERS_PER_VM: f64 = 0.56;
+const MIN_SERVERS: usize = 12;
+
+/// Innocent requests that come to a VM in a second, and the share of them that ask the same.
+const INNOCENT_PER_SECOND: f64 = 2.0;
+const SAME_CONTENT_SHARE: f64 = 0.3;
+
+/// Attempts of a request, and servers that may refuse a connection beside them.
+const MAX_ATTEMPTS: u32 = 3;
+const MAX_REFUSED_CONNECTIONS: u32 = 4;
+
+/// A server is back after this.
+const RESTART_DELAY: Span = Span::secs(3);
+
+/// Bytes of a packet beside its content.
+const PACKET_OVERHEAD: usize = 60;
+
+/// One request on its way.
+#[derive(Clone)]
+struct Request {
+    content: Digest,
+    /// Which of the contents that crash servers, if it has one.
+    poison: Option<usize>,
+    vm: usize,
+    duration: Span,
+    attempts: u32,
+    caller_retries: u32,
+    arrived_at: Moment,
+}
+
+enum Event {
+    Arrival(Request),
+    Completion(u64),
+    Crash(usize, u64),
+    Restart(usize),
+    Delivery(usize, Message),
+    /// A suspect may run now, by the word of the VM that lets it.
+    Permitted(Request),
+}
+
+struct Server {
+    incarnation: u64,
+    is_up: bool,
+    open: HashSet<u64>,
+}
+
+struct Run {
+    request: Request,
+    server: usize,
+    started_at: Moment,
+}
+
+/// One run of the experiment.
+pub struct Simulation<'a> {
+    fleet: &'a Fleet,
+    strategy: Strategy,
+    rng: SmallRng,
+    now: Moment,
+    queue: BinaryHeap<Reverse<(Moment, u64)>>,
+    events: HashMap<u64, Event>,
+    sequence: u64,
+    vms: Vec<Exchange>,
+    partitioned: Vec<bool>,
+    servers: Vec<Server>,
+    runs: HashMap<u64, Run>,
+    /// Suspects that run by the word of the VM that lets them, and those that wait for it.
+    running: HashMap<Digest, u64>,
+    queued: HashMap<Digest, Vec<Request>>,
+    suspected_since: HashMap<Digest, Moment>,
+    third_crash: [Option<Moment>; CONTENTS],
+    /// Servers lost by each content that crashes them, and retries too late.
+    pub crashes: [u32; CONTENTS],
+    pub late_retries: [u32; CONTENTS],
+    /// Innocent tries, and those of them that were refused.
+    pub innocent: u64,
+    pub refused: u64,
+    /// How long suspected innocent requests waited.
+    pub waits: Vec<Span>,
+    bytes: u64,
+}
+
+impl<'a> Simulation<'a> {
+    /// A run before its start, with a share of the VMs cut off from the others.
+    pub fn new(
+        fleet: &'a Fleet,
+        strategy: Strategy,
+        cut: f64,
+        mut rng: SmallRng,
+    ) -> Simulation<'a> {
+        let vms = fleet.vms();
+        let servers = ((vms as f64 * SERVERS_PER_VM) as usize).max(MIN_SERVERS);
+        let partitioned = (0..vms).map(|_| rng.random_bool(cut)).collect();
+        let server = |_| Server { incarnation: 0, is_up: true, open: HashSet::new() };
+        let mut simulation = Simulation {
+            fleet,
+            strategy,
+            rng,
+            now: Moment(0),
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            sequence: 0,
+            vms: vec![Exchange::default(); vms],
+            partitioned,
+            servers: (0..servers).map(server).collect(),
+            runs: HashMap::new(),
+            running: HashMap::new(),
+            queued: HashMap::new(),
+            suspected_since: HashMap::new(),
+            third_crash: [None; CONTENTS],
+            crashes: [0; CONTENTS],
+            late_retries: [0; CONTENTS],
+            innocent: 0,
+            refused: 0,
+            waits: Vec::new(),
+            bytes: 0,
+        };
+        simulation.schedule_run();
+        simulation
+    }
+
+    /// Bytes that a VM sent in a second.
+    pub fn bytes_per_vm_second(&self) -> f64 {
+        self.bytes as f64 / self.fleet.vms() as f64 / END.as_secs()
+    }
+
+    fn schedule(&mut self, at: Moment, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((at, self.sequence)));
+        self.events.insert(self.sequence, event);
+    }
+
+    fn schedule_run(&mut self) {
+        for poison in 0..CONTENTS {
+            let start = Moment(0) + Span::secs(3) + Span(CONTENT_INTERVAL.0 * poison as u64);
+            let content = digest(&[b"poison", &[poison as u8]]);
+            for _ in 0..BURST_REQUESTS {
+                let at = start + Span(self.rng.random_range(0..1_000_000));
+                self.schedule_arrival(at, content, Some(poison));
+            }
+            for second in 1..=REPEAT_SECONDS {
+                for _ in 0..REPEATS_PER_SECOND {
+                    let at = start + Span::secs(second) + Span(self.rng.random_range(0..1_000_000));
+                    self.schedule_arrival(at, content, Some(poison));
+                }
+            }
+        }
+        let innocent = (self.fleet.vms() as f64 * INNOCENT_PER_SECOND * END.as_secs()) as u64;
+        for number in 0..innocent {
+            let at = Moment(self.rng.random_range(0..END.0));
+            let same = self.rng.random_bool(SAME_CONTENT_SHARE);
+            let content = if same { 0 } else { number + 1 };
+            self.schedule_arrival(at, digest(&[b"innocent", &content.to_be_bytes()]), None);
+        }
+        for at in 0..self.servers.len() / 4 {
+            let when =
+                Moment(0) + MASS_CRASH_AT + Span(self.rng.random_range(0..MASS_CRASH_SPREAD.0));
+            // The first quarter is as good as any: requests draw their servers.
+            self.schedule(when, Event::Crash(at, u64::MAX));
+        }
+    }
+
+    fn schedule_arrival(&mut self, at: Moment, content: Digest, poison: Option<usize>) {
+        let vm = self.rng.random_range(0..self.fleet.vms());
+        let duration = Span(self.rng.random_range(200_000..6_000_000));
+        let request = Request {
+            content,
+            poison,
+            vm,
+            duration,
+            attempts: 0,
+            caller_retries: 0,
+            arrived_at: at,
+        };
+        self.schedule(at, Event::Arrival(request));
+    }
+
+    /// Plays the run.
+    pub fn run(&mut self) {
+        while let Some(Reverse((at, number))) = self.queue.pop() {
+            if at > Moment(0) + END {
+                break;
+            }
+            self.now = at;
+            match self.events.remove(&number).expect("each event is pushed once") {
+                Event::Arrival(request) => {
+                    self.innocent += u64::from(request.poison.is_none());
+                    self.send(request);
+                }
+                Event::Permitted(request) => {
+                    if request.poison.is_none() {
+                        self.waits.push(self.now.since(request.arrived_at));
+                    }
+                    self.start(request, true);
+                }
+                Event::Completion(run) => self.on_completion(run),
+                Event::Crash(server, incarnation) => self.on_crash(server, incarnation),
+                Event::Restart(server) => self.servers[server].is_up = true,
+                Event::Delivery(vm, message) => {
+                    let topology = self.fleet.topology();
+                    let out = self.vms[vm].on_message(&message, topology, self.now);
+                    self.send_messages(vm, out);
+                }
+            }
+        }
+    }
+
+    fn is_quarantined(&self, request: &Request) -> bool {
+        let held = self.vms[request.vm].quarantine_crashes(&request.content, self.now);
+        self.strategy != Strategy::Unprotected && held.is_some()
+    }
+
+    /// Sends a request to a server, or refuses it, or lets it wait for its turn.
+    fn send(&mut self, request: Request) {
+        if self.is_quarantined(&request) {
+            self.refused += u64::from(request.poison.is_none());
+            return;
+        }
+        if self.must_wait(&request) {
+            self.queued.entry(request.content).or_default().push(request);
+            return;
+        }
+        self.start(request, false);
+    }
+
+    /// Whether a suspect waits since another of the same content runs. One that is cut off asks nobody.
+    fn must_wait(&mut self, request: &Request) -> bool {
+        if self.strategy != Strategy::OneAtATime || self.partitioned[request.vm] {
+            return false;
+        }
+        let owner = self.fleet.aggregators(request.content)[0];
+        let suspicion_delay = Span::millis(10);
+        let is_suspect = self
+            .suspected_since
+            .get(&request.content)
+            .is_some_and(|at| self.now.since(*at) >= suspicion_delay);
+        if self.partitioned[owner] || !is_suspect {
+            return false;
+        }
+        if self.running.contains_key(&request.content) {
+            return true;
+        }
+        self.running.insert(request.content, 0);
+        false
+    }
+
+    fn start(&mut self, mut request: Request, is_permitted: bool) {
+        if is_permitted && self.is_quarantined(&request) {
+            self.refused += u64::from(request.poison.is_none());
+            self.start_next(request.content);
+            return;
+        }
+        request.attempts += 1;
+        let mut server = None;
+        for _ in 0..=MAX_REFUSED_CONNECTIONS {
+            let drawn = (0..self.servers.len()).choose(&mut self.rng).expect("there are servers");
+            if self.servers[drawn].is_up {
+                server = Some(drawn);
+                break;
+            }
+        }
+        let Some(server) = server else {
+            self.start_next(request.content);
+            return;
+        };
+        self.sequence += 1;
+        let run = self.sequence;
+        if let Some(poison) = request.poison {
+            let is_late = self.third_crash[poison]
+                .is_some_and(|third| self.now.since(third) > PROPAGATION_LIMIT);
+            self.late_retries[poison] += u32::from(is_late && !self.partitioned[request.vm]);
+            let after = Span(self.rng.random_range(20_000..180_000));
+            let incarnation = self.servers[server].incarnation;
+            self.schedule(self.now + after, Event::Crash(server, incarnation));
+        } else {
+            self.schedule(self.now + request.duration, Event::Completion(run));
+        }
+        self.servers[server].open.insert(run);
+        self.runs.insert(run, Run { request, server, started_at: self.now });
+    }
+
+    fn on_completion(&mut self, run: u64) {
+        let Some(Run { request, server, .. }) = self.runs.remove(&run) else { return };
+        self.servers[server].open.remove(&run);
+        let out = self.vms[request.vm].on_success(request.content, self.now);
+        self.send_messages(request.vm, out);
+        self.suspected_since.remove(&request.content);
+        self.start_next(request.content);
+    }
+
+    /// The next suspect of a content may run, if any waits.
+    fn start_next(&mut self, content: Digest) {
+        self.running.remove(&content);
+        let Some(next) = self.queued.get_mut(&content).and_then(Vec::pop) else { return };
+        self.running.insert(content, 0);
+        let delay = Span(self.rng.random_range(2_000..8_000));
+        self.schedule(self.now + delay, Event::Permitted(next));
+    }
+
+    /// A server crashes: under a content that came to this life of it, or by itself.
+    fn on_crash(&mut self, server: usize, incarnation: u64) {
+        let is_unprovoked = incarnation == u64::MAX;
+        if !self.servers[server].is_up
+            || (!is_unprovoked && self.servers[server].incarnation != incarnation)
+        {
+            return;
+        }
+        let open = std::mem::take(&mut self.servers[server].open);
+        let incarnation_id = ServerIncarnation::new(
+            &format!("server{server}"),
+            Some(self.servers[server].incarnation),
+        );
+        self.servers[server].is_up = false;
+        self.servers[server].incarnation += 1;
+        self.schedule(self.now + RESTART_DELAY, Event::Restart(server));
+        let mut open: Vec<u64> = open.into_iter().collect();
+        open.sort_unstable();
+        let interrupted: Vec<Run> = open.iter().filter_map(|run| self.runs.remove(run)).collect();
+        if !is_unprovoked {
+            let poisons: HashSet<usize> =
+                interrupted.iter().filter_map(|run| run.request.poison).collect();
+            poisons.into_iter().for_each(|poison| self.count_crash(poison));
+        }
+        for Run { request, started_at, .. } in interrupted {
+            let ran = request.poison.is_none() && self.now.since(started_at) >= STABLE_AFTER;
+            let one = [OpenRequest { content: request.content, was_stable: ran }];
+            let out = self.vms[request.vm].on_server_crash(
+                incarnation_id,
+                &one,
+                self.fleet.topology(),
+                self.now,
+            );
+            self.send_messages(request.vm, out);
+            self.suspected_since.entry(request.content).or_insert(self.now);
+            self.start_next(request.content);
+            self.retry(request);
+        }
+    }
+
+    fn count_crash(&mut self, poison: usize) {
+        self.crashes[poison] += 1;
+        if self.crashes[poison] == 3 {
+            self.third_crash[poison] = Some(self.now);
+        }
+    }
+
+    /// A request goes elsewhere, or its caller sends it once more.
+    fn retry(&mut self, mut request: Request) {
+        if request.attempts < MAX_ATTEMPTS {
+            let at = self.now + Span::millis(3);
+            self.schedule_attempt(at, request);
+        } else if request.poison.is_none() && request.caller_retries == 0 {
+            request.vm = self.rng.random_range(0..self.fleet.vms());
+            (request.attempts, request.caller_retries) = (0, 1);
+            self.schedule(self.now + Span::millis(300), Event::Arrival(request));
+        }
+    }
+
+    fn schedule_attempt(&mut self, at: Moment, mut request: Request) {
+        request.arrived_at = at;
+        // A further attempt is no further try of its caller.
+        self.innocent -= u64::from(request.poison.is_none());
+        self.schedule(at, Event::Arrival(request));
+    }
+
+    fn send_messages(&mut self, vm: usize, out: Effects) {
+        if matches!(self.strategy, Strategy::Unprotected | Strategy::PerVm) || self.partitioned[vm]
+        {
+            return;
+        }
+        for outgoing in out.messages {
+            let to = match outgoing.to {
+                Recipients::All => self.fleet.neighbours(vm),
+                Recipients::Aggregators(_) if self.fleet.topology() == Topology::Direct => {
+                    self.fleet.neighbours(vm)
+                }
+                Recipients::Aggregators(content) => self.fleet.aggregators(content),
+            };
+            let bytes = (encode(&outgoing.message).len() + PACKET_OVERHEAD) as u64;
+            for other in to.into_iter().filter(|other| *other != vm) {
+                self.bytes += bytes;
+                if !self.partitioned[other] {
+                    let delay = Span(self.rng.random_range(1_000..4_000));
+                    self.schedule(
+                        self.now + delay,
+                        Event::Delivery(other, outgoing.message.clone()),
+                    );
+                }
+            }
+        }
+    }
+}
--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -5,9 +5,9 @@
 //! death and start of all. Beside the way of the server runs the one before it, in which a VM without news reads for
 //! itself at once. Both are worked out from times of calls and questions; packets are counted, not sent.
 
-mod news;
 mod node;
-mod world;
+mod simulation;
+mod snapshot;
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,34 +16,38 @@
 use super::table::{Row, Table, quantile};
 use crate::unit::{Moment, Span};
 use node::Node;
-use world::{AGAIN, AWAY, BACK, DIES, END, FALLS, Way, World};
+use simulation::{
+    ALL_CRASH_AT, ALL_RESTART_AT, READER_CRASH_AT, RUN_END, STORE_LOST_AT, STORE_RECOVERED_AT,
+    Simulation, Strategy,
+};
 
 /// The calm time that is counted.
-const CALM: Span = Span::secs(10);
+const CALM_DURATION: Span = Span::secs(10);
 
-fn row(way: Way, vms: usize, seed: u64) -> Row {
+fn row(strategy: Strategy, vms: usize, seed: u64) -> Row {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = World::new(way, vms, &mut rng);
-    world.run();
+    let mut simulation = Simulation::new(strategy, vms, &mut rng);
+    simulation.run();
     let each = |price: f64| price / vms as f64;
-    let calm = world.price(Span(AWAY.0 - CALM.0), AWAY);
-    let away = world.price(AWAY, BACK);
-    let returned = world.price(BACK, Span(BACK.0 + CALM.0));
-    let fallen = Moment(0) + FALLS..Moment(0) + DIES;
-    let fall = world.reads.iter().filter(|(at, _)| fallen.contains(at)).count();
-    let known = |node: &Node| node.ready.map(|at| at.since(node.began).as_millis());
-    let mut ready: Vec<f64> = world.nodes.iter().filter_map(known).collect();
-    let seconds = END.as_secs();
-    let largest = world.nodes.iter().map(|node| node.bytes).max().unwrap_or(0);
-    let mean = world.nodes.iter().map(|node| node.bytes).sum::<u64>() as f64 / vms as f64;
-    Row::named("way", if way == Way::Passed { "passed on" } else { "each itself" })
+    let calm = simulation.price_between(Span(STORE_LOST_AT.0 - CALM_DURATION.0), STORE_LOST_AT);
+    let away = simulation.price_between(STORE_LOST_AT, STORE_RECOVERED_AT);
+    let returned =
+        simulation.price_between(STORE_RECOVERED_AT, Span(STORE_RECOVERED_AT.0 + CALM_DURATION.0));
+    let fallen = Moment(0) + READER_CRASH_AT..Moment(0) + ALL_CRASH_AT;
+    let fall = simulation.reader_starts.iter().filter(|(at, _)| fallen.contains(at)).count();
+    let known = |node: &Node| node.ready_at.map(|at| at.since(node.started_at).as_millis());
+    let mut ready: Vec<f64> = simulation.nodes.iter().filter_map(known).collect();
+    let seconds = RUN_END.as_secs();
+    let largest = simulation.nodes.iter().map(|node| node.bytes).max().unwrap_or(0);
+    let mean = simulation.nodes.iter().map(|node| node.bytes).sum::<u64>() as f64 / vms as f64;
+    Row::named("way", if strategy == Strategy::Relayed { "passed on" } else { "each itself" })
         .with("vms", vms)
-        .number("start, calls a VM", each(world.price(Span(0), Span::secs(5))), 2)
-        .number("calm, calls/s", calm / CALM.as_secs(), 2)
+        .number("start, calls a VM", each(simulation.price_between(Span(0), Span::secs(5))), 2)
+        .number("calm, calls/s", calm / CALM_DURATION.as_secs(), 2)
         .number("away 8 s, calls", away, 0)
         .number("return 10 s, calls", returned, 0)
         .with("fall, VMs that read", fall)
-        .number("again, calls a VM", each(world.price(AGAIN, END)), 2)
+        .number("again, calls a VM", each(simulation.price_between(ALL_RESTART_AT, RUN_END)), 2)
         .number("ready after p99 ms", quantile(&mut ready, 0.99), 0)
         .number("bytes/s a VM", mean / seconds, 0)
         .number("bytes/s largest", largest as f64 / seconds, 0)
@@ -55,8 +59,8 @@
 /// Runs it.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let ways = [Way::Passed, Way::Itself];
-    let rows = vms.iter().flat_map(|vms| ways.map(|way| row(way, *vms, options.seed)));
+    let ways = [Strategy::Relayed, Strategy::Direct];
+    let rows = vms.iter().flat_map(|vms| ways.map(|strategy| row(strategy, *vms, options.seed)));
     let rows: Vec<Row> = rows.collect();
     let notes = vec![
         "Calls by their price: a read that may be some seconds old costs a tenth.".to_owned(),
--- /dev/null
+++ b/src/experiment/reading/simulation.rs
@@ -0,0 +1,365 @@
+//! A fleet of VMs in virtual time.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+
+use rand::Rng;
+use rand::rngs::SmallRng;
+
+use super::node::{DATA_CENTRES, Node, Role};
+use super::snapshot::snapshot_bytes;
+
+use crate::decide::reader::{
+    ANSWER_TIMEOUT, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Place,
+    Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, answer_timeout, may_accept, should_read_store,
+};
+use crate::unit::{Moment, Span, Vm as Name};
+
+/// Time that a leaving server may still get work, on that site.
+const DRAIN_WINDOW: Span = Span::secs(4);
+
+/// Times of a run: the store is away, the reader falls, all die and start again, the end.
+pub const STORE_LOST_AT: Span = Span::secs(20);
+pub const STORE_RECOVERED_AT: Span = Span::secs(28);
+pub const READER_CRASH_AT: Span = Span::secs(40);
+pub const ALL_CRASH_AT: Span = Span::secs(50);
+pub const ALL_RESTART_AT: Span = Span::secs(51);
+pub const RUN_END: Span = Span::secs(60);
+
+/// All start within this.
+const START_SPREAD: Span = Span::millis(300);
+
+/// A question between data centres and back.
+const ROUND_TRIP: Span = Span::millis(4);
+
+/// Calls of a VM that reads: servers every 1.2 s, proofs every 1.66 s, roll-outs every 2 s, two more every 6 s.
+const CALL_INTERVAL: Span = Span::millis(440);
+
+/// Calls as it begins to read, and a try while the store is away: a mean pause of many.
+const FIRST_READ_CALLS: f64 = 4.0;
+const RETRY_INTERVAL: Span = Span::millis(450);
+
+/// Price of a try: a read that may be old.
+const RETRY_PRICE: f64 = 0.1;
+
+/// A start: the key and the names, which may be old; and the first time the key and the entry are written.
+const RESTART_PRICE: f64 = 0.2;
+const FIRST_START_PRICE: f64 = 2.2;
+
+/// The same in the way before: key, entry, names, four lists, and a watch of the names or two.
+const DIRECT_START_PRICE: f64 = 9.0;
+
+/// A try in the way before, at the price of a call.
+const DIRECT_RETRY_PRICE: f64 = 1.0;
+
+/// Bytes of a question and an answer without changes, their packets and acknowledgements with them.
+const POLL_BYTES: u64 = 420;
+
+/// Which way is played.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Strategy {
+    /// That of the server.
+    Relayed,
+    /// A VM without news reads for itself.
+    Direct,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    Start(usize),
+    Poll(usize, u32),
+    ReadStore(usize, u32),
+    Crash(usize),
+}
+
+pub struct Simulation {
+    strategy: Strategy,
+    /// The VMs.
+    pub nodes: Vec<Node>,
+    queue: BinaryHeap<Reverse<(Moment, Event)>>,
+    now: Moment,
+    calls: Vec<(Moment, f64)>,
+    /// When VMs began to read for themselves.
+    pub reader_starts: Vec<(Moment, usize)>,
+    index: HashMap<Name, usize>,
+    snapshot_bytes: u64,
+}
+
+impl Simulation {
+    /// All VMs of a fleet before their start.
+    pub fn new(strategy: Strategy, vms: usize, rng: &mut SmallRng) -> Simulation {
+        let nodes: Vec<Node> = (0..vms).map(Node::new).collect();
+        let index = nodes.iter().enumerate().map(|(at, node)| (node.rank.vm.clone(), at));
+        let index = index.collect();
+        let (queue, snapshot_bytes) = (BinaryHeap::new(), snapshot_bytes(vms));
+        let now = Moment(0);
+        let (calls, reader_starts) = (Vec::new(), Vec::new());
+        let mut simulation =
+            Simulation { strategy, nodes, queue, now, calls, reader_starts, index, snapshot_bytes };
+        for at in 0..vms {
+            let apart = |rng: &mut SmallRng| Span(rng.random_range(0..START_SPREAD.0));
+            simulation.schedule(Moment(0) + apart(rng), Event::Start(at));
+            simulation.schedule(Moment(0) + ALL_CRASH_AT, Event::Crash(at));
+            simulation.schedule(Moment(0) + ALL_RESTART_AT + apart(rng), Event::Start(at));
+        }
+        simulation
+    }
+
+    fn schedule(&mut self, at: Moment, event: Event) {
+        self.queue.push(Reverse((at, event)));
+    }
+
+    fn is_store_lost(&self) -> bool {
+        (Moment(0) + STORE_LOST_AT..Moment(0) + STORE_RECOVERED_AT).contains(&self.now)
+    }
+
+    fn record_call(&mut self, price: f64) {
+        self.calls.push((self.now, price));
+    }
+
+    /// Plays the run.
+    pub fn run(&mut self) {
+        let mut fallen = false;
+        while let Some(Reverse((at, event))) = self.queue.pop() {
+            if at > Moment(0) + RUN_END {
+                return;
+            }
+            self.now = at;
+            if !fallen && at >= Moment(0) + READER_CRASH_AT {
+                fallen = true;
+                let reader = self.nodes.iter().position(|node| node.role == Role::Reader);
+                reader.into_iter().for_each(|reader| self.crash(reader));
+            }
+            match event {
+                Event::Start(at) => self.start(at),
+                Event::Crash(at) => self.crash(at),
+                Event::Poll(at, incarnation) if self.is_alive(at, incarnation) => self.poll(at),
+                Event::ReadStore(at, incarnation) if self.is_alive(at, incarnation) => {
+                    self.read(at)
+                }
+                Event::Poll(..) | Event::ReadStore(..) => {}
+            }
+        }
+    }
+
+    fn is_alive(&self, at: usize, incarnation: u32) -> bool {
+        self.nodes[at].up && self.nodes[at].incarnation == incarnation
+    }
+
+    fn crash(&mut self, at: usize) {
+        let fresh = Node::new(at);
+        let node = &mut self.nodes[at];
+        let (incarnation, bytes) = (node.incarnation + 1, node.bytes);
+        *node = Node { incarnation, bytes, ..fresh };
+    }
+
+    fn start(&mut self, at: usize) {
+        let first = self.now < Moment(0) + ALL_CRASH_AT;
+        let price = match (self.strategy, first) {
+            (Strategy::Direct, _) => DIRECT_START_PRICE,
+            (Strategy::Relayed, true) => FIRST_START_PRICE,
+            (Strategy::Relayed, false) => RESTART_PRICE,
+        };
+        self.record_call(price);
+        let node = &mut self.nodes[at];
+        (node.up, node.started_at) = (true, self.now);
+        if self.strategy == Strategy::Direct {
+            // It has listed all, and looks for a reader after that.
+            (node.synced_at, node.ready_at) = (Some(self.now), Some(self.now));
+        }
+        self.schedule(self.now + ROUND_TRIP, Event::Poll(at, self.nodes[at].incarnation));
+    }
+
+    /// What a VM that reads does: a call, or a try while the store is away.
+    fn read(&mut self, at: usize) {
+        let incarnation = self.nodes[at].incarnation;
+        if self.nodes[at].role != Role::Reader {
+            return;
+        }
+        let away = self.is_store_lost();
+        let price = match (away, self.strategy) {
+            (false, _) => 1.0,
+            (true, Strategy::Relayed) => RETRY_PRICE,
+            (true, Strategy::Direct) => DIRECT_RETRY_PRICE,
+        };
+        self.record_call(price);
+        let now = self.now;
+        let node = &mut self.nodes[at];
+        if !away {
+            node.synced_at = Some(now);
+            node.ready_at = node.ready_at.or(Some(now));
+            if std::mem::take(&mut node.store_lost) {
+                node.recovered_at = node.recovered_at.or(Some(now));
+            }
+        }
+        node.store_lost = away;
+        let pause = if away { RETRY_INTERVAL } else { CALL_INTERVAL };
+        self.schedule(now + pause, Event::ReadStore(at, incarnation));
+    }
+
+    fn group(&self, at: usize) -> impl Iterator<Item = &Rank> {
+        let own = at % DATA_CENTRES;
+        let of_group = move |other: &usize| other % DATA_CENTRES == own && *other != at;
+        (0..self.nodes.len()).filter(of_group).map(|other| &self.nodes[other].rank)
+    }
+
+    /// The first of each other data centre.
+    fn first_per_data_centre(&self, at: usize) -> Vec<&Rank> {
+        let others = (0..DATA_CENTRES).filter(|other| *other != at % DATA_CENTRES);
+        let of = |other: usize| (other..self.nodes.len()).step_by(DATA_CENTRES);
+        let sources = &self.nodes[at].sources;
+        let first =
+            |other| sources.first_responsive(of(other).map(|one| &self.nodes[one].rank), self.now);
+        others.filter_map(first).collect()
+    }
+
+    fn place(&self, at: usize) -> Place {
+        let node = &self.nodes[at];
+        node.sources.place(&node.rank, self.group(at), self.now)
+    }
+
+    fn next_source(&self, at: usize) -> Option<usize> {
+        let node = &self.nodes[at];
+        let next = match (self.place(at), self.strategy) {
+            (Place::First, Strategy::Direct) => None,
+            (Place::First, Strategy::Relayed) if node.store_lost => {
+                node.sources.any_source(self.first_per_data_centre(at).into_iter(), self.now)
+            }
+            (Place::First, Strategy::Relayed) => node.sources.next_source(
+                &node.rank,
+                self.first_per_data_centre(at).into_iter(),
+                self.now,
+            ),
+            (Place::Next | Place::Behind, _) => {
+                node.sources.next_source(&node.rank, self.group(at), self.now)
+            }
+        };
+        next.map(|name| self.index[name])
+    }
+
+    fn poll(&mut self, at: usize) {
+        let current = match self.nodes[at].role {
+            Role::Follower(other) => Some(other),
+            Role::Starting | Role::Reader => None,
+        };
+        let next = self.next_source(at).filter(|next| Some(*next) != current);
+        let polled: Vec<usize> = next.into_iter().chain(current).collect();
+        let answered = polled.iter().all(|other| self.nodes[*other].up);
+        let outcomes: Vec<Option<bool>> =
+            polled.iter().map(|other| self.poll_source(at, *other)).collect();
+        let updated = outcomes.contains(&Some(true));
+        let is_settled = updated || self.on_no_update(at, outcomes.contains(&Some(false)));
+        let waited = match (answered, self.nodes[at].synced_at) {
+            (true, _) => ROUND_TRIP,
+            (false, None) => FIRST_ANSWER_TIMEOUT,
+            (false, Some(_)) => ANSWER_TIMEOUT,
+        };
+        let pause = if is_settled { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
+        let incarnation = self.nodes[at].incarnation;
+        self.schedule(self.now + waited + pause, Event::Poll(at, incarnation));
+    }
+
+    /// Asks a VM. Whether it had news; false if it said that the store is lost.
+    fn poll_source(&mut self, at: usize, other: usize) -> Option<bool> {
+        let now = self.now;
+        let name = self.nodes[other].rank.vm.clone();
+        if !self.nodes[other].up {
+            let new = self.nodes[at].synced_at.is_none();
+            let sources = &mut self.nodes[at].sources;
+            if new {
+                sources.on_startup_timeout(&name, now)
+            } else {
+                sources.on_timeout(&name, now)
+            }
+            return None;
+        }
+        let source = &self.nodes[other];
+        let (known, lost, incarnation) = (source.synced_at, source.store_lost, source.incarnation);
+        let (reader, hops) = if source.role == Role::Reader { (other, 0) } else { source.origin };
+        let may_answer = source.role == Role::Reader || self.strategy == Strategy::Relayed;
+        let reader_name = self.nodes[reader].rank.vm.clone();
+        let node = &mut self.nodes[at];
+        let Some(known) = known.filter(|_| may_answer) else {
+            node.sources.on_not_ready(&name, now);
+            return None;
+        };
+        if !may_accept(&reader_name, hops, &node.rank.vm) || (lost && node.role == Role::Reader) {
+            node.sources.on_declined(&name, now);
+            return None;
+        }
+        if lost && self.strategy == Strategy::Direct {
+            node.sources.on_declined(&name, now);
+            return None;
+        }
+        let is_snapshot = node.snapshots_from.insert(other, incarnation) != Some(incarnation);
+        let bytes = POLL_BYTES + if is_snapshot { self.snapshot_bytes } else { 0 };
+        node.synced_at = node.synced_at.max(Some(known));
+        node.origin = (reader, hops + 1);
+        if lost {
+            node.sources.on_store_lost(&name, now);
+            node.store_lost_since = node.store_lost_since.or(Some(now));
+            node.store_lost = true;
+        } else {
+            node.sources.on_update(&name);
+            node.role = Role::Follower(other);
+            node.store_lost_since = None;
+            node.ready_at = node.ready_at.or(Some(now + ROUND_TRIP));
+            if std::mem::take(&mut node.store_lost) {
+                node.recovered_at = node.recovered_at.or(Some(now + ROUND_TRIP));
+            }
+        }
+        node.bytes += bytes;
+        self.nodes[other].bytes += bytes;
+        Some(!lost)
+    }
+
+    /// What a VM without news does. Whether it has what it needs for now.
+    fn on_no_update(&mut self, at: usize, store_reported_lost: bool) -> bool {
+        let node = &self.nodes[at];
+        if node.role == Role::Reader {
+            return true;
+        }
+        let without = FollowerState {
+            place: self.place(at),
+            has_other_groups: self.strategy == Strategy::Relayed,
+            has_source: self.next_source(at).is_some(),
+            is_store_lost: node.sources.is_store_reported_lost(
+                &node.rank,
+                self.group(at),
+                self.now,
+            ),
+            has_snapshot: node.synced_at.is_some(),
+            is_starting: self.now.since(node.started_at) < STARTUP_WAIT,
+            is_overdue: answer_timeout(node.synced_at, DRAIN_WINDOW, self.now).is_none(),
+        };
+        let itself = match self.strategy {
+            Strategy::Relayed => should_read_store(&without),
+            Strategy::Direct => !without.has_source,
+        };
+        if itself {
+            self.become_reader(at, without.is_store_lost);
+            return true;
+        }
+        let since = self.nodes[at].store_lost_since;
+        store_reported_lost
+            && since.is_some_and(|since| self.now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
+    }
+
+    fn become_reader(&mut self, at: usize, store_reported_lost: bool) {
+        self.reader_starts.push((self.now, at));
+        if !store_reported_lost {
+            self.record_call(FIRST_READ_CALLS);
+        }
+        let node = &mut self.nodes[at];
+        node.role = Role::Reader;
+        let incarnation = node.incarnation;
+        self.schedule(self.now, Event::ReadStore(at, incarnation));
+    }
+
+    /// Price of the calls between two times of the run.
+    pub fn price_between(&self, from: Span, to: Span) -> f64 {
+        let (from, to) = (Moment(0) + from, Moment(0) + to);
+        let within = self.calls.iter().filter(|(at, _)| (from..to).contains(at));
+        within.map(|(_, price)| price).sum()
+    }
+}
--- a/src/experiment/reading/news.rs
+++ b/src/experiment/reading/snapshot.rs
@@ -8,7 +8,7 @@
 const SERVERS: usize = 166;
 
 /// Bytes of everything that a VM which has just started is told.
-pub fn whole_news(vms: usize) -> u64 {
+pub fn snapshot_bytes(vms: usize) -> u64 {
     let change = |kind, at: usize, text: String| Change {
         kind,
         name: format!("i-{:016x}", at * 0x9e37_79b9),
--- a/src/experiment/shed/mod.rs
+++ b/src/experiment/shed/mod.rs
@@ -4,93 +4,100 @@
 //! A burst beyond the capacity fills the servers, which turn away what they have no room for; a quarter of them turns everything away for
 //! five seconds; a tenth says that it leaves, serves on for three seconds, ends, and is back under the same id. Callers that are refused come back once.
 
-mod world;
+mod simulation;
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use super::options::Options;
 use super::table::{Row, Table, quantile};
-use world::World;
+use simulation::Simulation;
 
 /// Numbers of VMs that are played if none are given: the users' sites.
-const VMS: [usize; 3] = [23, 84, 295];
+const DEFAULT_VMS: [usize; 3] = [23, 84, 295];
 
 /// Shares of VMs that nothing reaches, though callers and servers do.
-const CUT: [f64; 2] = [0.0, 0.1];
+const PARTITIONED_SHARES: [f64; 2] = [0.0, 0.1];
 
 /// Loads of the burst, in parts of the capacity; seeds take them in turn.
-const BURSTS: [f64; 4] = [1.5, 2.0, 2.5, 3.0];
+const BURST_LOADS: [f64; 4] = [1.5, 2.0, 2.5, 3.0];
 
 /// Seeds if none are given.
-const SEEDS: u64 = 100;
+const DEFAULT_SEEDS: u64 = 100;
 
 /// The default of the option for seeds, which other experiments share.
-const OTHERS_SEEDS: u64 = 1000;
+const SHARED_DEFAULT_SEEDS: u64 = 1000;
 
 /// Length of a run in seconds, for rates.
-const SECONDS: f64 = 18.0;
+const RUN_SECONDS: f64 = 18.0;
 
 /// What VMs do about what servers say of themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     /// Nothing.
-    Unheeded,
+    Ignored,
     /// Each keeps what it heard itself.
-    Alone,
+    PerVm,
     /// And after a rest one request at a time tries the server.
-    Tries,
+    Probe,
     /// And what can still be served in time waits for the end of the first rest: the way of the server.
-    Waits,
+    Wait,
     /// And VMs tell one another, so that a server that asked another for rest counts as full.
-    Told,
+    Shared,
     /// And, not told, what would come to a server that is thought to be full waits too.
-    Spares,
+    AvoidFull,
 }
 
-impl Way {
-    const ALL: [Way; 6] =
-        [Way::Unheeded, Way::Alone, Way::Tries, Way::Waits, Way::Told, Way::Spares];
+impl Strategy {
+    const ALL: [Strategy; 6] = [
+        Strategy::Ignored,
+        Strategy::PerVm,
+        Strategy::Probe,
+        Strategy::Wait,
+        Strategy::Shared,
+        Strategy::AvoidFull,
+    ];
 
     fn name(self) -> &'static str {
         match self {
-            Way::Unheeded => "unheeded",
-            Way::Alone => "each alone",
-            Way::Tries => "one at a time after",
-            Way::Waits => "and waits",
-            Way::Told => "and told",
-            Way::Spares => "waits, spares the full",
+            Strategy::Ignored => "unheeded",
+            Strategy::PerVm => "each alone",
+            Strategy::Probe => "one at a time after",
+            Strategy::Wait => "and waits",
+            Strategy::Shared => "and told",
+            Strategy::AvoidFull => "waits, spares the full",
         }
     }
 }
 
-fn row(vms: usize, way: Way, cut: f64, seeds: std::ops::Range<u64>) -> Row {
+fn row(vms: usize, strategy: Strategy, cut: f64, seeds: std::ops::Range<u64>) -> Row {
     let mut values: [Vec<f64>; 7] = Default::default();
     for seed in seeds {
-        let burst = BURSTS[seed as usize % BURSTS.len()];
-        let mut world = World::new(vms, way, cut, burst, SmallRng::seed_from_u64(seed));
-        world.run();
-        let counts = world.counts;
+        let burst = BURST_LOADS[seed as usize % BURST_LOADS.len()];
+        let mut simulation =
+            Simulation::new(vms, strategy, cut, burst, SmallRng::seed_from_u64(seed));
+        simulation.run();
+        let counts = simulation.counts;
         let of_requests = |count: u64| count as f64 * 100.0 / counts.requests as f64;
-        let each = counts.bytes as f64 / vms as f64 / SECONDS;
+        let each = counts.bytes as f64 / vms as f64 / RUN_SECONDS;
         let found = [
-            counts.against as f64,
-            counts.turned_away as f64 * 100.0 / counts.sends as f64,
-            of_requests(counts.in_aim),
+            counts.sent_while_unavailable as f64,
+            counts.rejected as f64 * 100.0 / counts.sends as f64,
+            of_requests(counts.in_goal),
             of_requests(counts.served),
-            counts.cut as f64,
+            counts.interrupted as f64,
             each,
-            counts.idle as f64 / 10.0,
+            counts.idle_tenths as f64 / 10.0,
         ];
         values.iter_mut().zip(found).for_each(|(list, value)| list.push(value));
     }
     let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
-    let [against, turned, aim, served, cut_off, bytes, idle] = &mut values;
-    Row::named("way", way.name())
+    let [sent_while_unavailable, turned, aim, served, cut_off, bytes, idle] = &mut values;
+    Row::named("way", strategy.name())
         .with("vms", vms)
         .number("cut off", cut, 2)
-        .number("against median", quantile(against, 0.5), 0)
-        .number("against worst", quantile(against, 1.0), 0)
+        .number("against median", quantile(sent_while_unavailable, 0.5), 0)
+        .number("against worst", quantile(sent_while_unavailable, 1.0), 0)
         .number("turned away %", mean(turned), 2)
         .number("in aim %", mean(aim), 2)
         .number("in aim % worst", quantile(aim, 0.0), 2)
@@ -102,13 +109,13 @@
 
 /// Runs it.
 pub fn run(options: &Options) -> Table {
-    let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let seeds = if options.runs == OTHERS_SEEDS { SEEDS } else { options.runs };
+    let vms = if options.vms.is_empty() { DEFAULT_VMS.to_vec() } else { options.vms.clone() };
+    let seeds = if options.runs == SHARED_DEFAULT_SEEDS { DEFAULT_SEEDS } else { options.runs };
     let mut rows = Vec::new();
     for vms in vms {
-        for cut in CUT {
+        for cut in PARTITIONED_SHARES {
             let seeds = options.seed..options.seed + seeds;
-            rows.extend(Way::ALL.map(|way| row(vms, way, cut, seeds.clone())));
+            rows.extend(Strategy::ALL.map(|strategy| row(vms, strategy, cut, seeds.clone())));
         }
     }
     let notes = vec![
