--- a/src/command/experiment.rs
+++ b/src/command/experiment.rs
@@ -10,7 +10,7 @@
     let options = Options::check(flags)?;
     let table = run_experiment(name, &options)?;
     if flags.json {
-        println!("{:#}", table.json());
+        println!("{:#}", table.to_json());
     } else {
         print!("{table}");
     }
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -35,7 +35,7 @@
 
 /// Length of the windows in which quality is looked at, and their distance.
 const WINDOW: usize = 1000;
-const APART: usize = 100;
+const WINDOW_STEP: usize = 100;
 
 /// Requests between two solutions of the rules.
 const SOLVE_EVERY: usize = 100;
@@ -60,8 +60,8 @@
 struct Curve {
     low: f64,
     high: f64,
-    bend: f64,
-    crowd: f64,
+    exponent: f64,
+    skew: f64,
 }
 
 impl Curve {
@@ -69,50 +69,50 @@
         let mut curve = Curve {
             low: rng.random_range(0.1..0.35),
             high: rng.random_range(0.93..0.99),
-            bend: rng.random_range(0.7..1.6),
-            crowd: 1.0,
+            exponent: rng.random_range(0.7..1.6),
+            skew: 1.0,
         };
         // Confidences crowd towards one end until the mean is met.
-        let (mut few, mut many) = (0.02f64, 50.0f64);
+        let (mut low, mut high) = (0.02f64, 50.0f64);
         for _ in 0..60 {
-            curve.crowd = (few * many).sqrt();
+            curve.skew = (low * high).sqrt();
             let points =
-                (0..200).map(|i| curve.pass(((f64::from(i) + 0.5) / 200.0).powf(curve.crowd)));
+                (0..200).map(|i| curve.pass(((f64::from(i) + 0.5) / 200.0).powf(curve.skew)));
             let met = points.sum::<f64>() / 200.0;
-            if met > mean { few = curve.crowd } else { many = curve.crowd }
+            if met > mean { low = curve.skew } else { high = curve.skew }
         }
         curve
     }
 
     fn pass(&self, confidence: f64) -> f64 {
-        self.low + (self.high - self.low) * confidence.powf(self.bend)
+        self.low + (self.high - self.low) * confidence.powf(self.exponent)
     }
 }
 
-fn draw(options: &Options) -> Vec<Request> {
+fn generate_requests(options: &Options) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(options.seed);
     let requests = options.requests.unwrap_or(REQUESTS);
     let segments = options.drift + 1;
-    let mut worlds = Vec::new();
+    let mut curves_by_segment = Vec::new();
     for _ in 0..segments {
         let mut curves = Vec::new();
         for kind in 0..options.kinds {
-            let lean = if options.kinds > 1 {
+            let kind_offset = if options.kinds > 1 {
                 0.3 * (kind as f64 / (options.kinds - 1) as f64 - 0.5)
             } else {
                 0.0
             };
-            let shaken = if segments > 1 { rng.random_range(-0.12..0.12) } else { 0.0 };
-            let mean = (options.cheap_pass + lean + shaken).clamp(0.15, 0.92);
+            let segment_offset = if segments > 1 { rng.random_range(-0.12..0.12) } else { 0.0 };
+            let mean = (options.cheap_pass + kind_offset + segment_offset).clamp(0.15, 0.92);
             curves.push(Curve::draw(&mut rng, mean));
         }
-        worlds.push(curves);
+        curves_by_segment.push(curves);
     }
     let request = |i: usize| {
         let segment = i * segments / requests;
         let kind = rng.random_range(0..options.kinds);
-        let curve = &worlds[segment][kind];
-        let confidence = rng.random::<f64>().powf(curve.crowd);
+        let curve = &curves_by_segment[segment][kind];
+        let confidence = rng.random::<f64>().powf(curve.skew);
         let cheap = curve.pass(confidence);
         let strong = 0.98 - 0.06 * (1.0 - confidence);
         let exponential = |rng: &mut SmallRng| -(1.0 - rng.random::<f64>()).ln();
@@ -136,22 +136,22 @@
 }
 
 /// What a policy did with each request.
-struct Trail {
+struct Outcomes {
     cost: Vec<f64>,
     quality: Vec<f64>,
     latency: Vec<f64>,
 }
 
-impl Trail {
-    fn new() -> Trail {
-        Trail { cost: Vec::new(), quality: Vec::new(), latency: Vec::new() }
+impl Outcomes {
+    fn new() -> Outcomes {
+        Outcomes { cost: Vec::new(), quality: Vec::new(), latency: Vec::new() }
     }
 
     fn cheap(&mut self, request: &Request) {
         self.push(CHEAP, request.cheap, request.cheap_ms);
     }
 
-    fn climb(&mut self, request: &Request) {
+    fn escalate(&mut self, request: &Request) {
         self.push(CHEAP + STRONG, request.strong, request.cheap_ms + request.strong_ms);
     }
 
@@ -165,11 +165,11 @@
         self.latency.push(latency);
     }
 
-    fn row(mut self, name: &str, bound: &Trail, target: f64) -> Row {
+    fn row(mut self, name: &str, bound: &Outcomes, target: f64) -> Row {
         let warm = (self.cost.len() as f64 * WARM_UP) as usize;
         let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
         let worst = (warm..self.quality.len().saturating_sub(WINDOW))
-            .step_by(APART)
+            .step_by(WINDOW_STEP)
             .map(|at| mean(&self.quality[at..at + WINDOW]))
             .fold(1.0, f64::min);
         Row::named("policy", name)
@@ -185,13 +185,13 @@
 }
 
 /// The least cost with every true chance known: one price of quality for each stretch of time.
-fn informed(requests: &[Request]) -> Trail {
-    let mut trail = Trail::new();
+fn informed_bound(requests: &[Request]) -> Outcomes {
+    let mut outcomes = Outcomes::new();
     for segment in requests.chunk_by(|a, b| a.segment == b.segment) {
         let kinds = 1 + segment.iter().map(|request| request.kind).max().unwrap_or(0);
         let quality = |price: f64| {
-            let mut part = Trail::new();
-            priced(segment, kinds, price, &mut part);
+            let mut part = Outcomes::new();
+            apply_price(segment, kinds, price, &mut part);
             part.quality.iter().sum::<f64>() / part.quality.len() as f64
         };
         let (mut low, mut high) = (0.0, 1e5);
@@ -199,67 +199,68 @@
             let middle = (low + high) / 2.0;
             if quality(middle) >= TARGET { high = middle } else { low = middle }
         }
-        priced(segment, kinds, high, &mut trail);
+        apply_price(segment, kinds, high, &mut outcomes);
     }
-    trail
+    outcomes
 }
 
-fn priced(segment: &[Request], kinds: usize, price: f64, trail: &mut Trail) {
-    let mut first = vec![0.0; kinds];
+fn apply_price(segment: &[Request], kinds: usize, price: f64, outcomes: &mut Outcomes) {
+    let mut cheap_first_excess = vec![0.0; kinds];
     for request in segment {
-        let kept = -price * request.cheap;
-        let climbed = STRONG - price * request.strong;
-        let direct = STRONG - price * request.strong;
-        first[request.kind] += CHEAP + kept.min(climbed) - direct;
+        let keep_cost = -price * request.cheap;
+        let escalate_cost = STRONG - price * request.strong;
+        let direct_cost = STRONG - price * request.strong;
+        cheap_first_excess[request.kind] += CHEAP + keep_cost.min(escalate_cost) - direct_cost;
     }
     for request in segment {
-        if first[request.kind] > 0.0 {
-            trail.direct(request);
+        if cheap_first_excess[request.kind] > 0.0 {
+            outcomes.direct(request);
         } else if -price * request.cheap <= STRONG - price * request.strong {
-            trail.cheap(request);
+            outcomes.cheap(request);
         } else {
-            trail.climb(request);
+            outcomes.escalate(request);
         }
     }
 }
 
 /// The least cost with every outcome known beforehand.
-fn clairvoyant(requests: &[Request]) -> Trail {
-    let mut trail = Trail::new();
+fn clairvoyant(requests: &[Request]) -> Outcomes {
+    let mut outcomes = Outcomes::new();
     let passes = requests.iter().filter(|request| request.cheap_passes).count();
-    let mut lacking = (TARGET * requests.len() as f64) as usize - passes.min(requests.len());
+    let mut missing_passes = (TARGET * requests.len() as f64) as usize - passes.min(requests.len());
     for request in requests {
-        if !request.cheap_passes && request.strong_passes && lacking > 0 {
-            lacking -= 1;
-            trail.push(STRONG, 1.0, request.strong_ms);
+        if !request.cheap_passes && request.strong_passes && missing_passes > 0 {
+            missing_passes -= 1;
+            outcomes.push(STRONG, 1.0, request.strong_ms);
         } else {
             let passed = f64::from(u8::from(request.cheap_passes));
-            trail.push(CHEAP, passed, request.cheap_ms);
+            outcomes.push(CHEAP, passed, request.cheap_ms);
         }
     }
-    trail
+    outcomes
 }
 
 /// The cheapest threshold of confidence, the same for all kinds, that meets the target at last.
-fn fixed(requests: &[Request]) -> Trail {
+fn best_threshold(requests: &[Request]) -> Outcomes {
     let at = |threshold: f64| {
-        let mut trail = Trail::new();
+        let mut outcomes = Outcomes::new();
         for request in requests {
             if request.confidence >= threshold {
-                trail.cheap(request)
+                outcomes.cheap(request)
             } else {
-                trail.climb(request)
+                outcomes.escalate(request)
             }
         }
-        trail
+        outcomes
+    };
+    let meets = |outcomes: &Outcomes| {
+        outcomes.quality.iter().sum::<f64>() / outcomes.quality.len() as f64 >= TARGET
     };
-    let meets =
-        |trail: &Trail| trail.quality.iter().sum::<f64>() / trail.quality.len() as f64 >= TARGET;
     let found = (0..=100).map(|i| at(f64::from(i) / 100.0)).find(meets);
     found.unwrap_or_else(|| at(1.01))
 }
 
-struct Rated {
+struct PendingRating {
     due: usize,
     kind: usize,
     bin: usize,
@@ -268,21 +269,21 @@
     pass: bool,
 }
 
-struct Ours {
+struct CascadePolicy {
     beliefs: Vec<Belief>,
-    watches: Vec<DriftDetector>,
+    drift_detectors: Vec<DriftDetector>,
     rules: Vec<Rule>,
     rungs: Rungs,
-    ratings: VecDeque<Rated>,
+    ratings: VecDeque<PendingRating>,
     credit: Credit,
     rated: usize,
 }
 
-impl Ours {
-    fn new(options: &Options) -> Ours {
-        Ours {
+impl CascadePolicy {
+    fn new(options: &Options) -> CascadePolicy {
+        CascadePolicy {
             beliefs: vec![Belief::default(); options.kinds],
-            watches: vec![DriftDetector::default(); options.kinds],
+            drift_detectors: vec![DriftDetector::default(); options.kinds],
             rules: vec![Rule::default(); options.kinds],
             rungs: Rungs {
                 cheap_cost: CHEAP,
@@ -296,26 +297,26 @@
         }
     }
 
-    fn run(&mut self, requests: &[Request], options: &Options) -> Trail {
-        let mut trail = Trail::new();
+    fn run(&mut self, requests: &[Request], options: &Options) -> Outcomes {
+        let mut outcomes = Outcomes::new();
         let lag = (options.rating_lag.as_secs() * RATE) as usize;
         for (i, request) in requests.iter().enumerate() {
-            self.learn(i);
+            self.apply_ratings(i);
             if i % SOLVE_EVERY == 0 {
                 self.rules = solve(&self.beliefs, &self.rungs, TARGET);
             }
-            self.decide(i + lag, request, options.rated_share, &mut trail);
+            self.decide(i + lag, request, options.rated_share, &mut outcomes);
         }
-        trail
+        outcomes
     }
 
-    fn decide(&mut self, due: usize, request: &Request, share: f64, trail: &mut Trail) {
+    fn decide(&mut self, due: usize, request: &Request, share: f64, outcomes: &mut Outcomes) {
         self.credit.earn(share);
         self.beliefs[request.kind].requests += 1.0;
         let rule = self.rules[request.kind];
         let strong = rule.begins_strong(request.point);
         if strong && request.explore >= rule.explore {
-            trail.direct(request);
+            outcomes.direct(request);
             self.rate(due, request, Answer::Direct, BINS, request.rated);
             return;
         }
@@ -323,10 +324,10 @@
         self.beliefs[request.kind].confidence_counts[bin] += 1.0;
         self.rate(due, request, Answer::Cheap(bin), bin, request.rated);
         if rule.keeps(bin, request.point) && !strong {
-            trail.cheap(request);
+            outcomes.cheap(request);
             return;
         }
-        trail.climb(request);
+        outcomes.escalate(request);
         self.rate(due, request, Answer::Climbed, bin, request.which);
     }
 
@@ -338,11 +339,18 @@
         let cheap = matches!(answer, Answer::Cheap(_));
         let expected = if cheap { rule.cheap[bin] } else { self.rungs.strong_quality };
         let pass = if cheap { request.cheap_passes } else { request.strong_passes };
-        self.ratings.push_back(Rated { due, kind: request.kind, bin, answer, expected, pass });
+        self.ratings.push_back(PendingRating {
+            due,
+            kind: request.kind,
+            bin,
+            answer,
+            expected,
+            pass,
+        });
         self.rated += 1;
     }
 
-    fn learn(&mut self, now: usize) {
+    fn apply_ratings(&mut self, now: usize) {
         while self.ratings.front().is_some_and(|rated| rated.due <= now) {
             let rated = self.ratings.pop_front().expect("there is one");
             let belief = &mut self.beliefs[rated.kind];
@@ -354,7 +362,7 @@
             };
             cell.add(rated.pass);
             let watched = matches!(rated.answer, Answer::Cheap(_)) && rated.expected > 0.0;
-            if watched && self.watches[rated.kind].record(rated.expected, rated.pass) {
+            if watched && self.drift_detectors[rated.kind].record(rated.expected, rated.pass) {
                 belief.discount();
             }
         }
@@ -363,27 +371,28 @@
 
 /// Runs all policies on the same requests.
 pub fn run(options: &Options) -> Table {
-    let requests = draw(options);
-    let bound = informed(&requests);
+    let requests = generate_requests(options);
+    let bound = informed_bound(&requests);
     let mut table = Table::default();
-    let mut always_cheap = Trail::new();
-    let mut always_strong = Trail::new();
+    let mut always_cheap = Outcomes::new();
+    let mut always_strong = Outcomes::new();
     for request in &requests {
         always_cheap.cheap(request);
         always_strong.direct(request);
     }
-    let mut policy = Ours::new(options);
+    let mut policy = CascadePolicy::new(options);
     let ours = policy.run(&requests, options);
     let clairvoyant = clairvoyant(&requests);
     let rows = [
         ("always cheap", always_cheap),
         ("always strong", always_strong),
-        ("best fixed threshold", fixed(&requests)),
+        ("best fixed threshold", best_threshold(&requests)),
         ("ours", ours),
         ("clairvoyant", clairvoyant),
-        ("informed bound", informed(&requests)),
+        ("informed bound", informed_bound(&requests)),
     ];
-    table.rows = rows.into_iter().map(|(name, trail)| trail.row(name, &bound, TARGET)).collect();
+    table.rows =
+        rows.into_iter().map(|(name, outcomes)| outcomes.row(name, &bound, TARGET)).collect();
     table.notes.push(format!(
         "{} requests, {} kinds, cheap pass {}, {} sudden changes, rated share {}, rating lag {}.",
         requests.len(),
--- a/src/experiment/path.rs
+++ b/src/experiment/path.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::options::Options;
-use super::probe::{Via, client, processor_seconds, resident_bytes};
+use super::probe::{Target, client, cpu_seconds, resident_bytes};
 use super::table::{Row, Table, quantile};
 use crate::command::block_on;
 use crate::demo::{Cluster, Shape, workspace_key};
@@ -15,41 +15,41 @@
 
 /// Callers at once and requests of each, for the throughput.
 const CALLERS: usize = 32;
-const EACH: usize = 150;
+const REQUESTS_PER_CALLER: usize = 150;
 
 /// Streams open at once, for the memory.
-const STREAMS: usize = 1000;
+const OPEN_STREAMS: usize = 1000;
 
 /// Time of a token while streams are held open, in microseconds.
-const SLOW_TOKEN: u64 = 400_000;
+const SLOW_TOKEN_US: u64 = 400_000;
 
 struct Measured {
     first: Vec<f64>,
     token: Vec<f64>,
     per_second: f64,
-    processor_us: f64,
+    cpu_us: f64,
     stream_bytes: f64,
 }
 
-fn world(token_us: u64, slots: u32) -> Result<Cluster, Error> {
+fn start_cluster(token_us: u64, slots: u32) -> Result<Cluster, Error> {
     Cluster::start(&Shape { vms: 3, engines: 2, token_us, slots, ..Shape::default() })
 }
 
-fn ways(world: &Cluster) -> (Via, Via) {
-    let engine = world.engine_addresses()[1];
-    let node = world.nodes.values().next().expect("a VM runs");
-    (Via::Engine(engine), Via::Vm(node.address, workspace_key("nestwise")))
+fn targets(cluster: &Cluster) -> (Target, Target) {
+    let engine = cluster.engine_addresses()[1];
+    let node = cluster.nodes.values().next().expect("a VM runs");
+    (Target::Engine(engine), Target::Vm(node.address, workspace_key("nestwise")))
 }
 
 /// Both ways in turn, so that a slow moment of the machine meets both.
-fn latencies(world: &Cluster, requests: usize) -> ([Vec<f64>; 2], [Vec<f64>; 2]) {
-    let (direct, through) = ways(world);
+fn latencies(cluster: &Cluster, requests: usize) -> ([Vec<f64>; 2], [Vec<f64>; 2]) {
+    let (direct, through) = targets(cluster);
     block_on(async {
         let http = client();
         let (mut first, mut token) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
         for number in 0..requests {
-            for (i, via) in [&direct, &through].into_iter().enumerate() {
-                if let Some(timed) = via.time(&http, number, TOKENS).await {
+            for (i, target) in [&direct, &through].into_iter().enumerate() {
+                if let Some(timed) = target.time_stream(&http, number, TOKENS).await {
                     first[i].push(timed.first_ms);
                     token[i].push(timed.token_ms);
                 }
@@ -59,41 +59,42 @@
     })
 }
 
-fn throughput(via: &Via) -> (f64, f64) {
+fn throughput(target: &Target) -> (f64, f64) {
     block_on(async {
         let http = client();
-        let before = processor_seconds();
-        let began = Instant::now();
+        let before = cpu_seconds();
+        let started_at = Instant::now();
         let callers = (0..CALLERS).map(|caller| {
-            let (http, via) = (http.clone(), via.clone());
+            let (http, target) = (http.clone(), target.clone());
             async move {
                 let mut done = 0;
-                for i in 0..EACH {
-                    let number = 1_000_000 + caller * EACH + i;
-                    done += usize::from(via.time(&http, number, TOKENS).await.is_some());
+                for i in 0..REQUESTS_PER_CALLER {
+                    let number = 1_000_000 + caller * REQUESTS_PER_CALLER + i;
+                    done += usize::from(target.time_stream(&http, number, TOKENS).await.is_some());
                 }
                 done
             }
         });
         let done: usize = futures_util::future::join_all(callers).await.into_iter().sum();
-        let seconds = began.elapsed().as_secs_f64();
-        let used = processor_seconds() - before;
+        let seconds = started_at.elapsed().as_secs_f64();
+        let used = cpu_seconds() - before;
         (done as f64 / seconds, used * 1e6 / done.max(1) as f64)
     })
 }
 
 /// Memory of the whole process for each stream held open: caller, engine and what lies between.
-fn stream_bytes(via: &Via) -> f64 {
+fn stream_bytes(target: &Target) -> f64 {
     block_on(async {
         let http = client();
         let before = resident_bytes();
-        let opening = (0..STREAMS).map(|number| via.open(&http, 2_000_000 + number, TOKENS));
+        let opening =
+            (0..OPEN_STREAMS).map(|number| target.open_stream(&http, 2_000_000 + number, TOKENS));
         let open: Vec<_> =
             futures_util::future::join_all(opening).await.into_iter().flatten().collect();
         tokio::time::sleep(Duration::from_millis(500)).await;
-        let held = (resident_bytes() - before) / open.len().max(1) as f64;
+        let bytes = (resident_bytes() - before) / open.len().max(1) as f64;
         drop(open);
-        held
+        bytes
     })
 }
 
@@ -103,13 +104,13 @@
 /// If something cannot be started.
 pub fn run(options: &Options) -> Result<Table, Error> {
     let requests = options.requests.unwrap_or(REQUESTS);
-    let fast = world(0, 64)?;
+    let fast = start_cluster(0, 64)?;
     let (mut first, mut token) = latencies(&fast, requests);
-    let (direct, through) = ways(&fast);
+    let (direct, through) = targets(&fast);
     let rates = [throughput(&direct), throughput(&through)];
     fast.stop_standins();
-    let slow = world(SLOW_TOKEN, STREAMS as u32 * 4)?;
-    let (direct, through) = ways(&slow);
+    let slow = start_cluster(SLOW_TOKEN_US, OPEN_STREAMS as u32 * 4)?;
+    let (direct, through) = targets(&slow);
     let memory = [stream_bytes(&direct), stream_bytes(&through)];
     slow.stop_standins();
     let mut table = Table::default();
@@ -118,7 +119,7 @@
             first: std::mem::take(&mut first[i]),
             token: std::mem::take(&mut token[i]),
             per_second: rates[i].0,
-            processor_us: rates[i].1,
+            cpu_us: rates[i].1,
             stream_bytes: memory[i],
         })
         .collect();
@@ -130,7 +131,7 @@
             quantile(&mut m.token, 0.5),
             quantile(&mut m.token, 0.99),
             m.per_second,
-            m.processor_us,
+            m.cpu_us,
             m.stream_bytes,
         ];
         table.rows.push(row(name, &figure));
@@ -143,7 +144,7 @@
     table.rows.push(row("added", &added));
     table.notes.push(format!(
         "{requests} requests of {TOKENS} tokens in turn; {CALLERS} callers at once for the rate; \
-         {STREAMS} streams held open for the memory."
+         {OPEN_STREAMS} streams held open for the memory."
     ));
     table.notes.push(
         "Caller, engine and VMs share this process: processor time and memory are of all three, \
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -15,74 +15,74 @@
 const SLOTS: usize = 16;
 
 /// Time of a request in a slot, in seconds: the prompt, cached or not, and the answer.
-const PROMPT: f64 = 0.3;
-const CACHED: f64 = 0.05;
-const ANSWER: f64 = 1.2;
+const PROMPT_SECONDS: f64 = 0.3;
+const CACHED_PROMPT_SECONDS: f64 = 0.05;
+const RESPONSE_SECONDS: f64 = 1.2;
 
 /// Prefixes that a replica keeps.
-const CACHE: usize = 24;
+const CACHED_PREFIXES: usize = 24;
 
 /// Share of requests that have a prefix which others have too.
-const SHARED: f64 = 0.6;
+const SHARED_PREFIX_SHARE: f64 = 0.6;
 
 /// Requests of a run for each replica.
-const REQUESTS_EACH: usize = 400;
+const REQUESTS_PER_REPLICA: usize = 400;
 
 /// Share of a run that counts as warm-up.
-const WARM_UP: f64 = 0.2;
+const WARM_UP_SHARE: f64 = 0.2;
 
 /// Full replicas that a request may meet before it waits at one, and the time each costs.
-const BOUNCES: usize = 3;
-const ROUND_TRIP: u64 = 3_000;
+const MAX_REJECTIONS: usize = 3;
+const ROUND_TRIP_US: u64 = 3_000;
 
 /// Offered load if none is given, in shares of the capacity with every prefix met.
-const LOAD: f64 = 0.75;
+const DEFAULT_LOAD: f64 = 0.75;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
+enum Policy {
     Random,
     RoundRobin,
     LeastReported,
     TwoChoices,
-    Ours,
-    Bound,
+    Kitepulley,
+    Oracle,
 }
 
-const KINDS: [(Kind, &str); 6] = [
-    (Kind::Random, "random"),
-    (Kind::RoundRobin, "round robin"),
-    (Kind::LeastReported, "least reported"),
-    (Kind::TwoChoices, "two choices"),
-    (Kind::Ours, "ours"),
-    (Kind::Bound, "bound without lag"),
+const POLICIES: [(Policy, &str); 6] = [
+    (Policy::Random, "random"),
+    (Policy::RoundRobin, "round robin"),
+    (Policy::LeastReported, "least reported"),
+    (Policy::TwoChoices, "two choices"),
+    (Policy::Kitepulley, "ours"),
+    (Policy::Oracle, "bound without lag"),
 ];
 
 struct Request {
     at: f64,
     vm: usize,
     prefix: Option<u64>,
-    answer: f64,
-    point: u64,
+    response_seconds: f64,
+    random: u64,
 }
 
 struct Server {
-    busy: BinaryHeap<Reverse<u64>>,
+    open_until: BinaryHeap<Reverse<u64>>,
     cache: VecDeque<u64>,
 }
 
 impl Server {
     /// Requests running or waiting at a time.
     fn load(&mut self, now: u64) -> f64 {
-        while self.busy.peek().is_some_and(|Reverse(end)| *end <= now) {
-            self.busy.pop();
+        while self.open_until.peek().is_some_and(|Reverse(end)| *end <= now) {
+            self.open_until.pop();
         }
-        self.busy.len() as f64
+        self.open_until.len() as f64
     }
 
     /// Takes a request and returns when its first token comes and when it ends.
-    fn take(&mut self, now: u64, prefix: Option<u64>, answer: f64) -> (u64, u64, bool) {
+    fn accept(&mut self, now: u64, prefix: Option<u64>, response_seconds: f64) -> (u64, u64, bool) {
         let load = self.load(now) as usize;
-        let mut ends: Vec<u64> = self.busy.iter().map(|Reverse(end)| *end).collect();
+        let mut ends: Vec<u64> = self.open_until.iter().map(|Reverse(end)| *end).collect();
         ends.sort_unstable();
         // A waiting request begins when enough of those before it have ended.
         let begin = if load < SLOTS { now } else { ends[load - SLOTS] };
@@ -90,13 +90,13 @@
         if let Some(prefix) = prefix {
             self.cache.retain(|held| *held != prefix);
             self.cache.push_back(prefix);
-            if self.cache.len() > CACHE {
+            if self.cache.len() > CACHED_PREFIXES {
                 self.cache.pop_front();
             }
         }
-        let first = begin + micros(if hit { CACHED } else { PROMPT });
-        let end = first + micros(answer);
-        self.busy.push(Reverse(end));
+        let first = begin + micros(if hit { CACHED_PROMPT_SECONDS } else { PROMPT_SECONDS });
+        let end = first + micros(response_seconds);
+        self.open_until.push(Reverse(end));
         (first, end, hit)
     }
 }
@@ -105,11 +105,13 @@
     (seconds * 1e6) as u64
 }
 
-fn draw(options: &Options, vms: usize, replicas: usize, load: f64) -> Vec<Request> {
+fn generate_requests(options: &Options, vms: usize, replicas: usize, load: f64) -> Vec<Request> {
     let mut rng = SmallRng::seed_from_u64(options.seed);
-    let service = ANSWER + SHARED * CACHED + (1.0 - SHARED) * PROMPT;
+    let service = RESPONSE_SECONDS
+        + SHARED_PREFIX_SHARE * CACHED_PROMPT_SECONDS
+        + (1.0 - SHARED_PREFIX_SHARE) * PROMPT_SECONDS;
     let rate = load * (replicas * SLOTS) as f64 / service;
-    let prefixes = (replicas * CACHE / 3) as f64;
+    let prefixes = (replicas * CACHED_PREFIXES / 3) as f64;
     let mut at = 0.0;
     let request = |_| {
         at -= (1.0 - rng.random::<f64>()).ln() / rate;
@@ -118,42 +120,42 @@
         Request {
             at,
             vm: rng.random_range(0..vms),
-            prefix: (rng.random::<f64>() < SHARED).then_some(popular),
-            answer: -(1.0 - rng.random::<f64>()).ln() * ANSWER,
-            point: rng.random(),
+            prefix: (rng.random::<f64>() < SHARED_PREFIX_SHARE).then_some(popular),
+            response_seconds: -(1.0 - rng.random::<f64>()).ln() * RESPONSE_SECONDS,
+            random: rng.random(),
         }
     };
-    (0..replicas * REQUESTS_EACH).map(request).collect()
+    (0..replicas * REQUESTS_PER_REPLICA).map(request).collect()
 }
 
 struct Run {
-    kind: Kind,
+    policy: Policy,
     servers: Vec<Server>,
     /// What each VM believes of each replica.
     views: Vec<Vec<Replica>>,
-    own: Vec<VecDeque<(u64, usize)>>,
+    sent: Vec<VecDeque<(u64, usize)>>,
     reported_at: u64,
     /// Reports on their way: made at a time, of each replica.
     reports: VecDeque<(u64, Vec<f64>)>,
-    turn: Vec<usize>,
+    round_robin: Vec<usize>,
     lag: u64,
-    bounced: usize,
+    rejected: usize,
 }
 
 impl Run {
-    fn new(kind: Kind, vms: usize, replicas: usize, lag: u64) -> Run {
+    fn new(policy: Policy, vms: usize, replicas: usize, lag: u64) -> Run {
         let idle = |id: usize| Replica::idle(id as u64, SLOTS as f64);
-        let server = |_| Server { busy: BinaryHeap::new(), cache: VecDeque::new() };
+        let server = |_| Server { open_until: BinaryHeap::new(), cache: VecDeque::new() };
         Run {
-            kind,
+            policy,
             servers: (0..replicas).map(server).collect(),
             views: vec![(0..replicas).map(idle).collect(); vms],
-            own: vec![VecDeque::new(); vms],
+            sent: vec![VecDeque::new(); vms],
             reported_at: 0,
             reports: VecDeque::new(),
-            turn: (0..vms).map(|vm| vm * 7 % replicas).collect(),
+            round_robin: (0..vms).map(|vm| vm * 7 % replicas).collect(),
             lag,
-            bounced: 0,
+            rejected: 0,
         }
     }
 
@@ -174,8 +176,8 @@
                     replica.reported_at = Moment(at);
                     replica.own_at_report = replica.own;
                 }
-                for (sent, server) in &self.own[vm] {
-                    if *sent > at {
+                for (sent_at, server) in &self.sent[vm] {
+                    if *sent_at > at {
                         view[*server].own_at_report -= 1.0;
                     }
                 }
@@ -183,37 +185,37 @@
         }
     }
 
-    fn forget(&mut self, ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>, now: u64) {
+    fn expire(&mut self, ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>, now: u64) {
         while ends.peek().is_some_and(|Reverse((end, ..))| *end <= now) {
             let Reverse((_, vm, server)) = ends.pop().expect("there is one");
             self.views[vm][server].own -= 1.0;
         }
         let lag = self.lag * 2;
-        for own in &mut self.own {
-            while own.front().is_some_and(|(sent, _)| sent + lag < now) {
-                own.pop_front();
+        for sent in &mut self.sent {
+            while sent.front().is_some_and(|(at, _)| at + lag < now) {
+                sent.pop_front();
             }
         }
     }
 
     /// Where a request goes, and when: a full replica says at once that it did not run it.
-    fn place(&mut self, request: &Request, now: u64) -> (usize, u64) {
+    fn dispatch(&mut self, request: &Request, now: u64) -> (usize, u64) {
         let mut now = now;
         let mut server = self.choose(request, now);
-        if self.kind != Kind::Ours {
+        if self.policy != Policy::Kitepulley {
             return (server, now);
         }
-        for _ in 0..BOUNCES {
+        for _ in 0..MAX_REJECTIONS {
             let load = self.servers[server].load(now);
-            let known = &mut self.views[request.vm][server];
-            known.reported = load;
-            known.reported_at = Moment(now);
-            known.own_at_report = known.own;
+            let view = &mut self.views[request.vm][server];
+            view.reported = load;
+            view.reported_at = Moment(now);
+            view.own_at_report = view.own;
             if load < SLOTS as f64 {
                 break;
             }
-            self.bounced += 1;
-            now += ROUND_TRIP;
+            self.rejected += 1;
+            now += ROUND_TRIP_US;
             server = self.choose(request, now);
         }
         (server, now)
@@ -223,42 +225,45 @@
         let replicas = self.servers.len();
         let view = &self.views[request.vm];
         let (a, b) = (
-            (request.point % replicas as u64) as usize,
-            (request.point / replicas as u64 % replicas as u64) as usize,
+            (request.random % replicas as u64) as usize,
+            (request.random / replicas as u64 % replicas as u64) as usize,
         );
-        match self.kind {
-            Kind::Random => a,
-            Kind::RoundRobin => {
-                self.turn[request.vm] = (self.turn[request.vm] + 1) % replicas;
-                self.turn[request.vm]
+        match self.policy {
+            Policy::Random => a,
+            Policy::RoundRobin => {
+                self.round_robin[request.vm] = (self.round_robin[request.vm] + 1) % replicas;
+                self.round_robin[request.vm]
             }
-            Kind::LeastReported => {
+            Policy::LeastReported => {
                 let least = |i: &usize| (view[*i].reported * 1e3) as u64;
                 (0..replicas).min_by_key(least).unwrap_or(0)
             }
-            Kind::TwoChoices => {
+            Policy::TwoChoices => {
                 if view[a].reported <= view[b].reported {
                     a
                 } else {
                     b
                 }
             }
-            Kind::Ours => choose(view, request.prefix, request.point, Moment(now)).unwrap_or(a),
-            Kind::Bound => self.best(request, now),
+            Policy::Kitepulley => {
+                choose(view, request.prefix, request.random, Moment(now)).unwrap_or(a)
+            }
+            Policy::Oracle => self.soonest_replica(request, now),
         }
     }
 
     /// The replica whose first token comes soonest, by its true state.
-    fn best(&mut self, request: &Request, now: u64) -> usize {
+    fn soonest_replica(&mut self, request: &Request, now: u64) -> usize {
         let mut best = (f64::MAX, 0);
         let replicas = self.servers.len();
         for step in 0..replicas {
-            let i = (request.point as usize + step) % replicas;
+            let i = (request.random as usize + step) % replicas;
             let server = &mut self.servers[i];
             let load = server.load(now);
             let hit = request.prefix.is_some_and(|prefix| server.cache.contains(&prefix));
-            let waits = (load - SLOTS as f64 + 1.0).max(0.0) * ANSWER / SLOTS as f64;
-            let cost = waits + if hit { CACHED } else { PROMPT } + load * 1e-4;
+            let waits = (load - SLOTS as f64 + 1.0).max(0.0) * RESPONSE_SECONDS / SLOTS as f64;
+            let cost =
+                waits + if hit { CACHED_PROMPT_SECONDS } else { PROMPT_SECONDS } + load * 1e-4;
             if cost < best.0 {
                 best = (cost, i);
             }
@@ -267,26 +272,27 @@
     }
 }
 
-fn one(
+fn run_policy(
     requests: &[Request],
-    kind: Kind,
+    policy: Policy,
     vms: usize,
     replicas: usize,
     lag: u64,
 ) -> (Vec<f64>, f64, f64) {
-    let mut run = Run::new(kind, vms, replicas, lag);
+    let mut run = Run::new(policy, vms, replicas, lag);
     let mut ends = BinaryHeap::new();
     let mut firsts = Vec::new();
     let (mut hits, mut shared) = (0.0, 0.0);
-    let warm = (requests.len() as f64 * WARM_UP) as usize;
+    let warm = (requests.len() as f64 * WARM_UP_SHARE) as usize;
     for (i, request) in requests.iter().enumerate() {
         let now = micros(request.at) + 1_000_000;
-        run.forget(&mut ends, now);
+        run.expire(&mut ends, now);
         run.report(now);
-        let (server, now) = run.place(request, now);
-        let (first, end, hit) = run.servers[server].take(now, request.prefix, request.answer);
+        let (server, now) = run.dispatch(request, now);
+        let (first, end, hit) =
+            run.servers[server].accept(now, request.prefix, request.response_seconds);
         run.views[request.vm][server].own += 1.0;
-        run.own[request.vm].push_back((now, server));
+        run.sent[request.vm].push_back((now, server));
         ends.push(Reverse((end, request.vm, server)));
         if i >= warm {
             firsts.push((first - micros(request.at) - 1_000_000) as f64 / 1e3);
@@ -296,25 +302,25 @@
             }
         }
     }
-    (firsts, hits / shared, run.bounced as f64 / requests.len() as f64)
+    (firsts, hits / shared, run.rejected as f64 / requests.len() as f64)
 }
 
 /// Runs all policies on the same requests, for each number of VMs.
 pub fn run(options: &Options) -> Table {
     let sizes = if options.vms.is_empty() { vec![9, 330] } else { options.vms.clone() };
     let mut table = Table::default();
-    let load = options.load.unwrap_or(LOAD);
+    let load = options.load.unwrap_or(DEFAULT_LOAD);
     for vms in sizes {
         // The fleet grows with the VMs: 24 replicas before 9, 600 before 330.
         let replicas = options.replicas.unwrap_or(if vms >= 100 { 600 } else { 24 });
-        let requests = draw(options, vms, replicas, load);
+        let requests = generate_requests(options, vms, replicas, load);
         let mut p99_bound = 0.0;
         let mut rows = Vec::new();
-        for (kind, name) in KINDS.into_iter().rev() {
-            let (mut firsts, hits, bounced) =
-                one(&requests, kind, vms, replicas, options.report_lag.0);
+        for (policy, name) in POLICIES.into_iter().rev() {
+            let (mut firsts, hits, rejected) =
+                run_policy(&requests, policy, vms, replicas, options.report_lag.0);
             let p99 = quantile(&mut firsts, 0.99);
-            if kind == Kind::Bound {
+            if policy == Policy::Oracle {
                 p99_bound = p99;
             }
             let row = Row::named("policy", name)
@@ -323,7 +329,7 @@
                 .number("first_token_p99_ms", p99, 1)
                 .number("p99_ratio", p99 / p99_bound, 3)
                 .number("prefix_hit", hits, 4)
-                .number("bounced", bounced, 4);
+                .number("bounced", rejected, 4);
             rows.push(row);
         }
         rows.reverse();
@@ -331,7 +337,7 @@
     }
     table.notes.push(format!(
         "Load {load} of the capacity, reports every {0} and {0} late, {SLOTS} slots a replica, \
-         {CACHE} prefixes kept.",
+         {CACHED_PREFIXES} prefixes kept.",
         options.report_lag
     ));
     table
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -24,10 +24,10 @@
 use crate::vm::{Fleet, SessionKeys};
 
 /// Least time that an operation is repeated for, in seconds.
-const REPEAT: f64 = 0.05;
+const MIN_MEASURE_SECONDS: f64 = 0.05;
 
 /// Bytes of a unit of work: one SHA-256 over so many.
-const UNIT: usize = 1024;
+const HASH_BLOCK_BYTES: usize = 1024;
 
 struct Slope {
     name: &'static str,
@@ -42,23 +42,23 @@
         let mean = |values: &[f64]| values.iter().sum::<f64>() / n;
         let (x, y) = (mean(&self.sizes), mean(&self.values));
         let pairs = || self.sizes.iter().zip(&self.values);
-        let over: f64 = pairs().map(|(a, b)| (a - x) * (b - y)).sum();
-        let under: f64 = self.sizes.iter().map(|a| (a - x).powi(2)).sum();
-        let slope = over / under;
-        let start = y - slope * x;
+        let covariance: f64 = pairs().map(|(a, b)| (a - x) * (b - y)).sum();
+        let variance: f64 = self.sizes.iter().map(|a| (a - x).powi(2)).sum();
+        let slope = covariance / variance;
+        let intercept = y - slope * x;
         let largest = self.values.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
-        let far = pairs().map(|(a, b)| (b - start - slope * a).abs() / largest);
-        (slope, start, far.fold(0.0, f64::max))
+        let distances = pairs().map(|(a, b)| (b - intercept - slope * a).abs() / largest);
+        (slope, intercept, distances.fold(0.0, f64::max))
     }
 }
 
 /// Bytes that `make` holds at each size.
-fn memory<T>(name: &'static str, sizes: [usize; 4], make: impl Fn(usize) -> T) -> Slope {
+fn measure_memory<T>(name: &'static str, sizes: [usize; 4], make: impl Fn(usize) -> T) -> Slope {
     let held = |size: &usize| {
         let before = allocated_bytes();
-        let made = make(*size);
+        let value = make(*size);
         let held = allocated_bytes() - before;
-        drop(made);
+        drop(value);
         held
     };
     let values = sizes.iter().map(held).collect();
@@ -66,26 +66,30 @@
 }
 
 /// Microseconds of one call of `act`.
-fn micros(mut act: impl FnMut()) -> f64 {
+fn call_micros(mut operation: impl FnMut()) -> f64 {
     let mut calls = 1u64;
     loop {
-        let began = Instant::now();
-        (0..calls).for_each(|_| act());
-        let took = began.elapsed().as_secs_f64();
-        if took >= REPEAT {
+        let started_at = Instant::now();
+        (0..calls).for_each(|_| operation());
+        let took = started_at.elapsed().as_secs_f64();
+        if took >= MIN_MEASURE_SECONDS {
             return took * 1e6 / calls as f64;
         }
-        calls = (calls * 2).max((calls as f64 * REPEAT / took.max(1e-9) * 1.1) as u64);
+        calls = (calls * 2).max((calls as f64 * MIN_MEASURE_SECONDS / took.max(1e-9) * 1.1) as u64);
     }
 }
 
-fn time(name: &'static str, sizes: [usize; 4], act: impl Fn(usize) -> f64) -> Slope {
-    let values = sizes.iter().map(|size| act(*size)).collect();
+fn measure_time(name: &'static str, sizes: [usize; 4], operation: impl Fn(usize) -> f64) -> Slope {
+    let values = sizes.iter().map(|size| operation(*size)).collect();
     Slope { name, unit: "us", sizes: sizes.map(|s| s as f64).to_vec(), values }
 }
 
-fn bytes(name: &'static str, sizes: [usize; 4], act: impl Fn(usize) -> usize) -> Slope {
-    let values = sizes.iter().map(|size| act(*size) as f64).collect();
+fn measure_bytes(
+    name: &'static str,
+    sizes: [usize; 4],
+    operation: impl Fn(usize) -> usize,
+) -> Slope {
+    let values = sizes.iter().map(|size| operation(*size) as f64).collect();
     Slope { name, unit: "bytes", sizes: sizes.map(|s| s as f64).to_vec(), values }
 }
 
@@ -138,12 +142,12 @@
     }
 }
 
-fn book(entries: usize) -> Buffer {
-    let mut book = Buffer::new(origin());
+fn ledger_buffer(entries: usize) -> Buffer {
+    let mut buffer = Buffer::new(origin());
     (0..entries).for_each(|i| {
-        book.record(entry(i as u64));
+        buffer.record(entry(i as u64));
     });
-    book
+    buffer
 }
 
 fn claim(i: usize) -> Claim {
@@ -164,7 +168,7 @@
     shard
 }
 
-fn declared(workspaces: usize, servers: usize) -> Declarations {
+fn declarations(workspaces: usize, servers: usize) -> Declarations {
     let text = include_str!("../../examples/tiny.toml");
     let mut declared: Declarations = toml::from_str(text).expect("a sound example");
     let (workspace, server) = (declared.workspaces[0].clone(), declared.servers[0].clone());
@@ -186,7 +190,7 @@
     declared
 }
 
-fn resolved(declared: &Declarations) -> Snapshot {
+fn resolve_snapshot(declared: &Declarations) -> Snapshot {
     let pieces = config::pieces(declared);
     let digests = pieces.iter().map(|p| (p.name.clone(), p.digest.clone())).collect();
     let root = Root { revision: Revision(1), pieces: digests, ..Root::default() };
@@ -197,7 +201,10 @@
 
 fn fleet(servers: usize) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.apply_snapshot(&resolved(&declared(1, servers)), &"dc1".parse().expect("a name"));
+    fleet.apply_snapshot(
+        &resolve_snapshot(&declarations(1, servers)),
+        &"dc1".parse().expect("a name"),
+    );
     fleet
 }
 
@@ -210,14 +217,16 @@
     (0..count).map(replica).collect()
 }
 
-fn memories() -> Vec<Slope> {
+fn memory_slopes() -> Vec<Slope> {
     vec![
-        memory("memory_per_replica", [2000, 4000, 6000, 8000], fleet),
-        memory("memory_per_workspace", [1000, 2000, 3000, 4000], |n| resolved(&declared(n, 3))),
-        memory("memory_per_peer", [5000, 10_000, 15_000, 20_000], gossip),
-        memory("memory_per_cell", [20_000, 40_000, 60_000, 80_000], evidence),
-        memory("memory_per_bill", [20_000, 40_000, 60_000, 80_000], book),
-        memory("memory_per_old_claim", [20_000, 40_000, 60_000, 80_000], |n| {
+        measure_memory("memory_per_replica", [2000, 4000, 6000, 8000], fleet),
+        measure_memory("memory_per_workspace", [1000, 2000, 3000, 4000], |n| {
+            resolve_snapshot(&declarations(n, 3))
+        }),
+        measure_memory("memory_per_peer", [5000, 10_000, 15_000, 20_000], gossip),
+        measure_memory("memory_per_cell", [20_000, 40_000, 60_000, 80_000], evidence),
+        measure_memory("memory_per_bill", [20_000, 40_000, 60_000, 80_000], ledger_buffer),
+        measure_memory("memory_per_old_claim", [20_000, 40_000, 60_000, 80_000], |n| {
             let mut shard = shard(n);
             let ended = |i| Settlement {
                 key: claim(i).key,
@@ -229,11 +238,11 @@
             shard.evict(Date(claim(0).date.0 + Span::secs(7200).0));
             shard
         }),
-        memory("memory_per_claim", [20_000, 40_000, 60_000, 80_000], shard),
+        measure_memory("memory_per_claim", [20_000, 40_000, 60_000, 80_000], shard),
     ]
 }
 
-fn times() -> Vec<Slope> {
+fn time_slopes() -> Vec<Slope> {
     let keys: SessionKeys = "k1:0123456789abcdef0".parse().expect("keys");
     let session = Session {
         id: 7,
@@ -245,25 +254,25 @@
     let token = session::encode_token(&session, &keys);
     let from: Vm = "vm1".parse().expect("a name");
     vec![
-        time("time_per_decision_replica", [20, 100, 300, 600], |n| {
+        measure_time("time_per_decision_replica", [20, 100, 300, 600], |n| {
             let all = replicas(n);
             let mut point = 0u64;
-            micros(|| {
+            call_micros(|| {
                 point = point.wrapping_add(0x9e37_79b9_7f4a_7c15);
                 black_box(choose(&all, Some(point), point, Moment(1_200_000)));
             })
         }),
-        time("time_per_token_check", [1, 2, 3, 4], |n| {
-            micros(|| {
+        measure_time("time_per_token_check", [1, 2, 3, 4], |n| {
+            call_micros(|| {
                 for _ in 0..n {
                     black_box(session::decode_token(&token, &keys, Date(2_000)));
                 }
             })
         }),
-        time("time_per_probe", [1, 2, 3, 4], |n| {
+        measure_time("time_per_probe", [1, 2, 3, 4], |n| {
             let mut gossip = gossip(330);
-            let probe = envelope(self_probe(1));
-            micros(|| {
+            let probe = envelope(probe_frame(1));
+            call_micros(|| {
                 for _ in 0..n {
                     let frame: Envelope<Frame> =
                         crate::peer::wire::decode(&probe).expect("a frame");
@@ -271,45 +280,45 @@
                 }
             })
         }),
-        time("time_per_tick_330", [1, 2, 3, 4], |n| {
+        measure_time("time_per_tick_330", [1, 2, 3, 4], |n| {
             let mut gossip = gossip(330);
             gossip.tick(Moment(1));
-            micros(|| {
+            call_micros(|| {
                 for _ in 0..n {
                     black_box(gossip.tick(Moment(2)));
                 }
             })
         }),
-        time("time_per_cell_merged", [100, 200, 400, 800], |n| {
+        measure_time("time_per_cell_merged", [100, 200, 400, 800], |n| {
             let (rows, _) = evidence(n).delta(&from, 0, n);
-            micros(|| {
+            call_micros(|| {
                 let mut table = Evidence::default();
                 table.merge(&from, rows.clone());
                 black_box(table.len());
             })
         }),
-        time("time_per_workspace_adopted", [50, 100, 200, 400], |n| {
-            let declared = declared(n, 100);
-            let snapshot = resolved(&declared);
-            micros(|| {
+        measure_time("time_per_workspace_adopted", [50, 100, 200, 400], |n| {
+            let declared = declarations(n, 100);
+            let snapshot = resolve_snapshot(&declared);
+            call_micros(|| {
                 let again = Snapshot::resolve(snapshot.root.clone(), snapshot.pieces.clone());
                 black_box(again.is_ok());
             })
         }),
-        time("time_per_bill_recorded", [1, 2, 3, 4], |n| {
-            let mut book = Buffer::new(origin());
-            micros(|| {
+        measure_time("time_per_bill_recorded", [1, 2, 3, 4], |n| {
+            let mut buffer = Buffer::new(origin());
+            call_micros(|| {
                 for _ in 0..n {
-                    let made = book.record(entry(0));
-                    black_box(encode(&made));
-                    book.remove(&origin(), made.number);
+                    let value = buffer.record(entry(0));
+                    black_box(encode(&value));
+                    buffer.remove(&origin(), value.number);
                 }
             })
         }),
     ]
 }
 
-fn self_probe(number: u64) -> Frame {
+fn probe_frame(number: u64) -> Frame {
     Frame::Probe {
         number,
         me: member(1),
@@ -323,20 +332,20 @@
     encode(&Envelope { from: "vm1".parse::<Vm>().expect("a name"), body: frame })
 }
 
-fn sizes() -> Vec<Slope> {
+fn byte_slopes() -> Vec<Slope> {
     let from: Vm = "vm2".parse().expect("a name");
     vec![
-        bytes("bytes_per_probe", [1, 2, 3, 4], |n| {
-            (0..n).map(|i| envelope(self_probe(1_000_000 + i as u64)).len()).sum()
+        measure_bytes("bytes_per_probe", [1, 2, 3, 4], |n| {
+            (0..n).map(|i| envelope(probe_frame(1_000_000 + i as u64)).len()).sum()
         }),
-        bytes("bytes_per_cell", [50, 100, 150, 200], |n| {
+        measure_bytes("bytes_per_cell", [50, 100, 150, 200], |n| {
             let (evidence, _) = evidence(n).delta(&from, 0, n);
             encode(&evidence).len()
         }),
-        bytes("bytes_per_member_row", [10, 20, 30, 40], |n| {
+        measure_bytes("bytes_per_member_row", [10, 20, 30, 40], |n| {
             encode(&(0..n).map(member).collect::<Vec<_>>()).len()
         }),
-        bytes("bytes_per_bill_copy", [10, 20, 40, 80], |n| {
+        measure_bytes("bytes_per_bill_copy", [10, 20, 40, 80], |n| {
             let entries = (0..n).map(|i| entry(i as u64 + 1000)).collect();
             let call = Call::CopyBills {
                 origin: from.clone(),
@@ -346,16 +355,16 @@
             };
             encode(&call).len()
         }),
-        bytes("bytes_per_bill_stored", [10, 20, 40, 80], |n| {
+        measure_bytes("bytes_per_bill_stored", [10, 20, 40, 80], |n| {
             let entries: Vec<Entry> = (0..n).map(|i| entry(i as u64 + 1000)).collect();
             serde_json::to_vec(&entries).map_or(0, |text| text.len())
         }),
-        bytes("bytes_per_claim_stored", [10, 20, 40, 80], |n| {
+        measure_bytes("bytes_per_claim_stored", [10, 20, 40, 80], |n| {
             let records: Vec<Record> = (0..n).map(|i| Record::Claim(claim(i))).collect();
             serde_json::to_vec(&records).map_or(0, |text| text.len())
         }),
-        bytes("bytes_per_workspace_piece", [1, 2, 3, 4], |n| {
-            config::pieces(&declared(n, 3)).iter().skip(3).map(|piece| piece.body.len()).sum()
+        measure_bytes("bytes_per_workspace_piece", [1, 2, 3, 4], |n| {
+            config::pieces(&declarations(n, 3)).iter().skip(3).map(|piece| piece.body.len()).sum()
         }),
     ]
 }
@@ -365,17 +374,17 @@
 /// # Errors
 /// None at present; the signature is that of the experiments over sockets.
 pub fn run(_options: &Options) -> Result<Table, Error> {
-    let block = vec![7u8; UNIT];
-    let unit = micros(|| {
+    let block = vec![7u8; HASH_BLOCK_BYTES];
+    let unit = call_micros(|| {
         black_box(digest(&block));
     });
     let mut table = Table::default();
-    for slope in memories().into_iter().chain(times()).chain(sizes()) {
-        let (each, start, residual) = slope.fit();
+    for slope in memory_slopes().into_iter().chain(time_slopes()).chain(byte_slopes()) {
+        let (each, intercept, residual) = slope.fit();
         let mut row = Row::named("name", slope.name)
             .with("unit", slope.unit)
             .number("slope", each, 4)
-            .number("at_nought", start, 2)
+            .number("at_nought", intercept, 2)
             .number("residual", residual, 4);
         if slope.unit == "us" {
             let largest = slope.values.last().copied().unwrap_or_default();
@@ -386,7 +395,7 @@
         table.rows.push(row.with("points", points.join(" ")));
     }
     table.notes.push(format!(
-        "A unit of work is one SHA-256 over {UNIT} bytes with its hex: {unit:.2} us in this run."
+        "A unit of work is one SHA-256 over {HASH_BLOCK_BYTES} bytes with its hex: {unit:.2} us in this run."
     ));
     Ok(table)
 }
--- a/src/experiment/table.rs
+++ b/src/experiment/table.rs
@@ -45,7 +45,7 @@
 
 impl Table {
     /// The rows and notes as JSON.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let rows: Vec<&Map<String, Value>> = self.rows.iter().map(|row| &row.0).collect();
         json!({"rows": rows, "notes": self.notes})
     }
