--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -9,7 +9,9 @@
 use crate::config::{KeyHolder, Limits, Pool, Regions, RetryPolicy, Route, Table, WeightedService};
 use crate::decide::cold_start::ColdStart;
 use crate::forward::replica::{Phase, Replica, Rollout};
-use crate::unit::{DataCentre, Era, Model, Position, Rate, Region, Revision, Service, Span, Version};
+use crate::unit::{
+    DataCentre, Era, Model, Position, Rate, Region, Revision, Service, Span, Version,
+};
 
 /// Kind of the operator's configurations.
 pub const CONFIG: &str = "config";
@@ -222,10 +224,13 @@
         "streaming" if entry.stream_resume => RetryPolicy::Resume,
         _ => RetryPolicy::Never,
     };
-    let whole = entry.service.map(|service| vec![WeightedService { service, weight: DEFAULT_WEIGHT }]);
+    let whole =
+        entry.service.map(|service| vec![WeightedService { service, weight: DEFAULT_WEIGHT }]);
     let split = entry.backends.map(|parts| {
-        let part =
-            |b: Backend| WeightedService { service: b.service, weight: b.weight.unwrap_or(DEFAULT_WEIGHT) };
+        let part = |b: Backend| WeightedService {
+            service: b.service,
+            weight: b.weight.unwrap_or(DEFAULT_WEIGHT),
+        };
         parts.into_iter().map(part).collect()
     });
     let services =
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -8,12 +8,12 @@
 use bytes::Bytes;
 use serde_json::Value;
 
+use super::client::{Client, Consistency, StoreError};
+use super::object::Object as Raw;
 use crate::error::Error;
 use crate::forward::era::Tracker;
 use crate::standin::platform::VmEntry;
 use crate::unit::{Position, Span};
-use super::client::{Client, Consistency, StoreError};
-use super::object::Object as Raw;
 
 /// Replaces `/` in the names of objects; no identifier of this program contains it.
 const SEPARATOR: &str = "~";
