--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,125 +1,137 @@
-//! The command line as it is declared; `options.rs` checks it.
+//! Declares the command line; `options.rs` checks the values of its flags.
 //!
-//! Each flag `--some-name` may be set by the environment variable `KITEPULLEY_SOME_NAME` too.
+//! Each flag `--some-name` can also be set by the environment variable `KITEPULLEY_SOME_NAME`.
 
 use gumdrop::Options;
 
 /// A model-aware router for versions and cascades.
 #[derive(Debug, Options)]
 pub struct Cli {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Show the version.
+    /// Prints the version of the program.
     #[options(no_short, help = "show the version")]
     pub version: bool,
-    /// The command.
+    /// Command to run; without one the help is printed.
     #[options(command)]
     pub command: Option<Command>,
 }
 
-/// The commands.
+/// Commands of the program.
 #[derive(Debug, Options)]
 pub enum Command {
-    /// One entry VM's process.
+    /// Runs one entry VM, configured by flags.
     #[options(help = "run one entry VM")]
     Serve(Serve),
-    /// One entry VM on the users' platform.
-    #[options(help = "run one entry VM on a platform that gives it a settings file")]
+    /// Runs one entry VM on the users' platform, configured by its settings file.
+    #[options(help = "run one entry VM, configured by the platform's settings file")]
     Entry(Entry),
-    /// A stand-in of an outside system.
+    /// Runs a stand-in for an external system.
     #[options(help = "run a stand-in: platform, engine, service or rating")]
     Standin(Standin),
-    /// Everything in one process.
-    #[options(help = "show everything in one process, under faults, and judge the promises")]
+    /// Runs VMs, stand-ins and callers in one process, injects faults and checks the history.
+    #[options(help = "run the whole system in one process, inject faults and check the promises")]
     Demo(Demo),
-    /// A plan.
-    #[options(help = "say what declarations or an intent would change; change nothing")]
+    /// Prints what declarations or an intent would change.
+    #[options(help = "show what declarations or an intent would change, without changing it")]
     Plan(Plan),
-    /// A confirm.
-    #[options(help = "apply exactly a plan, once")]
+    /// Applies a plan that `plan --out` wrote.
+    #[options(help = "apply a plan exactly once")]
     Confirm(Confirm),
-    /// The state of the configuration.
+    /// Prints the configuration, roll-outs and members, as one VM sees them.
     #[options(help = "show the configuration, roll-outs and VMs as one VM sees them")]
     Status(Query),
-    /// A decision record.
-    #[options(help = "say why a request went where it went")]
+    /// Prints the decision record of a request.
+    #[options(help = "explain how a request was routed")]
     Explain(Query),
-    /// The burn report.
-    #[options(help = "report service-level burn over all VMs")]
+    /// Prints the error-budget burn of the objectives over all VMs.
+    #[options(help = "report error-budget burn over all VMs")]
     Burn(Query),
-    /// The bills.
+    /// Prints the bills that the platform's store holds.
     #[options(help = "read the bills from the platform's store")]
     Bill(Bill),
-    /// The checker.
-    #[options(help = "judge the ten promises from a history")]
+    /// Checks a recorded history against the promises.
+    #[options(help = "check the ten promises against a recorded history")]
     Check(Check),
-    /// An experiment.
+    /// Runs an experiment and prints its table.
     #[options(help = "measure a decision or a mechanism")]
     Experiment(Experiment),
-    /// A state chart.
-    #[options(help = "draw a state chart as Mermaid")]
+    /// Prints a state chart as Mermaid source.
+    #[options(help = "print a state chart as Mermaid")]
     Chart(Chart),
 }
 
 /// Flags of `serve`.
 #[derive(Debug, Default, Options)]
 pub struct Serve {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Name.
-    #[options(no_short, meta = "NAME", help = "the VM's name, used by no other")]
+    /// Name of the VM, unique among all VMs.
+    #[options(no_short, meta = "NAME", help = "the VM's unique name")]
     pub vm: Option<String>,
-    /// Data centre.
+    /// Data centre that the VM runs in.
     #[options(no_short, meta = "NAME", help = "the VM's data centre")]
     pub data_centre: Option<String>,
-    /// Callers' address.
-    #[options(no_short, meta = "IP:PORT", help = "where callers reach it")]
+    /// Address that serves callers (HTTP).
+    #[options(no_short, meta = "IP:PORT", help = "address that serves callers (HTTP)")]
     pub listen: Option<String>,
-    /// Peers' address.
-    #[options(no_short, meta = "IP:PORT", help = "where other VMs reach it, by UDP")]
+    /// Address for messages of other VMs (UDP).
+    #[options(no_short, meta = "IP:PORT", help = "address for messages of other VMs (UDP)")]
     pub peer: Option<String>,
-    /// Platform.
+    /// Address of the platform's object API.
     #[options(no_short, meta = "IP:PORT", help = "the platform's object API")]
     pub platform: Option<String>,
-    /// Rating service.
+    /// Address of the service that rates answers; without it no answer is rated.
     #[options(no_short, meta = "IP:PORT", help = "the service that rates answers")]
     pub rating: Option<String>,
-    /// Seeds.
-    #[options(no_short, meta = "IP:PORT,...", help = "peer addresses of other VMs to join by")]
+    /// Peer addresses of VMs to join through.
+    #[options(
+        no_short,
+        meta = "IP:PORT,...",
+        help = "peer addresses of other VMs to join through"
+    )]
     pub seed: Option<String>,
-    /// Workers.
+    /// Number of HTTP worker threads.
     #[options(no_short, meta = "N", help = "threads that serve callers (default 2)")]
     pub workers: Option<String>,
-    /// Grace of a planned stop.
-    #[options(no_short, meta = "TIME", help = "longest wait of a planned stop (default 30s)")]
+    /// Longest time that a graceful shutdown waits for open requests.
+    #[options(no_short, meta = "TIME", help = "timeout of a graceful shutdown (default 30s)")]
     pub stop_within: Option<String>,
-    /// Body limit.
-    #[options(no_short, meta = "SIZE", help = "largest body of a request (default 1MB)")]
+    /// Largest request body.
+    #[options(no_short, meta = "SIZE", help = "largest request body (default 1MB)")]
     pub body_limit: Option<String>,
-    /// Rated share.
+    /// Share of answers that are sent to the rating service.
     #[options(no_short, meta = "SHARE", help = "share of answers to rate (default 5%)")]
     pub rated_share: Option<String>,
-    /// Roll-out pace.
-    #[options(no_short, meta = "TIME", help = "a roll-out's share doubles at most in (150s)")]
+    /// Shortest time in which the share of a roll-out may double.
+    #[options(
+        no_short,
+        meta = "TIME",
+        help = "shortest time in which a roll-out's share doubles (default 150s)"
+    )]
     pub rollout_doubling: Option<String>,
 }
 
 /// Flags of `entry`.
 #[derive(Debug, Default, Options)]
 pub struct Entry {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Counters' port.
-    #[options(no_short, meta = "PORT", help = "port of the counters on the VM's own address")]
+    /// Port of the metrics endpoint; without it there is none.
+    #[options(
+        no_short,
+        meta = "PORT",
+        help = "port of the metrics endpoint on the VM's own address"
+    )]
     pub metrics_port: Option<String>,
-    /// Confidence of a small model.
+    /// Confidence, in percent, from which an answer of a small model is not escalated.
     #[options(
         no_short,
         meta = "PERCENT",
-        help = "a small model's answer is kept from this confidence of its own on, however idle servers are (default 60)"
+        help = "keep answers of a small model from this confidence on, however idle servers are (default 60)"
     )]
     pub keep_confidence: Option<String>,
 }
@@ -127,75 +139,75 @@
 /// Flags of `standin`.
 #[derive(Debug, Options)]
 pub struct Standin {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Which.
+    /// Which system to stand in for: `platform`, `engine`, `service` or `rating`.
     #[options(free, help = "platform, engine, service or rating")]
     pub which: Option<String>,
-    /// Address.
-    #[options(no_short, meta = "IP:PORT", help = "where it listens")]
+    /// Address to listen on.
+    #[options(no_short, meta = "IP:PORT", help = "address to listen on")]
     pub listen: Option<String>,
-    /// Name.
-    #[options(no_short, meta = "NAME", help = "its name, for an engine or a service")]
+    /// Name of the server.
+    #[options(no_short, meta = "NAME", help = "engine, service: name of the server")]
     pub name: Option<String>,
-    /// Versions.
+    /// Versions that an engine serves, each with the share of its answers that are good.
     #[options(
         no_short,
         meta = "MODEL@VERSION=QUALITY,...",
-        help = "an engine's versions, and the share of their answers that are good"
+        help = "engine: versions, each with the share of its answers that are good"
     )]
     pub versions: Option<String>,
-    /// Slots.
-    #[options(no_short, meta = "N", help = "requests an engine runs at once (default 16)")]
+    /// Requests that an engine runs concurrently.
+    #[options(no_short, meta = "N", help = "engine: concurrent requests (default 16)")]
     pub slots: Option<String>,
-    /// Token time.
-    #[options(no_short, meta = "TIME", help = "an engine's time for a token (default 5ms)")]
+    /// Time that an engine needs per token.
+    #[options(no_short, meta = "TIME", help = "engine: time per token (default 5ms)")]
     pub token_time: Option<String>,
-    /// Lag.
-    #[options(no_short, meta = "TIME", help = "lag of load reports or ratings (default 500ms)")]
+    /// Delay of an engine's load reports, or of ratings.
+    #[options(no_short, meta = "TIME", help = "delay of load reports or ratings (default 500ms)")]
     pub lag: Option<String>,
 }
 
 /// Flags of `demo`.
 #[derive(Debug, Options)]
 pub struct Demo {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Requests.
+    /// Number of requests to send.
     #[options(no_short, meta = "N", help = "requests to send (default 6000)")]
     pub requests: Option<String>,
-    /// Seed.
-    #[options(no_short, meta = "N", help = "seed of the work and of the faults (default 1)")]
+    /// Seed of the random numbers that draw the workload and the faults.
+    #[options(no_short, meta = "N", help = "seed of the workload and the faults (default 1)")]
     pub seed: Option<String>,
-    /// VMs.
+    /// Number of entry VMs at the start.
     #[options(no_short, meta = "N", help = "entry VMs at the start (default 3)")]
     pub vms: Option<String>,
-    /// Faults.
-    #[options(no_short, meta = "LIST", help = "faults to cause, `all`, `pairs` or `none`")]
+    /// Faults to inject: names joined by `+` (together) and `,` (in turn), or a preset.
+    #[options(no_short, meta = "LIST", help = "faults to inject, `all`, `pairs` or `none`")]
     pub faults: Option<String>,
-    /// History.
-    #[options(no_short, meta = "FILE", help = "write the history there")]
+    /// File that the recorded history is written to, one JSON event a line.
+    #[options(no_short, meta = "FILE", help = "write the recorded history to this file")]
     pub history: Option<String>,
 }
 
 /// Flags of `plan`.
 #[derive(Debug, Options)]
 pub struct Plan {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Declarations or intent.
+    /// Path of declarations, or the words of an intent.
     #[options(free, help = "a file or folder of declarations, or an intent in words")]
     pub wish: Vec<String>,
-    /// Platform.
+    /// Address of the platform's object API.
     #[options(no_short, meta = "IP:PORT", help = "the platform's object API")]
     pub platform: Option<String>,
-    /// Where to write the plan.
-    #[options(no_short, meta = "FILE", help = "write the plan there, to confirm it")]
+    /// File that the plan is written to, for `confirm`.
+    #[options(no_short, meta = "FILE", help = "write the plan to this file, for `confirm`")]
     pub out: Option<String>,
-    /// JSON.
+    /// Prints JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
 }
@@ -203,36 +215,36 @@
 /// Flags of `confirm`.
 #[derive(Debug, Options)]
 pub struct Confirm {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Plan.
+    /// Path of the plan.
     #[options(free, help = "the file that `plan --out` wrote")]
     pub plan: Option<String>,
-    /// Platform.
+    /// Address of the platform's object API.
     #[options(no_short, meta = "IP:PORT", help = "the platform's object API")]
     pub platform: Option<String>,
-    /// Who.
-    #[options(no_short, meta = "NAME", help = "who confirms, for the record")]
+    /// Name of the operator, recorded with the revision.
+    #[options(no_short, meta = "NAME", help = "name of the operator, for the record")]
     pub who: Option<String>,
-    /// VM to ask.
-    #[options(no_short, meta = "IP:PORT", help = "a VM to ask until it is in force everywhere")]
+    /// VM that is polled until the revision is in force everywhere; without it nothing is awaited.
+    #[options(no_short, meta = "IP:PORT", help = "VM to poll until it is in force everywhere")]
     pub vm: Option<String>,
 }
 
-/// Flags of commands that ask a VM.
+/// Flags of the commands that query a VM: `status`, `explain` and `burn`.
 #[derive(Debug, Options)]
 pub struct Query {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Request.
-    #[options(free, help = "a request's id, for `explain`")]
+    /// Id of the request to explain.
+    #[options(free, help = "id of a request, for `explain`")]
     pub request: Option<String>,
-    /// VM.
-    #[options(no_short, meta = "IP:PORT", help = "a VM's address for callers")]
+    /// Address at which the VM serves callers.
+    #[options(no_short, meta = "IP:PORT", help = "address at which the VM serves callers")]
     pub vm: Option<String>,
-    /// JSON.
+    /// Prints JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
 }
@@ -240,16 +252,16 @@
 /// Flags of `bill`.
 #[derive(Debug, Options)]
 pub struct Bill {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Platform.
+    /// Address of the platform's object API.
     #[options(no_short, meta = "IP:PORT", help = "the platform's object API")]
     pub platform: Option<String>,
-    /// Workspace.
+    /// Workspace whose bills are printed; all if none is given.
     #[options(no_short, meta = "NAME", help = "this workspace only")]
     pub workspace: Option<String>,
-    /// JSON.
+    /// Prints JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
 }
@@ -257,13 +269,13 @@
 /// Flags of `check`.
 #[derive(Debug, Options)]
 pub struct Check {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// File.
-    #[options(free, help = "a history")]
+    /// Path of the history, one JSON event a line.
+    #[options(free, help = "file of a recorded history")]
     pub file: Option<String>,
-    /// JSON.
+    /// Prints JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
 }
@@ -271,74 +283,86 @@
 /// Flags of `experiment`.
 #[derive(Debug, Default, Options)]
 pub struct Experiment {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Which.
+    /// Name of the experiment.
     #[options(
         free,
         help = "cascade, rollout, replica, overload, spread, reading, poison, path, once or slopes"
     )]
     pub name: Option<String>,
-    /// Seed.
+    /// Seed of the random numbers.
     #[options(no_short, meta = "N", help = "seed (default 1)")]
     pub seed: Option<String>,
-    /// JSON.
+    /// Prints JSON instead of text.
     #[options(no_short, help = "print JSON")]
     pub json: bool,
-    /// Runs.
+    /// Number of runs, each with its own seed.
     #[options(no_short, meta = "N", help = "rollout: seeds to run (default 1000)")]
     pub runs: Option<String>,
-    /// Requests.
-    #[options(no_short, meta = "N", help = "requests")]
+    /// Number of requests.
+    #[options(no_short, meta = "N", help = "number of requests")]
     pub requests: Option<String>,
-    /// VMs.
-    #[options(no_short, meta = "N,...", help = "numbers of VMs")]
+    /// Fleet sizes to measure.
+    #[options(no_short, meta = "N,...", help = "fleet sizes, in VMs")]
     pub vms: Option<String>,
-    /// Cheap pass share.
-    #[options(no_short, meta = "SHARE", help = "cascade: cheap answers that pass (default 70%)")]
+    /// Share of the cheap model's answers that pass.
+    #[options(
+        no_short,
+        meta = "SHARE",
+        help = "cascade: share of cheap answers that pass (default 70%)"
+    )]
     pub cheap_pass: Option<String>,
-    /// Rated share.
-    #[options(no_short, meta = "SHARE", help = "answers that are rated (default 5%)")]
+    /// Share of answers that are sent to the rating service.
+    #[options(no_short, meta = "SHARE", help = "share of answers that are rated (default 5%)")]
     pub rated_share: Option<String>,
-    /// Rating lag.
-    #[options(no_short, meta = "TIME", help = "lag of ratings (default 60s)")]
+    /// Delay between an answer and its rating.
+    #[options(no_short, meta = "TIME", help = "delay of ratings (default 60s)")]
     pub rating_lag: Option<String>,
-    /// Kinds.
+    /// Number of kinds of work.
     #[options(no_short, meta = "N", help = "cascade: kinds of work (default 4)")]
     pub kinds: Option<String>,
-    /// Drift.
-    #[options(no_short, meta = "N", help = "cascade: sudden changes on the way (default 0)")]
+    /// Number of abrupt quality changes during the run.
+    #[options(
+        no_short,
+        meta = "N",
+        help = "cascade: abrupt quality changes during the run (default 0)"
+    )]
     pub drift: Option<String>,
-    /// Harm.
-    #[options(no_short, meta = "SHARE", help = "rollout: bad answers more (default 10%)")]
+    /// Additional share of bad answers of the new version.
+    #[options(
+        no_short,
+        meta = "SHARE",
+        help = "rollout: additional share of bad answers (default 10%)"
+    )]
     pub harm: Option<String>,
-    /// Good.
+    /// Makes the new version as good as the old one.
     #[options(no_short, help = "rollout: the version does no harm")]
     pub good: bool,
-    /// Report lag.
-    #[options(no_short, meta = "TIME", help = "replica: lag of load reports (default 500ms)")]
+    /// Delay of load reports.
+    #[options(no_short, meta = "TIME", help = "replica: delay of load reports (default 500ms)")]
     pub report_lag: Option<String>,
-    /// Replicas.
-    #[options(no_short, meta = "N", help = "replicas")]
+    /// Number of replicas.
+    #[options(no_short, meta = "N", help = "number of replicas")]
     pub replicas: Option<String>,
-    /// Load.
-    #[options(no_short, meta = "F", help = "offered load in shares of the capacity")]
+    /// Offered load, as a fraction of the capacity.
+    #[options(no_short, meta = "F", help = "offered load, as a fraction of the capacity")]
     pub load: Option<String>,
 }
 
 /// Flags of `chart`.
 #[derive(Debug, Options)]
 pub struct Chart {
-    /// Show this help.
+    /// Prints the help of the command.
     #[options(help = "show this help")]
     pub help: bool,
-    /// Which.
+    /// Name of the chart.
     #[options(free, help = "request, rollout, server, session or vm")]
     pub name: Option<String>,
 }
 
-/// An example of each command, for its help.
+/// Returns an example of a command line, for the help of the command.
 pub fn example(command: &str) -> &'static str {
     match command {
         "serve" => {
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: judges a history.
+//! `check`: checks a recorded history against the promises.
 
 use std::io::BufReader;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use crate::history::{judge, read};
 use crate::options::required;
 
-/// Prints the verdicts; a breach is an error.
+/// Prints the verdicts; a broken promise is an error.
 pub fn run(flags: &cli::Check) -> Result<(), Error> {
     let file: String = required("file", flags.file.as_ref())?;
     let path = Path::new(&file);
--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -1,4 +1,4 @@
-//! `confirm`: applies exactly a plan, and waits until it is in force everywhere.
+//! `confirm`: applies a plan exactly once and waits until it is in force on all VMs.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,13 +13,13 @@
 use crate::unit::Revision;
 use crate::vm::Clock;
 
-/// How long to ask whether the change is in force everywhere.
+/// Longest wait until the change is in force on all VMs.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two questions.
+/// Interval of the queries for the accepted revision.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Applies the plan.
+/// Applies the plan, unless it was edited after it was made.
 pub fn run(flags: &cli::Confirm) -> Result<(), Error> {
     let file: String = required("plan", flags.plan.as_ref())?;
     let path = Path::new(&file);
@@ -28,7 +28,7 @@
         .map_err(|fault| Error::Format(file.clone(), fault.line(), fault.to_string()))?;
     let body = serde_json::to_vec(&(plan.base, &plan.changes)).expect("changes are plain data");
     if digest(&body)[..16] != plan.id {
-        let cause = "the plan was changed after it was made; plan anew".to_owned();
+        let cause = "the plan was edited after it was made; plan again".to_owned();
         return Err(Error::Format(file, 1, cause));
     }
     let who: String = required("who", flags.who.as_ref())?;
@@ -39,11 +39,11 @@
         let done = confirm(&Store::new(platform), &plan, &who, date).await?;
         let revision = match done {
             Confirmed::Now(revision) => {
-                println!("Revision {revision} has taken effect; VMs obey it as they hear of it.");
+                println!("Revision {revision} has taken effect; VMs apply it as they receive it.");
                 revision
             }
             Confirmed::Before(revision) => {
-                println!("This plan was applied before, as revision {revision}; nothing changed.");
+                println!("This plan was already applied, as revision {revision}; nothing changed.");
                 revision
             }
         };
@@ -55,17 +55,22 @@
 }
 
 async fn wait_until_in_force(vm: std::net::SocketAddr, revision: Revision) -> Result<(), Error> {
-    let began = Instant::now();
-    let mut waits = String::new();
-    while began.elapsed() < IN_FORCE_TIMEOUT {
+    let started = Instant::now();
+    let mut waits_for = String::new();
+    while started.elapsed() < IN_FORCE_TIMEOUT {
         let status = query::get_json(vm, "operator/status").await?;
         if status["accepted"].as_u64().unwrap_or_default() >= revision.0 {
-            println!("Revision {revision} is in force everywhere, after {:.1?}.", began.elapsed());
+            println!(
+                "Revision {revision} is in force everywhere, after {:.1?}.",
+                started.elapsed()
+            );
             return Ok(());
         }
-        waits = status["waits_for"].to_string();
+        waits_for = status["waits_for"].to_string();
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    println!("Revision {revision} is still pending; it waits for {waits}. See `status`.");
+    println!(
+        "Revision {revision} is still pending: it waits for {waits_for}. See `kitepulley status`."
+    );
     Ok(())
 }
--- a/src/command/demo.rs
+++ b/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: everything in one process, under faults, and the verdict.
+//! `demo`: runs VMs, stand-ins and callers in one process, injects faults and prints the verdicts.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::options::{list, value_of, with_default};
 
-/// Faults of the default run, in turn.
+/// Faults of the default run, injected one after the other.
 const DEFAULT_FAULTS: [Fault; 7] = [
     Fault::StoreDown,
     Fault::Stop,
@@ -18,7 +18,7 @@
     Fault::Race,
 ];
 
-/// Runs the demo; a promise that breaks is an error.
+/// Runs the demo; a broken promise is an error.
 pub fn run(flags: &cli::Demo) -> Result<(), Error> {
     let vms: usize = with_default("vms", flags.vms.as_ref(), 3)?;
     if !(2..=32).contains(&vms) {
@@ -39,14 +39,17 @@
     let outcome = run_scenario(&scenario)?;
     let (whole, refused, broken) = outcome.counts;
     println!(
-        "\n{whole} answers whole, {refused} refusals, {broken} broken, in {:.1?}",
+        "\n{whole} complete answers, {refused} refusals, {broken} broken answers, in {:.1?}",
         outcome.duration
     );
-    println!("\nBurn of the objectives (1.00 uses the allowance up in 30 days):\n{}", outcome.burn);
+    println!(
+        "\nBurn of the objectives (1.00 uses up the error budget in 30 days):\n{}",
+        outcome.burn
+    );
     println!("Promises:\n{}", outcome.report);
     if let Some(file) = &flags.history {
         outcome.cluster.history.save(Path::new(file))?;
-        println!("The history is in {file}; judge it again with `kitepulley check {file}`.");
+        println!("The history is in {file}; check it again with `kitepulley check {file}`.");
     }
     match outcome.report.broken() {
         0 => Ok(()),
@@ -68,7 +71,7 @@
             Ok((0..ALL_FAULTS.len()).map(pair).collect())
         }
         Some(_) => {
-            // Faults joined by `+` come at once, those parted by commas in turn.
+            // Faults joined by `+` are injected together, groups separated by commas in turn.
             let groups = list::<String>("faults", flags.faults.as_ref())?;
             let group = |text: &String| -> Result<Vec<Fault>, Error> {
                 let parse =
--- a/src/command/entry.rs
+++ b/src/command/entry.rs
@@ -1,10 +1,10 @@
-//! `entry`: one entry VM on the users' platform until a signal ends it.
+//! `entry`: runs one entry VM on the users' platform until a signal stops it.
 
 use super::block_on;
 use crate::error::Error;
 use crate::{cli, forward, options};
 
-/// Runs a VM; SIGTERM or SIGINT is a planned stop.
+/// Runs a VM. SIGTERM or SIGINT starts a graceful shutdown.
 pub fn run(flags: &cli::Entry) -> Result<(), Error> {
     let settings = options::entry(flags)?;
     block_on(forward::run(settings))
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each takes its flags and runs to its end.
+//! Commands of the program: one module each, with a `run` function that takes the parsed flags.
 
 mod check;
 mod confirm;
@@ -16,10 +16,10 @@
 use crate::error::Error;
 use crate::{chart, options};
 
-/// Runs the command that the arguments name.
+/// Parses the arguments and runs the command that they name.
 ///
 /// # Errors
-/// What went wrong, as a sentence that says what to do.
+/// If the arguments are invalid or the command fails.
 pub fn run(arguments: &[String]) -> Result<(), Error> {
     let cli = Cli::parse_args_default(arguments)
         .map_err(|fault| Error::Usage(format!("{fault}; see `kitepulley --help`.")))?;
@@ -35,7 +35,7 @@
         println!("{}", help(&cli));
         return Ok(());
     }
-    log();
+    init_logging();
     match command {
         Command::Serve(flags) => serve::run(flags),
         Command::Entry(flags) => entry::run(flags),
@@ -49,7 +49,7 @@
         Command::Bill(flags) => query::bill(flags),
         Command::Check(flags) => check::run(flags),
         Command::Experiment(flags) => experiment::run(flags),
-        Command::Chart(flags) => draw(flags.name.as_ref()),
+        Command::Chart(flags) => print_chart(flags.name.as_ref()),
     }
 }
 
@@ -57,7 +57,7 @@
     let usage = cli.self_usage();
     match cli.command_name() {
         Some(name) => format!(
-            "Usage: kitepulley {name} [OPTIONS]\n\n{}\n\nEach flag `--some-name` may be set by \
+            "Usage: kitepulley {name} [OPTIONS]\n\n{}\n\nEach flag `--some-name` can also be set by \
              KITEPULLEY_SOME_NAME.\n\nExample:\n  {}",
             cli.command.as_ref().map_or(usage, Options::self_usage),
             example(name)
@@ -70,15 +70,15 @@
     }
 }
 
-/// Lines go to standard error; `KITEPULLEY_LOG` sets how much is told.
-fn log() {
+/// Logs to standard error, at the level that `KITEPULLEY_LOG` names (default `info`).
+fn init_logging() {
     let level = std::env::var("KITEPULLEY_LOG").ok().and_then(|text| text.parse().ok());
     let level = level.unwrap_or(simplelog::LevelFilter::Info);
     let config = simplelog::ConfigBuilder::new().add_filter_allow_str("kitepulley").build();
     let _ = simplelog::WriteLogger::init(level, config, std::io::stderr());
 }
 
-fn draw(name: Option<&String>) -> Result<(), Error> {
+fn print_chart(name: Option<&String>) -> Result<(), Error> {
     let name: String = options::required("chart", name)?;
     let Some((_, text)) = chart::FILES.iter().find(|(known, _)| *known == name) else {
         let known: Vec<&str> = chart::FILES.iter().map(|(known, _)| *known).collect();
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Runs a future on a system of its own.
+/// Runs a future to completion on an actix system of its own.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     actix_web::rt::System::new().block_on(future)
 }
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! `plan`: what a wish would change; nothing is changed.
+//! `plan`: shows what declarations or an intent would change, without changing it.
 
 use std::path::Path;
 
@@ -9,9 +9,9 @@
 use crate::platform::Store;
 use crate::{cli, operator};
 
-/// Prints the plan, and writes it if asked to.
+/// Prints the plan and, with `--out`, writes it to a file for `confirm`.
 pub fn run(flags: &cli::Plan) -> Result<(), Error> {
-    let wish = wish(&flags.wish)?;
+    let wish = parse_wish(&flags.wish)?;
     let platform = address("platform", flags.platform.as_ref())?;
     let plan = block_on(async {
         let snapshot = operator::snapshot(&Store::new(platform)).await?;
@@ -24,41 +24,41 @@
     if flags.json {
         println!("{json}")
     } else {
-        print!("{}", words(&plan, flags.out.as_ref()))
+        print!("{}", to_text(&plan, flags.out.as_ref()))
     }
     Ok(())
 }
 
-fn wish(words: &[String]) -> Result<Wish, Error> {
+fn parse_wish(words: &[String]) -> Result<Wish, Error> {
     let what = "Name a file or folder of declarations, or an intent; see `kitepulley plan --help`.";
     let first = words.first().ok_or_else(|| Error::Usage(what.to_owned()))?;
     if words.len() == 1 && Path::new(first).exists() {
         return config::read(Path::new(first)).map(Wish::Declared);
     }
     let text = words.join(" ");
-    let fault =
-        |fault: crate::unit::Fault| Error::Usage(format!("{fault} No file has that name either."));
+    let fault = |fault: crate::unit::Fault| {
+        Error::Usage(format!("{fault} There is no file of that name either."))
+    };
     text.parse().map(Wish::Short).map_err(fault)
 }
 
-fn words(plan: &Plan, out: Option<&String>) -> String {
+fn to_text(plan: &Plan, out: Option<&String>) -> String {
     if plan.changes.is_empty() {
-        return format!("Nothing would change; revision {} stays.\n", plan.base);
+        return format!("Nothing would change; revision {} stays in force.\n", plan.base);
     }
     let mut text = format!("Plan {} on revision {}:\n", plan.id, plan.base);
-    for word in &plan.words {
-        text.push_str(&format!("  - {word}\n"));
+    for line in &plan.words {
+        text.push_str(&format!("  - {line}\n"));
     }
-    for word in &plan.irreversible {
-        text.push_str(&format!("  cannot be undone: {word}\n"));
+    for line in &plan.irreversible {
+        text.push_str(&format!("  irreversible: {line}\n"));
     }
     match out {
-        Some(out) => {
-            text.push_str(&format!("Nothing has changed. Apply it: kitepulley confirm {out}\n"))
-        }
-        None => {
-            text.push_str("Nothing has changed. To apply it, add --out FILE and confirm FILE.\n")
-        }
+        Some(out) => text.push_str(&format!(
+            "Nothing has changed yet. To apply the plan: kitepulley confirm {out}\n"
+        )),
+        None => text
+            .push_str("Nothing has changed yet. To apply it, add --out FILE and confirm FILE.\n"),
     }
     text
 }
--- a/src/command/query.rs
+++ b/src/command/query.rs
@@ -1,4 +1,4 @@
-//! Commands that ask a VM or the store and print the answer.
+//! `status`, `explain`, `burn` and `bill`: query a VM or the store and print the response.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,24 +14,27 @@
 use crate::platform::Store;
 use crate::unit::{Cost, Workspace};
 
-/// A VM that answers later is not waited for.
+/// Timeout of a request to a VM.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn get(vm: SocketAddr, path: &str) -> Result<(u16, String), Error> {
     let fault = |cause: String| {
-        Error::Unreachable(format!("The VM at {vm} did not answer: {cause}. Ask another."))
+        Error::Unreachable(format!("The VM at {vm} did not respond: {cause}. Try another VM."))
     };
     let mut request =
         awc::Client::builder().timeout(QUERY_TIMEOUT).finish().get(format!("http://{vm}/{path}"));
     if let Ok(key) = std::env::var("KITEPULLEY_OPERATOR_KEY") {
         request = request.insert_header(("authorization", format!("Bearer {key}")));
     }
-    let mut answer = request.send().await.map_err(|e| fault(e.to_string()))?;
-    let body = answer.body().limit(8_000_000).await.map_err(|e| fault(e.to_string()))?;
-    Ok((answer.status().as_u16(), String::from_utf8_lossy(&body).into_owned()))
+    let mut response = request.send().await.map_err(|e| fault(e.to_string()))?;
+    let body = response.body().limit(8_000_000).await.map_err(|e| fault(e.to_string()))?;
+    Ok((response.status().as_u16(), String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// JSON that a VM answers.
+/// Returns the JSON that a VM responds with.
+///
+/// # Errors
+/// If the VM does not respond with status 200, or the body is not JSON.
 pub async fn get_json(vm: SocketAddr, path: &str) -> Result<Value, Error> {
     let text = get_text(vm, path).await?;
     serde_json::from_str(&text).map_err(|fault| Error::Unreachable(fault.to_string()))
@@ -44,7 +47,7 @@
     }
 }
 
-/// `status`.
+/// Prints the configuration, roll-outs and members, as one VM sees them.
 pub fn status(flags: &cli::Query) -> Result<(), Error> {
     let vm = address("vm", flags.vm.as_ref())?;
     let status = block_on(get_json(vm, "operator/status"))?;
@@ -54,13 +57,13 @@
     }
     let state = if status["pending"] == true { "pending" } else { "in force everywhere" };
     println!("{} revision {}: {state}", status["vm"].as_str().unwrap_or("?"), status["revision"]);
-    if status["waits_for"].as_array().is_some_and(|waits| !waits.is_empty()) {
+    if status["waits_for"].as_array().is_some_and(|list| !list.is_empty()) {
         println!("  waits for {}", status["waits_for"]);
     }
     if let Some(age) = status["store_age_s"].as_f64() {
-        println!("  knows the store as of {age:.1} s ago");
+        println!("  store state: {age:.1} s old");
     }
-    println!("  starts new work: {}", status["may_start"]);
+    println!("  accepts new requests: {}", status["may_start"]);
     for rollout in status["rollouts"].as_array().into_iter().flatten() {
         let share = rollout["share"].as_f64().unwrap_or_default() / 1e4;
         println!(
@@ -85,7 +88,7 @@
     Ok(())
 }
 
-/// `explain`.
+/// Prints the decision record of a request.
 pub fn explain(flags: &cli::Query) -> Result<(), Error> {
     let request: String = required("request", flags.request.as_ref())?;
     let vm = address("vm", flags.vm.as_ref())?;
@@ -93,7 +96,7 @@
     Ok(())
 }
 
-/// `burn`.
+/// Prints the error-budget burn of the objectives over all VMs.
 pub fn burn(flags: &cli::Query) -> Result<(), Error> {
     let vm = address("vm", flags.vm.as_ref())?;
     let path = if flags.json { "operator/burn?json" } else { "operator/burn" };
@@ -101,14 +104,14 @@
     Ok(())
 }
 
-/// `bill`.
+/// Prints the number of bills and the cost of each workspace, from the store.
 pub fn bill(flags: &cli::Bill) -> Result<(), Error> {
     let platform = address("platform", flags.platform.as_ref())?;
     let only: Option<Workspace> = optional("workspace", flags.workspace.as_ref())?;
     let mut entries = block_on(ledger::collect(&Store::new(platform)))?;
     entries.retain(|entry| only.as_ref().is_none_or(|only| entry.workspace == *only));
     if flags.json {
-        println!("{}", serde_json::to_string(&entries).expect("entries are plain data"));
+        println!("{}", serde_json::to_string(&entries).expect("entries serialise"));
         return Ok(());
     }
     let mut sums: BTreeMap<&Workspace, (u64, Cost)> = BTreeMap::new();
--- a/src/command/serve.rs
+++ b/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one entry VM until a signal ends it.
+//! `serve`: runs one entry VM until a signal stops it.
 
 use actix_web::rt::signal::unix::{SignalKind, signal};
 
@@ -7,7 +7,7 @@
 use crate::history::Sink;
 use crate::{cli, options, vm};
 
-/// Runs a VM; SIGTERM or SIGINT is a planned stop, a second one ends it at once.
+/// Runs a VM. SIGTERM or SIGINT starts a graceful shutdown; a second signal ends it at once.
 pub fn run(flags: &cli::Serve) -> Result<(), Error> {
     let settings = options::serve(flags)?;
     block_on(async move {
@@ -17,21 +17,21 @@
         tokio::select! {
             cut = &mut stop => {
                 if cut > 0 {
-                    let what = format!("{cut} request(s) still ran when the time to stop was up.");
+                    let what = format!("{cut} request(s) were open when the shutdown timed out.");
                     return Err(Error::Unreachable(what));
                 }
                 Ok(())
             }
             () = wait_for_signal() => Err(Error::Unreachable(
-                "A second signal ended it before its requests were finished.".to_owned(),
+                "A second signal ended the VM before its open requests were finished.".to_owned(),
             )),
         }
     })
 }
 
 async fn wait_for_signal() {
-    let mut terminate = signal(SignalKind::terminate()).expect("signals can be watched");
-    let mut interrupt = signal(SignalKind::interrupt()).expect("signals can be watched");
+    let mut terminate = signal(SignalKind::terminate()).expect("signal handlers can be installed");
+    let mut interrupt = signal(SignalKind::interrupt()).expect("signal handlers can be installed");
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: one stand-in until it is interrupted.
+//! `standin`: runs a stand-in for an external system until it is interrupted.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 use crate::unit::{Span, Target};
 use crate::{cli, options};
 
-/// Requests that may wait at an engine for each slot.
+/// Queue length of an engine, per slot.
 const QUEUE_PER_SLOT: u32 = 4;
 
-/// Time that a service's call takes.
+/// Processing time of a call to a service.
 const SERVICE_CALL_TIME: Span = Span::millis(5);
 
-/// Runs a stand-in.
+/// Runs the stand-in that the flags name; SIGINT ends it.
 pub fn run(flags: &cli::Standin) -> Result<(), Error> {
     let which = flags.which.as_deref().unwrap_or_default();
     if !["platform", "engine", "service", "rating"].contains(&which) {
@@ -37,7 +37,7 @@
         }
         _ => Engine::new(engine_profile(flags, lag)?, Sink::default()).launch(at)?,
     };
-    eprintln!("The stand-in of the {which} listens at {}.", running.address);
+    eprintln!("The stand-in for the {which} listens on {}.", running.address);
     block_on(async {
         let _ = actix_web::rt::signal::ctrl_c().await;
     });
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,22 +1,22 @@
-//! The closed list of errors that end a command.
+//! Errors that end a command, and their exit codes.
 
 use std::path::Path;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a command ended; each is a whole sentence that says what to do.
+    /// Reason why a command failed, displayed as a sentence that says what to do.
     #[derive(Debug)]
     pub enum Error {
-        /// A flag or environment variable has a wrong value.
+        /// The value of a flag or environment variable is invalid.
         InvalidValue(flag: String, value: String, accepted: String) {
             display("The value `{value}` of {flag} is not accepted: {accepted}")
         }
-        /// Two settings contradict one another, or one is missing.
+        /// The command line is wrong: a setting is missing, or two contradict each other.
         Usage(what: String) {
             display("{what}")
         }
-        /// The declarations are faulty.
+        /// The declarations have errors, all of which are listed.
         Declarations(faults: Vec<String>) {
             display("The declarations have {} fault(s):\n{}", faults.len(), faults.join("\n"))
         }
@@ -26,61 +26,61 @@
         }
         /// The configuration changed since the plan was made.
         ConfigChanged(since: String) {
-            display("The configuration has changed since this plan was made; plan anew. {since}")
+            display("The configuration has changed since this plan was made; plan again. {since}")
         }
         /// A file cannot be read or written.
         File(path: String, cause: String) {
             display("The file `{path}` cannot be used: {cause}.")
         }
-        /// A file is not in the form it should have.
+        /// A line of a file cannot be parsed.
         Format(path: String, line: usize, cause: String) {
             display("{path}:{line}: {cause}")
         }
-        /// The settings file is missing or cannot be read.
+        /// The platform's settings file is missing or cannot be read.
         SettingsFile(path: String, cause: String) {
             display("The settings file `{path}` cannot be read: {cause}.")
         }
-        /// A field of a settings file is missing or does not read.
+        /// A field of the platform's settings file is missing or invalid.
         SettingsField(path: String, field: String, cause: String) {
             display("The field `{field}` of `{path}` is not accepted: {cause}.")
         }
-        /// The platform's object API did not answer.
+        /// The platform's object API did not respond.
         Store(cause: String) {
             display("The platform's object API did not answer: {cause}. Try again when it is back.")
         }
-        /// Another process did not answer.
+        /// Another process did not respond, or did not finish in time.
         Unreachable(what: String) {
             display("{what}")
         }
-        /// An address cannot be bound.
+        /// A listening address cannot be bound.
         Bind(address: String, cause: String) {
             display("The address {address} cannot be bound: {cause}. Choose another with its flag.")
         }
-        /// A promise was broken.
+        /// Some of the checked promises did not hold.
         BrokenPromises(count: usize) {
             display("{count} promise(s) did not hold; the lines above name the first events.")
         }
     }
 }
 
-/// Exit code of a command that ran and found a breach or failed.
+/// Exit code of a command that failed, or that found a broken promise.
 const EXIT_FAILURE: i32 = 1;
 
-/// Exit code of a command that was called wrongly or given a malformed file.
+/// Exit code of a command with invalid flags, settings or input files.
 const EXIT_USAGE: i32 = 2;
 
 impl Error {
-    /// A file that cannot be used.
+    /// Returns the error of a file that cannot be read or written.
     pub fn file(path: &Path, cause: &std::io::Error) -> Error {
         Error::File(path.display().to_string(), cause.to_string())
     }
 
-    /// A flag whose value is not accepted.
+    /// Returns the error of a flag with an invalid value; `accepted` says which values are valid.
     pub fn flag(flag: &str, value: impl ToString, accepted: impl ToString) -> Error {
         Error::InvalidValue(flag.to_owned(), value.to_string(), accepted.to_string())
     }
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> i32 {
         match self {
             Error::InvalidValue(..)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! kitepulley: a model-aware router for versions and cascades.
+//! kitepulley: a model-aware router for model versions and cascades.
 //!
-//! Every entry VM runs the same binary. `decide` holds the decisions as pure functions; `vm` keeps
-//! one VM's state and tasks; `peer` and `platform` are the two ways to agree and to share;
-//! `entry` and `engine` are the doors towards callers and back ends.
+//! Every entry VM runs the same binary. `decide` holds the routing decisions as pure functions and
+//! `vm` the state and tasks of one VM. VMs share state through `peer` (messages between VMs) and
+//! `platform` (the object store). `entry` serves callers; `engine` sends requests to model engines.
 
 pub mod chart;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the program and prints one clear error.
+//! Runs the command line and prints an error as one sentence on standard error.
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,4 +1,4 @@
-//! Flags and environment variables, turned into checked settings.
+//! Parses flags and environment variables into validated settings.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -12,19 +12,19 @@
 use crate::unit::{Parts, Size, Span};
 use crate::vm::Settings;
 
-/// Prefix of environment variables.
+/// Prefix of the environment variables that set flags and secrets.
 const PREFIX: &str = "KITEPULLEY_";
 
-/// A flag's value, or its environment variable's.
+/// Returns the value of a flag, or else of its environment variable.
 pub fn value_of(flag: &str, given: Option<&String>) -> Option<String> {
     let name = format!("{PREFIX}{}", flag.replace('-', "_").to_ascii_uppercase());
     given.cloned().or_else(|| std::env::var(name).ok())
 }
 
-/// A value that must read as `T` if it is there.
+/// Parses an optional flag.
 ///
 /// # Errors
-/// Names the flag, the value and what is accepted.
+/// If the value is invalid; names the flag, the value and what is accepted.
 pub fn optional<T>(flag: &str, given: Option<&String>) -> Result<Option<T>, Error>
 where
     T: FromStr,
@@ -37,10 +37,10 @@
     text.parse().map(Some).map_err(fault)
 }
 
-/// A value with a default.
+/// Parses a flag, or returns `default` if it is not set.
 ///
 /// # Errors
-/// Names the flag, the value and what is accepted.
+/// If the value is invalid; names the flag, the value and what is accepted.
 pub fn with_default<T>(flag: &str, given: Option<&String>, default: T) -> Result<T, Error>
 where
     T: FromStr,
@@ -49,10 +49,10 @@
     Ok(optional(flag, given)?.unwrap_or(default))
 }
 
-/// A value that must be there.
+/// Parses a flag that must be set.
 ///
 /// # Errors
-/// Names the flag, and the value and what is accepted if it does not read.
+/// If the flag is not set, or its value is invalid; names the flag and what is accepted.
 pub fn required<T>(flag: &str, given: Option<&String>) -> Result<T, Error>
 where
     T: FromStr,
@@ -62,10 +62,10 @@
     optional(flag, given)?.ok_or_else(missing)
 }
 
-/// A list parted by commas.
+/// Parses a list of values separated by commas; empty if the flag is not set.
 ///
 /// # Errors
-/// Names the flag, the value and what is accepted.
+/// If the value is invalid; names the flag, the value and what is accepted.
 pub fn list<T>(flag: &str, given: Option<&String>) -> Result<Vec<T>, Error>
 where
     T: FromStr,
@@ -80,10 +80,10 @@
     text.split(',').filter(|part| !part.is_empty()).map(parse).collect()
 }
 
-/// A secret, which comes by environment variable only and is never shown.
+/// Parses a secret, which is read from an environment variable only and never printed.
 ///
 /// # Errors
-/// Names the variable and what is accepted, never the value.
+/// If the value is invalid; names the variable and what is accepted, never the value.
 fn secret<T>(name: &str) -> Result<Option<T>, Error>
 where
     T: FromStr,
@@ -109,10 +109,10 @@
     secret(name)?.ok_or_else(missing)
 }
 
-/// Checks the flags of `serve`.
+/// Validates the flags of `serve`.
 ///
 /// # Errors
-/// The first flag that is missing or does not read, or two that contradict.
+/// At the first flag that is missing or invalid, or if two flags contradict each other.
 pub fn serve(flags: &cli::Serve) -> Result<Settings, Error> {
     let rated: Parts = with_default("rated-share", flags.rated_share.as_ref(), Parts::of(0.05))?;
     let policy = Policy::default();
@@ -151,15 +151,15 @@
         return fault("--rating and --platform name the same address; each is its own service.");
     }
     if settings.rollout.doubling == Span(0) {
-        return Err(Error::flag("--rollout-doubling", "0s", "use more than nothing."));
+        return Err(Error::flag("--rollout-doubling", "0s", "use a duration above 0."));
     }
     Ok(())
 }
 
-/// Checks the flags of `entry` and reads the platform's settings file.
+/// Validates the flags of `entry` and reads the platform's settings file.
 ///
 /// # Errors
-/// The flag, or the field of the file, that is missing or does not read.
+/// At the first flag, or field of the file, that is missing or invalid.
 pub fn entry(flags: &cli::Entry) -> Result<forward::Settings, Error> {
     let port: Option<u16> = optional("metrics-port", flags.metrics_port.as_ref())?;
     let mut settings = settings::from_environment()?;
@@ -174,10 +174,10 @@
     Ok(settings)
 }
 
-/// An address that must be there.
+/// Parses an address that must be set.
 ///
 /// # Errors
-/// Names the flag, and the value and what is accepted if it does not read.
+/// If the flag is not set, or its value is invalid; names the flag and what is accepted.
 pub fn address(flag: &str, given: Option<&String>) -> Result<SocketAddr, Error> {
     required(flag, given)
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the systems outside: platform, model engine, plain service, rating service.
+//! Stand-ins for external systems: object store, model engine, plain service, rating service.
 
 pub mod engine;
 pub mod platform;
--- a/src/standin/rating.rs
+++ b/src/standin/rating.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the service that rates answers, some time after they were given to it.
+//! Stand-in for the rating service, which rates submitted answers after a delay.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 use crate::error::Error;
 use crate::unit::{RequestId, Vm};
 
-/// An answer to rate.
+/// An answer that is submitted for rating.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Sample {
-    /// The VM that wants the rating.
+    /// VM that submits the answer and fetches its rating.
     pub vm: Vm,
-    /// The request.
+    /// Request that was answered.
     pub request: RequestId,
-    /// The answer.
+    /// Text of the answer.
     pub answer: String,
 }
 
-/// A rating.
+/// The rating of one answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
-    /// The request.
+    /// Request that was answered.
     pub request: RequestId,
-    /// Whether the answer passes.
+    /// True if the answer is good enough.
     pub pass: bool,
 }
 
-/// The stand-in.
+/// The rating service; clones share its state.
 #[derive(Clone)]
 pub struct Rater {
     lag: Duration,
@@ -42,17 +42,17 @@
 }
 
 impl Rater {
-    /// A service that rates after `lag`.
+    /// Returns a service that rates an answer `lag` after its submission.
     pub fn new(lag: Duration) -> Rater {
         Rater { lag, waiting: Arc::default(), silent: Arc::default() }
     }
 
-    /// Makes ratings stop, or come again.
+    /// Withholds ratings while `silent` is true; they become available afterwards.
     pub fn set_silent(&self, silent: bool) {
         *self.silent.lock().expect("no panic while held") = silent;
     }
 
-    /// Serves at `address`.
+    /// Starts the HTTP server on `address`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -60,13 +60,13 @@
         let rater = self.clone();
         launch(address, move |app: &mut ServiceConfig| {
             app.app_data(Data::new(rater.clone()))
-                .route("/samples", web::post().to(take))
-                .route("/ratings", web::get().to(give));
+                .route("/samples", web::post().to(submit_samples))
+                .route("/ratings", web::get().to(fetch_ratings));
         })
     }
 }
 
-async fn take(rater: Data<Rater>, samples: Json<Vec<Sample>>) -> HttpResponse {
+async fn submit_samples(rater: Data<Rater>, samples: Json<Vec<Sample>>) -> HttpResponse {
     let now = Instant::now();
     let mut waiting = rater.waiting.lock().expect("no panic while held");
     waiting.extend(samples.into_inner().into_iter().map(|sample| (now, sample)));
@@ -78,7 +78,7 @@
     vm: Vm,
 }
 
-async fn give(rater: Data<Rater>, query: Query<RatingQuery>) -> HttpResponse {
+async fn fetch_ratings(rater: Data<Rater>, query: Query<RatingQuery>) -> HttpResponse {
     if *rater.silent.lock().expect("no panic while held") {
         return HttpResponse::Ok().json(Vec::<Rating>::new());
     }
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! Starts a stand-in's HTTP server on a thread of its own.
+//! Runs the HTTP server of a stand-in on a thread of its own.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
@@ -9,31 +9,31 @@
 
 use crate::error::Error;
 
-/// Seconds that open requests get when a stand-in stops.
+/// Timeout of open requests when a stand-in stops, in seconds.
 const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
-/// Requests that may wait for their first answer; a load of a thousand streams must fit.
+/// Connections that may wait to be accepted; a load of a thousand streams must fit.
 const LISTEN_BACKLOG: u32 = 4096;
 
-/// Connections one stand-in takes.
+/// Open connections of one stand-in.
 const MAX_CONNECTIONS: usize = 10_000;
 
-/// A stand-in that runs.
+/// A running stand-in.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     handle: ServerHandle,
 }
 
 impl Instance {
-    /// Stops it at once; open connections break.
+    /// Stops the server at once and resets its open connections.
     pub fn kill(&self) {
         drop(self.handle.stop(false));
     }
 }
 
-/// Sends small writes at once: a frame that waits for an acknowledgement costs 40 ms.
+/// Sets `TCP_NODELAY`: a small frame that waits for an acknowledgement costs 40 ms.
 pub fn no_delay(connection: &dyn std::any::Any, _: &mut actix_web::dev::Extensions) {
     if let Some(stream) = connection.downcast_ref::<actix_web::rt::net::TcpStream>() {
         let _ = stream.set_nodelay(true);
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service: it counts what it ran, by key.
+//! Stand-in for a plain service, which counts the calls that it ran by idempotency key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,30 +16,30 @@
 use crate::history::{Event, Sink};
 use crate::unit::Server;
 
-/// Bytes of an answer that is broken off.
+/// Bytes that are sent of a truncated response.
 const TRUNCATED_BODY_BYTES: usize = 5;
 
-/// Time between those bytes and the end of the connection.
+/// Delay between these bytes and the reset of the connection.
 const RESET_DELAY: Duration = Duration::from_millis(20);
 
-/// The stand-in.
+/// A replica of the service; clones share its state.
 #[derive(Clone)]
 pub struct Service {
     name: Server,
     delay: Duration,
     ran: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// So many coming calls run, and their answer breaks off.
+    /// Number of next calls whose response is truncated.
     cut: Arc<AtomicU32>,
     history: Sink,
 }
 
 impl Service {
-    /// A service's replica of that name that takes `delay` for each call.
+    /// Returns a replica that takes `delay` for each call.
     pub fn new(name: Server, delay: Duration, history: Sink) -> Service {
         Service { name, delay, ran: Arc::default(), cut: Arc::default(), history }
     }
 
-    /// Serves at `address`.
+    /// Starts the HTTP server on `address`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -52,12 +52,12 @@
         })
     }
 
-    /// Lets so many coming calls run and breaks their answer off.
+    /// Runs the next `calls` calls, but truncates their responses.
     pub fn truncate_next(&self, calls: u32) {
         self.cut.store(calls, Ordering::SeqCst);
     }
 
-    /// How often each key ran.
+    /// Returns how often each key ran; calls without a key are counted under `-`.
     pub fn ran(&self) -> BTreeMap<String, u64> {
         self.ran.lock().expect("no panic while held").clone()
     }
@@ -101,12 +101,12 @@
     HttpResponse::Ok().content_type("text/plain").body(answer)
 }
 
-/// Promises an answer and sends its first bytes only.
+/// Announces the full length of the body, sends its first bytes and resets the connection.
 fn truncated_response(answer: String) -> HttpResponse {
     let length = answer.len() as u64;
     let first = Bytes::from(answer).slice(..TRUNCATED_BODY_BYTES);
     let then = async {
-        // What was sent must have left before the connection ends.
+        // The reset must not overtake the bytes that were written.
         tokio::time::sleep(RESET_DELAY).await;
         Err(std::io::Error::from(std::io::ErrorKind::ConnectionReset))
     };
--- a/src/standin/text.rs
+++ b/src/standin/text.rs
@@ -1,39 +1,42 @@
-//! The answers of the engine's stand-in: a pure function of prompt and version.
+//! Completions of the engine stand-in, a pure function of prompt and version.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::unit::Target;
 
-/// Words that answers are made of.
+/// Tokens that completions are made of.
 const WORDS: [&str; 12] = [
     "roast ", "seat ", "green ", "batch ", "order ", "parent ", "bag ", "place ", "cool ",
     "start ", "note ", "ship ",
 ];
 
-/// The word that marks a poor answer; the rating stand-in looks for it.
+/// Token that marks a poor completion, for the rating stand-in.
 pub const POOR: &str = "perhaps ";
 
-/// Fewest tokens of an answer.
+/// Length of the shortest completion, in tokens.
 const MIN_TOKENS: u32 = 4;
 
-/// An answer before it is streamed.
+/// A complete answer of a model.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    /// Its tokens.
+    /// Text of the answer, one string per token.
     pub tokens: Vec<&'static str>,
-    /// Whether it is poor.
+    /// True if the rating service is to reject it.
     pub poor: bool,
-    /// The engine's own confidence, 0 to 1.
+    /// Confidence that the engine reports, 0 to 1; on average lower for poor answers.
     pub confidence: f64,
 }
 
+/// Hashes to a number from 0 to below 1.
 fn unit_hash(seed: u64, salt: u64) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, salt).hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The answer of `target`, of that quality, to `prompt`.
+/// Returns the answer of `target` to `prompt`, of at most `longest` tokens but no fewer than four.
+///
+/// A share `quality` of all prompts gets a good answer.
 pub fn complete(prompt: &str, target: &Target, quality: f64, longest: u32) -> Completion {
     let mut hasher = DefaultHasher::new();
     prompt.hash(&mut hasher);
@@ -51,7 +54,7 @@
     Completion { tokens, poor, confidence }
 }
 
-/// A short digest of a text, for histories.
+/// Returns the digest of a text that is recorded in histories, 16 hex digits.
 pub fn digest(text: &str) -> String {
     crate::config::digest(text.as_bytes())[..16].to_owned()
 }
