--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine: batching, late load reports, faults on request.
+//! Stand-in for a model engine, with concurrent slots, delayed load reports and injected faults.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -16,57 +16,58 @@
 use crate::history::{Event, Sink};
 use crate::unit::{RequestId, Revision, Server, Target};
 
-/// Largest prompt it takes.
+/// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 4_000_000;
 
-/// Frames made ahead of a slow reader.
+/// Frames that are buffered for a slow reader.
 const MAX_BUFFERED_FRAMES: usize = 64;
 
-/// How one version behaves.
+/// Quality and errors of one version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Behaviour {
     /// Share of answers that are good.
     pub quality: f64,
-    /// Share of requests that break off after the first token.
+    /// Share of requests whose stream breaks off after the first token.
     pub errors: f64,
 }
 
-/// What an engine is and does wrong.
+/// Capacity, timing and versions of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Profile {
-    /// Its name.
+    /// Name of the server.
     pub name: Server,
-    /// Requests it runs at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Requests that may wait; more are told that they did not run.
+    /// Length of the queue; requests beyond it are refused as not run.
     pub queue: u32,
     /// Microseconds before the first token.
     pub first_us: u64,
     /// Microseconds between tokens.
     pub token_us: u64,
-    /// Milliseconds that its load report lags.
+    /// Delay of the load report, in milliseconds.
     pub lag_ms: u64,
-    /// Whether it refuses late orders.
+    /// True if it rejects orders with an older fence than the last one.
     pub checks_orders: bool,
-    /// Versions and how they behave.
+    /// Versions that the engine can serve, and their behaviour.
     pub versions: BTreeMap<Target, Behaviour>,
-    /// Versions loaded at the start; the others wait for an order.
+    /// Versions loaded at the start; others are loaded by an order.
     pub loaded: Vec<Target>,
 }
 
-/// What the stand-in does wrong on request.
+/// Injected faults; the JSON body of `PUT /switches`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Switches {
-    /// It is leaving: it tells so and takes nothing new.
+    /// Drains: it announces that and refuses new requests.
     pub leaving: bool,
-    /// Every answer breaks off after this many tokens.
+    /// Breaks every stream off after this many tokens.
     pub cut_after: Option<u32>,
-    /// Every frame is sent twice, and a foreign one before it.
+    /// Sends every frame twice, after a frame of another request.
     pub noise: bool,
-    /// It stops sending frames, without closing.
+    /// Stops sending frames but keeps connections open.
     pub frozen: bool,
-    /// A prompt that holds this crashes it as soon as it runs; whoever launched it is to end it then.
+    /// Simulates a crash on prompts that contain this text: the request hangs and is counted, and
+    /// the owner of the engine is to stop it then.
     pub crashes_on: Option<String>,
 }
 
@@ -83,7 +84,7 @@
     crashes: u64,
 }
 
-/// The stand-in.
+/// The engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     state: Arc<Mutex<State>>,
@@ -92,7 +93,7 @@
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Returns an idle engine.
     pub fn new(profile: Profile, history: Sink) -> Engine {
         let loaded: HashSet<Target> = profile.loaded.iter().cloned().collect();
         let slots = Arc::new(Semaphore::new(profile.slots as usize));
@@ -112,7 +113,7 @@
         Engine { state: Arc::new(Mutex::new(state)), slots, history }
     }
 
-    /// Serves at `address`.
+    /// Starts the HTTP server on `address`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -121,7 +122,7 @@
         launch(address, move |app| engine.routes(app))
     }
 
-    /// Sets the switches.
+    /// Replaces the injected faults; a drain that begins is recorded in the history.
     pub fn set_switches(&self, switches: Switches) {
         let mut state = self.lock();
         if switches.leaving && !state.switches.leaving {
@@ -131,22 +132,22 @@
         state.switches = switches;
     }
 
-    /// Changes some of the switches.
+    /// Changes some of the injected faults.
     pub fn update_switches(&self, change: impl FnOnce(&mut Switches)) {
         change(&mut self.lock().switches);
     }
 
-    /// Changes how a version behaves.
+    /// Replaces the behaviour of a version.
     pub fn set_behaviour(&self, target: &Target, behaviour: Behaviour) {
         self.lock().profile.versions.insert(target.clone(), behaviour);
     }
 
-    /// How many prompts that crash it it began to run.
+    /// Returns the number of prompts that triggered a crash.
     pub fn crashes(&self) -> u64 {
         self.lock().crashes
     }
 
-    /// Orders obeyed and requests running now.
+    /// Returns the number of orders that were executed and of requests that run now.
     pub fn counts(&self) -> (u64, u32) {
         let state = self.lock();
         (state.orders, state.running)
@@ -184,7 +185,7 @@
         let server = state.profile.name.clone();
         drop(state);
         let text = complete(&work.prompt, &work.target, quality, work.max_tokens).tokens.concat();
-        // What an engine took counts as run, though it may still wait for a slot.
+        // An admitted request counts as run, even while it waits for a slot.
         self.history.note(|| Event::Ran {
             server,
             request: work.request.clone(),
@@ -202,20 +203,20 @@
         state.running += 1;
     }
 
-    /// Whether this prompt crashes it, which is counted.
+    /// Returns true, and counts the crash, if this prompt triggers one.
     fn triggers_crash(&self, work: &Generate) -> bool {
         let mut state = self.lock();
         let needle = state.switches.crashes_on.as_deref();
-        let falls = needle.is_some_and(|needle| work.prompt.contains(needle));
-        state.crashes += u64::from(falls);
-        falls
+        let crashes = needle.is_some_and(|needle| work.prompt.contains(needle));
+        state.crashes += u64::from(crashes);
+        crashes
     }
 
     fn remove_cancel(&self, work: &Generate) -> bool {
         self.lock().cancelled.remove(&(work.request.clone(), work.attempt))
     }
 
-    /// Streams an answer until its end, a cancel, a vanished reader or a fault.
+    /// Streams an answer until its end, a cancellation, a disconnect of the reader or a fault.
     async fn run(self, work: Generate, to: mpsc::Sender<Result<Bytes, std::io::Error>>) {
         let (profile, behaviour) = {
             let state = self.lock();
@@ -278,7 +279,7 @@
     line.into()
 }
 
-/// A foreign frame, the frame, and the frame again.
+/// Returns a frame of another request, then the frame itself twice.
 fn with_stray_frames(work: &Generate, offset: u32, line: &Bytes) -> Bytes {
     let foreign = Generate { request: "another".parse().expect("a name"), ..work.clone() };
     let mut out = frame(&foreign, offset, "foreign ", None).to_vec();
@@ -311,7 +312,7 @@
     HttpResponse::Ok().finish()
 }
 
-/// The report lags: it answers with what it noted `lag_ms` ago, but leaving is told at once.
+/// Responds with the load of `lag_ms` ago; loaded versions and `leaving` are current.
 async fn load(engine: Data<Engine>) -> HttpResponse {
     let lag = engine.lock().profile.lag_ms;
     let report = {
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's object store: kinds of objects, conditional writes, watches over a
-//! history of changes, and the lagging list of VMs as one of the kinds.
+//! Stand-in for the platform's object store: kinds of objects, conditional writes, watches over a
+//! change log. The list of VMs is one of the kinds; it lags behind the VMs.
 
 mod state;
 
@@ -20,72 +20,72 @@
 pub use state::Snapshot;
 use state::{Object, ROOT, State, confirmed};
 
-/// The kind of the objects that list the VMs.
+/// Kind of the objects that list the VMs.
 const VM_KIND: &str = "vms";
 
-/// Names the store's era on each answer.
+/// Response header with the era of the store.
 const ERA_HEADER: &str = "Store-Era";
 
-/// Largest value of an object.
+/// Largest body of a write.
 const MAX_OBJECT_BYTES: usize = 1_048_576;
 
-/// Longest that a watch waits.
+/// Longest wait of a watch.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// Objects on one page of a list.
+/// Objects per page of a list.
 const PAGE_SIZE: usize = 500;
 
-/// A late write takes effect after this.
+/// Delay after which a late write takes effect.
 const LATE_WRITE_DELAY: Duration = Duration::from_secs(1);
 
-/// What the stand-in does wrong on request.
+/// Injected faults; the JSON body of `PUT /switches`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Switches {
-    /// Answers nothing but 503.
+    /// Responds to every call with 503.
     pub down: bool,
-    /// Waits this long before each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
-    /// So many coming writes take effect and are then answered by a cut connection.
+    /// Number of next writes that take effect but whose connection is reset.
     pub lose: u32,
-    /// So many coming writes get no answer and take effect a second later, if their condition
-    /// still holds.
+    /// Number of next writes that get no response and take effect a second later, if their
+    /// condition still holds.
     pub late: u32,
-    /// Answers nothing but 429.
+    /// Responds to every call with 429.
     pub busy: bool,
-    /// Watches never report a change.
+    /// Watches report no changes.
     pub quiet: bool,
-    /// What answers name as the era, if not the true one; nothing if it is empty.
+    /// Era that responses name instead of the true one; an empty one omits the header.
     pub era: Option<String>,
 }
 
-/// Calls since the start.
+/// Number of calls since the start; the JSON body of `GET /calls`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Calls {
-    /// Reads and lists, those that may be old apart.
+    /// Reads and lists, except those that allow stale data.
     pub reads: u64,
-    /// Reads and lists that may be some seconds old, which cost a tenth.
+    /// Reads and lists that allow data some seconds old; the platform charges a tenth for them.
     pub stale: u64,
     /// Watches.
     pub watches: u64,
     /// Writes.
     pub writes: u64,
-    /// Calls refused over the rates.
+    /// Calls refused by the rate limits.
     pub refused: u64,
 }
 
-/// A VM on the platform's list.
+/// An entry of the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The VM.
+    /// Name of the VM.
     pub vm: Vm,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
-    /// Whether it is leaving.
+    /// True if the VM is shutting down.
     pub leaving: bool,
 }
 
-/// Writes and reads a second that the stand-in takes.
+/// Rate limits, in calls per second.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
     /// Writes.
@@ -94,10 +94,10 @@
     pub reads: f64,
 }
 
-/// The rates that the brief names.
+/// Rate limits of the users' platform.
 pub const RATES: Rates = Rates { writes: 100.0, reads: 2000.0 };
 
-/// The stand-in, shared by its handlers and whoever embeds it.
+/// The store; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -106,13 +106,13 @@
 }
 
 impl Platform {
-    /// A platform that holds nothing yet.
+    /// Returns an empty store.
     pub fn new(rates: Rates, history: Sink) -> Platform {
         let state = State::new(rates);
         Platform { state: Arc::new(Mutex::new(state)), changed: Arc::new(Notify::new()), history }
     }
 
-    /// Serves at `address`.
+    /// Starts the HTTP server on `address`.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -121,18 +121,18 @@
         launch(address, move |app| platform.routes(app))
     }
 
-    /// Sets the switches.
+    /// Replaces the injected faults.
     pub fn set_switches(&self, switches: Switches) {
         self.lock().switches = switches;
         self.changed.notify_waiters();
     }
 
-    /// The calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> Calls {
         self.lock().calls.clone()
     }
 
-    /// Sets the list of VMs.
+    /// Replaces the list of VMs.
     pub fn set_vms(&self, listed: Vec<VmEntry>) {
         let mut state = self.lock();
         let old: Vec<String> = state.names(VM_KIND);
@@ -147,7 +147,8 @@
         self.changed.notify_waiters();
     }
 
-    /// The values of all objects whose key, kind and name with `/` between, begins so.
+    /// Returns key and spec of all objects whose key (`kind/name`, with `~` in the name as `/`)
+    /// begins with `prefix`.
     pub fn specs_with_prefix(&self, prefix: &str) -> Vec<(String, Bytes)> {
         let state = self.lock();
         let keys = state.objects.iter().map(|((kind, name), object)| {
@@ -156,33 +157,33 @@
         keys.filter(|(key, _)| key.starts_with(prefix)).collect()
     }
 
-    /// Writes an object as its owner does, whatever the switches; its revision.
+    /// Writes the spec of an object, bypassing injected faults, and returns its revision.
     pub fn write_spec(&self, kind: &str, name: &str, spec: Value) -> u64 {
         let revision = self.lock().write(kind, name, |object| object.spec = spec);
         self.changed.notify_waiters();
         revision
     }
 
-    /// Deletes an object as its owner does, whatever the switches.
+    /// Deletes an object, bypassing injected faults.
     pub fn delete_object(&self, kind: &str, name: &str) {
         self.lock().delete(kind, name);
         self.changed.notify_waiters();
     }
 
-    /// The status of an object.
+    /// Returns the status of an object; null if there is none.
     pub fn status(&self, kind: &str, name: &str) -> Value {
         let state = self.lock();
         let object = state.objects.get(&(kind.to_owned(), name.to_owned()));
         object.map(|object| object.status.clone()).unwrap_or_default()
     }
 
-    /// Writes the status of an object, whatever the switches.
+    /// Writes the status of an object, bypassing injected faults.
     pub fn set_status(&self, kind: &str, name: &str, status: Value) {
         self.lock().write(kind, name, |object| object.status = status);
         self.changed.notify_waiters();
     }
 
-    /// Forgets all changes so far, so that watches from before them are answered 410.
+    /// Drops the change log, so that watches from an earlier revision are answered 410.
     pub fn compact(&self) {
         let mut state = self.lock();
         state.changes.clear();
@@ -191,12 +192,12 @@
         self.changed.notify_waiters();
     }
 
-    /// A copy of all objects as they stand.
+    /// Returns a backup of the current objects.
     pub fn snapshot(&self) -> Snapshot {
         self.lock().snapshot()
     }
 
-    /// Restores all objects from a copy: revisions go back to that of the copy, and a new era begins.
+    /// Restores a backup: the revision goes back to that of the backup, and a new era begins.
     pub fn restore(&self, snapshot: Snapshot) {
         self.lock().restore(snapshot);
         self.changed.notify_waiters();
@@ -220,7 +221,7 @@
             .route("/switches", web::put().to(set_switches));
     }
 
-    /// Counts a call and says what stops it, if anything.
+    /// Counts a call; returns the response that refuses it, if a fault or a rate limit does.
     async fn admit_call(&self, write: bool) -> Option<HttpResponse> {
         let (switches, within) = {
             let mut state = self.lock();
@@ -237,7 +238,7 @@
         stopped.or_else(|| (!within).then(|| self.refuse(HttpResponse::TooManyRequests())))
     }
 
-    /// The same for a read; one that may be old falls outside the rate.
+    /// Does the same for a read; reads that allow stale data are not rate-limited.
     async fn admit_read(&self, allows_stale: bool) -> Option<HttpResponse> {
         if !allows_stale {
             return self.admit_call(false).await;
@@ -250,7 +251,7 @@
         self.injected_fault(&switches).await
     }
 
-    /// What the switches answer in place of the store, after the time that they take.
+    /// Delays the call as injected, and returns the response of an injected outage, if any.
     async fn injected_fault(&self, switches: &Switches) -> Option<HttpResponse> {
         if switches.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(switches.slow_ms)).await;
@@ -265,7 +266,7 @@
         with_era(&self.lock(), answer).finish()
     }
 
-    /// Does a write, unless a switch delays it, and answers it, unless a switch loses the answer.
+    /// Executes a write and responds to it. Injected faults delay the write or lose its response.
     async fn respond_to_write(
         &self,
         write: impl Fn(&mut State) -> Result<Value, WriteError>,
@@ -294,15 +295,15 @@
     }
 }
 
-/// Why a write did nothing.
+/// Reason why a write had no effect.
 enum WriteError {
-    /// The object stands otherwise, like this.
+    /// The condition did not hold; carries the current object.
     Conflict(Value),
-    /// There is no such object.
+    /// The object does not exist.
     Missing,
 }
 
-/// An answer that names the era of the state from which it is made.
+/// Adds the era header of the state that the response is made from.
 fn with_era(state: &State, mut answer: HttpResponseBuilder) -> HttpResponseBuilder {
     let era = state.switches.era.clone().unwrap_or_else(|| state.era.to_string());
     if !era.is_empty() {
@@ -311,13 +312,14 @@
     answer
 }
 
+/// Decrements a counter; returns false if it was 0.
 fn decrement(count: &mut u32) -> bool {
-    let some = *count > 0;
+    let had_some = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    had_some
 }
 
-/// An answer that breaks off before its end.
+/// Returns a response whose connection is reset before its end.
 fn broken_response() -> HttpResponse {
     let broken = futures_util::stream::once(async {
         Err::<Bytes, std::io::Error>(std::io::ErrorKind::ConnectionReset.into())
@@ -329,9 +331,9 @@
 struct ReadQuery {
     watch: Option<u64>,
     wait_ms: Option<u64>,
-    /// The name after which a list goes on.
+    /// Name after which the page of a list begins.
     since_revision: Option<String>,
-    /// 1 if the answer may be some seconds old.
+    /// 1 if the response may be some seconds old.
     stale_ok: Option<u8>,
 }
 
@@ -393,7 +395,7 @@
                     .json(json!({"events": events, "store_revision": revision}));
             }
         }
-        // Whether it was a change or the time, the next round tells.
+        // The next iteration finds out whether a change or the timeout ended the wait.
         let _ = tokio::time::timeout_at(until, changed).await;
     }
 }
@@ -495,7 +497,7 @@
 }
 
 impl Platform {
-    /// Changes an object and notes a new root in the history.
+    /// Changes an object and records a new root in the history.
     fn change(
         &self,
         state: &mut State,
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the stand-in of the platform's store holds.
+//! Objects and change log of the store stand-in.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
@@ -9,16 +9,16 @@
 use crate::history::Event;
 use crate::unit::{Era, Revision, Target, Workspace};
 
-/// The object whose changes go to the history.
+/// Kind and name of the object whose changes are recorded in the history.
 pub const ROOT: (&str, &str) = ("config", "root");
 
-/// Begins the names of the pieces of a configuration.
+/// Prefix of the names of configuration pieces.
 const PIECE_PREFIX: &str = "piece~";
 
-/// Changes that are remembered.
+/// Length of the change log; watches from before it are answered 410.
 const MAX_CHANGES: usize = 20_000;
 
-/// An object.
+/// One object of the store.
 #[derive(Clone, Debug)]
 pub struct Object {
     pub revision: u64,
@@ -29,6 +29,7 @@
 }
 
 impl Object {
+    /// Returns the object as the API shows it.
     pub fn to_json(&self, name: &str) -> Value {
         let metadata = json!({
             "name": name,
@@ -41,7 +42,7 @@
     }
 }
 
-/// A change that watches can ask for.
+/// An entry of the change log, which watches read.
 #[derive(Clone)]
 pub struct Change {
     pub revision: u64,
@@ -50,7 +51,7 @@
     pub deleted: bool,
 }
 
-/// A bound on calls a second.
+/// Token bucket that limits calls per second; its burst is one second of calls.
 pub struct Bucket {
     pub rate: f64,
     pub level: f64,
@@ -58,6 +59,7 @@
 }
 
 impl Bucket {
+    /// Consumes a token; returns false if there is none.
     pub fn try_take(&mut self, now: Instant) -> bool {
         let gained = now.duration_since(self.at).as_secs_f64() * self.rate;
         self.level = (self.level + gained).min(self.rate);
@@ -70,7 +72,7 @@
     }
 }
 
-/// A copy of the objects, from which the store can be restored.
+/// A backup of the objects, from which the store can be restored.
 #[derive(Clone)]
 pub struct Snapshot {
     objects: BTreeMap<(String, String), Object>,
@@ -79,13 +81,15 @@
     clock: u64,
 }
 
-/// All objects, and what the stand-in does wrong.
+/// Objects, change log, injected faults and call counters.
 pub struct State {
     pub objects: BTreeMap<(String, String), Object>,
-    /// Changes that watches can ask for, and the revision up to which they are forgotten.
+    /// Change log, oldest first, and the last revision that was dropped from it.
     pub changes: VecDeque<Change>,
     pub compacted_revision: u64,
+    /// Revision of the last change.
     pub clock: u64,
+    /// Incremented by each restore.
     pub era: Era,
     pub switches: Switches,
     pub calls: Calls,
@@ -94,7 +98,7 @@
 }
 
 impl State {
-    /// Nothing yet.
+    /// Returns an empty store.
     pub fn new(rates: Rates) -> State {
         let bucket = |rate| Bucket { rate, level: rate, at: Instant::now() };
         State {
@@ -110,7 +114,7 @@
         }
     }
 
-    /// A copy of what stands now.
+    /// Returns a backup of the current objects and change log.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             objects: self.objects.clone(),
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Goes back to a copy; a new era begins.
+    /// Restores a backup and increments the era.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let Snapshot { objects, changes, compacted_revision, clock } = snapshot;
         (self.objects, self.changes) = (objects, changes);
@@ -137,7 +141,7 @@
         self.objects.get(&(kind.to_owned(), name.to_owned()))
     }
 
-    /// Changes an object, or makes it; nothing happens if it is then as before.
+    /// Changes or creates an object and returns its revision, which stays if nothing changed.
     pub fn write(&mut self, kind: &str, name: &str, change: impl FnOnce(&mut Object)) -> u64 {
         let key = (kind.to_owned(), name.to_owned());
         let next = self.clock + 1;
@@ -168,6 +172,7 @@
         }
     }
 
+    /// Appends to the change log and drops its oldest entry if it is full.
     pub fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
         let revision = self.clock;
         self.changes.push_back(Change { revision, kind: kind.to_owned(), object, deleted });
@@ -184,7 +189,7 @@
     }
 }
 
-/// What the root that just took effect allows, resolved from the pieces beside it.
+/// Returns the event of a new root: which versions each workspace may use, from the root's pieces.
 pub fn confirmed(state: &State) -> Event {
     let value = |name: &str| {
         let object = state.get(ROOT.0, name);
--- a/src/standin/replica.rs
+++ b/src/standin/replica.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a backend server on the users' platform, which does what a test tells it to: it
-//! answers, turns away, breaks off, sends bytes that belong to no request, or crashes and comes back.
+//! Stand-in for a backend server on the users' platform, scripted by tests: it responds, refuses,
+//! breaks off, sends bytes that belong to no request, or crashes and restarts.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -9,95 +9,95 @@
 
 use crate::error::Error;
 
-/// Longest head of a request.
+/// Size limit of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Headers of a request at most.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// A connection without a request ends after this.
+/// Read timeout after which an idle connection is closed.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What it does with one request.
+/// How the server handles one request.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A signed answer of this status and body.
+    /// Sends a signed response with this status and body.
     Whole(u16, String),
-    /// A success without a signature.
+    /// Sends status 200 without a signature.
     Unsigned,
-    /// It says that it did not run the request.
+    /// Responds 503 with `X-Not-Executed`: the request did not run.
     NotRun,
-    /// The same, with this text for the time in which it wants nothing.
+    /// Like `NotRun`, with this value of `Retry-After`.
     RetryAfter(String),
-    /// It says that it is another server than expected.
+    /// Responds 421: it is another instance than the one that the request expects.
     Misdirected,
-    /// It promises 100 bytes, sends five and closes.
+    /// Announces a body of 100 bytes, sends five and closes.
     CutLength,
-    /// It begins a chunk and closes.
+    /// Sends a part of a chunk and closes.
     CutChunk,
-    /// An answer without a length, which ends with the connection; or is reset.
+    /// Sends a response without a length, which ends when the connection closes.
     Unframed {
-        /// Whether it is reset.
+        /// Resets the connection instead of closing it.
         reset: bool,
     },
-    /// The answer of another request, then its own.
+    /// Sends the response of another request before the right one.
     ForeignFirst,
-    /// Its own answer, then one that nobody asked for.
+    /// Sends the right response, then one of another request.
     ForeignAfter,
-    /// It answers when it has the head, and reads the body afterwards.
+    /// Responds as soon as it has the head, and reads the body afterwards.
     Early,
-    /// It reads the request and resets.
+    /// Reads the request and resets the connection.
     Reset,
-    /// It reads the request, says nothing for a time, then answers.
+    /// Reads the request and responds after this delay.
     Slow(Duration),
-    /// Bytes that are no HTTP.
+    /// Sends bytes that are not HTTP.
     Garbage,
-    /// A stream of events up to this id; after so many it breaks off within one, if that is said.
+    /// Streams server-sent events; a request with `Last-Event-ID` resumes after that event.
     Events {
-        /// The last event.
+        /// Id of the last event.
         last: u64,
-        /// Events that it sends before it breaks off.
+        /// Number of events after which the stream breaks off, within the next event.
         cut_after: Option<u64>,
-        /// The model's opinion of its answer.
+        /// Confidence of the model in its answer, in percent.
         confidence: Option<u32>,
-        /// Time between two events.
+        /// Delay after each event.
         pause: Duration,
     },
 }
 
-/// A request as it arrived.
+/// A request as the server received it.
 #[derive(Clone, Debug)]
 pub struct RecordedRequest {
-    /// Method, path and query.
+    /// Method and target of the request line.
     pub line: String,
-    /// Names in lower case, and values.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// When its head had arrived.
+    /// Time at which the head was complete.
     pub at: Instant,
 }
 
 impl RecordedRequest {
-    /// The value of a header.
+    /// Returns the value of the header with this name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
         found.map(|(_, value)| value.as_str())
     }
 }
 
-/// What crashes it, and for how long.
+/// A crash that requests can trigger.
 #[derive(Clone, Debug)]
 pub struct Crash {
-    /// A request whose body holds these bytes crashes it, whoever sends it.
+    /// Bytes in a request body that crash the server.
     pub trigger: Vec<u8>,
-    /// Time that it runs such a request before.
+    /// Time that such a request runs before the crash.
     pub delay: Duration,
-    /// Time until its next life begins, at the same address.
+    /// Time until the server restarts at the same address.
     pub restart_after: Duration,
 }
 
-/// Tells that a life begins; the first one has number 0.
+/// Callback for a restart; its argument is the number of crashes before it.
 type StartCallback = Arc<dyn Fn(u64) + Send + Sync>;
 
 #[derive(Default)]
@@ -113,14 +113,14 @@
     rejections: Vec<Instant>,
     started: Option<StartCallback>,
     crashes: Vec<Instant>,
-    /// Where it listens while it lives.
+    /// Listener of the current incarnation; none while the server is down.
     listener: Option<TcpListener>,
-    /// Connections of this life, by their other end.
+    /// Open connections of the current incarnation, by the caller's address.
     open: Vec<(Option<SocketAddr>, TcpStream)>,
 }
 
 impl State {
-    /// Lines that stand in the heads of all its answers.
+    /// Returns the header lines that all responses carry.
     fn common_headers(&self) -> String {
         let leaving = self.draining.then(|| "Server-Leaving: 1".to_owned());
         let limit = self.limit.as_ref().map(|limit| format!("Server-Limit: {limit}"));
@@ -129,16 +129,16 @@
     }
 }
 
-/// The stand-in.
+/// The server; clones share its state.
 #[derive(Clone)]
 pub struct Replica {
-    /// Where it listens.
+    /// Address that it listens on; a restart keeps it.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Replica {
-    /// Starts one on a free port of loopback.
+    /// Starts a server on a free port of the loopback interface.
     ///
     /// # Errors
     /// If no port can be bound.
@@ -152,7 +152,7 @@
         Ok(replica)
     }
 
-    /// Takes connections until this life of it ends.
+    /// Accepts connections until the current incarnation ends.
     fn accept_connections(&self, listener: TcpListener) -> std::io::Result<()> {
         self.lock().listener = Some(listener.try_clone()?);
         let serving = self.clone();
@@ -165,7 +165,7 @@
                 drop(state);
                 let serving = serving.clone();
                 std::thread::spawn(move || {
-                    // A caller that is gone ends the thread, which is all there is to it.
+                    // An error means that the caller is gone; the thread just ends.
                     drop(serving.serve(stream));
                     serving.lock().open.retain(|(other, _)| *other != caller);
                 });
@@ -174,24 +174,25 @@
         Ok(())
     }
 
-    /// It crashes on some requests.
+    /// Lets requests with the trigger crash the server.
     pub fn set_crash(&self, crash: Crash) -> &Replica {
         self.lock().crash = Some(crash);
         self
     }
 
-    /// Calls this whenever a later life begins.
+    /// Calls `started` after each restart.
     pub fn on_start(&self, started: impl Fn(u64) + Send + Sync + 'static) -> &Replica {
         self.lock().started = Some(Arc::new(started));
         self
     }
 
-    /// When its lives so far ended.
+    /// Returns the times of the crashes so far.
     pub fn crash_times(&self) -> Vec<Instant> {
         self.lock().crashes.clone()
     }
 
-    /// Ends this life: new connections are refused, open ones break. The next begins after a while, if that is said.
+    /// Crashes the server: new connections are refused, open ones break. It restarts after
+    /// `back_after`, or never if that is `None`.
     pub fn crash(&self, back_after: Option<Duration>) {
         let (listener, open) = {
             let mut state = self.lock();
@@ -199,7 +200,8 @@
             state.crashes.push(Instant::now());
             (listener, std::mem::take(&mut state.open))
         };
-        // This wakes the thread that takes connections, which ends. A connection whose caller left is closed already.
+        // The shutdown wakes the accepting thread, which ends. The errors are of connections that
+        // their caller has closed already.
         let _ = socket2::SockRef::from(&listener).shutdown(Shutdown::Both);
         drop(listener);
         open.iter().for_each(|(_, stream)| drop(stream.shutdown(Shutdown::Both)));
@@ -209,17 +211,17 @@
             std::thread::sleep(back_after);
             let listener = TcpListener::bind(replica.address).expect("the address is its own");
             replica.accept_connections(listener).expect("a listener can be cloned");
-            let (started, life) = {
+            let (started, restarts) = {
                 let state = replica.lock();
                 (state.started.clone(), state.crashes.len() as u64)
             };
             if let Some(started) = started {
-                started(life);
+                started(restarts);
             }
         });
     }
 
-    /// Whether this request crashes it, which then has happened.
+    /// Crashes the server if this request triggers that, and returns true then.
     fn crash_if_triggered(&self, seen: &RecordedRequest) -> bool {
         let crash = self.lock().crash.clone();
         let holds = |crash: &Crash| {
@@ -231,47 +233,47 @@
         true
     }
 
-    /// What it does with the coming requests, one after the other.
+    /// Appends an action to the queue; each request consumes one.
     pub fn push_action(&self, action: Action) -> &Replica {
         self.lock().actions.push_back(action);
         self
     }
 
-    /// What it does with all others.
+    /// Sets the action of requests that find the queue empty; without one they get status 200.
     pub fn set_default_action(&self, action: Action) -> &Replica {
         self.lock().default_action = Some(action);
         self
     }
 
-    /// From now on it says in all its answers that it leaves.
+    /// Adds the header to all further responses that announces a drain.
     pub fn announce_draining(&self) -> &Replica {
         self.lock().draining = true;
         self
     }
 
-    /// From now on it names this limit in all its answers, or none.
+    /// Sets the rate-limit header of all further responses; `None` removes it.
     pub fn set_limit_header(&self, limit: Option<&str>) -> &Replica {
         self.lock().limit = limit.map(str::to_owned);
         self
     }
 
-    /// From now on it adds this line to the heads of all its answers.
+    /// Adds this header line to all further responses, in place of an earlier one.
     pub fn set_extra_header(&self, line: &str) -> &Replica {
         self.lock().extra_header = Some(line.to_owned());
         self
     }
 
-    /// When it asked for rest.
+    /// Returns the times at which it responded with `Retry-After`.
     pub fn rejection_times(&self) -> Vec<Instant> {
         self.lock().rejections.clone()
     }
 
-    /// The requests that arrived.
+    /// Returns the requests that it received completely, oldest first.
     pub fn requests(&self) -> Vec<RecordedRequest> {
         self.lock().seen.clone()
     }
 
-    /// Connections that were opened.
+    /// Returns the number of connections that it accepted.
     pub fn connections(&self) -> usize {
         self.lock().connections
     }
@@ -329,7 +331,7 @@
     Ok(got)
 }
 
-/// Reads a head; nothing if the caller closed before one.
+/// Reads a request head and returns it with the length of the body; `None` if the caller closed.
 fn read_head(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -362,16 +364,16 @@
     }
 }
 
-/// What all its answers to one request have in common.
+/// Headers that all responses to one request share.
 struct ResponseHead<'a> {
-    /// The request's id.
+    /// Attempt id of the request.
     id: &'a str,
-    /// What it says of itself, in lines.
+    /// Lines that all responses of the server carry.
     common: &'a str,
 }
 
 impl ResponseHead<'_> {
-    /// The head of an answer, up to what `more` adds.
+    /// Returns the status line and headers, followed by `more`.
     fn head(&self, status: u16, more: &str) -> String {
         let ResponseHead { id, common } = self;
         format!("HTTP/1.1 {status} Status\r\nX-Attempt-Id: {id}\r\n{common}{more}")
@@ -382,10 +384,10 @@
         self.head(status, &format!("{signature}X-Server-Load: 1,0,8\r\n{more}"))
     }
 
-    /// A refusal to run it; a server that runs nothing says so.
+    /// Returns a refusal with `X-Not-Executed`, as servers send it if the request did not run.
     fn not_run(&self, more: &str) -> String {
-        let told = "X-Not-Executed: 1\r\nContent-Length: 0\r\n";
-        self.head(503, &format!("{told}{more}\r\n"))
+        let refusal = "X-Not-Executed: 1\r\nContent-Length: 0\r\n";
+        self.head(503, &format!("{refusal}{more}\r\n"))
     }
 }
 
@@ -397,7 +399,7 @@
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
 
-/// Does what is asked; whether the connection goes on.
+/// Handles the request as `action` says; returns true if the connection stays open.
 fn respond(
     stream: &mut TcpStream,
     seen: &RecordedRequest,
@@ -418,8 +420,8 @@
             stream.write_all(response.not_run("").as_bytes())?;
             return Ok(true);
         }
-        Action::RetryAfter(rest) => {
-            let more = format!("Retry-After: {rest}\r\nX-Server-Load: 0,0,8\r\n");
+        Action::RetryAfter(delay) => {
+            let more = format!("Retry-After: {delay}\r\nX-Server-Load: 0,0,8\r\n");
             stream.write_all(response.not_run(&more).as_bytes())?;
             return Ok(true);
         }
