--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts N `serve` processes beside a stand-in of the platform, lets them rest, and prints what
-# control costs each: processor share, memory, messages and bytes a second.
+# Starts N `serve` processes and a stand-in for the platform, leaves them idle, and prints the cost
+# of control per process: CPU share, memory, messages and bytes per second.
 # Usage: examples/fleet.sh [VMS] [SECONDS]
 set -euo pipefail
 vms=${1:-60}
@@ -35,7 +35,7 @@
 sleep "$seconds"
 t1=$(ticks); m1=$(metric kitepulley_messages_total); b1=$(metric kitepulley_peer_bytes); echo "calls after:  $(calls)"
 rss=$(for p in "${pids[@]:1}"; do awk '/VmRSS/ {print $2}' "/proc/$p/status"; done | paste -sd+ | bc)
-echo "$vms VMs, $ready ready, at rest for $seconds s, each:"
+echo "$vms VMs, $ready ready, idle for $seconds s, per VM:"
 awk -v n="$vms" -v s="$seconds" -v t=$((t1 - t0)) -v m="$((m1 - m0))" -v b="$((b1 - b0))" -v r="$rss" 'BEGIN {
-  printf "  processor %.3f%% of a core\n  memory %.1f MB\n  messages %.2f/s\n  bytes of messages %.0f/s\n",
+  printf "  CPU %.3f%% of a core\n  memory %.1f MB\n  messages %.2f/s\n  bytes of messages %.0f/s\n",
   t / n / s, r / n / 1000, m / n / s, b / n / s }'
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they draw work from a common list and send it through a balancer.
+//! Callers, which take work from a shared list and send it to the VMs of a balancer.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,19 +10,19 @@
 use crate::history::{Ran, Sink};
 use crate::unit::Vm;
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLER_COUNT: usize = 32;
 
-/// Tries of a request that was refused as "not run" or whose VM did not answer.
+/// Attempts of a request that was refused as "not run" or whose VM could not be reached.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Wait before another try.
+/// Delay between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Time between setting a key aside and the call itself.
+/// Time between the reservation of a key and the call that uses it.
 const RESERVE_TO_CALL_DELAY: Duration = Duration::from_millis(400);
 
-/// The platform's balancer: the VMs that it believes to be ready.
+/// Round-robin balancer over the VMs that the platform believes to be ready.
 #[derive(Clone, Default)]
 pub struct Balancer {
     vms: Arc<RwLock<Vec<(Vm, SocketAddr)>>>,
@@ -30,7 +30,7 @@
 }
 
 impl Balancer {
-    /// Sets the VMs.
+    /// Replaces the list of VMs.
     pub fn set(&self, vms: Vec<(Vm, SocketAddr)>) {
         *self.vms.write().expect("no panic while held") = vms;
     }
@@ -42,20 +42,20 @@
     }
 }
 
-/// Work that is done, and how it went.
+/// Counters of the work so far.
 #[derive(Default)]
 pub struct Progress {
-    /// Pieces of work taken.
+    /// Units of work that callers have taken.
     pub taken: AtomicUsize,
-    /// Requests answered whole.
+    /// Attempts with a complete answer.
     pub whole: AtomicUsize,
-    /// Requests refused.
+    /// Attempts that were refused.
     pub refused: AtomicUsize,
-    /// Requests whose answer broke off or never came.
+    /// Attempts whose answer broke off or never came.
     pub broken: AtomicUsize,
 }
 
-/// Sends all work and returns when it is done.
+/// Sends all work and returns when it is finished.
 pub fn run(work: &Arc<Vec<Work>>, balancer: &Balancer, history: &Sink, progress: &Arc<Progress>) {
     actix_web::rt::System::new().block_on(async {
         let callers = (0..CALLER_COUNT).map(|i| {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Asks until there is an answer, or a refusal that asking again would not change.
+    /// Sends a request until there is an answer or a refusal that a retry would not change.
     async fn send(&self, ask: &Request) -> Answer {
         let mut answer = Answer::default();
         for _ in 0..MAX_ATTEMPTS {
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -1,4 +1,4 @@
-//! A caller's client: it sends, reads to the end, and notes both in the history.
+//! HTTP client of a caller, which records requests and answers in the history.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,17 +12,17 @@
 use crate::standin::digest;
 use crate::unit::{RequestId, Target, Vm, Workspace};
 
-/// Callers' own numbers of requests, over all clients of the process.
+/// Number of the next request, over all clients of the process.
 static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A caller that waits longer counts the answer as broken.
+/// Timeout of a request, after which its answer counts as broken.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A connection that rested longer is not used again: VMs close those that rest for five seconds, and a request that meets
-/// the close is cut off unread.
+/// Idle time after which a connection is not reused. VMs close connections that are idle for five
+/// seconds, and a request that meets the close is cut off unread.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A caller of one workspace.
+/// HTTP client of one workspace.
 #[derive(Clone)]
 pub struct Client {
     workspace: Workspace,
@@ -31,46 +31,46 @@
     history: Sink,
 }
 
-/// What a caller sends.
+/// A request of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Path.
+    /// Path of the URL.
     pub path: String,
-    /// JSON body; none makes it a GET.
+    /// JSON body of a POST; without one the request is a GET.
     pub body: Option<Value>,
-    /// Key of a call that may not be repeated.
+    /// Idempotency key.
     pub key: Option<String>,
-    /// Session token, or `new`.
+    /// Session token, or `new` to start a session.
     pub session: Option<String>,
-    /// The caller's conversation.
+    /// Number of the caller's conversation, for the history.
     pub talk: Option<u64>,
-    /// Kind of work.
+    /// Kind of work that the request names in a header.
     pub kind: Option<&'static str>,
 }
 
-/// What a caller got.
+/// Answer that a caller got.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    /// HTTP status; 0 if the connection broke or was refused.
+    /// HTTP status; 0 if the connection broke or could not be opened.
     pub status: u16,
-    /// What a refusal says.
+    /// Whether the request ran, as a refusal states it.
     pub ran: Option<Ran>,
-    /// Whether the answer came to its proper end.
+    /// True if the answer is complete.
     pub whole: bool,
-    /// Its text.
+    /// Text of the answer.
     pub text: String,
-    /// The session's token.
+    /// Session token for the next request.
     pub session: Option<String>,
-    /// The request's id.
+    /// Request id that the VM assigned.
     pub request: Option<RequestId>,
-    /// The version.
+    /// Model version that answered.
     pub target: Option<Target>,
-    /// Whether the connection never opened, as a balancer would notice.
+    /// True if the connection could not be opened, which a balancer notices.
     pub connect_failed: bool,
 }
 
 impl Client {
-    /// A caller of a workspace.
+    /// Returns a client of a workspace.
     pub fn new(workspace: &str, history: Sink) -> Client {
         Client {
             workspace: workspace.parse().expect("a name of the demo"),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sends to a VM and reads the answer to its end.
+    /// Sends a request to a VM, reads the answer to its end and records both.
     pub async fn send(&self, to: SocketAddr, vm: &Vm, ask: &Request) -> Answer {
         let number = NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed);
         self.history.note(|| Event::Asked {
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and the configuration of the demo.
+//! VMs, stand-ins and configuration of the demo.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,29 +22,29 @@
 use crate::unit::{Cost, Rate, Revision, Size, Span, Target, Vm, Workspace};
 use crate::vm::{Clock, Settings};
 
-/// Where the demo's processes listen.
+/// Address that servers of the demo listen on, with any free port.
 const LOOPBACK: &str = "127.0.0.1:0";
 
-/// The demo's data centres.
+/// Names of the data centres.
 const DATA_CENTRES: [&str; 2] = ["ulemiste", "kadriorg"];
 
-/// Stand-ins that run before the engines: the platform and the rating service.
+/// Stand-ins that are started before the engines: the store and the rating service.
 const STANDINS_BEFORE_ENGINES: usize = 2;
 
-/// How much there is of everything.
+/// Size and timing of the cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Entry VMs at the start.
+    /// Number of entry VMs at the start.
     pub vms: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Time of a token, in microseconds.
+    /// Time per token of an engine, in microseconds.
     pub token_us: u64,
-    /// Share of good answers of the version that is rolled out.
+    /// Share of good answers of the new version.
     pub candidate_quality: f64,
-    /// Lag of ratings.
+    /// Delay between an answer and its rating.
     pub rating_lag: Span,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests of an engine.
     pub slots: u32,
 }
 
@@ -61,28 +61,28 @@
     }
 }
 
-/// Everything outside the VMs, and the VMs.
+/// Running VMs and the stand-ins of the systems around them.
 pub struct Cluster {
-    /// The platform.
+    /// The store of the platform.
     pub platform: Platform,
     /// The rating service.
     pub rater: Rater,
-    /// The engines.
+    /// The model engines.
     pub engines: Vec<Engine>,
-    /// The service's replicas.
+    /// The replicas of the plain service.
     pub services: Vec<Service>,
-    /// The VMs that run, by name.
+    /// Running VMs, by name.
     pub nodes: BTreeMap<Vm, Node>,
-    /// Events.
+    /// Recorded events.
     pub history: Sink,
-    /// Where the platform listens.
+    /// Address of the platform's object API.
     pub platform_address: SocketAddr,
     rating_address: SocketAddr,
     started_vms: usize,
     running: Vec<standin::Instance>,
 }
 
-/// The bearer key of a workspace of the demo.
+/// Returns the API key of a workspace.
 pub fn workspace_key(workspace: &str) -> String {
     format!("{workspace}-secret-key")
 }
@@ -94,10 +94,10 @@
     text.parse().expect("a name of the demo")
 }
 
-/// Plans a wish and confirms it, as an operator would.
+/// Plans a change and confirms it, as an operator does.
 ///
 /// # Errors
-/// If the plan cannot be made or the platform does not answer.
+/// If the plan cannot be made or confirmed, or the platform does not respond.
 pub fn apply(platform: SocketAddr, wish: &Wish, who: &str) -> Result<Revision, Error> {
     crate::command::block_on(async move {
         let store = Store::new(platform);
@@ -109,16 +109,16 @@
     })
 }
 
-/// Applies an intent in words.
+/// Plans and confirms an intent, given in words.
 ///
 /// # Errors
-/// As `apply`.
+/// If the words are no intent, or as `apply`.
 pub fn apply_intent(platform: SocketAddr, words: &str, who: &str) -> Result<Revision, Error> {
     let intent: Intent = words.parse().map_err(|e: crate::unit::Fault| Error::Plan(e.0))?;
     apply(platform, &Wish::Short(intent), who)
 }
 
-/// Settings of a VM of the demo.
+/// Returns the settings of a VM of the demo.
 pub fn settings(vm: &str, data_centre: &str, platform: SocketAddr) -> Settings {
     let loopback: SocketAddr = name(LOOPBACK);
     Settings {
@@ -144,7 +144,7 @@
     /// Starts the stand-ins, confirms the declarations and starts the VMs.
     ///
     /// # Errors
-    /// If something cannot be started.
+    /// If a server cannot be started or the declarations are refused.
     pub fn start(shape: &Shape) -> Result<Cluster, Error> {
         let history = Sink::keeping();
         let loopback: SocketAddr = name(LOOPBACK);
@@ -214,10 +214,10 @@
         Ok(declared)
     }
 
-    /// Starts one more VM.
+    /// Starts another VM and adds it to the platform's list.
     ///
     /// # Errors
-    /// If it cannot be started.
+    /// If one of its addresses cannot be bound.
     pub fn add_vm(&mut self) -> Result<Vm, Error> {
         self.started_vms += 1;
         let vm = format!("vm{}", self.started_vms);
@@ -234,7 +234,7 @@
         Ok(vm)
     }
 
-    /// Tells the platform's list which VMs there are.
+    /// Writes the running VMs to the platform's list.
     pub fn publish_vms(&self) {
         let entry = |node: &Node| VmEntry {
             vm: node.vm.settings.vm.clone(),
@@ -244,10 +244,10 @@
         self.platform.set_vms(self.nodes.values().map(entry).collect());
     }
 
-    /// Waits until so many VMs may start work.
+    /// Waits until at least this many VMs accept requests.
     ///
     /// # Errors
-    /// If they do not within ten seconds.
+    /// If they do not within 10 s.
     pub fn wait_ready(&self, vms: usize) -> Result<(), Error> {
         for _ in 0..1000 {
             let may = |node: &&Node| node.vm.may_start(node.vm.clock.now());
@@ -259,10 +259,10 @@
         Err(Error::Unreachable("The VMs did not become ready within 10 s.".to_owned()))
     }
 
-    /// Waits until a revision is in force everywhere; whether it came to that.
+    /// Waits until a VM knows that a revision is in force everywhere; returns false on timeout.
     pub fn wait_accepted(&self, revision: Revision, within: Span) -> bool {
-        let began = std::time::Instant::now();
-        while began.elapsed() < within.duration() {
+        let started = std::time::Instant::now();
+        while started.elapsed() < within.duration() {
             let knows = |node: &Node| node.vm.metrics.accepted() >= revision;
             if self.nodes.values().any(knows) {
                 return true;
@@ -272,15 +272,15 @@
         false
     }
 
-    /// Ends an engine's process as a crash would.
+    /// Stops an engine as a crash does: its open connections are reset.
     pub fn crash_engine(&self, at: usize) {
         self.running[STANDINS_BEFORE_ENGINES + at].kill();
     }
 
-    /// Starts an engine again where it listened before.
+    /// Restarts an engine at its previous address.
     ///
     /// # Errors
-    /// If its address cannot be had within a second.
+    /// If the address cannot be bound within a second.
     pub fn start_engine(&mut self, at: usize) -> Result<(), Error> {
         let running = &mut self.running[STANDINS_BEFORE_ENGINES + at];
         let mut launched = self.engines[at].launch(running.address);
@@ -295,13 +295,13 @@
         Ok(())
     }
 
-    /// Where the engines listen, in their order.
+    /// Returns the addresses of the engines, in the order of `engines`.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         let engines = self.running.iter().skip(STANDINS_BEFORE_ENGINES).take(self.engines.len());
         engines.map(|running| running.address).collect()
     }
 
-    /// Where a replica of the service listens.
+    /// Returns the address of a replica of the plain service.
     pub fn service_address(&self) -> SocketAddr {
         self.running.last().expect("stand-ins run").address
     }
@@ -355,7 +355,7 @@
         limit: Rate(5000.0),
         objectives: vec![Objective { kind: None, good: 0.95, first_token_ms: 1400 }],
     };
-    // A workspace that may not use the version that is rolled out: it must never meet it.
+    // This workspace may not use the new version, so none of its requests may reach it.
     let mut careful = workspace("nestwise");
     careful.versions.retain(|target| target.version.as_str() != "v4");
     Declarations {
--- a/src/demo/fault.rs
+++ b/src/demo/fault.rs
@@ -1,42 +1,42 @@
-//! The faults that the demo causes.
+//! Faults that the demo injects.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A fault.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// The platform's object API answers nothing.
+    /// The platform's object API responds 503 to every call.
     StoreDown,
-    /// Each of its answers takes long.
+    /// The object API responds slowly.
     StoreSlow,
-    /// Some of its answers are lost after the write took effect.
+    /// Responses of the object API are lost after the write took effect.
     AnswerLost,
-    /// Its watches report nothing.
+    /// Watches of the object API report no changes.
     WatchQuiet,
-    /// A VM stops as planned and is replaced.
+    /// A VM shuts down gracefully and is replaced.
     Stop,
     /// A VM is killed and replaced.
     Kill,
-    /// A VM's control is paused beyond its permit.
+    /// The control thread of a VM is paused for longer than its permit is valid.
     Pause,
-    /// One VM reaches no other; the others reach it.
+    /// One VM cannot send to any other; the others can send to it.
     LinkCut,
-    /// VMs of different data centres do not reach each other; all reach the store.
+    /// VMs of different data centres cannot reach each other; all reach the store.
     RegionCut,
-    /// Two operators confirm conflicting plans at once.
+    /// Two operators confirm conflicting plans concurrently.
     Race,
-    /// A backend server leaves.
+    /// A backend server drains.
     Leave,
-    /// Engines break answers off.
+    /// Engines break streams off.
     Cut,
-    /// Engines repeat frames and mix in foreign ones.
+    /// Engines send frames twice, and frames of other requests.
     Noise,
-    /// Ratings stop.
+    /// The rating service returns no ratings.
     RatingsStop,
 }
 
-/// All faults and their names.
+/// All faults with their names on the command line.
 pub const ALL: [(Fault, &str); 14] = [
     (Fault::StoreDown, "store-down"),
     (Fault::StoreSlow, "store-slow"),
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! The demo: stand-ins, VMs and callers in one process, real sockets, faults, and a verdict.
+//! Demo: runs stand-ins, VMs and callers in one process over real sockets, injects faults and
+//! checks the recorded history.
 
 mod caller;
 mod client;
--- a/src/demo/node.rs
+++ b/src/demo/node.rs
@@ -1,4 +1,4 @@
-//! A VM on a thread of its own.
+//! Runs a VM on a thread of its own.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::peer::Links;
 use crate::vm::{self, Settings, Vm};
 
-/// What the thread is told.
+/// Commands to the thread of a VM.
 enum Command {
     Stop,
     Kill,
@@ -22,11 +22,11 @@
 
 /// A running VM.
 pub struct Node {
-    /// Its shared state.
+    /// State that the threads of the VM share.
     pub vm: Arc<Vm>,
-    /// Where callers reach it.
+    /// Address that serves callers.
     pub address: SocketAddr,
-    /// Where other VMs reach it.
+    /// Address for messages of other VMs.
     pub peer: SocketAddr,
     links: Links,
     commands: mpsc::UnboundedSender<Command>,
@@ -34,7 +34,7 @@
 }
 
 impl Node {
-    /// Starts a VM.
+    /// Starts a VM and returns when it listens.
     ///
     /// # Errors
     /// If an address cannot be bound.
@@ -65,42 +65,43 @@
                             let _ = end.send(0);
                             return;
                         }
-                        // Blocking the thread is the point: nothing of the control runs.
+                        // Blocks the thread on purpose, so that no control task of the VM runs.
                         Command::Pause(time) => std::thread::sleep(time),
                         Command::Cut(addresses) => handle.links().cut(addresses),
                     }
                 }
             });
         });
-        let gone = |_| Error::Unreachable("A VM's thread ended at its start.".to_owned());
+        let gone =
+            |_| Error::Unreachable("The thread of a VM ended while the VM started.".to_owned());
         let (vm, address, peer, links) = wait.recv().map_err(gone)??;
         let peer = peer.unwrap_or(address);
         Ok(Node { vm, address, peer, links, commands, ended })
     }
 
-    /// Bytes of messages that it sent to other VMs.
+    /// Returns the bytes of messages that the VM sent to other VMs.
     pub fn bytes_sent(&self) -> u64 {
         self.links.sent()
     }
 
-    /// Stops as planned and returns the requests that were cut off.
+    /// Shuts the VM down gracefully; returns the number of requests that were cut off.
     pub fn stop(self) -> usize {
         let _ = self.commands.send(Command::Stop);
         self.ended.recv().unwrap_or_default()
     }
 
-    /// Ends at once.
+    /// Ends the VM at once, without finishing its requests.
     pub fn kill(self) {
         let _ = self.commands.send(Command::Kill);
         let _ = self.ended.recv();
     }
 
-    /// Blocks its control thread for a while.
+    /// Blocks the control thread of the VM for a time.
     pub fn pause(&self, time: std::time::Duration) {
         let _ = self.commands.send(Command::Pause(time));
     }
 
-    /// Cuts its way to these peers; an empty set mends it.
+    /// Drops messages to these peers; an empty set restores all links.
     pub fn cut_links(&self, addresses: HashSet<SocketAddr>) {
         let _ = self.commands.send(Command::Cut(addresses));
     }
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! A run of the demo: work, a roll-out of a bad version, faults in turn, and the verdict.
+//! A run of the demo: callers, a roll-out of a bad version, groups of faults, and the verdicts.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -24,51 +24,51 @@
 use crate::vm::ROOT;
 use crate::watch::{Slice, show};
 
-/// How long a fault that ends by itself lasts.
+/// Duration of a fault that is cleared.
 const FAULT_DURATION: Duration = Duration::from_millis(1500);
 
-/// A pause lasts longer than a VM's permit.
+/// Duration of `Fault::Pause`, longer than a VM's permit is valid.
 const PAUSE_DURATION: Duration = Duration::from_secs(10);
 
-/// The list of VMs lags by so much.
+/// Delay after which the platform's list shows that a VM is gone.
 const LIST_LAG: Duration = Duration::from_millis(1500);
 
-/// Answers lost in a fault of that name.
+/// Responses that `Fault::AnswerLost` loses.
 const LOST_ANSWERS: u32 = 12;
 
-/// Share of the work after which the roll-out begins.
+/// Fraction of the work after which the roll-out starts.
 const ROLLOUT_AT: f64 = 0.08;
 
-/// A run that makes no progress for this long is broken.
+/// Time without progress after which a run fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What to run.
+/// Parameters of a run.
 pub struct Scenario {
-    /// Requests.
+    /// Number of requests to send.
     pub requests: usize,
-    /// Seed of work and faults.
+    /// Seed of the workload and the faults.
     pub seed: u64,
-    /// Faults, several at once in one group, the groups in turn.
+    /// Groups of faults: a group is injected together, the groups one after the other.
     pub faults: Vec<Vec<Fault>>,
-    /// How much there is of everything.
+    /// Size and timing of the cluster.
     pub shape: Shape,
-    /// Whether to print progress.
+    /// Prints each line of the log as it is written.
     pub verbose: bool,
 }
 
-/// What came of it.
+/// Result of a run.
 pub struct Outcome {
-    /// The verdicts.
+    /// Verdicts on the promises.
     pub report: Report,
-    /// The world, whose history may be saved.
+    /// The cluster with the recorded history; its servers have stopped.
     pub cluster: Cluster,
-    /// What happened, in words.
+    /// Log lines of the run, each with the time since its start.
     pub log: Vec<String>,
-    /// The burn report.
+    /// Error-budget burn of the objectives, as text.
     pub burn: String,
-    /// Requests answered whole, refused, broken.
+    /// Number of complete answers, refusals and broken answers.
     pub counts: (usize, usize, usize),
-    /// How long the work took.
+    /// Time until all work was finished.
     pub duration: Duration,
 }
 
@@ -85,7 +85,7 @@
 /// Runs a scenario.
 ///
 /// # Errors
-/// If something cannot be started.
+/// If a server cannot be started, or the run makes no progress.
 pub fn run(scenario: &Scenario) -> Result<Outcome, Error> {
     let cluster = Cluster::start(&scenario.shape)?;
     let mut run = Run {
@@ -122,8 +122,8 @@
 }
 
 impl Run {
-    fn log(&mut self, words: String) {
-        let line = format!("{:>6.1}s  {words}", self.started_at.elapsed().as_secs_f64());
+    fn log(&mut self, text: String) {
+        let line = format!("{:>6.1}s  {text}", self.started_at.elapsed().as_secs_f64());
         if self.verbose {
             println!("{line}");
         }
@@ -135,8 +135,8 @@
         self.balancer.set(self.cluster.nodes.values().map(ready).collect());
     }
 
-    /// Waits until a share of the work is taken.
-    fn wait(&mut self, progress: &Progress, until: usize) -> Result<(), Error> {
+    /// Waits until callers have taken this many units of work.
+    fn wait_for_progress(&mut self, progress: &Progress, until: usize) -> Result<(), Error> {
         let mut last = (0, Instant::now());
         loop {
             let taken = progress.taken.load(Ordering::Relaxed);
@@ -146,7 +146,8 @@
             if taken != last.0 {
                 last = (taken, Instant::now());
             } else if last.1.elapsed() > STALL_TIMEOUT {
-                let what = format!("No request ended for {STALL_TIMEOUT:?}; {taken} were sent.");
+                let what =
+                    format!("No progress for {STALL_TIMEOUT:?}; {taken} units of work were taken.");
                 return Err(Error::Unreachable(what));
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -159,7 +160,7 @@
         all: usize,
         progress: &Progress,
     ) -> Result<(), Error> {
-        self.wait(progress, (all as f64 * ROLLOUT_AT) as usize)?;
+        self.wait_for_progress(progress, (all as f64 * ROLLOUT_AT) as usize)?;
         match apply_intent(self.cluster.platform_address, "roll out roastmind v4", "mari") {
             Ok(revision) => self.log(format!("mari: roll out roastmind v4 (revision {revision})")),
             Err(fault) => self.log(format!("mari's roll-out was refused: {fault}")),
@@ -167,12 +168,12 @@
         let groups = scenario.faults.len();
         for (i, group) in scenario.faults.iter().enumerate() {
             let share = 0.15 + 0.7 * i as f64 / groups.max(1) as f64;
-            self.wait(progress, (all as f64 * share) as usize)?;
+            self.wait_for_progress(progress, (all as f64 * share) as usize)?;
             self.run_fault_group(group)?;
         }
-        self.wait(progress, (all as f64 * 0.92) as usize)?;
+        self.wait_for_progress(progress, (all as f64 * 0.92) as usize)?;
         self.withdraw();
-        self.wait(progress, all)
+        self.wait_for_progress(progress, all)
     }
 
     fn withdraw(&mut self) {
@@ -180,19 +181,20 @@
         let withdrawn =
             self.cluster.nodes.values().any(|n| n.vm.config().root.withdrawn.contains(&target));
         if withdrawn {
-            self.log("the system had withdrawn roastmind v4 by itself".to_owned());
+            self.log("roastmind v4 was already withdrawn automatically".to_owned());
             return;
         }
         match apply_intent(self.cluster.platform_address, "withdraw roastmind v4", "juri") {
             Ok(revision) => {
                 let accepted = self.cluster.wait_accepted(revision, Span::secs(15));
-                self.log(format!("juri: withdraw roastmind v4 (revision {revision}, in force everywhere: {accepted})"));
+                let state = format!("revision {revision}, in force everywhere: {accepted}");
+                self.log(format!("juri: withdraw roastmind v4 ({state})"));
             }
             Err(fault) => self.log(format!("juri's withdrawal was refused: {fault}")),
         }
     }
 
-    /// Causes the faults of a group at once, and mends what mends.
+    /// Injects the faults of a group together and clears those that can be cleared.
     fn run_fault_group(&mut self, group: &[Fault]) -> Result<(), Error> {
         let names: Vec<String> = group.iter().map(ToString::to_string).collect();
         let name = names.join("+");
@@ -254,18 +256,19 @@
                 let leaving = engine::Switches { leaving: true, ..engine::Switches::default() };
                 self.cluster.engines[at].set_switches(leaving);
             }
-            Fault::Cut => {
-                self.engines(&engine::Switches { cut_after: Some(5), ..Default::default() })
+            Fault::Cut => self
+                .set_engine_faults(&engine::Switches { cut_after: Some(5), ..Default::default() }),
+            Fault::Noise => {
+                self.set_engine_faults(&engine::Switches { noise: true, ..Default::default() })
             }
-            Fault::Noise => self.engines(&engine::Switches { noise: true, ..Default::default() }),
             Fault::RatingsStop => self.cluster.rater.set_silent(true),
             Fault::StoreDown | Fault::StoreSlow | Fault::AnswerLost | Fault::WatchQuiet => {}
         }
         Ok(())
     }
 
-    /// Sets the switches of a few engines that are not leaving.
-    fn engines(&self, switches: &engine::Switches) {
+    /// Sets cut and noise of the first four engines; a drain that was announced stays.
+    fn set_engine_faults(&self, switches: &engine::Switches) {
         for engine in self.cluster.engines.iter().take(4) {
             engine.update_switches(|now| {
                 now.cut_after = switches.cut_after;
@@ -281,28 +284,28 @@
                 Fault::LinkCut | Fault::RegionCut => {
                     self.cluster.nodes.values().for_each(|node| node.cut_links(HashSet::new()));
                 }
-                Fault::Cut | Fault::Noise => self.engines(&engine::Switches::default()),
+                Fault::Cut | Fault::Noise => self.set_engine_faults(&engine::Switches::default()),
                 Fault::RatingsStop => self.cluster.rater.set_silent(false),
                 _ => {}
             }
         }
     }
 
-    /// Replaces a VM; the new one may have to start without the store.
+    /// Stops a VM and starts another, possibly while the store is down.
     fn replace(&mut self, planned: bool) -> Result<(), Error> {
         let vm = self.random_vm();
         let node = self.cluster.nodes.remove(&vm).expect("it runs");
         self.update_balancer();
         if planned {
             let cut = node.stop();
-            self.log(format!("{vm} stopped as planned; {cut} request(s) cut off"));
+            self.log(format!("{vm} shut down gracefully; {cut} request(s) cut off"));
         } else {
             node.kill();
             self.log(format!("{vm} was killed"));
         }
         std::thread::sleep(LIST_LAG);
         let new = self.cluster.add_vm()?;
-        self.log(format!("{new} takes its place"));
+        self.log(format!("{new} replaces it"));
         self.update_balancer();
         Ok(())
     }
@@ -327,7 +330,7 @@
         for outcome in outcomes {
             match outcome {
                 Ok(Ok(_)) => won += 1,
-                Ok(Err(fault)) => self.log(format!("one operator was told: {fault}")),
+                Ok(Err(fault)) => self.log(format!("one operator was refused: {fault}")),
                 Err(_) => {}
             }
         }
@@ -341,13 +344,13 @@
         }
     }
 
-    /// Stops all VMs as planned, gathers the bills, and notes them.
+    /// Shuts all VMs down gracefully and records the bills in the store.
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
         for node in self.cluster.nodes.values() {
             self.burn.extend(node.vm.burn.lock().expect("no panic while held").slices(date));
         }
-        // Peers bring the bills of the killed to the store; give them the time they state.
+        // Peers write the bills of killed VMs to the store; wait as long as they may take.
         std::thread::sleep(Duration::from_secs(7));
         let names: Vec<Vm> = self.cluster.nodes.keys().cloned().collect();
         for name in names {
--- a/src/demo/work.rs
+++ b/src/demo/work.rs
@@ -1,4 +1,4 @@
-//! The work of both users, drawn from a seed.
+//! Workload of the demo, drawn from a seed: requests of two workspaces.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,24 +6,24 @@
 
 use super::client::Request;
 
-/// Turns of a conversation.
+/// Requests per conversation.
 const TURNS: usize = 4;
 
-/// One piece of work.
+/// One unit of work of a caller.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A single request.
     Single(Request),
-    /// A call that may not be repeated, sent twice with one key.
+    /// A call with an idempotency key, sent twice concurrently.
     Twice(Request),
-    /// A call whose key is set aside first, as when a parent opens the form.
+    /// A call whose idempotency key is reserved first, as when a parent opens the form.
     Reserved(Request),
-    /// The turns of a conversation.
+    /// The requests of a conversation, sent one after the other in one session.
     Talk(Vec<Request>),
 }
 
 impl Work {
-    /// Requests that it sends at least.
+    /// Returns the number of requests that it sends, without retries.
     pub fn requests(&self) -> usize {
         match self {
             Work::Single(_) => 1,
@@ -47,7 +47,7 @@
     }
 }
 
-fn confirm(number: u64) -> Request {
+fn enrolment(number: u64) -> Request {
     Request {
         path: "/v1/services/tellimus-api/enrolments".to_owned(),
         body: Some(json!({"seat": number})),
@@ -66,7 +66,7 @@
     (0..TURNS).map(turn).collect()
 }
 
-/// Work of about so many requests.
+/// Draws work of at least this many requests.
 pub fn draw(seed: u64, requests: usize) -> Vec<Work> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -80,9 +80,9 @@
                 path: format!("/v1/services/tellimus-api/seats?centre={number}"),
                 ..Request::default()
             }),
-            65..73 => Work::Single(confirm(number)),
-            73..80 => Work::Reserved(confirm(number)),
-            80..90 => Work::Twice(confirm(number)),
+            65..73 => Work::Single(enrolment(number)),
+            73..80 => Work::Reserved(enrolment(number)),
+            80..90 => Work::Twice(enrolment(number)),
             _ => Work::Talk(talk(&mut rng)),
         };
         sent += work.requests();
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets one clear sentence, the right exit code, and starts nothing.
+//! Invalid input ends the program with one error sentence and the right exit code, before
+//! anything is started.
 
 use std::net::TcpListener;
 use std::process::{Command, Output};
@@ -8,17 +9,18 @@
     ("KITEPULLEY_SESSION_KEYS", "k1:a-session-key-of-tests"),
 ];
 
-fn kitepulley(words: &[&str]) -> Output {
+fn kitepulley(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_kitepulley"));
-    command.args(words).envs(SECRETS);
+    command.args(arguments).envs(SECRETS);
     command.output().expect("the program starts")
 }
 
 fn serve(extra: &[&str]) -> Output {
-    let usual = ["serve", "--vm", "vm1", "--data-centre", "dc1", "--platform", "127.0.0.1:1"];
-    kitepulley(&[&usual, extra].concat())
+    let required = ["serve", "--vm", "vm1", "--data-centre", "dc1", "--platform", "127.0.0.1:1"];
+    kitepulley(&[&required, extra].concat())
 }
 
+/// Asserts the exit code, and that standard error contains all `parts`.
 fn assert_fails(output: &Output, code: i32, parts: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{text}");
@@ -94,7 +96,7 @@
     assert_fails(&output, 2, &["roastmind@v8", "under its target", ".toml:"]);
 }
 
-/// A settings file of the users' platform with every field that is needed.
+/// Settings file of the users' platform with all required fields.
 const NODE: &str = r#"{"node_name": "vm1", "ip": "127.0.0.1", "zone": "here",
     "listen": {"frontend": "127.0.0.1:1", "readiness": "127.0.0.1:2"},
     "platform": {"address": "127.0.0.1:3"}}"#;
@@ -131,8 +133,8 @@
         let without = NODE.replace(&format!("\"{field}\""), "\"other\"");
         assert_fails(&entry(field, &without), 2, &[&format!("{field}`"), "is missing"]);
     }
-    let unread = NODE.replace("127.0.0.1:2", "localhost");
-    assert_fails(&entry("b", &unread), 2, &["listen.readiness", "`localhost`"]);
+    let invalid = NODE.replace("127.0.0.1:2", "localhost");
+    assert_fails(&entry("b", &invalid), 2, &["listen.readiness", "`localhost`"]);
     let negative = NODE.trim_end().strip_suffix('}').expect("an object").to_owned();
     let negative = format!("{negative}, \"limits\": {{\"cpu_quota\": -1}}}}");
     assert_fails(&entry("g", &negative), 2, &["limits.cpu_quota", "`-1`", "share of a core"]);
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,11 +1,11 @@
-//! `docs/CAPACITY.md` agrees with the committed slopes: every formula gives the figure beside it.
+//! Each figure in `docs/CAPACITY.md` follows from the formula beside it and the measured slopes.
 
 use std::collections::BTreeMap;
 
 const PAGE: &str = include_str!("../docs/CAPACITY.md");
 const SLOPES: &str = include_str!("../docs/slopes.json");
 
-/// How far a shown figure may be from its formula, for rounding.
+/// Tolerated relative difference between a printed figure and its formula, due to rounding.
 const ROUNDING: f64 = 0.012;
 
 fn cells(line: &str) -> Vec<&str> {
@@ -21,7 +21,7 @@
     rows.iter().map(slope).collect()
 }
 
-/// Names with their values today and at the target, from the page's own table.
+/// Returns the counts of the page's table by name: the value today and the value at the target.
 fn counts() -> BTreeMap<String, (f64, f64)> {
     let mut counts = BTreeMap::new();
     for line in PAGE.lines() {
@@ -35,17 +35,17 @@
     counts
 }
 
-/// Sums of products: `a * b / c + ( d + e )`, read from the left.
+/// Parser of sums of products, as `a * b / c + ( d + e )`, evaluated from the left.
 struct Formula<'a> {
-    words: std::iter::Peekable<std::str::SplitWhitespace<'a>>,
+    tokens: std::iter::Peekable<std::str::SplitWhitespace<'a>>,
     names: &'a dyn Fn(&str) -> f64,
 }
 
 impl Formula<'_> {
     fn sum(&mut self) -> f64 {
         let mut value = self.product();
-        while self.words.peek() == Some(&"+") {
-            self.words.next();
+        while self.tokens.peek() == Some(&"+") {
+            self.tokens.next();
             value += self.product();
         }
         value
@@ -53,8 +53,8 @@
 
     fn product(&mut self) -> f64 {
         let mut value = self.factor();
-        while let Some(sign @ ("*" | "/")) = self.words.peek().copied() {
-            self.words.next();
+        while let Some(sign @ ("*" | "/")) = self.tokens.peek().copied() {
+            self.tokens.next();
             let factor = self.factor();
             value = if sign == "*" { value * factor } else { value / factor };
         }
@@ -62,19 +62,19 @@
     }
 
     fn factor(&mut self) -> f64 {
-        match self.words.next().expect("a factor") {
+        match self.tokens.next().expect("a factor") {
             "(" => {
                 let value = self.sum();
-                assert_eq!(self.words.next(), Some(")"));
+                assert_eq!(self.tokens.next(), Some(")"));
                 value
             }
-            word => word.parse().unwrap_or_else(|_| (self.names)(word)),
+            token => token.parse().unwrap_or_else(|_| (self.names)(token)),
         }
     }
 }
 
 fn evaluate(formula: &str, names: &dyn Fn(&str) -> f64) -> f64 {
-    Formula { words: formula.split_whitespace().peekable(), names }.sum()
+    Formula { tokens: formula.split_whitespace().peekable(), names }.sum()
 }
 
 #[test]
@@ -99,10 +99,10 @@
                 }
                 _ => panic!("`{name}` is neither a slope nor a count"),
             };
-            let right = evaluate(formula, &value);
+            let computed = evaluate(formula, &value);
             let shown: f64 = shown.parse().expect("a figure");
-            let far = (shown - right).abs() / right.abs().max(1e-12);
-            assert!(far <= ROUNDING, "{formula}: shown {shown}, worked out {right}");
+            let error = (shown - computed).abs() / computed.abs().max(1e-12);
+            assert!(error <= ROUNDING, "{formula}: shown {shown}, computed {computed}");
             checked += 1;
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Builders that the integration tests share.
+//! Builder of histories for integration tests.
 
 use kitepulley::history::{Event, Line, Ran};
 use kitepulley::unit::{Date, Revision};
 
-/// A history that reads like a story.
+/// Builds a history of events, one second apart.
 #[derive(Default)]
 pub struct HistoryBuilder {
     lines: Vec<Line>,
@@ -14,24 +14,24 @@
 where
     T::Err: std::fmt::Debug,
 {
-    text.parse().expect("a name of the story")
+    text.parse().expect("a valid name")
 }
 
 impl HistoryBuilder {
-    /// Adds an event a second after the last.
+    /// Appends an event one second after the last.
     pub fn event(mut self, event: Event) -> HistoryBuilder {
         self.now += 1_000_000;
         self.lines.push(Line { at: Date(self.now), event });
         self
     }
 
-    /// Lets time pass.
+    /// Advances the time without an event.
     pub fn advance_seconds(mut self, seconds: u64) -> HistoryBuilder {
         self.now += seconds * 1_000_000;
         self
     }
 
-    /// A revision takes effect and is in force everywhere.
+    /// Confirms a revision, which is adopted by the VM and accepted by all.
     pub fn revision(self, revision: u64, allowed: &[&str], withdrawn: &[&str]) -> HistoryBuilder {
         let targets = |list: &[&str]| list.iter().map(|target| name(target)).collect();
         let allowed = [(name("w"), targets(allowed))].into_iter().collect();
@@ -42,7 +42,7 @@
             .event(Event::Accepted { revision })
     }
 
-    /// A whole request: asked, started, run, billed, answered.
+    /// Appends all events of a completed request: asked, started, ran, billed, answered.
     pub fn request(
         self,
         ask: u64,
@@ -64,12 +64,12 @@
             .answered(ask, Some(target), "d", None)
     }
 
-    /// A caller asks.
+    /// A caller sends a request.
     pub fn asked(self, ask: u64, key: Option<&str>, talk: Option<u64>) -> HistoryBuilder {
         self.event(Event::Asked { ask, workspace: name("w"), key: key.map(str::to_owned), talk })
     }
 
-    /// An engine runs it.
+    /// An engine runs the request.
     pub fn ran(self, ask: u64, target: &str, server: &str) -> HistoryBuilder {
         self.event(Event::Ran {
             server: name(server),
@@ -81,7 +81,7 @@
         })
     }
 
-    /// A service runs it.
+    /// A service runs the request.
     pub fn served(self, ask: u64, key: &str) -> HistoryBuilder {
         self.event(Event::Served {
             server: name("s1"),
@@ -92,7 +92,7 @@
         })
     }
 
-    /// The store holds its bill.
+    /// The store holds the bill of the request.
     pub fn billed(self, ask: u64) -> HistoryBuilder {
         self.event(Event::Billed {
             request: name(&format!("r{ask}")),
@@ -101,7 +101,7 @@
         })
     }
 
-    /// The caller has its answer, or a refusal if `ran` is given.
+    /// The caller gets a complete answer, or a refusal if `ran` is given.
     pub fn answered(
         self,
         ask: u64,
@@ -122,7 +122,7 @@
         })
     }
 
-    /// An answer that breaks off.
+    /// The caller gets an answer that breaks off.
     pub fn cut(self, ask: u64) -> HistoryBuilder {
         self.event(Event::Answered {
             ask,
@@ -136,29 +136,29 @@
         })
     }
 
-    /// A backend server says that it is leaving.
+    /// A backend server announces that it drains.
     pub fn leaving(self, server: &str) -> HistoryBuilder {
         self.event(Event::Leaving { server: name(server) })
     }
 
-    /// A VM begins a planned stop.
+    /// The VM begins a graceful shutdown.
     pub fn stopping(self) -> HistoryBuilder {
         self.event(Event::Stopping { vm: name("vm1") })
     }
 
-    /// A VM takes a revision.
+    /// The VM adopts a revision.
     pub fn adopted(self, revision: u64) -> HistoryBuilder {
         let revision = Revision(revision);
         self.event(Event::Adopted { vm: name("vm1"), incarnation: 1, revision })
     }
 
-    /// The lines.
+    /// Returns the lines of the history.
     pub fn lines(self) -> Vec<Line> {
         self.lines
     }
 }
 
-/// A clean history in which every promise is put to the test.
+/// Returns a history that breaks no promise and tests each of them.
 pub fn clean() -> HistoryBuilder {
     HistoryBuilder::default()
         .revision(1, &["m@v1", "m@v2"], &[])
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! Pages that are made from the code are equal to it.
+//! Pages that are generated from code, or list what code defines, match it.
 
 use kitepulley::chart::{FILES, load, mermaid};
 use kitepulley::entry::refusal::TABLE;
--- a/tests/runs.rs
+++ b/tests/runs.rs
@@ -1,11 +1,12 @@
-//! Seeded runs on real sockets under faults, judged from their histories.
+//! Seeded runs on real sockets under injected faults; their histories must keep all promises.
 
 use kitepulley::demo::{Fault, Outcome, Scenario, Shape, run};
 use kitepulley::history::{Event, Line};
 
-/// Requests of a run; enough that each fault meets work of every kind.
+/// Requests per run, enough for work of every kind during each fault.
 const REQUESTS: usize = 2500;
 
+/// Runs the faults and asserts that all promises held.
 fn run_checked(seed: u64, vms: usize, faults: &[&[Fault]]) -> Outcome {
     let scenario = Scenario {
         requests: REQUESTS,
@@ -19,7 +20,7 @@
     outcome
 }
 
-/// What happened in a run, and the history of each answer that broke off or never came.
+/// Returns the log of a run and the history of each answer that broke off or never came.
 fn broken_answers(outcome: &Outcome) -> String {
     let lines = outcome.cluster.history.lines();
     let text = |line: &Line| serde_json::to_string(line).unwrap_or_default();
