--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -12,12 +12,12 @@
 pub fn run(flags: &cli::Check) -> Result<(), Error> {
     let file: String = required("file", flags.file.as_ref())?;
     let path = Path::new(&file);
-    let opened = std::fs::File::open(path).map_err(|fault| Error::file(path, &fault))?;
+    let opened = std::fs::File::open(path).map_err(|error| Error::file(path, &error))?;
     let mut lines = read(&file, BufReader::new(opened))?;
     lines.sort_by_key(|line| line.at);
     let report = judge(&lines);
     if flags.json {
-        println!("{}", serde_json::to_string_pretty(&report).expect("verdicts are plain data"));
+        println!("{}", serde_json::to_string_pretty(&report).expect("verdicts can be serialised"));
     } else {
         print!("{report}");
     }
--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -23,10 +23,10 @@
 pub fn run(flags: &cli::Confirm) -> Result<(), Error> {
     let file: String = required("plan", flags.plan.as_ref())?;
     let path = Path::new(&file);
-    let text = std::fs::read_to_string(path).map_err(|fault| Error::file(path, &fault))?;
+    let text = std::fs::read_to_string(path).map_err(|error| Error::file(path, &error))?;
     let plan: Plan = serde_json::from_str(&text)
-        .map_err(|fault| Error::Format(file.clone(), fault.line(), fault.to_string()))?;
-    let body = serde_json::to_vec(&(plan.base, &plan.changes)).expect("changes are plain data");
+        .map_err(|error| Error::Format(file.clone(), error.line(), error.to_string()))?;
+    let body = serde_json::to_vec(&(plan.base, &plan.changes)).expect("changes can be serialised");
     if digest(&body)[..16] != plan.id {
         let cause = "the plan was edited after it was made; plan again".to_owned();
         return Err(Error::Format(file, 1, cause));
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -22,7 +22,7 @@
 /// If the arguments are invalid or the command fails.
 pub fn run(arguments: &[String]) -> Result<(), Error> {
     let cli = Cli::parse_args_default(arguments)
-        .map_err(|fault| Error::Usage(format!("{fault}; see `kitepulley --help`.")))?;
+        .map_err(|error| Error::Usage(format!("{error}; see `kitepulley --help`.")))?;
     if cli.version {
         println!("kitepulley {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
@@ -57,8 +57,8 @@
     let usage = cli.self_usage();
     match cli.command_name() {
         Some(name) => format!(
-            "Usage: kitepulley {name} [OPTIONS]\n\n{}\n\nEach flag `--some-name` can also be set by \
-             KITEPULLEY_SOME_NAME.\n\nExample:\n  {}",
+            "Usage: kitepulley {name} [OPTIONS]\n\n{}\n\nEach flag `--some-name` can also be set \
+             by KITEPULLEY_SOME_NAME.\n\nExample:\n  {}",
             cli.command.as_ref().map_or(usage, Options::self_usage),
             example(name)
         ),
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -17,9 +17,9 @@
         let snapshot = operator::snapshot(&Store::new(platform)).await?;
         config::make(&snapshot, &wish)
     })?;
-    let json = serde_json::to_string_pretty(&plan).expect("a plan is plain data");
+    let json = serde_json::to_string_pretty(&plan).expect("a plan can be serialised");
     if let Some(out) = &flags.out {
-        std::fs::write(out, &json).map_err(|fault| Error::file(Path::new(out), &fault))?;
+        std::fs::write(out, &json).map_err(|error| Error::file(Path::new(out), &error))?;
     }
     if flags.json {
         println!("{json}")
@@ -36,10 +36,10 @@
         return config::read(Path::new(first)).map(Wish::Declared);
     }
     let text = words.join(" ");
-    let fault = |fault: crate::unit::Fault| {
-        Error::Usage(format!("{fault} There is no file of that name either."))
+    let to_error = |error: crate::unit::Fault| {
+        Error::Usage(format!("{error} There is no file of that name either."))
     };
-    text.parse().map(Wish::Short).map_err(fault)
+    text.parse().map(Wish::Short).map_err(to_error)
 }
 
 fn to_text(plan: &Plan, out: Option<&String>) -> String {
--- a/src/command/query.rs
+++ b/src/command/query.rs
@@ -18,7 +18,7 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn get(vm: SocketAddr, path: &str) -> Result<(u16, String), Error> {
-    let fault = |cause: String| {
+    let to_error = |cause: String| {
         Error::Unreachable(format!("The VM at {vm} did not respond: {cause}. Try another VM."))
     };
     let mut request =
@@ -26,8 +26,8 @@
     if let Ok(key) = std::env::var("KITEPULLEY_OPERATOR_KEY") {
         request = request.insert_header(("authorization", format!("Bearer {key}")));
     }
-    let mut response = request.send().await.map_err(|e| fault(e.to_string()))?;
-    let body = response.body().limit(8_000_000).await.map_err(|e| fault(e.to_string()))?;
+    let mut response = request.send().await.map_err(|e| to_error(e.to_string()))?;
+    let body = response.body().limit(8_000_000).await.map_err(|e| to_error(e.to_string()))?;
     Ok((response.status().as_u16(), String::from_utf8_lossy(&body).into_owned()))
 }
 
@@ -37,7 +37,7 @@
 /// If the VM does not respond with status 200, or the body is not JSON.
 pub async fn get_json(vm: SocketAddr, path: &str) -> Result<Value, Error> {
     let text = get_text(vm, path).await?;
-    serde_json::from_str(&text).map_err(|fault| Error::Unreachable(fault.to_string()))
+    serde_json::from_str(&text).map_err(|error| Error::Unreachable(error.to_string()))
 }
 
 async fn get_text(vm: SocketAddr, path: &str) -> Result<String, Error> {
@@ -111,7 +111,7 @@
     let mut entries = block_on(ledger::collect(&Store::new(platform)))?;
     entries.retain(|entry| only.as_ref().is_none_or(|only| entry.workspace == *only));
     if flags.json {
-        println!("{}", serde_json::to_string(&entries).expect("entries serialise"));
+        println!("{}", serde_json::to_string(&entries).expect("entries can be serialised"));
         return Ok(());
     }
     let mut sums: BTreeMap<&Workspace, (u64, Cost)> = BTreeMap::new();
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -47,10 +47,10 @@
 fn engine_profile(flags: &cli::Standin, lag: Span) -> Result<Profile, Error> {
     let mut versions = BTreeMap::new();
     for part in options::list::<String>("versions", flags.versions.as_ref())? {
-        let fault = || Error::flag("--versions", &part, "write MODEL@VERSION=QUALITY,...");
-        let (target, quality) = part.split_once('=').ok_or_else(fault)?;
-        let target: Target = target.parse().map_err(|_| fault())?;
-        let quality: f64 = quality.parse().map_err(|_| fault())?;
+        let to_error = || Error::flag("--versions", &part, "write MODEL@VERSION=QUALITY,...");
+        let (target, quality) = part.split_once('=').ok_or_else(to_error)?;
+        let target: Target = target.parse().map_err(|_| to_error())?;
+        let quality: f64 = quality.parse().map_err(|_| to_error())?;
         versions.insert(target, Behaviour { quality, errors: 0.0 });
     }
     let slots = with_default("slots", flags.slots.as_ref(), 16)?;
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -83,29 +83,29 @@
             let at = self.progress.taken.fetch_add(1, Ordering::Relaxed);
             let Some(work) = work.get(at) else { return };
             match work {
-                Work::Single(ask) => {
-                    self.send(ask).await;
+                Work::Single(request) => {
+                    self.send(request).await;
                 }
-                Work::Twice(ask) => {
-                    futures_util::future::join(self.send(ask), self.send(ask)).await;
+                Work::Duplicate(request) => {
+                    futures_util::future::join(self.send(request), self.send(request)).await;
                 }
-                Work::Reserved(ask) => {
+                Work::Reserved(request) => {
                     let path = "/v1/reservations/tellimus-api".to_owned();
-                    let reserve = Request { path, ..ask.clone() };
+                    let reserve = Request { path, ..request.clone() };
                     self.send(&reserve).await;
                     tokio::time::sleep(RESERVE_TO_CALL_DELAY).await;
-                    self.send(ask).await;
+                    self.send(request).await;
                 }
-                Work::Talk(turns) => self.talk(turns).await,
+                Work::Conversation(turns) => self.converse(turns).await,
             }
         }
     }
 
-    async fn talk(&self, turns: &[Request]) {
+    async fn converse(&self, turns: &[Request]) {
         let mut session = "new".to_owned();
         for turn in turns {
-            let ask = Request { session: Some(session.clone()), ..turn.clone() };
-            let answer = self.send(&ask).await;
+            let request = Request { session: Some(session.clone()), ..turn.clone() };
+            let answer = self.send(&request).await;
             match answer.session {
                 Some(token) => session = token,
                 None => return,
@@ -114,23 +114,23 @@
     }
 
     /// Sends a request until there is an answer or a refusal that a retry would not change.
-    async fn send(&self, ask: &Request) -> Answer {
+    async fn send(&self, request: &Request) -> Answer {
         let mut answer = Answer::default();
         for _ in 0..MAX_ATTEMPTS {
             let Some((vm, address)) = self.balancer.next() else {
                 break;
             };
-            answer = self.client.send(address, &vm, ask).await;
+            answer = self.client.send(address, &vm, request).await;
             let counter = match (answer.whole, answer.ran) {
                 (true, _) => &self.progress.whole,
                 (false, Some(_)) if answer.status >= 300 => &self.progress.refused,
                 _ => &self.progress.broken,
             };
             counter.fetch_add(1, Ordering::Relaxed);
-            let again =
+            let is_retryable =
                 answer.connect_failed || answer.ran == Some(Ran::No) && answer.status >= 429;
-            let running = ask.key.is_some() && answer.status == 409;
-            if !again && !running {
+            let is_running = request.key.is_some() && answer.status == 409;
+            if !is_retryable && !is_running {
                 break;
             }
             tokio::time::sleep(RETRY_DELAY).await;
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -128,8 +128,8 @@
         };
         let mut response = match sent {
             Ok(response) => response,
-            Err(fault) => {
-                let connect_failed = matches!(fault, awc::error::SendRequestError::Connect(_));
+            Err(error) => {
+                let connect_failed = matches!(error, awc::error::SendRequestError::Connect(_));
                 return Answer { connect_failed, ..Answer::default() };
             }
         };
--- a/src/demo/node.rs
+++ b/src/demo/node.rs
@@ -46,8 +46,8 @@
             actix_web::rt::System::new().block_on(async move {
                 let handle = match vm::start(settings, history) {
                     Ok(handle) => handle,
-                    Err(fault) => {
-                        let _ = started.send(Err(fault));
+                    Err(error) => {
+                        let _ = started.send(Err(error));
                         return;
                     }
                 };
--- a/src/demo/work.rs
+++ b/src/demo/work.rs
@@ -15,11 +15,11 @@
     /// A single request.
     Single(Request),
     /// A call with an idempotency key, sent twice concurrently.
-    Twice(Request),
+    Duplicate(Request),
     /// A call whose idempotency key is reserved first, as when a parent opens the form.
     Reserved(Request),
     /// The requests of a conversation, sent one after the other in one session.
-    Talk(Vec<Request>),
+    Conversation(Vec<Request>),
 }
 
 impl Work {
@@ -27,8 +27,8 @@
     pub fn requests(&self) -> usize {
         match self {
             Work::Single(_) => 1,
-            Work::Twice(_) | Work::Reserved(_) => 2,
-            Work::Talk(turns) => turns.len(),
+            Work::Duplicate(_) | Work::Reserved(_) => 2,
+            Work::Conversation(turns) => turns.len(),
         }
     }
 }
@@ -56,12 +56,12 @@
     }
 }
 
-fn talk(rng: &mut SmallRng) -> Vec<Request> {
+fn conversation(rng: &mut SmallRng) -> Vec<Request> {
     let number = rng.random::<u64>() >> 1;
     let turn = |i: usize| {
         let text = format!("conversation {number}, turn {i}");
-        let ask = chat("roastmind", &text, i.is_multiple_of(2), 16, "talk");
-        Request { talk: Some(number), ..ask }
+        let request = chat("roastmind", &text, i.is_multiple_of(2), 16, "talk");
+        Request { talk: Some(number), ..request }
     };
     (0..TURNS).map(turn).collect()
 }
@@ -82,8 +82,8 @@
             }),
             65..73 => Work::Single(enrolment(number)),
             73..80 => Work::Reserved(enrolment(number)),
-            80..90 => Work::Twice(enrolment(number)),
-            _ => Work::Talk(talk(&mut rng)),
+            80..90 => Work::Duplicate(enrolment(number)),
+            _ => Work::Conversation(conversation(&mut rng)),
         };
         sent += work.requests();
         all.push(work);
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,8 +2,8 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if let Err(fault) = kitepulley::run(&arguments) {
-        eprintln!("kitepulley: {fault}");
-        std::process::exit(fault.exit_code());
+    if let Err(error) = kitepulley::run(&arguments) {
+        eprintln!("kitepulley: {error}");
+        std::process::exit(error.exit_code());
     }
 }
--- a/src/options.rs
+++ b/src/options.rs
@@ -33,8 +33,8 @@
     let Some(text) = value_of(flag, given) else {
         return Ok(None);
     };
-    let fault = |fault: T::Err| Error::flag(&format!("--{flag}"), &text, fault);
-    text.parse().map(Some).map_err(fault)
+    let to_error = |error: T::Err| Error::flag(&format!("--{flag}"), &text, error);
+    text.parse().map(Some).map_err(to_error)
 }
 
 /// Parses a flag, or returns `default` if it is not set.
@@ -93,8 +93,8 @@
     let Ok(text) = std::env::var(&name) else {
         return Ok(None);
     };
-    let fault = |fault: T::Err| Error::flag(&name, "(not shown)", fault);
-    text.parse().map(Some).map_err(fault)
+    let to_error = |error: T::Err| Error::flag(&name, "(not shown)", error);
+    text.parse().map(Some).map_err(to_error)
 }
 
 fn required_secret<T>(name: &str) -> Result<T, Error>
@@ -140,15 +140,15 @@
 }
 
 fn check_conflicts(settings: &Settings) -> Result<(), Error> {
-    let fault = |what: &str| Err(Error::Usage(what.to_owned()));
+    let conflict = |what: &str| Err(Error::Usage(what.to_owned()));
     if settings.workers == 0 {
         return Err(Error::flag("--workers", 0, "use at least 1."));
     }
     if settings.platform == settings.listen {
-        return fault("--platform and --listen name the same address; give the VM its own.");
+        return conflict("--platform and --listen name the same address; give the VM its own.");
     }
     if settings.rating == Some(settings.platform) {
-        return fault("--rating and --platform name the same address; each is its own service.");
+        return conflict("--rating and --platform name the same address; each is its own service.");
     }
     if settings.rollout.doubling == Span(0) {
         return Err(Error::flag("--rollout-doubling", "0s", "use a duration above 0."));
@@ -188,11 +188,11 @@
 
     #[test]
     fn a_wrong_value_names_the_flag_the_value_and_what_is_accepted() {
-        let fault =
+        let error =
             with_default::<Span>("stop-within", Some(&"soon".to_owned()), Span(0)).unwrap_err();
-        let text = fault.to_string();
+        let text = error.to_string();
         assert!(text.contains("--stop-within") && text.contains("`soon`") && text.contains("5s"));
-        assert_eq!(fault.exit_code(), 2);
+        assert_eq!(error.exit_code(), 2);
     }
 
     #[test]
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -274,7 +274,7 @@
 fn frame(work: &Generate, offset: u32, text: &str, end: Option<End>) -> Bytes {
     let request = work.request.clone();
     let frame = Frame { request, attempt: work.attempt, offset, text: text.to_owned(), end };
-    let mut line = serde_json::to_vec(&frame).expect("a frame is plain data");
+    let mut line = serde_json::to_vec(&frame).expect("a frame can be serialised");
     line.push(b'\n');
     line.into()
 }
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -140,7 +140,7 @@
             state.delete(VM_KIND, name);
         }
         for one in listed {
-            let spec = serde_json::to_value(&one).expect("an entry is plain data");
+            let spec = serde_json::to_value(&one).expect("an entry can be serialised");
             state.write(VM_KIND, one.vm.as_str(), |object| object.spec = spec);
         }
         drop(state);
--- a/src/standin/replica.rs
+++ b/src/standin/replica.rs
@@ -144,11 +144,11 @@
     /// If no port can be bound.
     pub fn launch() -> Result<Replica, Error> {
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let fault = |e: std::io::Error| Error::Bind(at.to_string(), e.to_string());
-        let listener = TcpListener::bind(at).map_err(fault)?;
-        let address = listener.local_addr().map_err(fault)?;
+        let to_error = |e: std::io::Error| Error::Bind(at.to_string(), e.to_string());
+        let listener = TcpListener::bind(at).map_err(to_error)?;
+        let address = listener.local_addr().map_err(to_error)?;
         let replica = Replica { address, state: Arc::default() };
-        replica.accept_connections(listener).map_err(fault)?;
+        replica.accept_connections(listener).map_err(to_error)?;
         Ok(replica)
     }
 
@@ -359,7 +359,7 @@
         match read_more(stream, buffer) {
             Ok(_) => {}
             Err(_) if buffer.is_empty() => return Ok(None),
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         }
     }
 }
@@ -472,7 +472,8 @@
             let confidence_header =
                 confidence.map(|c| format!("X-Confidence: {c}\r\n")).unwrap_or_default();
             let more = format!(
-                "{confidence_header}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+                "{confidence_header}Content-Type: text/event-stream\r\n\
+                 Transfer-Encoding: chunked\r\n\r\n"
             );
             stream.write_all(response.signed(200, &more).as_bytes())?;
             return stream_events(stream, seen, last, cut_after, pause);
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -48,9 +48,9 @@
 where
     F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
 {
-    let fault = |e: std::io::Error| Error::Bind(address.to_string(), e.to_string());
-    let listener = TcpListener::bind(address).map_err(fault)?;
-    let address = listener.local_addr().map_err(fault)?;
+    let to_error = |e: std::io::Error| Error::Bind(address.to_string(), e.to_string());
+    let listener = TcpListener::bind(address).map_err(to_error)?;
+    let address = listener.local_addr().map_err(to_error)?;
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
         actix_web::rt::System::new().block_on(async move {
