--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -1,65 +1,64 @@
-//! `plan`: what a wish would change; nothing is changed.
+//! `plan`: shows what declarations or an intent would change, without changing it.
 
 use std::path::Path;
 
-use super::block_on;
 use crate::config::{self, Plan, PlanSource};
 use crate::error::Error;
 use crate::options::address;
 use crate::platform::Store;
 use crate::{cli, operator};
+use super::block_on;
 
-/// Prints the plan, and writes it if asked to.
+/// Prints the plan and, with `--out`, writes it to a file for `confirm`.
 pub fn run(flags: &cli::Plan) -> Result<(), Error> {
-    let wish = wish(&flags.wish)?;
+    let wish = parse_wish(&flags.wish)?;
     let platform = address("platform", flags.platform.as_ref())?;
     let plan = block_on(async {
         let snapshot = operator::read_snapshot(&Store::new(platform)).await?;
         config::make_plan(&snapshot, &wish)
     })?;
-    let json = serde_json::to_string_pretty(&plan).expect("a plan is plain data");
+    let json = serde_json::to_string_pretty(&plan).expect("a plan can be serialised");
     if let Some(out) = &flags.out {
-        std::fs::write(out, &json).map_err(|fault| Error::file(Path::new(out), &fault))?;
+        std::fs::write(out, &json).map_err(|error| Error::file(Path::new(out), &error))?;
     }
     if flags.json {
         println!("{json}")
     } else {
-        print!("{}", words(&plan, flags.out.as_ref()))
+        print!("{}", to_text(&plan, flags.out.as_ref()))
     }
     Ok(())
 }
 
-fn wish(words: &[String]) -> Result<PlanSource, Error> {
+fn parse_wish(words: &[String]) -> Result<PlanSource, Error> {
     let what = "Name a file or folder of declarations, or an intent; see `kitepulley plan --help`.";
     let first = words.first().ok_or_else(|| Error::Usage(what.to_owned()))?;
     if words.len() == 1 && Path::new(first).exists() {
         return config::read_declarations(Path::new(first)).map(PlanSource::Declarations);
     }
     let text = words.join(" ");
-    let fault = |fault: crate::unit::ParseError| {
-        Error::Usage(format!("{fault} No file has that name either."))
+    let to_error = |error: crate::unit::ParseError| {
+        Error::Usage(format!("{error} There is no file of that name either."))
     };
-    text.parse().map(PlanSource::Intent).map_err(fault)
+    text.parse().map(PlanSource::Intent).map_err(to_error)
 }
 
-fn words(plan: &Plan, out: Option<&String>) -> String {
+fn to_text(plan: &Plan, out: Option<&String>) -> String {
     if plan.changes.is_empty() {
-        return format!("Nothing would change; revision {} stays.\n", plan.base);
+        return format!("Nothing would change; revision {} stays in force.\n", plan.base);
     }
     let mut text = format!("Plan {} on revision {}:\n", plan.id, plan.base);
-    for word in &plan.words {
-        text.push_str(&format!("  - {word}\n"));
+    for line in &plan.words {
+        text.push_str(&format!("  - {line}\n"));
     }
-    for word in &plan.irreversible {
-        text.push_str(&format!("  cannot be undone: {word}\n"));
+    for line in &plan.irreversible {
+        text.push_str(&format!("  irreversible: {line}\n"));
     }
     match out {
-        Some(out) => {
-            text.push_str(&format!("Nothing has changed. Apply it: kitepulley confirm {out}\n"))
-        }
-        None => {
-            text.push_str("Nothing has changed. To apply it, add --out FILE and confirm FILE.\n")
-        }
+        Some(out) => text.push_str(&format!(
+            "Nothing has changed yet. To apply the plan: kitepulley confirm {out}\n"
+        )),
+        None => text
+            .push_str("Nothing has changed yet. To apply it, add --out FILE and confirm FILE.\n"),
     }
     text
 }
--- a/src/command/standin.rs
+++ b/src/command/standin.rs
@@ -1,4 +1,4 @@
-//! `standin`: one stand-in until it is interrupted.
+//! `standin`: runs a stand-in for an external system until it is interrupted.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 use crate::unit::{Span, Target};
 use crate::{cli, options};
 
-/// Requests that may wait at an engine for each slot.
+/// Queue length of an engine, per slot.
 const QUEUE_PER_SLOT: u32 = 4;
 
-/// Time that a service's call takes.
+/// Processing time of a call to a service.
 const SERVICE_CALL_TIME: Span = Span::millis(5);
 
-/// Runs a stand-in.
+/// Runs the stand-in that the flags name; SIGINT ends it.
 pub fn run(flags: &cli::Standin) -> Result<(), Error> {
     let which = flags.which.as_deref().unwrap_or_default();
     if !["platform", "engine", "service", "rating"].contains(&which) {
@@ -37,7 +37,7 @@
         }
         _ => Engine::new(engine_profile(flags, lag)?, Sink::default()).launch(at)?,
     };
-    eprintln!("The stand-in of the {which} listens at {}.", running.address);
+    eprintln!("The stand-in for the {which} listens on {}.", running.address);
     block_on(async {
         let _ = actix_web::rt::signal::ctrl_c().await;
     });
@@ -47,10 +47,10 @@
 fn engine_profile(flags: &cli::Standin, lag: Span) -> Result<Profile, Error> {
     let mut versions = BTreeMap::new();
     for part in options::list::<String>("versions", flags.versions.as_ref())? {
-        let fault = || Error::flag("--versions", &part, "write MODEL@VERSION=QUALITY,...");
-        let (target, quality) = part.split_once('=').ok_or_else(fault)?;
-        let target: Target = target.parse().map_err(|_| fault())?;
-        let quality: f64 = quality.parse().map_err(|_| fault())?;
+        let to_error = || Error::flag("--versions", &part, "write MODEL@VERSION=QUALITY,...");
+        let (target, quality) = part.split_once('=').ok_or_else(to_error)?;
+        let target: Target = target.parse().map_err(|_| to_error())?;
+        let quality: f64 = quality.parse().map_err(|_| to_error())?;
         versions.insert(target, Behaviour { quality, errors: 0.0 });
     }
     let slots = with_default("slots", flags.slots.as_ref(), 16)?;
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they draw work from a common list and send it through a balancer.
+//! Callers, which take work from a shared list and send it to the VMs of a balancer.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,19 +10,19 @@
 use crate::history::{Ran, Sink};
 use crate::unit::Vm;
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLER_COUNT: usize = 32;
 
-/// Tries of a request that was refused as "not run" or whose VM did not answer.
+/// Attempts of a request that was refused as "not run" or whose VM could not be reached.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Wait before another try.
+/// Delay between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Time between setting a key aside and the call itself.
+/// Time between the reservation of a key and the call that uses it.
 const RESERVE_TO_CALL_DELAY: Duration = Duration::from_millis(400);
 
-/// The platform's balancer: the VMs that it believes to be ready.
+/// Round-robin balancer over the VMs that the platform believes to be ready.
 #[derive(Clone, Default)]
 pub struct Balancer {
     vms: Arc<RwLock<Vec<(Vm, SocketAddr)>>>,
@@ -30,7 +30,7 @@
 }
 
 impl Balancer {
-    /// Sets the VMs.
+    /// Replaces the list of VMs.
     pub fn set(&self, vms: Vec<(Vm, SocketAddr)>) {
         *self.vms.write().expect("no panic while held") = vms;
     }
@@ -42,20 +42,20 @@
     }
 }
 
-/// Work that is done, and how it went.
+/// Counters of the work so far.
 #[derive(Default)]
 pub struct Progress {
-    /// Pieces of work taken.
+    /// Units of work that callers have taken.
     pub taken: AtomicUsize,
-    /// Requests answered whole.
+    /// Attempts with a complete answer.
     pub whole: AtomicUsize,
-    /// Requests refused.
+    /// Attempts that were refused.
     pub refused: AtomicUsize,
-    /// Requests whose answer broke off or never came.
+    /// Attempts whose answer broke off or never came.
     pub broken: AtomicUsize,
 }
 
-/// Sends all work and returns when it is done.
+/// Sends all work and returns when it is finished.
 pub fn run(work: &Arc<Vec<Work>>, balancer: &Balancer, history: &Sink, progress: &Arc<Progress>) {
     actix_web::rt::System::new().block_on(async {
         let callers = (0..CALLER_COUNT).map(|i| {
@@ -83,29 +83,29 @@
             let at = self.progress.taken.fetch_add(1, Ordering::Relaxed);
             let Some(work) = work.get(at) else { return };
             match work {
-                Work::Single(ask) => {
-                    self.send(ask).await;
+                Work::Single(request) => {
+                    self.send(request).await;
                 }
-                Work::Twice(ask) => {
-                    futures_util::future::join(self.send(ask), self.send(ask)).await;
+                Work::Duplicate(request) => {
+                    futures_util::future::join(self.send(request), self.send(request)).await;
                 }
-                Work::Reserved(ask) => {
+                Work::Reserved(request) => {
                     let path = "/v1/reservations/tellimus-api".to_owned();
-                    let reserve = Request { path, ..ask.clone() };
+                    let reserve = Request { path, ..request.clone() };
                     self.send(&reserve).await;
                     tokio::time::sleep(RESERVE_TO_CALL_DELAY).await;
-                    self.send(ask).await;
+                    self.send(request).await;
                 }
-                Work::Talk(turns) => self.talk(turns).await,
+                Work::Conversation(turns) => self.converse(turns).await,
             }
         }
     }
 
-    async fn talk(&self, turns: &[Request]) {
+    async fn converse(&self, turns: &[Request]) {
         let mut session = "new".to_owned();
         for turn in turns {
-            let ask = Request { session: Some(session.clone()), ..turn.clone() };
-            let answer = self.send(&ask).await;
+            let request = Request { session: Some(session.clone()), ..turn.clone() };
+            let answer = self.send(&request).await;
             match answer.session {
                 Some(token) => session = token,
                 None => return,
@@ -113,24 +113,24 @@
         }
     }
 
-    /// Asks until there is an answer, or a refusal that asking again would not change.
-    async fn send(&self, ask: &Request) -> Answer {
+    /// Sends a request until there is an answer or a refusal that a retry would not change.
+    async fn send(&self, request: &Request) -> Answer {
         let mut answer = Answer::default();
         for _ in 0..MAX_ATTEMPTS {
             let Some((vm, address)) = self.balancer.next() else {
                 break;
             };
-            answer = self.client.send(address, &vm, ask).await;
+            answer = self.client.send(address, &vm, request).await;
             let counter = match (answer.whole, answer.ran) {
                 (true, _) => &self.progress.whole,
                 (false, Some(_)) if answer.status >= 300 => &self.progress.refused,
                 _ => &self.progress.broken,
             };
             counter.fetch_add(1, Ordering::Relaxed);
-            let again =
+            let is_retryable =
                 answer.connect_failed || answer.ran == Some(Ran::No) && answer.status >= 429;
-            let running = ask.key.is_some() && answer.status == 409;
-            if !again && !running {
+            let is_running = request.key.is_some() && answer.status == 409;
+            if !is_retryable && !is_running {
                 break;
             }
             tokio::time::sleep(RETRY_DELAY).await;
--- a/src/demo/work.rs
+++ b/src/demo/work.rs
@@ -1,4 +1,4 @@
-//! The work of both users, drawn from a seed.
+//! Workload of the demo, drawn from a seed: requests of two workspaces.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,29 +6,29 @@
 
 use super::client::Request;
 
-/// Turns of a conversation.
+/// Requests per conversation.
 const TURNS: usize = 4;
 
-/// One piece of work.
+/// One unit of work of a caller.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A single request.
     Single(Request),
-    /// A call that may not be repeated, sent twice with one key.
-    Twice(Request),
-    /// A call whose key is set aside first, as when a parent opens the form.
+    /// A call with an idempotency key, sent twice concurrently.
+    Duplicate(Request),
+    /// A call whose idempotency key is reserved first, as when a parent opens the form.
     Reserved(Request),
-    /// The turns of a conversation.
-    Talk(Vec<Request>),
+    /// The requests of a conversation, sent one after the other in one session.
+    Conversation(Vec<Request>),
 }
 
 impl Work {
-    /// Requests that it sends at least.
+    /// Returns the number of requests that it sends, without retries.
     pub fn requests(&self) -> usize {
         match self {
             Work::Single(_) => 1,
-            Work::Twice(_) | Work::Reserved(_) => 2,
-            Work::Talk(turns) => turns.len(),
+            Work::Duplicate(_) | Work::Reserved(_) => 2,
+            Work::Conversation(turns) => turns.len(),
         }
     }
 }
@@ -47,7 +47,7 @@
     }
 }
 
-fn confirm(number: u64) -> Request {
+fn enrolment(number: u64) -> Request {
     Request {
         path: "/v1/services/tellimus-api/enrolments".to_owned(),
         body: Some(json!({"seat": number})),
@@ -56,17 +56,17 @@
     }
 }
 
-fn talk(rng: &mut SmallRng) -> Vec<Request> {
+fn conversation(rng: &mut SmallRng) -> Vec<Request> {
     let number = rng.random::<u64>() >> 1;
     let turn = |i: usize| {
         let text = format!("conversation {number}, turn {i}");
-        let ask = chat("roastmind", &text, i.is_multiple_of(2), 16, "talk");
-        Request { talk: Some(number), ..ask }
+        let request = chat("roastmind", &text, i.is_multiple_of(2), 16, "talk");
+        Request { talk: Some(number), ..request }
     };
     (0..TURNS).map(turn).collect()
 }
 
-/// Work of about so many requests.
+/// Draws work of at least this many requests.
 pub fn draw(seed: u64, requests: usize) -> Vec<Work> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut all = Vec::new();
@@ -80,10 +80,10 @@
                 path: format!("/v1/services/tellimus-api/seats?centre={number}"),
                 ..Request::default()
             }),
-            65..73 => Work::Single(confirm(number)),
-            73..80 => Work::Reserved(confirm(number)),
-            80..90 => Work::Twice(confirm(number)),
-            _ => Work::Talk(talk(&mut rng)),
+            65..73 => Work::Single(enrolment(number)),
+            73..80 => Work::Reserved(enrolment(number)),
+            80..90 => Work::Duplicate(enrolment(number)),
+            _ => Work::Conversation(conversation(&mut rng)),
         };
         sent += work.requests();
         all.push(work);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
-//! Starts the program and prints one clear error.
+//! Runs the command line and prints an error as one sentence on standard error.
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if let Err(fault) = kitepulley::run(&arguments) {
-        eprintln!("kitepulley: {fault}");
-        std::process::exit(fault.exit_code());
+    if let Err(error) = kitepulley::run(&arguments) {
+        eprintln!("kitepulley: {error}");
+        std::process::exit(error.exit_code());
     }
 }
