--- a/src/forward/announce.rs
+++ b/src/forward/announce.rs
@@ -24,11 +24,12 @@
 /// Applies the report of another VM that an incarnation of a server drains, and relays it if it is
 /// new.
 pub fn on_drain(vm: &Rc<Vm>, from: &str, incarnation: &Incarnation) {
-    let Incarnation { server: id, started_at_ms: born, address } = incarnation;
+    let Incarnation { server: id, started_at_ms, address } = incarnation;
     let replica = {
         let mut fleet = vm.fleet.borrow_mut();
-        let server =
-            fleet.get_mut(id).filter(|one| one.replica.matches_incarnation(id, *born, *address));
+        let server = fleet
+            .get_mut(id)
+            .filter(|one| one.replica.matches_incarnation(id, *started_at_ms, *address));
         let Some(server) = server else { return };
         let leaves = Signal { draining: true, ..Signal::default() };
         if !server.availability.observe(leaves, vm.now()) {
@@ -38,7 +39,7 @@
     };
     let fields = [
         ("server", id.as_str().into()),
-        ("born_ms", born.unwrap_or_default().into()),
+        ("born_ms", started_at_ms.unwrap_or_default().into()),
         ("from", from.into()),
     ];
     vm.log("server drain reported by peer", &fields);
@@ -66,8 +67,15 @@
 }
 
 fn limit_message(replica: &Replica, news: Update, now: Moment) -> Message {
-    let (server, born, address) = (replica.id.clone(), replica.started_at_ms, replica.address);
-    Message::ServerLimit { server, born, address, rate: news.rate, age: now.since(news.as_of) }
+    let (server, started_at_ms, address) =
+        (replica.id.clone(), replica.started_at_ms, replica.address);
+    Message::ServerLimit {
+        server,
+        started_at_ms,
+        address,
+        rate: news.rate,
+        age: now.since(news.as_of),
+    }
 }
 
 /// Report of another VM on the rate limit of an incarnation of a server.
@@ -77,7 +85,7 @@
     /// Id of the server.
     pub server: &'a Server,
     /// Start of the incarnation, in milliseconds since 1970 by its own clock.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// Address on which the server listens.
     pub address: SocketAddr,
     /// Requests per second from all VMs together; `None` if there is no limit any more.
@@ -93,7 +101,7 @@
     let (replica, changed, relays) = {
         let mut fleet = vm.fleet.borrow_mut();
         let is_same = |replica: &Replica| {
-            replica.matches_incarnation(report.server, report.born, report.address)
+            replica.matches_incarnation(report.server, report.started_at_ms, report.address)
         };
         let server = fleet.get_mut(report.server).filter(|one| is_same(&one.replica));
         let Some(server) = server else { return };
@@ -105,7 +113,7 @@
     if changed {
         let fields = [
             ("server", report.server.as_str().into()),
-            ("born_ms", report.born.unwrap_or_default().into()),
+            ("born_ms", report.started_at_ms.unwrap_or_default().into()),
             ("from", report.from.into()),
             ("limit_per_s", report.rate.map_or(-1.0, |rate| rate.0).into()),
             ("age_ms", report.age.as_millis().into()),
--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -50,7 +50,7 @@
         }
         Kind::Evacuations | Kind::Vms => reconcile(vm, kind, objects, false, source),
     }
-    vm.listed.borrow_mut().insert(kind);
+    vm.listed_kinds.borrow_mut().insert(kind);
     None
 }
 
@@ -59,10 +59,10 @@
 /// brought draining servers back for 0.7 s.
 fn reconcile(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
     let listed: HashSet<&str> = objects.iter().map(|one| one.metadata.name.as_str()).collect();
-    let missing = vm.freshness.borrow_mut().missing_from_list(kind, &listed, source.as_of);
+    let missing = vm.positions.borrow_mut().missing_from_list(kind, &listed, source.as_of);
     // A server that a restored backup lacks counts as lapsed. Objects of other kinds stay until
     // their owners have had time to write them again.
-    if kind == Kind::Servers || vm.restored.borrow().is_none() {
+    if kind == Kind::Servers || vm.recent_restore.borrow().is_none() {
         for name in missing {
             remove_object(vm, kind, &name, may_lapse, source);
         }
@@ -78,7 +78,7 @@
 /// Records the object's position if it is at least as new as the known one. Returns true if it is.
 fn record_if_newest(vm: &Vm, kind: Kind, object: &Object, source: &Source) -> bool {
     let metadata = &object.metadata;
-    vm.freshness.borrow_mut().record(kind, &metadata.name, metadata.position, source.as_of)
+    vm.positions.borrow_mut().record(kind, &metadata.name, metadata.position, source.as_of)
 }
 
 fn log_stale(vm: &Vm, kind: Kind, count: usize, source: &Source) {
@@ -162,7 +162,7 @@
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         return;
     }
-    if !vm.freshness.borrow_mut().record_removal(kind, name, source.as_of) {
+    if !vm.positions.borrow_mut().record_removal(kind, name, source.as_of) {
         log_stale(vm, kind, 1, source);
         return;
     }
@@ -185,12 +185,12 @@
 /// Applies the state of the restored store that was held back to give owners time to write again,
 /// where none of them has.
 pub fn accept_restored(vm: &Vm) {
-    let Some(restore) = vm.restored.send_replace(None) else { return };
-    let as_of = restore.base.unwrap_or(Position::new(vm.era.newest(), 0));
+    let Some(restore) = vm.recent_restore.send_replace(None) else { return };
+    let as_of = restore.first_position.unwrap_or(Position::new(vm.era.newest(), 0));
     for kind in [Kind::Evacuations, Kind::Vms] {
         let read = vm.feed.borrow().freshness(kind);
         if read.is_some_and(|freshness| freshness.position.era == as_of.era) {
-            let missing = vm.freshness.borrow().last_seen_before(kind, as_of.era);
+            let missing = vm.positions.borrow().last_seen_before(kind, as_of.era);
             let source = Source { reader: None, as_of };
             missing.iter().for_each(|name| remove_object(vm, kind, name, false, &source));
         }
@@ -329,7 +329,7 @@
             return;
         }
         if known.is_same_order(&rollout) {
-            if is_restored || vm.restored.borrow().is_some() {
+            if is_restored || vm.recent_restore.borrow().is_some() {
                 rollout.keep_progress(&known);
             }
         } else if is_restored && vm.may_be_outdated(rollout.position) {
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -8,7 +8,7 @@
 
 use super::call::Response;
 use super::connection::{Connection, Fault};
-use super::job::{Job, OpenRequest, PendingPrompt};
+use super::job::{Job, OpenRequestGuard, PendingPrompt};
 use super::replica::Replica;
 use super::sse::{Batch, EventBuffer};
 use super::vm::Vm;
@@ -59,7 +59,7 @@
     /// When the first event, or the end of the stream, arrived.
     pub started_at: Moment,
     /// Counts the request as open at the server until the stream is dropped.
-    pub open: OpenRequest,
+    pub open: OpenRequestGuard,
 }
 
 impl Stream {
@@ -99,7 +99,7 @@
     until: Moment,
 ) -> Outcome {
     let vm = &job.vm;
-    let open = OpenRequest::new(vm, replica);
+    let open = OpenRequestGuard::new(vm, replica);
     let restarted = open.server_restarted();
     let mut sent = false;
     let left = until.since(vm.now()).duration();
@@ -170,7 +170,7 @@
     model: Option<&Model>,
     last_event_id: Option<u64>,
     pending: &PendingPrompt,
-    open: OpenRequest,
+    open: OpenRequestGuard,
     sent: &mut bool,
 ) -> Outcome {
     let vm = &job.vm;
@@ -184,10 +184,10 @@
         Ok(connection) => connection,
         Err(fault) => return outcome_of(fault),
     };
-    let forbidden = vm.fleet.borrow().unavailable_reason(replica, vm.now());
-    if let Some(bar) = forbidden {
+    let unavailable = vm.fleet.borrow().unavailable_reason(replica, vm.now());
+    if let Some(unavailable) = unavailable {
         release_connection(job, replica, connection, None);
-        return Outcome::without_response(AttemptOutcome::Withheld, bar.to_string());
+        return Outcome::without_response(AttemptOutcome::Withheld, unavailable.to_string());
     }
     if let Err(reason) = pending.permit.consume(vm.now()) {
         release_connection(job, replica, connection, None);
@@ -342,7 +342,7 @@
 async fn read_first_event(
     vm: &Vm,
     connection: Connection,
-    open: OpenRequest,
+    open: OpenRequestGuard,
     head: ResponseHead,
     response: Response,
 ) -> Outcome {
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -52,9 +52,9 @@
 struct Progress {
     tried: Vec<Replica>,
     /// Attempts that failed before a byte was sent.
-    unsent: u32,
+    unsent_attempts: u32,
     /// The same since the model last changed.
-    unsent_of_model: u32,
+    unsent_attempts_of_model: u32,
     may_have_run: bool,
     /// The latest error response of a server, delivered if no later attempt succeeds.
     failure: Option<(ResponseHead, Bytes)>,
@@ -107,7 +107,7 @@
             progress.tried.pop();
             progress.escalated = true;
             progress.fallback_model = model.replace(larger);
-            progress.unsent_of_model = 0;
+            progress.unsent_attempts_of_model = 0;
             continue;
         }
         match outcome::next(outcome.end, job.route.retry) {
@@ -120,8 +120,8 @@
         }
         let end = outcome.end;
         let unsent = u32::from(end.is_unsent());
-        progress.unsent += unsent;
-        progress.unsent_of_model += unsent;
+        progress.unsent_attempts += unsent;
+        progress.unsent_attempts_of_model += unsent;
         progress.may_have_run |=
             matches!(end, AttemptOutcome::Broken | AttemptOutcome::Failed | AttemptOutcome::Late);
         if let (AttemptOutcome::Failed, Some((head, _))) = (end, outcome.head) {
@@ -146,7 +146,7 @@
     }
     *model = progress.fallback_model.take();
     progress.tried.clear();
-    progress.unsent_of_model = 0;
+    progress.unsent_attempts_of_model = 0;
     true
 }
 
@@ -237,7 +237,7 @@
 
 /// Returns the number of attempts that count towards the route's limit.
 fn counted_attempts(job: &Job, progress: &Progress) -> u32 {
-    job.record.attempts().saturating_sub(progress.unsent)
+    job.record.attempts().saturating_sub(progress.unsent_attempts)
 }
 
 /// Returns true if a request whose attempt timed out may be retried at another server.
@@ -248,7 +248,8 @@
 
 fn may_retry(job: &Job, progress: &Progress, end: AttemptOutcome) -> bool {
     let now = job.vm.now();
-    if job.left(now) < MIN_ATTEMPT_TIME || progress.unsent_of_model >= MAX_UNSENT_ATTEMPTS {
+    if job.left(now) < MIN_ATTEMPT_TIME || progress.unsent_attempts_of_model >= MAX_UNSENT_ATTEMPTS
+    {
         return false;
     }
     if end.is_unsent() {
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -35,7 +35,7 @@
     /// Position of the store that the state reflects.
     pub position: Position,
     /// When the read was sent that returned it; later changes may be missing.
-    pub sent: Moment,
+    pub read_sent_at: Moment,
 }
 
 /// Freshness of a kind as sent to a follower, with an age instead of a local time.
@@ -101,7 +101,7 @@
     /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<rollout_counts::VersionVerdict>,
     /// Request contents that the sender holds back.
-    pub held: Vec<poison::QuarantinedContent>,
+    pub quarantined: Vec<poison::QuarantinedContent>,
 }
 
 impl Update {
@@ -131,7 +131,7 @@
     /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<rollout_counts::VersionVerdict>,
     /// Request contents that the sender holds back.
-    pub held: Vec<poison::QuarantinedContent>,
+    pub quarantined: Vec<poison::QuarantinedContent>,
 }
 
 /// The objects that a VM knows, and the order of their last changes.
@@ -144,7 +144,7 @@
     /// Cache of packed changes, by the number of changes that the follower lacks (none: it gets all
     /// objects). Cleared at the next change; it serves, say, fifty followers that poll at the same
     /// time and lack the same changes.
-    packed: RefCell<HashMap<Option<u64>, Packed>>,
+    packed_cache: RefCell<HashMap<Option<u64>, Packed>>,
 }
 
 struct Stored {
@@ -177,9 +177,10 @@
 
     /// Records that a read of a kind, sent at `sent`, was answered and its objects were applied.
     pub fn record_read(&mut self, kind: Kind, position: Position, sent: Moment) {
-        let known = self.freshness.entry(kind).or_insert(Freshness { position, sent });
+        let known =
+            self.freshness.entry(kind).or_insert(Freshness { position, read_sent_at: sent });
         known.position = known.position.max(position);
-        known.sent = known.sent.max(sent);
+        known.read_sent_at = known.read_sent_at.max(sent);
     }
 
     /// Inserts or replaces an object. The caller makes sure that the state is the newest: each kind
@@ -211,7 +212,7 @@
 
     fn push_change(&mut self, change: ChangeRecord) {
         self.cursor.sequence += 1;
-        self.packed.get_mut().clear();
+        self.packed_cache.get_mut().clear();
         self.changes.push_back(change);
         if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
@@ -219,7 +220,7 @@
     }
 
     /// Returns the update for a follower at `cursor`.
-    pub fn since(&self, cursor: Cursor, status: Status, now: Moment) -> Update {
+    pub fn update_since(&self, cursor: Cursor, status: Status, now: Moment) -> Update {
         let behind = self.cursor.sequence.checked_sub(cursor.sequence).filter(|behind| {
             cursor.epoch == self.cursor.epoch && *behind <= self.changes.len() as u64
         });
@@ -233,13 +234,13 @@
             restore: status.restore,
             freshness: self.staleness(now),
             verdicts: status.verdicts,
-            held: status.held,
+            quarantined: status.quarantined,
         }
     }
 
     /// Returns the last `behind` changes, or all objects if it is none, packed for sending.
     fn packed(&self, behind: Option<u64>) -> Packed {
-        let mut packed = self.packed.borrow_mut();
+        let mut packed = self.packed_cache.borrow_mut();
         let made = packed.entry(behind).or_insert_with(|| {
             let changes = behind
                 .map_or_else(|| self.all_objects(), |behind| self.latest_changes(behind as usize));
@@ -269,7 +270,7 @@
         let staleness = |(kind, freshness): (&Kind, &Freshness)| Staleness {
             kind: *kind,
             position: freshness.position,
-            age: now.since(freshness.sent),
+            age: now.since(freshness.read_sent_at),
         };
         self.freshness.iter().map(staleness).collect()
     }
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -34,18 +34,18 @@
     let mut follower = Follower {
         vm,
         started,
-        asked: SourceHistory::default(),
+        source_history: SourceHistory::default(),
         cursors: HashMap::new(),
         servers_as_of: None,
-        lost_since: None,
-        tally: SentCounts::default(),
+        store_lost_since: None,
+        sent_counts: SentCounts::default(),
     };
     loop {
         let pause = if follower.poll().await { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let expected = follower.vm.now() + pause;
-        let asked_again = follower.vm.reader_search.notified();
-        if tokio::time::timeout(pause.duration(), asked_again).await.is_ok() {
-            follower.asked.clear_declined();
+        let search_requested = follower.vm.reader_search.notified();
+        if tokio::time::timeout(pause.duration(), search_requested).await.is_ok() {
+            follower.source_history.clear_declined();
         }
         let now = follower.vm.now();
         if now.since(expected) >= STALL_THRESHOLD {
@@ -59,15 +59,15 @@
     vm: Rc<Vm>,
     /// When the polls began.
     started: Moment,
-    asked: SourceHistory,
+    source_history: SourceHistory,
     /// Cursor in the feed of each VM.
     cursors: HashMap<Name, Cursor>,
     /// The time that its state of the servers reflects; none while it reads the store itself.
     servers_as_of: Option<Moment>,
     /// Since when the VMs that answer report that the store is down.
-    lost_since: Option<Moment>,
+    store_lost_since: Option<Moment>,
     /// What was sent to each VM about versions that are rolled out.
-    tally: SentCounts,
+    sent_counts: SentCounts,
 }
 
 /// The VMs that may be polled.
@@ -82,9 +82,9 @@
 /// Outcome of one poll.
 struct Outcome {
     name: Name,
-    asked: Moment,
+    requested_at: Moment,
     /// Counts of versions that were sent with the request.
-    seen: Vec<Observations>,
+    counts: Vec<Observations>,
     reply: Response,
 }
 
@@ -124,7 +124,7 @@
 
     /// Returns the timeout of the next poll, or none if the state of the servers is too old to wait
     /// for an answer. While the store is reported down, VMs are polled however old the state is.
-    fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
+    fn poll_timeout(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.upstream_store_lost.get() || self.is_store_reported_down(candidates);
         answer_timeout(
@@ -135,15 +135,19 @@
     }
 
     fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
-        self.asked.is_store_reported_lost(&candidates.own, candidates.group.iter(), self.vm.now())
+        self.source_history.is_store_reported_lost(
+            &candidates.own,
+            candidates.group.iter(),
+            self.vm.now(),
+        )
     }
 
     /// Returns true if this VM has just started and has got no update yet.
     fn is_starting(&self) -> bool {
-        self.servers_as_of.is_none() && self.is_young()
+        self.servers_as_of.is_none() && self.is_in_startup_wait()
     }
 
-    fn is_young(&self) -> bool {
+    fn is_in_startup_wait(&self) -> bool {
         self.vm.now().since(self.started) < STARTUP_WAIT
     }
 
@@ -154,24 +158,24 @@
         let peers = vm.peers.borrow();
         let (group, others) = peers.groups(&vm.settings.data_centre);
         let firsts = others.into_values();
-        let firsts =
-            firsts.filter_map(|group| self.asked.first_responsive(group.iter(), now).cloned());
+        let firsts = firsts
+            .filter_map(|group| self.source_history.first_responsive(group.iter(), now).cloned());
         let firsts = firsts.collect();
         Candidates { own, group, firsts }
     }
 
-    fn place(&self, candidates: &Candidates) -> decide::Place {
-        self.asked.place(&candidates.own, candidates.group.iter(), self.vm.now())
+    fn own_place(&self, candidates: &Candidates) -> decide::Place {
+        self.source_history.place(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
     /// Updates since when this VM is the first of its group, and whether so many firsts of
     /// other groups rank before it that it may try the store rarely.
     fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
-        let is_first = self.place(candidates) == decide::Place::First;
+        let is_first = self.own_place(candidates) == decide::Place::First;
         let since = self.vm.first_in_group_since.get();
         self.vm.first_in_group_since.set(is_first.then(|| since.unwrap_or(now)));
-        let among = self.asked.place(&candidates.own, candidates.firsts.iter(), now);
+        let among = self.source_history.place(&candidates.own, candidates.firsts.iter(), now);
         self.vm.probes_rarely.set(among == decide::Place::Behind);
     }
 
@@ -179,12 +183,12 @@
     /// of a group, the first of another group.
     fn next_target(&self, candidates: &Candidates) -> Option<Name> {
         let now = self.vm.now();
-        let next = if self.place(candidates) != decide::Place::First {
-            self.asked.next_source(&candidates.own, candidates.group.iter(), now)
+        let next = if self.own_place(candidates) != decide::Place::First {
+            self.source_history.next_source(&candidates.own, candidates.group.iter(), now)
         } else if self.vm.store_lost.get() || self.vm.store_suspect.get() {
-            self.asked.any_source(candidates.firsts.iter(), now)
+            self.source_history.any_source(candidates.firsts.iter(), now)
         } else {
-            self.asked.next_source(&candidates.own, candidates.firsts.iter(), now)
+            self.source_history.next_source(&candidates.own, candidates.firsts.iter(), now)
         };
         next.cloned()
     }
@@ -192,53 +196,59 @@
     /// Polls a VM, if there is one and there is time for it.
     async fn poll_vm(&self, name: Option<Name>, candidates: &Candidates) -> Option<Outcome> {
         let (name, vm) = (name?, &self.vm);
-        let asked = vm.now();
+        let requested_at = vm.now();
         let within = match self.is_starting() {
             true => FIRST_ANSWER_TIMEOUT,
-            false => self.time_to_ask(candidates)?,
+            false => self.poll_timeout(candidates)?,
         };
         let cursor = self.cursors.get(&name).copied().unwrap_or_default();
         let is_first = vm.first_in_group_since.get().is_some();
-        let seen = self.tally.unsent(vm, &name, is_first);
+        let counts = self.sent_counts.unsent(vm, &name, is_first);
         let address = vm.peers.borrow().address(&name);
         let reply = match address {
-            Some(address) => poll::request(vm, address, cursor, &seen, within).await,
+            Some(address) => poll::request_updates(vm, address, cursor, &counts, within).await,
             None => Response::NoAnswer,
         };
-        Some(Outcome { name, asked, seen, reply })
+        Some(Outcome { name, requested_at, counts, reply })
     }
 
     /// Applies the outcome of a poll.
     fn apply_outcome(&mut self, answer: Option<Outcome>) -> Gain {
-        let Some(Outcome { name, asked, seen, reply }) = answer else { return Gain::None };
+        let Some(Outcome { name, requested_at, counts, reply }) = answer else {
+            return Gain::None;
+        };
         let now = self.vm.now();
         if !matches!(reply, Response::NoAnswer) {
             peer::on_contact(&self.vm, &name);
-            self.tally.record_sent(&name, seen);
+            self.sent_counts.record_sent(&name, counts);
         }
         match reply {
-            Response::Update(update) => return self.apply_update(&name, asked, &update),
-            Response::Declined(Decline::KnowsTooLittle) => self.asked.on_not_ready(&name, now),
-            Response::Declined(_) => self.asked.on_declined(&name, now),
-            Response::NoAnswer if self.is_starting() => self.asked.on_startup_timeout(&name, now),
-            Response::NoAnswer => self.asked.on_timeout(&name, now),
+            Response::Update(update) => return self.apply_update(&name, requested_at, &update),
+            Response::Declined(Decline::KnowsTooLittle) => {
+                self.source_history.on_not_ready(&name, now)
+            }
+            Response::Declined(_) => self.source_history.on_declined(&name, now),
+            Response::NoAnswer if self.is_starting() => {
+                self.source_history.on_startup_timeout(&name, now)
+            }
+            Response::NoAnswer => self.source_history.on_timeout(&name, now),
         }
         Gain::None
     }
 
-    fn apply_update(&mut self, from: &Name, asked: Moment, update: &Update) -> Gain {
+    fn apply_update(&mut self, from: &Name, requested_at: Moment, update: &Update) -> Gain {
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
         let is_lost = update.store == Reachability::Down;
         if !may_accept(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
-            self.asked.on_declined(from, vm.now());
+            self.source_history.on_declined(from, vm.now());
             return Gain::None;
         }
         if is_lost {
             // Another VM may reach the store. This one is still polled, to learn when the store is
             // back.
-            self.asked.on_store_lost(from, vm.now());
-            let lost_since = *self.lost_since.get_or_insert(vm.now());
+            self.source_history.on_store_lost(from, vm.now());
+            let lost_since = *self.store_lost_since.get_or_insert(vm.now());
             if *vm.role.borrow() == Role::Joins
                 && vm.now().since(lost_since) < STORE_LOSS_CONFIRMED_AFTER
             {
@@ -248,36 +258,39 @@
         let position = update.position();
         if position.era < vm.era.newest() {
             vm.log("update from an older era ignored", &[("from", from.as_str().into())]);
-            self.asked.on_declined(from, vm.now());
+            self.source_history.on_declined(from, vm.now());
             return Gain::None;
         }
-        vm.enter_era_with(position.era, update.restore.as_ref().map(|restore| restore.at(asked)));
+        vm.enter_era_with(
+            position.era,
+            update.restore.as_ref().map(|restore| restore.to_restore(requested_at)),
+        );
         let Some(changes) = update.changes.changes() else {
             let bytes = ("bytes", update.changes.size().into());
             vm.log("invalid update ignored", &[("from", from.as_str().into()), bytes]);
-            self.asked.on_declined(from, vm.now());
+            self.source_history.on_declined(from, vm.now());
             return Gain::None;
         };
         self.cursors.insert(from.clone(), update.cursor);
         if !is_lost {
-            vm.on_store_report(update.store, asked);
+            vm.on_store_report(update.store, requested_at);
         }
         rollout_counts::apply_verdicts(&vm, &update.verdicts);
-        poison::on_quarantine_list(&vm, from.as_str(), &update.held, asked);
-        apply_contents(&vm, asked, from, update, &changes);
+        poison::on_quarantine_list(&vm, from.as_str(), &update.quarantined, requested_at);
+        apply_contents(&vm, requested_at, from, update, &changes);
         let disputed = update.restore.iter().flat_map(|restore| &restore.disputed);
         disputed.for_each(|incarnation| vm.fleet.borrow_mut().dispute(incarnation, vm.now()));
         let age = update.staleness_of(Kind::Servers).map(|staleness| staleness.age);
-        self.servers_as_of = self.servers_as_of.max(dated_at(asked, age));
-        vm.origin.replace(Some(Origin { reader: reader.clone(), hops: hops + 1 }));
+        self.servers_as_of = self.servers_as_of.max(dated_at(requested_at, age));
+        vm.updates_origin.replace(Some(Origin { reader: reader.clone(), hops: hops + 1 }));
         if is_lost {
             if *vm.role.borrow() == Role::Joins {
                 become_follower(&vm, from, update);
             }
             return Gain::Stale;
         }
-        self.asked.on_update(from);
-        self.lost_since = None;
+        self.source_history.on_update(from);
+        self.store_lost_since = None;
         become_follower(&vm, from, update);
         Gain::Fresh
     }
@@ -293,12 +306,12 @@
         let now = vm.now();
         let bound = vm.settings.bounds.drain_within;
         let without = FollowerState {
-            place: self.place(candidates),
+            place: self.own_place(candidates),
             has_other_groups: !candidates.firsts.is_empty(),
             has_source: self.next_target(candidates).is_some(),
             is_store_lost: self.is_store_reported_down(candidates),
             has_snapshot: self.servers_as_of.is_some(),
-            is_starting: self.is_young(),
+            is_starting: self.is_in_startup_wait(),
             is_overdue: answer_timeout(self.servers_as_of, bound, now).is_none(),
         };
         if decide::should_read_store(&without) {
@@ -307,18 +320,20 @@
             return true;
         }
         is_reported_down
-            && self.lost_since.is_some_and(|since| now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
+            && self
+                .store_lost_since
+                .is_some_and(|since| now.since(since) >= STORE_LOSS_CONFIRMED_AFTER)
     }
 }
 
 /// Returns the time that a state reflects whose age was `age` in the response to a request sent at
-/// `asked`.
-fn dated_at(asked: Moment, age: Option<Span>) -> Option<Moment> {
-    Some(Moment(asked.0.saturating_sub(age?.0)))
+/// `requested_at`.
+fn dated_at(requested_at: Moment, age: Option<Span>) -> Option<Moment> {
+    Some(Moment(requested_at.0.saturating_sub(age?.0)))
 }
 
-/// Applies the objects, freshness and proof of an update that was requested at `asked`.
-fn apply_contents(vm: &Vm, asked: Moment, from: &Name, update: &Update, changes: &[Change]) {
+/// Applies the objects, freshness and proof of an update that was requested at `requested_at`.
+fn apply_contents(vm: &Vm, requested_at: Moment, from: &Name, update: &Update, changes: &[Change]) {
     if update.is_full {
         for kind in Kind::ALL {
             let of_kind = changes.iter().filter(|change| change.kind == kind);
@@ -331,13 +346,13 @@
         changes.iter().for_each(|change| apply_change(vm, &source(change.kind), change));
     }
     for staleness in &update.freshness {
-        if let Some(sent) = dated_at(asked, Some(staleness.age)) {
+        if let Some(sent) = dated_at(requested_at, Some(staleness.age)) {
             vm.feed.borrow_mut().record_read(staleness.kind, staleness.position, sent);
         }
     }
     // The clock starts with the process, so an earlier proof can't be dated.
     if let Some(proof) = update.proof
-        && let Some(at) = asked.0.checked_sub(proof.age.0)
+        && let Some(at) = requested_at.0.checked_sub(proof.age.0)
     {
         apply::record_proof(vm, Moment(at), proof.configuration);
     }
@@ -407,7 +422,7 @@
     vm.upstream_store_lost.set(false);
     vm.store_untested.set(without.is_store_lost);
     vm.proof_requested.notify_one();
-    vm.origin.replace(None);
+    vm.updates_origin.replace(None);
     vm.trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
     vm.role.send_replace(Role::Reads);
 }
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -162,7 +162,7 @@
     outcome: RefCell<String>,
     attempts: Cell<u32>,
     trail: RefCell<String>,
-    first: Cell<Option<Span>>,
+    response_time: Cell<Option<Span>>,
 }
 
 impl Record {
@@ -182,7 +182,7 @@
             outcome: RefCell::new("caller left".to_owned()),
             attempts: Cell::new(0),
             trail: RefCell::default(),
-            first: Cell::new(None),
+            response_time: Cell::new(None),
             vm,
         }
     }
@@ -240,10 +240,10 @@
             let _ = write!(trail, " expected {expected}");
         }
         let _ = write!(trail, " load {:.0}", estimate.load);
-        if let Some(bar) = estimate.bar {
-            let _ = write!(trail, " despite {bar}");
+        if let Some(unavailable) = estimate.unavailable {
+            let _ = write!(trail, " despite {unavailable}");
         }
-        if let Some((rate, age)) = estimate.limit {
+        if let Some((rate, age)) = estimate.reported_limit {
             let _ = write!(trail, " limit {rate} first reported {age} ago");
         }
     }
@@ -291,7 +291,7 @@
 
     /// Marks the moment at which the response, or its first event, goes to the caller.
     pub fn mark_response_started(&self, now: Moment) {
-        self.first.set(Some(now.since(self.arrived)));
+        self.response_time.set(Some(now.since(self.arrived)));
     }
 
     /// Sets how the request ended. The text is also the `outcome` label of a metric.
@@ -307,7 +307,7 @@
         vm.metrics.running.set(vm.running.get() as i64);
         let outcome = self.outcome.borrow();
         vm.metrics.requests.with_label_values(&[self.route.as_str(), outcome.as_str()]).inc();
-        if let Some(first) = self.first.get() {
+        if let Some(first) = self.response_time.get() {
             let histogram = vm.metrics.response_time.with_label_values(&[self.route.as_str()]);
             histogram.observe(first.as_secs());
         }
@@ -329,7 +329,7 @@
                 ("trail", self.trail.borrow().as_str().into()),
                 ("revision", self.revision.into()),
                 ("proof_age_ms", self.proof_age.map_or(-1.0, Span::as_millis).into()),
-                ("first_ms", self.first.get().map_or(-1.0, Span::as_millis).into()),
+                ("first_ms", self.response_time.get().map_or(-1.0, Span::as_millis).into()),
                 ("took_ms", took.as_millis().into()),
             ],
         );
@@ -371,22 +371,22 @@
 
 /// A request that is open at a server. It counts towards the load of that incarnation of the server
 /// until this is dropped.
-pub struct OpenRequest {
+pub struct OpenRequestGuard {
     vm: Rc<Vm>,
     replica: Replica,
     restarted: Rc<Notify>,
 }
 
-impl OpenRequest {
+impl OpenRequestGuard {
     /// Counts a request as open at a server.
-    pub fn new(vm: &Rc<Vm>, replica: &Replica) -> OpenRequest {
+    pub fn new(vm: &Rc<Vm>, replica: &Replica) -> OpenRequestGuard {
         let mut fleet = vm.fleet.borrow_mut();
         let server = fleet.incarnation_mut(replica);
         let restarted = server.map(|server| {
             server.load.on_open();
             server.superseded.clone()
         });
-        OpenRequest {
+        OpenRequestGuard {
             vm: vm.clone(),
             replica: replica.clone(),
             restarted: restarted.unwrap_or_default(),
@@ -400,7 +400,7 @@
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         if let Some(server) = self.vm.fleet.borrow_mut().incarnation_mut(&self.replica) {
             server.load.on_close();
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -46,8 +46,8 @@
                 vm.log("key of the links not read", &[("why", "the object has no key".into())]);
             }
             Ok(None) => {}
-            Err(trouble) => {
-                let why = trouble.to_string();
+            Err(error) => {
+                let why = error.to_string();
                 vm.log("key of the links not read", &[("why", why.as_str().into())]);
             }
         }
@@ -80,27 +80,27 @@
     match store.get(KEY_KIND, LINK_KEY, Consistency::Stale).await {
         // A stale read may be of an older era too; the store is up all the same.
         Ok(_) | Err(StoreError::StaleEra) => Ok(()),
-        Err(trouble) => Err(trouble),
+        Err(error) => Err(error),
     }
 }
 
 /// Lists the VMs that are registered in the store, and registers this one if it is not among them.
 pub async fn join(vm: &Vm, store: &mut Client, address: SocketAddr) {
     let entry = PeerInfo::of(&vm.settings, address);
-    if list_members(vm, store, &entry, Consistency::Stale).await {
+    if list_and_check_own_entry(vm, store, &entry, Consistency::Stale).await {
         return;
     }
     register(vm, store, &json!(entry)).await;
-    if has_predecessor(vm) {
+    if has_better_ranked_peer(vm) {
         return;
     }
     for _ in 0..STALE_RELISTS {
         tokio::time::sleep(RELIST_INTERVAL).await;
-        if list_members(vm, store, &entry, Consistency::Stale).await {
+        if list_and_check_own_entry(vm, store, &entry, Consistency::Stale).await {
             return;
         }
     }
-    list_members(vm, store, &entry, Consistency::Strong).await;
+    list_and_check_own_entry(vm, store, &entry, Consistency::Strong).await;
 }
 
 /// Writes this VM's entry and the key again if a restored backup lacks them. Returns the era in
@@ -119,7 +119,7 @@
     if vm.is_reader() && !restore_key(vm, store, key).await {
         return None;
     }
-    let is_registered = vm.freshness.borrow().was_seen_in(Kind::Vms, vm.settings.vm.as_str(), era);
+    let is_registered = vm.positions.borrow().was_seen_in(Kind::Vms, vm.settings.vm.as_str(), era);
     if !is_registered {
         vm.log("VM registered again after a restore", &[("era", era.0.into())]);
         register(vm, store, &json!(PeerInfo::of(&vm.settings, address))).await;
@@ -135,8 +135,8 @@
         Ok(_) => vm.log("key of the links written again after a restore", &[]),
         Err(StoreError::Conflict(Some(object))) if object.spec["key"] == key => {}
         Err(StoreError::Conflict(_)) => vm.log("the store has a different key of the links", &[]),
-        Err(trouble) => {
-            let why = trouble.to_string();
+        Err(error) => {
+            let why = error.to_string();
             vm.log("key of the links not written", &[("why", why.as_str().into())]);
             return false;
         }
@@ -146,7 +146,12 @@
 
 /// Lists and applies the VMs that are registered. Returns true if this VM's entry is among them,
 /// unchanged.
-async fn list_members(vm: &Vm, store: &mut Client, entry: &PeerInfo, read: Consistency) -> bool {
+async fn list_and_check_own_entry(
+    vm: &Vm,
+    store: &mut Client,
+    entry: &PeerInfo,
+    read: Consistency,
+) -> bool {
     let call = if read == Consistency::Strong { "list-vms" } else { "list-vms-stale" };
     let listed = store.list(VMS, read).await;
     vm.count_store_call(call, &listed);
@@ -160,15 +165,15 @@
                 serde_json::from_value(own.spec.clone()).ok().as_ref() == Some(entry)
             })
         }
-        Err(trouble) => {
-            let why = trouble.to_string();
+        Err(error) => {
+            let why = error.to_string();
             vm.log("list of VMs failed", &[("why", why.as_str().into())]);
             false
         }
     }
 }
 
-fn has_predecessor(vm: &Vm) -> bool {
+fn has_better_ranked_peer(vm: &Vm) -> bool {
     let (group, _) = vm.peers.borrow().groups(&vm.settings.data_centre);
     let own = vm.rank();
     group.iter().any(|rank| *rank < own)
@@ -190,8 +195,8 @@
         }
         match written {
             Ok(_) => return,
-            Err(trouble) => {
-                let why = trouble.to_string();
+            Err(error) => {
+                let why = error.to_string();
                 vm.log("registration of this VM failed", &[("why", why.as_str().into())]);
                 tokio::time::sleep(backoff.next_delay(MAX_BACKOFF).duration()).await;
             }
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::pinned::Draw;
+use super::pinned_sessions::Draw;
 use super::poison;
 use super::replica::Incarnation;
 use super::settings::Settings;
@@ -52,7 +52,7 @@
         /// Id of the server.
         server: Server,
         /// Start of the incarnation, in milliseconds since 1970 by its own clock.
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
         /// Address on which the server listens.
         address: SocketAddr,
         /// Requests per second from all VMs together; `None` if there is no limit any more.
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -16,7 +16,7 @@
 use super::role::Role;
 use super::trial::Source;
 use super::vm::Vm;
-use super::{membership, pinned, poison, poll};
+use super::{membership, pinned_sessions, poison, poll};
 use crate::decide::reader::Rank;
 use crate::decide::server_limit;
 use crate::peer::wire::{decode, encode};
@@ -32,7 +32,7 @@
 const FULL_MESH_MAX: usize = 12;
 
 /// Time between two checks of the peers.
-const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const PEER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A peer that was sent nothing for this long gets a heartbeat.
 const HEARTBEAT_INTERVAL: Span = Span::secs(2);
@@ -164,7 +164,7 @@
         if joined < vm.era.newest() {
             joined = membership::reregister(&vm, &mut store, address, &key).await.unwrap_or(joined);
         }
-        tokio::time::sleep(CHECK_INTERVAL).await;
+        tokio::time::sleep(PEER_CHECK_INTERVAL).await;
     }
 }
 
@@ -217,15 +217,15 @@
             trials.entry(service).or_default().merge_totals(Source::Vm(from), &version, routes);
         }
         Message::PinnedSessions { service, version, draws } => {
-            pinned::on_pinned(vm, &service, &version, draws)
+            pinned_sessions::on_pinned_sessions(vm, &service, &version, draws)
         }
         Message::Poison(news) => poison::on_message(vm, from.as_str(), &news),
         Message::ServerDraining(life) => announce::on_drain(vm, from.as_str(), &life),
-        Message::ServerLimit { server, born, address, rate, age } => {
+        Message::ServerLimit { server, started_at_ms, address, rate, age } => {
             let from = from.as_str();
             announce::on_limit(
                 vm,
-                &LimitReport { from, server: &server, born, address, rate, age },
+                &LimitReport { from, server: &server, started_at_ms, address, rate, age },
             );
         }
     }
@@ -287,8 +287,8 @@
         vm.log("peer removed", &[("peer", name.as_str().into())]);
         let deleted = store.delete(VMS, name.as_str()).await;
         vm.count_store_call("entry-delete", &deleted);
-        if let Err(trouble) = deleted {
-            let why = trouble.to_string();
+        if let Err(error) = deleted {
+            let why = error.to_string();
             vm.log("failed to delete peer entry", &[("why", why.as_str().into())]);
         }
     }
--- a/src/forward/pinned.rs
+++ b/src/forward/pinned_sessions.rs
@@ -17,11 +17,11 @@
 
 /// Interval between two checks. The first sessions move to a new version a second after the order
 /// at the earliest.
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const PIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Validity of a pin, in maximum gaps between the requests of a session. It is sent again after one
 /// gap.
-const VALID_GAPS: u64 = 2;
+const PIN_VALIDITY_GAPS: u64 = 2;
 
 /// Maximum number of sessions in a message.
 const MAX_DRAWS_PER_MESSAGE: usize = 500;
@@ -53,7 +53,7 @@
 impl PinnedSessions {
     /// Returns true if a VM has reported the session as pinned to the old version.
     pub fn is_pinned(&self, draw: Draw, gap: Span, now: Moment) -> bool {
-        self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * VALID_GAPS))
+        self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * PIN_VALIDITY_GAPS))
     }
 
     /// Records draws that are sent or received. Returns those that were not recorded within the
@@ -66,7 +66,7 @@
     ) -> Vec<Draw> {
         if now.since(self.last_sweep) > gap {
             self.last_sweep = now;
-            self.seen_at.retain(|_, at| now.since(*at) < Span(gap.0 * VALID_GAPS));
+            self.seen_at.retain(|_, at| now.since(*at) < Span(gap.0 * PIN_VALIDITY_GAPS));
         }
         let is_new = |draw: &Draw| self.seen_at.get(draw).is_none_or(|at| now.since(*at) >= gap);
         let unseen: Vec<Draw> = draws.filter(is_new).collect();
@@ -78,7 +78,7 @@
 /// Broadcasts this VM's pinned sessions until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     loop {
-        tokio::time::sleep(CHECK_INTERVAL).await;
+        tokio::time::sleep(PIN_BROADCAST_INTERVAL).await;
         let now = vm.now();
         let pinning: Vec<Rollout> = {
             let rollouts = vm.rollouts.borrow();
@@ -93,7 +93,7 @@
 
 /// Handles pinned sessions from another VM. Outside a full mesh they are forwarded to this VM's
 /// neighbours.
-pub fn on_pinned(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
+pub fn on_pinned_sessions(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
     if vm.peers.borrow().is_full_mesh() {
         vm.pinned_sessions.borrow_mut().record(
             draws.into_iter(),
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -39,9 +39,9 @@
     /// Its cursor in the feed of the recipient.
     cursor: Cursor,
     /// What it counted for versions that are rolled out, as far as the recipient lacks it.
-    seen: Vec<Observations>,
+    counts: Vec<Observations>,
     /// Request contents that it holds back.
-    held: Vec<poison::QuarantinedContent>,
+    quarantined: Vec<poison::QuarantinedContent>,
 }
 
 /// Outcome of a request.
@@ -56,7 +56,7 @@
 
 /// Requests the changes since `cursor` from the VM at `to`, and sends it what was `seen` of
 /// versions that are rolled out.
-pub async fn request(
+pub async fn request_updates(
     vm: &Vm,
     to: SocketAddr,
     cursor: Cursor,
@@ -66,7 +66,7 @@
     let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
     let from = vm.settings.vm.clone();
     let (seen, held) = (seen.to_vec(), poison::quarantined(vm));
-    let request = encode(&Request { from, cursor, seen, held });
+    let request = encode(&Request { from, cursor, counts: seen, quarantined: held });
     let answer = tokio::time::timeout(within.duration(), links.call(to, request)).await;
     match answer.ok().flatten().and_then(|bytes| decode::<Result<Update, Decline>>(&bytes)) {
         Some(Ok(update)) => Response::Update(Box::new(update)),
@@ -78,7 +78,9 @@
 /// Returns the encoded answer to a request for updates: an update, or the reason why this VM
 /// serves none.
 pub fn respond(vm: &Rc<Vm>, request: &[u8]) -> Vec<u8> {
-    let Some(Request { from, cursor, seen, held }) = decode::<Request>(request) else {
+    let Some(Request { from, cursor, counts: seen, quarantined: held }) =
+        decode::<Request>(request)
+    else {
         vm.log("invalid poll request", &[("bytes", request.len().into())]);
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
@@ -98,7 +100,7 @@
     let now = vm.now();
     let why = why.map_or_else(|| "none".to_owned(), |why| format!("{why:?}"));
     let servers = vm.feed.borrow().freshness(Kind::Servers);
-    let servers_age = servers.map(|reading| now.since(reading.sent));
+    let servers_age = servers.map(|reading| now.since(reading.read_sent_at));
     let fields = [
         ("declined", why.as_str().into()),
         ("servers_age_ms", servers_age.map_or(-1.0, Span::as_millis).into()),
@@ -131,8 +133,8 @@
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
     let restore = Notice::of(vm, now);
-    let status = Status { origin: origin(vm), store, proof, restore, verdicts, held };
-    Ok(vm.feed.borrow().since(cursor, status, now))
+    let status = Status { origin: origin(vm), store, proof, restore, verdicts, quarantined: held };
+    Ok(vm.feed.borrow().update_since(cursor, status, now))
 }
 
 /// Returns the state of the store to report, or the reason to serve no update if `current` is one.
@@ -149,7 +151,7 @@
 
 /// Returns the VM that read the updates served here; this VM if it reads the store itself.
 fn origin(vm: &Vm) -> Origin {
-    let origin = vm.origin.borrow().clone();
+    let origin = vm.updates_origin.borrow().clone();
     origin.unwrap_or_else(|| Origin { reader: vm.settings.vm.clone(), hops: 0 })
 }
 
@@ -161,7 +163,7 @@
     }
     // A proof of the configuration does not cover servers, which have an age of their own.
     let servers = vm.feed.borrow().freshness(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
-    let age = vm.now().since(servers.sent);
+    let age = vm.now().since(servers.read_sent_at);
     if is_stale(age, vm.settings.bounds.drain_within) {
         return Err(Decline::OldServers);
     }
--- a/src/forward/pool.rs
+++ b/src/forward/pool.rs
@@ -18,8 +18,8 @@
 
 struct IdleConnection {
     connection: Connection,
-    since: Moment,
-    until: Moment,
+    idle_since: Moment,
+    expires_at: Moment,
 }
 
 /// The idle connections to one server.
@@ -33,9 +33,9 @@
     /// expired or broke. Without `repeatable`, connections that were idle for too long are not
     /// used.
     pub fn checkout(&mut self, repeatable: bool, now: Moment) -> Option<Connection> {
-        self.idle.retain(|idle| now < idle.until);
+        self.idle.retain(|idle| now < idle.expires_at);
         while let Some(idle) = self.idle.pop() {
-            if !repeatable && now.since(idle.since) > MAX_IDLE_NON_IDEMPOTENT {
+            if !repeatable && now.since(idle.idle_since) > MAX_IDLE_NON_IDEMPOTENT {
                 self.idle.push(idle);
                 return None;
             }
@@ -58,8 +58,8 @@
         }
         self.idle.push(IdleConnection {
             connection,
-            since: now,
-            until: now + timeout - IDLE_TIMEOUT_MARGIN,
+            idle_since: now,
+            expires_at: now + timeout - IDLE_TIMEOUT_MARGIN,
         });
     }
 }
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -56,8 +56,8 @@
             continue;
         }
         if vm.store_lost.get() {
-            if let Err(trouble) = probe(&vm, &mut store).await {
-                record_failure(&vm, &trouble, &mut backoff).await;
+            if let Err(error) = probe_store(&vm, &mut store).await {
+                record_failure(&vm, &error, &mut backoff).await;
                 continue;
             }
             if first_vm_took_over(&vm).await {
@@ -76,14 +76,14 @@
                 backoff = Backoff::default();
                 apply_listing(&vm, Kind::Config, &listing, sent);
             }
-            Err(trouble) => record_failure(&vm, &trouble, &mut backoff).await,
+            Err(error) => record_failure(&vm, &error, &mut backoff).await,
         }
     }
 }
 
 /// Checks whether a store that was down answers again, by a stale read, which costs a tenth of a
 /// proof.
-async fn probe(vm: &Vm, store: &mut Client) -> Result<(), StoreError> {
+async fn probe_store(vm: &Vm, store: &mut Client) -> Result<(), StoreError> {
     let found = membership::probe(store).await;
     vm.count_store_call("probe-stale", &found);
     found
@@ -108,8 +108,8 @@
 }
 
 /// Records that the store did not answer, and sleeps for the next delay.
-async fn record_failure(vm: &Vm, trouble: &StoreError, backoff: &mut Backoff) {
-    vm.on_proof_failure(&trouble.to_string());
+async fn record_failure(vm: &Vm, error: &StoreError, backoff: &mut Backoff) {
+    vm.on_proof_failure(&error.to_string());
     vm.proof_received.notify_waiters();
     tokio::time::sleep(backoff.next_delay(max_backoff(vm)).duration()).await;
 }
@@ -137,7 +137,7 @@
     let asked = vm.proof_requested.notified();
     let proved = vm.proved_at.get();
     // Without a bound on the revocation of keys, proofs are needed only on request.
-    let Some(wait) = until_due(vm) else {
+    let Some(wait) = time_until_due(vm) else {
         asked.await;
         return true;
     };
@@ -147,7 +147,7 @@
 }
 
 /// Returns the time until the next proof is due, or none if proofs are made only on request.
-fn until_due(vm: &Vm) -> Option<Span> {
+fn time_until_due(vm: &Vm) -> Option<Span> {
     let longest = vm.max_proof_age();
     let interval = if vm.is_reader() && vm.has_followers(vm.now()) {
         let to_deny = vm.settings.bounds.config_propagation.mul_f64(DENIAL_RENEWAL_FRACTION);
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -24,7 +24,7 @@
     /// Id of the last event that the caller has.
     last_id: Option<u64>,
     /// Attempts to resume that failed before a byte was sent.
-    unsent: u32,
+    unsent_attempts: u32,
 }
 
 /// Why the caller's stream is aborted. The connection is reset, so that the stream does not look
@@ -45,7 +45,7 @@
     let last_id = job.call.last_event_id;
     // The outcome if this is dropped before the stream ends.
     job.record.set_outcome("caller left its stream");
-    let relay = Relay { job, current: started, last_id, unsent: 0 };
+    let relay = Relay { job, current: started, last_id, unsent_attempts: 0 };
     futures_util::stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next().await {
@@ -166,7 +166,7 @@
                 attempt::run(&self.job, &replica, model.as_ref(), self.last_id, pending, until)
                     .await;
             self.current.tried.push(replica.clone());
-            self.unsent += u32::from(outcome.end.is_unsent());
+            self.unsent_attempts += u32::from(outcome.end.is_unsent());
             if let Some(stream) = outcome.stream {
                 self.current.stream = stream;
                 self.current.replica = replica;
@@ -181,7 +181,7 @@
 
     /// Returns the number of attempts that count towards the route's limit.
     fn counted_attempts(&self) -> u32 {
-        self.job.record.attempts().saturating_sub(self.unsent)
+        self.job.record.attempts().saturating_sub(self.unsent_attempts)
     }
 
     /// Returns the connection of a complete stream to the pool.
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -27,22 +27,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Restore {
     /// When this VM noticed it.
-    pub at: Moment,
+    pub noticed_at: Moment,
     /// First position that was read in the new era; objects that changed later were written after
     /// the restore. None until a position was read.
-    pub base: Option<Position>,
+    pub first_position: Option<Position>,
 }
 
 impl Restore {
     /// Returns true if an object that last changed at `position` may come from the backup, and its
     /// owner may not have had time to write it again.
     pub fn covers(&self, position: Position, now: Moment) -> bool {
-        self.is_recent(now) && self.base.is_none_or(|base| position <= base)
+        self.is_recent(now) && self.first_position.is_none_or(|base| position <= base)
     }
 
     /// Returns true while owners may not have had time to write their objects again.
     pub fn is_recent(&self, now: Moment) -> bool {
-        now.since(self.at) < REWRITE_GRACE
+        now.since(self.noticed_at) < REWRITE_GRACE
     }
 }
 
@@ -51,7 +51,7 @@
 pub struct Notice {
     /// Time since the restore was noticed, when the update is sent.
     age: Span,
-    base: Position,
+    first_position: Position,
     /// Incarnations of servers that are draining or gone but that the backup lists as ready.
     pub disputed: Vec<Incarnation>,
 }
@@ -60,15 +60,22 @@
     /// Returns the notice of the last restore, or none if owners have had time to write their
     /// objects again or no position of the new era was read.
     pub fn of(vm: &Vm, now: Moment) -> Option<Notice> {
-        let restore = (*vm.restored.borrow()).filter(|restore| restore.is_recent(now))?;
+        let restore = (*vm.recent_restore.borrow()).filter(|restore| restore.is_recent(now))?;
         let disputed = vm.fleet.borrow().disputed().cloned().collect();
-        Some(Notice { age: now.since(restore.at), base: restore.base?, disputed })
+        Some(Notice {
+            age: now.since(restore.noticed_at),
+            first_position: restore.first_position?,
+            disputed,
+        })
     }
 
     /// Returns the restore, dated so that it can't look later than it was if the request was sent
     /// at `asked`.
-    pub fn at(&self, asked: Moment) -> Restore {
-        Restore { at: Moment(asked.0.saturating_sub(self.age.0)), base: Some(self.base) }
+    pub fn to_restore(&self, asked: Moment) -> Restore {
+        Restore {
+            noticed_at: Moment(asked.0.saturating_sub(self.age.0)),
+            first_position: Some(self.first_position),
+        }
     }
 }
 
@@ -78,11 +85,11 @@
     loop {
         vm.era.changed.notified().await;
         vm.enter_era(vm.era.newest());
-        Anomaly::ALL.into_iter().for_each(|anomaly| update_metric(&vm, anomaly));
+        Anomaly::ALL.into_iter().for_each(|anomaly| update_anomaly_counter(&vm, anomaly));
     }
 }
 
-fn update_metric(vm: &Vm, anomaly: Anomaly) {
+fn update_anomaly_counter(vm: &Vm, anomaly: Anomaly) {
     let counter = vm.metrics.era_anomalies.with_label_values(&[anomaly.name()]);
     let (before, count) = (counter.get(), vm.era.count(anomaly));
     counter.inc_by(count - before);
@@ -107,12 +114,12 @@
 /// Applies the held-back state of the backup when the grace time after a restore ends, after each
 /// restore, until the process ends.
 pub async fn accept_after_grace(vm: Rc<Vm>) {
-    let mut restored = vm.restored.subscribe();
+    let mut restored = vm.recent_restore.subscribe();
     loop {
         let Ok(Some(restore)) = restored.wait_for(Option::is_some).await.map(|one| *one) else {
             return;
         };
-        let left = (restore.at + REWRITE_GRACE).since(vm.now());
+        let left = (restore.noticed_at + REWRITE_GRACE).since(vm.now());
         if left > Span(0) {
             // A second restore starts the grace time anew.
             tokio::time::sleep(left.duration()).await;
--- a/src/forward/rollout_counts.rs
+++ b/src/forward/rollout_counts.rs
@@ -82,11 +82,11 @@
         let seen = Observations { service, version, source: source.clone(), routes };
         (!seen.routes.is_empty()).then_some(seen)
     };
-    running(vm).into_iter().filter_map(counts).collect()
+    running_rollouts(vm).into_iter().filter_map(counts).collect()
 }
 
 /// Returns the services with a running roll-out and their new versions.
-fn running(vm: &Vm) -> Vec<(Service, Version)> {
+fn running_rollouts(vm: &Vm) -> Vec<(Service, Version)> {
     let rollouts = vm.rollouts.borrow();
     let running = rollouts.values().filter(|rollout| rollout.is_open());
     running.map(|rollout| (rollout.service.clone(), rollout.version.clone())).collect()
@@ -107,7 +107,7 @@
         let verdict = trials.get(&service)?.verdict();
         Some(VersionVerdict { service, version, verdict })
     };
-    running(vm).into_iter().filter_map(verdict).collect()
+    running_rollouts(vm).into_iter().filter_map(verdict).collect()
 }
 
 /// Applies the verdicts of the VM that this one follows.
--- a/src/forward/steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -16,7 +16,7 @@
 use crate::unit::{Moment, Service, Span};
 
 /// Interval between two checks.
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const STEP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Maximum random delay, in seconds, before a VM writes a step, so that usually only one VM writes
 /// it.
@@ -32,13 +32,13 @@
 
 /// Maximum backoff after failed writes. Without backoff 91 VMs sent 50 of them a second to a store
 /// that refused them.
-const MAX_RETRY_PAUSE: Span = Span::millis(1600);
+const MAX_RETRY_DELAY: Span = Span::millis(1600);
 
 /// Backoff of a service after failed writes.
 #[derive(Default)]
 struct Retry {
-    pause: Backoff,
-    after: Moment,
+    backoff: Backoff,
+    not_before: Moment,
 }
 
 /// Writes due steps until the process ends.
@@ -46,7 +46,7 @@
     let mut store = vm.store_client();
     let mut retries: HashMap<Service, Retry> = HashMap::new();
     loop {
-        tokio::time::sleep(CHECK_INTERVAL).await;
+        tokio::time::sleep(STEP_CHECK_INTERVAL).await;
         let open: Vec<Service> = {
             let rollouts = vm.rollouts.borrow();
             let is_due = |one: &&Rollout| one.is_open() || one.is_unwritten();
@@ -58,14 +58,14 @@
             if vm.is_store_lost() {
                 continue;
             }
-            if retries.get(&service).is_some_and(|retry| vm.now() < retry.after) {
+            if retries.get(&service).is_some_and(|retry| vm.now() < retry.not_before) {
                 continue;
             }
             if write_due_step(&vm, &mut store, &service).await {
                 retries.remove(&service);
             } else {
                 let retry = retries.entry(service).or_default();
-                retry.after = vm.now() + retry.pause.next_delay(MAX_RETRY_PAUSE);
+                retry.not_before = vm.now() + retry.backoff.next_delay(MAX_RETRY_DELAY);
             }
         }
     }
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -9,7 +9,10 @@
 use super::kind::Kind;
 use super::settings::Settings;
 use super::vm::Vm;
-use super::{follower, listener, peer, pinned, poison, proof, restore, steps, store_watch, wake};
+use super::{
+    follower, listener, peer, pinned_sessions, poison, proof, restore, rollout_steps, store_watch,
+    suspension,
+};
 use crate::error::Error;
 use crate::platform;
 use crate::unit::Span;
@@ -51,9 +54,9 @@
     spawn(restore::accept_after_grace(vm.clone()));
     spawn(restore::broadcast_disputes(vm.clone()));
     spawn(store_watch::expire_servers(vm.clone()));
-    spawn(steps::run(vm.clone()));
-    spawn(pinned::run(vm.clone()));
-    spawn(wake::run(vm.clone()));
+    spawn(rollout_steps::run(vm.clone()));
+    spawn(pinned_sessions::run(vm.clone()));
+    spawn(suspension::run(vm.clone()));
     spawn(peer::run(vm.clone()));
     spawn(follower::run(vm.clone()));
     spawn(listener::serve_callers(vm.clone(), callers));
@@ -63,7 +66,7 @@
     }
     spawn(log_store_calls(vm.clone()));
     spawn(flush_log_lines(vm.clone()));
-    spawn(reload(vm.clone()));
+    spawn(log_settings_changes(vm.clone()));
     stop_signal().await;
     stop(&vm).await;
     Ok(())
@@ -92,12 +95,12 @@
         let all = calls.iter().map(|(_, count)| count).sum();
         if all != logged {
             logged = all;
-            log_call_counts(&vm, &calls);
+            log_store_call_counts(&vm, &calls);
         }
     }
 }
 
-fn log_call_counts(vm: &Vm, calls: &[(String, u64)]) {
+fn log_store_call_counts(vm: &Vm, calls: &[(String, u64)]) {
     let fields: Vec<(&str, Value)> =
         calls.iter().map(|(name, count)| (name.as_str(), (*count).into())).collect();
     vm.log("store calls", &fields);
@@ -106,13 +109,13 @@
 async fn flush_log_lines(vm: Rc<Vm>) {
     loop {
         tokio::time::sleep(LOG_FLUSH_INTERVAL).await;
-        vm.lines.flush();
+        vm.logger.flush();
     }
 }
 
 /// Reads the settings file again at each SIGHUP. Addresses can't change while the process runs, so
 /// a changed store address is only logged.
-async fn reload(vm: Rc<Vm>) {
+async fn log_settings_changes(vm: Rc<Vm>) {
     let mut hangups = signal(SignalKind::hangup()).expect("signal handlers can be installed");
     while hangups.recv().await.is_some() {
         let outcome = match platform::settings::from_environment() {
@@ -163,7 +166,7 @@
         tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
     }
     let took = vm.now().since(started).as_millis();
-    log_call_counts(vm, &vm.metrics.calls());
+    log_store_call_counts(vm, &vm.metrics.calls());
     vm.log("stop", &[("cut_off", vm.running.get().into()), ("took_ms", took.into())]);
-    vm.lines.flush();
+    vm.logger.flush();
 }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -75,13 +75,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Skipped {
     /// Servers in evacuated data centres.
-    pub emptied: usize,
+    pub evacuated: usize,
     /// Cold servers whose next permit is not this VM's, or not due yet.
     pub cold: usize,
     /// Servers that report a rate limit, likewise.
     pub limited: usize,
     /// Servers that asked for a backoff.
-    pub resting: usize,
+    pub backing_off: usize,
 }
 
 impl Skipped {
@@ -93,17 +93,17 @@
                 false => limited += 1,
             }
         }
-        let resting = fleet.backing_off(service, now).count();
-        Skipped { emptied: fleet.count_evacuated(service), cold, limited, resting }
+        let backing_off = fleet.backing_off(service, now).count();
+        Skipped { evacuated: fleet.count_evacuated(service), cold, limited, backing_off }
     }
 }
 
 impl std::fmt::Display for Skipped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Skipped { emptied, cold, limited, resting } = self;
+        let Skipped { evacuated, cold, limited, backing_off } = self;
         write!(
             f,
-            "skipped {emptied} evacuated, {cold} cold, {resting} backing off, {limited} limited"
+            "skipped {evacuated} evacuated, {cold} cold, {backing_off} backing off, {limited} limited"
         )
     }
 }
@@ -127,13 +127,13 @@
 fn backoff_wait(vm: &Vm, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
     let fleet = vm.fleet.borrow();
-    let resting = fleet.backing_off(criteria.service, now).filter(|(one, _)| {
+    let backing_off = fleet.backing_off(criteria.service, now).filter(|(one, _)| {
         let replica = &one.replica;
         versions.contains(&replica.version)
             && criteria.allows(vm, one)
             && !criteria.has_tried(replica)
     });
-    let left = resting.map(|(_, left)| left).min()?;
+    let left = backing_off.map(|(_, left)| left).min()?;
     let at = now + left + WAKE_JITTER.mul_f64(rand::random());
     (at <= until).then_some(Wait { until: at, permit: None })
 }
@@ -212,10 +212,10 @@
     );
     match (found, versions) {
         (None, Versions::Only(version)) if running => {
-            select_among(vm, criteria, &Versions::Except(version), Reason::Elsewhere, now)
+            select_among(vm, criteria, &Versions::Except(version), Reason::NoServerOfVersion, now)
         }
         (None, Versions::Only(_)) if !vm.rollouts.borrow().contains_key(criteria.service) => {
-            select_among(vm, criteria, &Versions::Any, Reason::Elsewhere, now)
+            select_among(vm, criteria, &Versions::Any, Reason::NoServerOfVersion, now)
         }
         (found, _) => found,
     }
@@ -236,9 +236,9 @@
     let is_eligible =
         |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
     let is_limited = |one: &Server| one.availability.limit.rate(now).is_some();
-    let mut resting = fleet.backing_off(criteria.service, now);
+    let mut backing_off = fleet.backing_off(criteria.service, now);
     let mut serving = fleet.eligible(criteria.service, now);
-    resting.any(|(one, _)| is_eligible(one))
+    backing_off.any(|(one, _)| is_eligible(one))
         || (!matches!(reason, Reason::Drawn { .. })
             && serving.any(|one| is_eligible(one) && is_limited(one)))
 }
@@ -254,10 +254,10 @@
     if serving().any(|one| access.rate_limit(one).is_none()) {
         return None;
     }
-    let resting = fleet.backing_off(criteria.service, now).filter(|(one, _)| is_eligible(one));
+    let backing_off = fleet.backing_off(criteria.service, now).filter(|(one, _)| is_eligible(one));
     let permits =
         serving().filter_map(|one| access.next_permit(one)).map(|permit| permit.since(now));
-    availability::retry_after(resting.map(|(_, left)| left).chain(permits), rand::random())
+    availability::retry_after(backing_off.map(|(_, left)| left).chain(permits), rand::random())
 }
 
 /// Selects the server among those of the given versions.
@@ -337,9 +337,9 @@
     /// of this VM; none if the request has no prompt.
     pub expected_time: Option<Span>,
     /// Why the server should not have been used, if it was used nevertheless.
-    pub bar: Option<Unavailable>,
+    pub unavailable: Option<Unavailable>,
     /// The rate limit that the server reported, and how long ago it first did.
-    pub limit: Option<(Rate, Span)>,
+    pub reported_limit: Option<(Rate, Span)>,
 }
 
 /// Records that a request is sent: its prompt joins the server's backlog and its parts count as
@@ -354,11 +354,13 @@
     let replica = &placement.replica;
     let mut fleet = vm.fleet.borrow_mut();
     let Some(server) = fleet.incarnation_mut(replica) else { return Estimate::default() };
-    let (load, bar) = (server.load.estimate(now), server.availability.unavailable_reason(now));
-    let limit = server.availability.limit.rate(now).zip(server.availability.limit.age(now));
+    let (load, unavailable) =
+        (server.load.estimate(now), server.availability.unavailable_reason(now));
+    let reported_limit =
+        server.availability.limit.rate(now).zip(server.availability.limit.age(now));
     server.availability.on_send(now);
     if call.prompt.is_empty() {
-        return Estimate { load, bar, limit, ..Estimate::default() };
+        return Estimate { load, unavailable, reported_limit, ..Estimate::default() };
     }
     let prompt = Prompt::without_affinity(call, model);
     let uncached_tokens = prompt.uncached_tokens(server, now);
@@ -377,8 +379,8 @@
         prefill_time,
         load,
         expected_time,
-        bar,
-        limit,
+        unavailable,
+        reported_limit,
     }
 }
 
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -3,7 +3,7 @@
 
 use crate::decide::canary;
 use crate::forward::call::Call;
-use crate::forward::pinned::{self, Draw};
+use crate::forward::pinned_sessions::{self, Draw};
 use crate::forward::replica::Phase;
 use crate::forward::server::Server;
 use crate::forward::vm::Vm;
@@ -37,11 +37,11 @@
     /// No rollout is in progress.
     Settled,
     /// This VM has judged the new version bad.
-    Bad,
+    NewVersionBad,
     /// This VM has sent the session to that version before.
-    Kept,
+    SessionKept,
     /// Another VM reported that the session was sent to that version.
-    Heard,
+    SessionPinned,
     /// Chosen by comparing the request's point, from 0 to 1, with the new version's share.
     Drawn {
         /// The point, the same on all VMs for the same session.
@@ -52,20 +52,20 @@
         known: bool,
     },
     /// The version that the request should go to has no available server.
-    Elsewhere,
+    NoServerOfVersion,
 }
 
 impl std::fmt::Display for Reason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Reason::Settled => f.write_str("settled"),
-            Reason::Bad => f.write_str("bad"),
-            Reason::Kept => f.write_str("kept"),
-            Reason::Heard => f.write_str("kept, as another VM reported"),
+            Reason::NewVersionBad => f.write_str("bad"),
+            Reason::SessionKept => f.write_str("kept"),
+            Reason::SessionPinned => f.write_str("kept, as another VM reported"),
             Reason::Drawn { point, share, known } => {
                 write!(f, "drawn {point:.3} of {share:.3}{}", if *known { " again" } else { "" })
             }
-            Reason::Elsewhere => f.write_str("no server of its version"),
+            Reason::NoServerOfVersion => f.write_str("no server of its version"),
         }
     }
 }
@@ -91,21 +91,21 @@
             let trials = vm.trials.borrow();
             let trial = trials.get(service);
             if trial.is_some_and(|trial| trial.is_bad()) {
-                return (old, Reason::Bad);
+                return (old, Reason::NewVersionBad);
             }
             let gap = vm.settings.bounds.session_gap;
             let name = call.session.as_deref().unwrap_or(&call.id);
             let sessions = vm.sessions.borrow();
             let last = call.session.as_deref().and_then(|one| sessions.version(one, gap, now));
-            let is_young = pinned::is_pinning(vm, rollout, now);
+            let is_young = pinned_sessions::is_pinning(vm, rollout, now);
             let draw = Draw::new(service, &rollout.version, name);
             let point = draw.point();
             let drawn = Reason::Drawn { point, share, known: last.is_some() };
             match last {
-                Some(last) if *last == rollout.version => (new, Reason::Kept),
-                Some(_) if is_young => (old, Reason::Kept),
+                Some(last) if *last == rollout.version => (new, Reason::SessionKept),
+                Some(_) if is_young => (old, Reason::SessionKept),
                 None if is_young && vm.pinned_sessions.borrow().is_pinned(draw, gap, now) => {
-                    (old, Reason::Heard)
+                    (old, Reason::SessionPinned)
                 }
                 _ if point < share => (new, drawn),
                 _ => (old, drawn),
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -112,7 +112,7 @@
 struct RemovedServer {
     replica: Replica,
     availability: Availability,
-    at: Moment,
+    removed_at: Moment,
 }
 
 /// All backend servers, and the orders that apply to them.
@@ -205,11 +205,11 @@
     /// Applies the report of another VM that an incarnation is draining or gone. A later entry
     /// overrides it.
     pub fn dispute(&mut self, incarnation: &Incarnation, now: Moment) {
-        let Incarnation { server, started_at_ms: born, address } = incarnation;
+        let Incarnation { server, started_at_ms, address } = incarnation;
         let server = self.servers.get_mut(server);
-        if let Some(server) = server
-            .filter(|one| one.replica.matches_incarnation(&incarnation.server, *born, *address))
-        {
+        if let Some(server) = server.filter(|one| {
+            one.replica.matches_incarnation(&incarnation.server, *started_at_ms, *address)
+        }) {
             server.availability.apply_entry(false, now);
             self.disputed.insert(incarnation.server.clone(), incarnation.clone());
         }
@@ -241,10 +241,11 @@
     fn move_to_removed(&mut self, id: &Id, now: Moment) {
         let Some(Server { replica, availability, .. }) = self.servers.remove(id) else { return };
         if self.removed.len() >= MAX_REMOVED {
-            self.removed.retain(|_, removed| now.since(removed.at) < REMOVED_TTL);
+            self.removed.retain(|_, removed| now.since(removed.removed_at) < REMOVED_TTL);
         }
         if self.removed.len() < MAX_REMOVED {
-            self.removed.insert(id.clone(), RemovedServer { replica, availability, at: now });
+            self.removed
+                .insert(id.clone(), RemovedServer { replica, availability, removed_at: now });
         }
     }
 
@@ -307,7 +308,9 @@
         service: &'a Service,
         now: Moment,
     ) -> impl Iterator<Item = &'a Server> {
-        let is_open = move |one: &&Server| !self.reason(one, now).is_some_and(Unavailable::is_hard);
+        let is_open = move |one: &&Server| {
+            !self.server_unavailable_reason(one, now).is_some_and(Unavailable::is_hard)
+        };
         self.of_service(service).filter(is_open)
     }
 
@@ -318,11 +321,13 @@
         service: &'a Service,
         now: Moment,
     ) -> impl Iterator<Item = (&'a Server, Span)> {
-        self.of_service(service).filter_map(move |server| match self.reason(server, now) {
-            Some(Unavailable::BackingOff(left) | Unavailable::Probing(left)) => {
-                Some((server, left))
+        self.of_service(service).filter_map(move |server| {
+            match self.server_unavailable_reason(server, now) {
+                Some(Unavailable::BackingOff(left) | Unavailable::Probing(left)) => {
+                    Some((server, left))
+                }
+                _ => None,
             }
-            _ => None,
         })
     }
 
@@ -335,7 +340,7 @@
     }
 
     /// Returns why a server may not receive requests now.
-    fn reason(&self, server: &Server, now: Moment) -> Option<Unavailable> {
+    fn server_unavailable_reason(&self, server: &Server, now: Moment) -> Option<Unavailable> {
         let by_order = self.is_evacuated(server).then_some(Unavailable::Evacuated);
         by_order.or_else(|| server.availability.unavailable_reason(now))
     }
@@ -345,7 +350,9 @@
     pub fn unavailable_reason(&self, replica: &Replica, now: Moment) -> Option<Unavailable> {
         let server =
             self.servers.get(&replica.id).filter(|one| one.replica.is_same_incarnation(replica));
-        let reason = server.map_or(Some(Unavailable::Removed), |server| self.reason(server, now));
+        let reason = server.map_or(Some(Unavailable::Removed), |server| {
+            self.server_unavailable_reason(server, now)
+        });
         // The probe after a backoff may be this request itself.
         reason.filter(|reason| reason.is_hard() && !matches!(reason, Unavailable::Probing(_)))
     }
--- a/src/forward/session.rs
+++ b/src/forward/session.rs
@@ -12,11 +12,11 @@
 
 struct Session {
     version: Version,
-    last: Moment,
+    last_used: Moment,
 }
 
 fn is_live(seen: &Session, gap: Span, now: Moment) -> bool {
-    now.since(seen.last) < Span(gap.0 * RETENTION_GAPS)
+    now.since(seen.last_used) < Span(gap.0 * RETENTION_GAPS)
 }
 
 /// Recent sessions by name.
@@ -47,12 +47,12 @@
             self.seen.retain(|_, seen| is_live(seen, gap, now));
         }
         if let Some(seen) = self.seen.get_mut(session) {
-            seen.last = now;
+            seen.last_used = now;
             if seen.version != *version {
                 seen.version = version.clone();
             }
         } else if self.seen.len() < MAX_SESSIONS {
-            let seen = Session { version: version.clone(), last: now };
+            let seen = Session { version: version.clone(), last_used: now };
             self.seen.insert(session.to_owned(), seen);
         }
     }
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -60,7 +60,7 @@
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
     let mut from: Option<Position> = None;
-    let mut regained = vm.store_recoveries.subscribe();
+    let mut recoveries = vm.store_recoveries.subscribe();
     let mut role = vm.role.subscribe();
     loop {
         if !vm.is_reader() {
@@ -68,9 +68,9 @@
             from = vm.feed.borrow().freshness(kind).map(|freshness| freshness.position);
             backoff = Backoff::default();
             // A recovery of the store that was noticed while another VM read is no reason to wait.
-            regained.borrow_and_update();
+            recoveries.borrow_and_update();
         }
-        wait_for_store(&vm, &mut regained).await;
+        wait_for_store(&vm, &mut recoveries).await;
         if !vm.is_reader() {
             continue;
         }
@@ -92,7 +92,7 @@
                     }
                     // The store is reachable again: request what the watch missed, on a new
                     // connection, since the old one may be dead.
-                    _ = regained.changed() => {
+                    _ = recoveries.changed() => {
                         store.disconnect();
                         Ok((position, false))
                     }
@@ -113,7 +113,7 @@
                 };
                 // If the store recovers meanwhile, request what was missed at once, on a new
                 // connection.
-                if tokio::time::timeout(delay, regained.changed()).await.is_ok() {
+                if tokio::time::timeout(delay, recoveries.changed()).await.is_ok() {
                     store.disconnect();
                 }
             }
@@ -121,10 +121,10 @@
                 vm.log("watch history expired", &[("kind", kind.name().into())]);
                 from = None;
             }
-            Err(trouble) => {
+            Err(error) => {
                 vm.log(
                     "store call failed",
-                    &[("kind", kind.name().into()), ("why", trouble.to_string().as_str().into())],
+                    &[("kind", kind.name().into()), ("why", error.to_string().as_str().into())],
                 );
                 // Followers of this VM may poll others meanwhile.
                 vm.store_suspect.set(vm.store_suspect.get() || kind == Kind::Servers);
@@ -132,14 +132,14 @@
                 vm.proof_requested.notify_one();
                 // Recovery of the store ends the delay.
                 let wait = backoff.next_delay(MAX_BACKOFF).duration();
-                let _ = tokio::time::timeout(wait, regained.changed()).await;
+                let _ = tokio::time::timeout(wait, recoveries.changed()).await;
             }
         }
     }
 }
 
 /// Waits for a pending proof that shows whether the store is down, and if it is, for its recovery.
-async fn wait_for_store(vm: &Vm, regained: &mut tokio::sync::watch::Receiver<u64>) {
+async fn wait_for_store(vm: &Vm, recoveries: &mut tokio::sync::watch::Receiver<u64>) {
     if vm.store_untested.get() {
         let _ =
             tokio::time::timeout(RESPONSE_TIMEOUT.duration(), vm.proof_received.notified()).await;
@@ -147,7 +147,7 @@
     if !vm.store_lost.get() {
         return;
     }
-    let _ = tokio::time::timeout(RECOVERY_CHECK_INTERVAL, regained.changed()).await;
+    let _ = tokio::time::timeout(RECOVERY_CHECK_INTERVAL, recoveries.changed()).await;
     if vm.first_in_group_since.get().is_none() {
         let mut role = vm.role.subscribe();
         let _ =
--- a/src/forward/wake.rs
+++ b/src/forward/suspension.rs
@@ -12,7 +12,7 @@
 use crate::unit::Span;
 
 /// Time between two checks.
-const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shorter differences are no suspension: the two clocks are read one after the other, and the
 /// system adjusts the rate of both.
@@ -25,7 +25,7 @@
         return;
     };
     loop {
-        tokio::time::sleep(CHECK_INTERVAL).await;
+        tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
         total = check(&vm, total);
     }
 }
--- a/src/forward/trial.rs
+++ b/src/forward/trial.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the number of levels at which a time is slow.
-    fn level(&self, time: f64) -> usize {
+    fn slow_levels(&self, time: f64) -> usize {
         if self.seen < MIN_MEDIAN_SAMPLES || time <= self.value + MIN_SLOW_EXCESS.0 as f64 {
             return 0;
         }
@@ -81,13 +81,13 @@
     /// True if the server itself failed.
     pub failed: bool,
     /// Time to the answer or to its first event, or the time waited so far; none if it failed.
-    pub time: Option<Span>,
+    pub response_time: Option<Span>,
     /// Levels of slowness that were counted for this answer before.
     pub reported_slow_levels: usize,
     /// Time within which the first event was due if the request has a prompt, assuming that the
     /// server has cached only prompts that this VM sent to it. Otherwise a new version, which has
     /// no prompt cached yet, would look slow beside one that has many.
-    pub expected: Option<Span>,
+    pub expected_time: Option<Span>,
 }
 
 /// Counts of both versions on one route.
@@ -121,8 +121,8 @@
 pub struct RolloutTrial {
     /// The new version to which the counts belong.
     version: Option<Version>,
-    since: Moment,
-    bad: bool,
+    started_at: Moment,
+    found_bad: bool,
     own: TotalsByRoute,
     medians: HashMap<String, Median>,
     /// Latest counts from other VMs and from other groups.
@@ -149,7 +149,7 @@
         if self.version.as_ref() != Some(version) {
             *self = RolloutTrial {
                 version: Some(version.clone()),
-                since: now,
+                started_at: now,
                 medians: std::mem::take(&mut self.medians),
                 ..RolloutTrial::default()
             };
@@ -159,7 +159,7 @@
     /// Counts an answer, or an awaited answer at the moment when it became slow.
     pub fn record(&mut self, sample: &Sample) {
         let is_new = self.version.as_ref() == Some(sample.version);
-        let level = self.level(sample, is_new);
+        let level = self.slow_levels(sample, is_new);
         if self.version.is_none() {
             return;
         }
@@ -171,18 +171,18 @@
             let count = if is_new { &mut trial.new } else { &mut trial.old };
             *count = count.plus(Count::of(u64::from(reported == 0), u64::from(bad)));
         }
-        self.bad = self.bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
+        self.found_bad = self.found_bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
     }
 
     /// Returns the number of levels at which an answer was slow. Without a prompt, answers of the
     /// old version set the usual time.
-    fn level(&mut self, sample: &Sample, is_new: bool) -> usize {
-        let Some(time) = sample.time else { return 0 };
-        if let Some(expected) = sample.expected {
+    fn slow_levels(&mut self, sample: &Sample, is_new: bool) -> usize {
+        let Some(time) = sample.response_time else { return 0 };
+        if let Some(expected) = sample.expected_time {
             return slow_thresholds(expected).iter().filter(|limit| time > **limit).count();
         }
         let median = self.medians.entry(sample.route.to_owned()).or_default();
-        let level = median.level(time.0 as f64);
+        let level = median.slow_levels(time.0 as f64);
         if !is_new {
             median.record(time.0 as f64);
         }
@@ -238,7 +238,7 @@
     ) {
         if self.version.as_ref() == Some(version) {
             self.others.entry(from).or_default().extend(routes);
-            self.bad = self.bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
+            self.found_bad = self.found_bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
         }
     }
 
@@ -246,7 +246,7 @@
     pub fn set_upstream_verdict(&mut self, version: &Version, verdict: Verdict) {
         if self.version.as_ref() == Some(version) {
             self.upstream_verdict = Some(verdict);
-            self.bad = self.bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
+            self.found_bad = self.found_bad || self.evidence() > canary::ROLLBACK_EVIDENCE;
         }
     }
 
@@ -276,7 +276,7 @@
 
     /// Returns true once this VM has found the version bad.
     pub fn is_bad(&self) -> bool {
-        self.bad
+        self.found_bad
     }
 
     /// Returns the number of answers of the new version that all VMs have seen.
@@ -286,6 +286,6 @@
 
     /// Returns the time since this VM saw the order.
     pub fn age(&self, now: Moment) -> Span {
-        now.since(self.since)
+        now.since(self.started_at)
     }
 }
--- a/src/forward/trial_attempt.rs
+++ b/src/forward/trial_attempt.rs
@@ -10,31 +10,31 @@
 pub struct TrialAttempt<'a> {
     job: &'a Job,
     version: Version,
-    begun: Moment,
-    expected: Option<Span>,
+    started_at: Moment,
+    expected_time: Option<Span>,
     /// Levels of slowness that were counted.
     reported_slow_levels: usize,
 }
 
 impl<'a> TrialAttempt<'a> {
-    /// Creates the record of an attempt that began at the moment `begun`; its first event is due
-    /// within `expected`, if known.
+    /// Creates the record of an attempt that began at the moment `started_at`; its first event is due
+    /// within `expected_time`, if known.
     pub fn new(
         job: &'a Job,
         replica: &Replica,
-        begun: Moment,
-        expected: Option<Span>,
+        started_at: Moment,
+        expected_time: Option<Span>,
     ) -> TrialAttempt<'a> {
         let version = replica.version.clone();
-        TrialAttempt { job, version, begun, expected, reported_slow_levels: 0 }
+        TrialAttempt { job, version, started_at, expected_time, reported_slow_levels: 0 }
     }
 
     /// Waits for an attempt. Counts it as slow as soon as it takes too long: its answer may come
     /// seconds later, or its caller may leave, and a slow version must be detected by then.
     pub async fn wait<T>(&mut self, attempt: impl Future<Output = T>) -> T {
         let mut attempt = std::pin::pin!(attempt);
-        for limit in self.expected.map(trial::slow_thresholds).into_iter().flatten() {
-            let left = limit.0.saturating_sub(self.job.vm.now().since(self.begun).0);
+        for limit in self.expected_time.map(trial::slow_thresholds).into_iter().flatten() {
+            let left = limit.0.saturating_sub(self.job.vm.now().since(self.started_at).0);
             if let Ok(outcome) = tokio::time::timeout(Span(left).duration(), attempt.as_mut()).await
             {
                 return outcome;
@@ -60,14 +60,14 @@
 
     fn record_sample(&mut self, failed: bool) {
         let vm = &self.job.vm;
-        let time = (!failed).then(|| vm.now().since(self.begun));
+        let time = (!failed).then(|| vm.now().since(self.started_at));
         let sample = Sample {
             route: &self.job.route.name,
             version: &self.version,
             failed,
-            time,
+            response_time: time,
             reported_slow_levels: self.reported_slow_levels,
-            expected: self.expected,
+            expected_time: self.expected_time,
         };
         self.reported_slow_levels += 1;
         let mut trials = vm.trials.borrow_mut();
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -11,7 +11,7 @@
 use super::kind::Kind;
 use super::metrics::Metrics;
 use super::peer::Peers;
-use super::pinned::PinnedSessions;
+use super::pinned_sessions::PinnedSessions;
 use super::positions::Positions;
 use super::replica::Rollout;
 use super::restore::Restore;
@@ -63,9 +63,9 @@
     pub active_era: Cell<Option<Era>>,
     /// The last restore of the store from a copy, until owners have had time to rewrite the objects
     /// that the copy lacks.
-    pub restored: tokio::sync::watch::Sender<Option<Restore>>,
+    pub recent_restore: tokio::sync::watch::Sender<Option<Restore>>,
     /// Revisions of the platform's objects that this VM knows, to ignore stale updates.
-    pub freshness: RefCell<Positions>,
+    pub positions: RefCell<Positions>,
     /// Backend servers, with what this VM knows of each.
     pub fleet: RefCell<Fleet>,
     /// Rollouts by service.
@@ -92,7 +92,7 @@
     pub role: tokio::sync::watch::Sender<Role>,
     /// Which VM read the last update from the store, and the number of VMs that relayed it; `None`
     /// if this VM reads the store itself.
-    pub origin: RefCell<Option<Origin>>,
+    pub updates_origin: RefCell<Option<Origin>>,
     /// True if the VM that this one follows reports that the store is lost.
     pub upstream_store_lost: Cell<bool>,
     /// True if the last read of the servers got no response.
@@ -123,7 +123,7 @@
     /// Counts recoveries and restores of the store; tasks that watch the store wait for a change.
     pub store_recoveries: tokio::sync::watch::Sender<u64>,
     /// Kinds of which all objects have been listed since the start.
-    pub listed: RefCell<HashSet<Kind>>,
+    pub listed_kinds: RefCell<HashSet<Kind>>,
     /// When a planned stop began; `None` before.
     pub stopping_since: tokio::sync::watch::Sender<Option<Moment>>,
     /// Number of requests in flight.
@@ -131,7 +131,7 @@
     /// The other VMs, as far as known.
     pub peers: RefCell<Peers>,
     /// Buffered log lines.
-    pub lines: Logger,
+    pub logger: Logger,
     /// Metrics of the process.
     pub metrics: Metrics,
     /// Names of response headers of servers that nothing decodes.
@@ -151,8 +151,8 @@
             table: RefCell::default(),
             era: Rc::default(),
             active_era: Cell::new(None),
-            restored: tokio::sync::watch::Sender::new(None),
-            freshness: RefCell::default(),
+            recent_restore: tokio::sync::watch::Sender::new(None),
+            positions: RefCell::default(),
             fleet: RefCell::default(),
             rollouts: RefCell::default(),
             disputes_changed: Notify::new(),
@@ -165,7 +165,7 @@
             store_lost: Cell::new(false),
             store_recovered_at: Cell::new(None),
             role: tokio::sync::watch::Sender::new(Role::Joins),
-            origin: RefCell::default(),
+            updates_origin: RefCell::default(),
             upstream_store_lost: Cell::new(false),
             store_suspect: Cell::new(false),
             store_untested: Cell::new(false),
@@ -180,11 +180,11 @@
             proof_requested: Notify::new(),
             proof_received: Notify::new(),
             store_recoveries: tokio::sync::watch::Sender::new(0),
-            listed: RefCell::default(),
+            listed_kinds: RefCell::default(),
             stopping_since: tokio::sync::watch::Sender::new(None),
             running: Cell::new(0),
             peers: RefCell::default(),
-            lines,
+            logger: lines,
             metrics: Metrics::new(),
             unknown_headers: RefCell::default(),
             budgets: RefCell::default(),
@@ -205,7 +205,7 @@
 
     /// Appends a log line; it is written with the next flush.
     pub fn log(&self, event: &str, fields: &[(&str, Value)]) {
-        self.lines.log(event, self.clock.date(), self.now(), fields);
+        self.logger.log(event, self.clock.date(), self.now(), fields);
     }
 
     /// Returns the routing table in force, if a configuration was read.
@@ -240,7 +240,7 @@
 
     /// Enters an era of the store that a response named.
     pub fn enter_era(&self, era: Era) {
-        self.enter_era_with(era, Some(Restore { at: self.now(), base: None }));
+        self.enter_era_with(era, Some(Restore { noticed_at: self.now(), first_position: None }));
     }
 
     /// Enters an era of the store. A later era means that the store was restored from a copy:
@@ -257,7 +257,7 @@
         if before.is_some() {
             self.log("store restored", &[("era", era.0.into())]);
             self.store_recovered_at.set(Some(self.now()));
-            self.restored.send_replace(restore);
+            self.recent_restore.send_replace(restore);
             self.store_recoveries.send_modify(|times| *times += 1);
         }
     }
@@ -267,17 +267,18 @@
     pub fn enter_era_of(&self, position: Position) {
         self.enter_era(position.era);
         let is_first = |restore: &mut Restore| {
-            let is_first = restore.base.is_none() && self.active_era.get() == Some(position.era);
-            restore.base = restore.base.or(is_first.then_some(position));
+            let is_first =
+                restore.first_position.is_none() && self.active_era.get() == Some(position.era);
+            restore.first_position = restore.first_position.or(is_first.then_some(position));
             is_first
         };
-        self.restored.send_if_modified(|restore| restore.as_mut().is_some_and(is_first));
+        self.recent_restore.send_if_modified(|restore| restore.as_mut().is_some_and(is_first));
     }
 
     /// Returns true if an object that last changed at `position` may come from a copy that the
     /// store was restored from, and its owner may not have had time to rewrite it.
     pub fn may_be_outdated(&self, position: Position) -> bool {
-        self.restored.borrow().is_some_and(|restore| restore.covers(position, self.now()))
+        self.recent_restore.borrow().is_some_and(|restore| restore.covers(position, self.now()))
     }
 
     /// Records that a read for a proof failed. Ignored while another VM reads for this one.
@@ -354,7 +355,7 @@
 
     /// Returns true if all objects of a kind have been listed.
     pub fn has_listed(&self, kind: Kind) -> bool {
-        self.listed.borrow().contains(&kind)
+        self.listed_kinds.borrow().contains(&kind)
     }
 
     /// Returns true if routes, backend servers, rollouts and evacuations are known.
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -426,9 +426,9 @@
         route: "r",
         version,
         failed: false,
-        time,
+        response_time: time,
         reported_slow_levels: 0,
-        expected: Some(Span::millis(40)),
+        expected_time: Some(Span::millis(40)),
     }
 }
 
@@ -492,9 +492,9 @@
             route,
             version,
             failed,
-            time,
+            response_time: time,
             reported_slow_levels: 0,
-            expected: Some(Span::millis(40)),
+            expected_time: Some(Span::millis(40)),
         }
     };
     let mut all: Vec<RolloutTrial> = (0..3).map(|_| RolloutTrial::default()).collect();
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -55,14 +55,21 @@
 
 fn all_objects(feed: &Feed) -> BTreeMap<(Kind, String), String> {
     let mut fresh = Follower::default();
-    fresh.apply(feed.since(Cursor::default(), status(), Moment(0)));
+    fresh.apply(feed.update_since(Cursor::default(), status(), Moment(0)));
     fresh.objects
 }
 
 fn status() -> Status {
     let origin = Origin { reader: "vm".parse().unwrap(), hops: 0 };
     let (verdicts, held) = (Vec::new(), Vec::new());
-    Status { origin, store: Reachability::Up, proof: None, restore: None, verdicts, held }
+    Status {
+        origin,
+        store: Reachability::Up,
+        proof: None,
+        restore: None,
+        verdicts,
+        quarantined: held,
+    }
 }
 
 /// Applies a list: removes the objects that it lacks and upserts those that it has.
@@ -92,10 +99,10 @@
                 7..=9 => feed.remove(kind, &format!("o{}", name % 8), false),
                 10 => apply_list(&mut feed, kind, &[object(name, revision), object(name + (name < 255) as u8, revision)]),
                 11 => feed = Feed::new(100 + revision),
-                _ => follower.apply(feed.since(follower.cursor, status(), Moment(0))),
+                _ => follower.apply(feed.update_since(follower.cursor, status(), Moment(0))),
             }
         }
-        follower.apply(feed.since(follower.cursor, status(), Moment(0)));
+        follower.apply(feed.update_since(follower.cursor, status(), Moment(0)));
         follower.objects == all_objects(&feed)
     }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -24,7 +24,7 @@
 use kitepulley::forward::Vm;
 use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::kind::Kind;
-use kitepulley::forward::pinned::Draw;
+use kitepulley::forward::pinned_sessions::Draw;
 use kitepulley::platform::object::Object;
 use kitepulley::standin::platform::Switches;
 use kitepulley::standin::replica::{Act, Replica};
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -167,9 +167,9 @@
                 route: "r",
                 version,
                 failed: false,
-                time,
+                response_time: time,
                 reported_slow_levels: 0,
-                expected: time,
+                expected_time: time,
             };
             trials.record(&sample);
         }
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -13,7 +13,7 @@
 use kitepulley::decide::poison::{Exchange, OpenRequest, ServerIncarnation, Topology};
 use kitepulley::decide::reader::is_stale;
 use kitepulley::decide::server_limit::{Pacer, RateLimit, Share};
-use kitepulley::forward::{Vm, apply, wake};
+use kitepulley::forward::{Vm, apply, suspension};
 use kitepulley::unit::{Moment, Rate, Revision, Span, digest};
 use kitepulley::vm::{Clock, Reading};
 use site::vm_with_clock;
@@ -65,16 +65,16 @@
 #[test]
 fn a_sleep_is_told_once_and_news_wait_for_what_happened_meanwhile() {
     let vm = vm_that_proved(wakes);
-    let known = wake::check(&vm, Span::default());
+    let known = suspension::check(&vm, Span::default());
     assert_eq!((known, vm.stalled_at.get()), (Span::default(), None));
     WAKE_AWAKE.fetch_add(700_000, Ordering::SeqCst);
-    assert_eq!(wake::check(&vm, known), Span::default(), "time awake is no suspension");
+    assert_eq!(suspension::check(&vm, known), Span::default(), "time awake is no suspension");
     suspend(&WAKE_ASLEEP, Span::secs(30));
-    let known = wake::check(&vm, known);
+    let known = suspension::check(&vm, known);
     assert_eq!(known, Span::secs(30));
     assert_eq!(vm.stalled_at.get(), Some(vm.now()));
     vm.stalled_at.set(None);
-    assert_eq!(wake::check(&vm, known), known);
+    assert_eq!(suspension::check(&vm, known), known);
     assert_eq!(vm.stalled_at.get(), None);
 }
 
