--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -364,7 +364,7 @@
         ("store_revision", rollout.position.revision.into()),
     ];
     vm.log("roll-out", &fields);
-    let mut trials = vm.trials.borrow_mut();
+    let mut trials = vm.rollout_trials.borrow_mut();
     let trial = trials.entry(rollout.service.clone()).or_default();
     trial.track_version(&rollout.version, vm.now());
     if rollout.phase == Some(Phase::Completed) {
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -8,8 +8,8 @@
 use super::job::Job;
 use super::poison;
 use super::replica::Replica;
+use super::rollout_attempt::RolloutAttempt;
 use super::selection::{self, Placement};
-use super::trial_attempt::TrialAttempt;
 use crate::config::RetryPolicy;
 use crate::decide::escalate;
 use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
@@ -162,7 +162,7 @@
     let started = vm.now();
     let named = model.or(job.call.model.as_ref());
     let (estimate, pending) = job.begin_attempt(placement, model);
-    let mut trial = TrialAttempt::new(job, replica, started, estimate.expected_time);
+    let mut trial = RolloutAttempt::new(job, replica, started, estimate.expected_time);
     let attempt = attempt::run(job, replica, model, job.call.last_event_id, pending, until);
     let outcome = trial.wait(attempt).await;
     trial.on_end(outcome.end);
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -13,7 +13,7 @@
 use super::poll::{self, Response, STALL_THRESHOLD};
 use super::role::{Decline, Role};
 use super::rollout_counts::{self, Observations, SentCounts};
-use super::trial::RolloutTrial;
+use super::rollout_trial::RolloutTrial;
 use super::vm::Vm;
 use super::{peer, poison};
 use crate::decide::reader::{
@@ -423,6 +423,6 @@
     vm.store_untested.set(without.is_store_lost);
     vm.proof_requested.notify_one();
     vm.updates_origin.replace(None);
-    vm.trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
+    vm.rollout_trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
     vm.role.send_replace(Role::Reads);
 }
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -7,8 +7,8 @@
 use super::pinned_sessions::Draw;
 use super::poison;
 use super::replica::Incarnation;
+use super::rollout_trial::Totals;
 use super::settings::Settings;
-use super::trial::Totals;
 use crate::unit::{DataCentre, Millicores, Rate, Server, Service, Span, Version, Vm as Name};
 
 /// A message from one VM to another.
@@ -26,7 +26,7 @@
         work: Span,
     },
     /// Counts of a new version since its rollout began.
-    TrialCounts {
+    RolloutCounts {
         /// The service.
         service: Service,
         /// The new version.
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -14,7 +14,7 @@
 use super::kind::VMS;
 use super::message::Envelope;
 use super::role::Role;
-use super::trial::Source;
+use super::rollout_trial::Source;
 use super::vm::Vm;
 use super::{membership, pinned_sessions, poison, poll};
 use crate::decide::reader::Rank;
@@ -212,8 +212,8 @@
                 server.backlog.add(work, now);
             }
         }
-        Message::TrialCounts { service, version, routes } => {
-            let mut trials = vm.trials.borrow_mut();
+        Message::RolloutCounts { service, version, routes } => {
+            let mut trials = vm.rollout_trials.borrow_mut();
             trials.entry(service).or_default().merge_totals(Source::Vm(from), &version, routes);
         }
         Message::PinnedSessions { service, version, draws } => {
--- a/src/forward/pinned_sessions.rs
+++ b/src/forward/pinned_sessions.rs
@@ -108,7 +108,7 @@
 /// Returns true while sessions are pinned to their version: in the first half of a roll-out's time
 /// limit.
 pub fn is_pinning(vm: &Vm, rollout: &Rollout, now: Moment) -> bool {
-    let trials = vm.trials.borrow();
+    let trials = vm.rollout_trials.borrow();
     let trial = trials.get(&rollout.service);
     let first_half = trial.is_none_or(|trial| trial.age(now).0 * 2 < rollout.within.0);
     first_half && rollout.is_open()
--- a/src/forward/trial_attempt.rs
+++ b/src/forward/rollout_attempt.rs
@@ -2,12 +2,12 @@
 
 use super::job::Job;
 use super::replica::Replica;
-use super::trial::{self, Sample};
+use super::rollout_trial::{self, Sample};
 use crate::decide::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span, Version};
 
 /// An attempt that is counted in a trial.
-pub struct TrialAttempt<'a> {
+pub struct RolloutAttempt<'a> {
     job: &'a Job,
     version: Version,
     started_at: Moment,
@@ -16,7 +16,7 @@
     reported_slow_levels: usize,
 }
 
-impl<'a> TrialAttempt<'a> {
+impl<'a> RolloutAttempt<'a> {
     /// Creates the record of an attempt that began at the moment `started_at`; its first event is due
     /// within `expected_time`, if known.
     pub fn new(
@@ -24,16 +24,16 @@
         replica: &Replica,
         started_at: Moment,
         expected_time: Option<Span>,
-    ) -> TrialAttempt<'a> {
+    ) -> RolloutAttempt<'a> {
         let version = replica.version.clone();
-        TrialAttempt { job, version, started_at, expected_time, reported_slow_levels: 0 }
+        RolloutAttempt { job, version, started_at, expected_time, reported_slow_levels: 0 }
     }
 
     /// Waits for an attempt. Counts it as slow as soon as it takes too long: its answer may come
     /// seconds later, or its caller may leave, and a slow version must be detected by then.
     pub async fn wait<T>(&mut self, attempt: impl Future<Output = T>) -> T {
         let mut attempt = std::pin::pin!(attempt);
-        for limit in self.expected_time.map(trial::slow_thresholds).into_iter().flatten() {
+        for limit in self.expected_time.map(rollout_trial::slow_thresholds).into_iter().flatten() {
             let left = limit.0.saturating_sub(self.job.vm.now().since(self.started_at).0);
             if let Ok(outcome) = tokio::time::timeout(Span(left).duration(), attempt.as_mut()).await
             {
@@ -70,7 +70,7 @@
             expected_time: self.expected_time,
         };
         self.reported_slow_levels += 1;
-        let mut trials = vm.trials.borrow_mut();
+        let mut trials = vm.rollout_trials.borrow_mut();
         trials.entry(self.job.service.clone()).or_default().record(&sample);
     }
 }
--- a/src/forward/rollout_counts.rs
+++ b/src/forward/rollout_counts.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::trial::{Source, TotalsByRoute, Verdict};
+use super::rollout_trial::{Source, TotalsByRoute, Verdict};
 use super::vm::Vm;
 use crate::unit::{Service, Version, Vm as Name};
 
@@ -75,7 +75,7 @@
         true => Source::Group(vm.settings.data_centre.clone()),
         false => Source::Vm(vm.settings.vm.clone()),
     };
-    let trials = vm.trials.borrow();
+    let trials = vm.rollout_trials.borrow();
     let counts = |(service, version): (Service, Version)| {
         let trial = trials.get(&service)?;
         let routes = if first { trial.group_totals() } else { trial.own_totals().clone() };
@@ -94,7 +94,7 @@
 
 /// Applies counts from a VM that follows this one.
 pub fn merge_counts(vm: &Vm, seen: Vec<Observations>) {
-    let mut trials = vm.trials.borrow_mut();
+    let mut trials = vm.rollout_trials.borrow_mut();
     for Observations { service, version, source, routes } in seen {
         trials.entry(service).or_default().merge_totals(source, &version, routes);
     }
@@ -102,7 +102,7 @@
 
 /// Returns this VM's verdicts on running roll-outs, for the VMs that follow it.
 pub fn verdicts(vm: &Vm) -> Vec<VersionVerdict> {
-    let trials = vm.trials.borrow();
+    let trials = vm.rollout_trials.borrow();
     let verdict = |(service, version): (Service, Version)| {
         let verdict = trials.get(&service)?.verdict();
         Some(VersionVerdict { service, version, verdict })
@@ -112,7 +112,7 @@
 
 /// Applies the verdicts of the VM that this one follows.
 pub fn apply_verdicts(vm: &Vm, verdicts: &[VersionVerdict]) {
-    let mut trials = vm.trials.borrow_mut();
+    let mut trials = vm.rollout_trials.borrow_mut();
     for VersionVerdict { service, version, verdict } in verdicts {
         trials.entry(service.clone()).or_default().set_upstream_verdict(version, *verdict);
     }
--- a/src/forward/rollout_steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -7,7 +7,7 @@
 use super::apply::apply_rollout;
 use super::backoff::Backoff;
 use super::replica::{Phase, Rollout};
-use super::trial::Verdict;
+use super::rollout_trial::Verdict;
 use super::vm::Vm;
 use super::{peer, rate_limit};
 use crate::decide::canary::{self, Inputs, Step};
@@ -77,12 +77,15 @@
     if !vm.peers.borrow().is_full_mesh() {
         return;
     }
-    let changed =
-        vm.trials.borrow_mut().get_mut(service).and_then(|trial| trial.take_changed_totals());
+    let changed = vm
+        .rollout_trials
+        .borrow_mut()
+        .get_mut(service)
+        .and_then(|trial| trial.take_changed_totals());
     if let Some((version, routes)) = changed {
         peer::broadcast(
             vm,
-            &peer::Message::TrialCounts { service: service.clone(), version, routes },
+            &peer::Message::RolloutCounts { service: service.clone(), version, routes },
         );
     }
 }
@@ -147,7 +150,7 @@
     let rollouts = vm.rollouts.borrow();
     // A revision of another era refers to another state of the store.
     let rollout = rollouts.get(service).filter(|one| one.position.era == vm.era.newest())?;
-    let trials = vm.trials.borrow();
+    let trials = vm.rollout_trials.borrow();
     let trial = trials.get(service)?;
     let fleet = vm.fleet.borrow();
     let access = rate_limit::limiter(vm, service, now);
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use prompt::Prompt;
-use version::{eligible_versions, trial_servers};
+use version::{eligible_versions, rollout_servers};
 
 use super::call::Call;
 use super::peer;
@@ -281,7 +281,7 @@
     };
     let is_available = |one: &&Server| one.availability.unavailable_reason(now).is_none();
     let in_trial_set =
-        trial_servers(vm, criteria.service, versions, of_version().filter(is_available));
+        rollout_servers(vm, criteria.service, versions, of_version().filter(is_available));
     let max_open = max_open_per_server(vm, criteria.service, now);
     let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < max_open;
     let in_trial = |one: &&Server| {
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -88,7 +88,7 @@
         None | Some(Phase::RolledBack) => (old, Reason::Settled),
         Some(Phase::Completed) => (new, Reason::Settled),
         Some(Phase::Running { share }) => {
-            let trials = vm.trials.borrow();
+            let trials = vm.rollout_trials.borrow();
             let trial = trials.get(service);
             if trial.is_some_and(|trial| trial.is_bad()) {
                 return (old, Reason::NewVersionBad);
@@ -116,7 +116,7 @@
 
 /// Returns the servers that share the requests of a version in a rollout, or none if all of them
 /// do. All VMs compute the same servers.
-pub fn trial_servers<'a>(
+pub fn rollout_servers<'a>(
     vm: &Vm,
     service: &Service,
     versions: &Versions,
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -16,10 +16,10 @@
 use super::replica::Rollout;
 use super::restore::Restore;
 use super::role::{Decline, Role};
+use super::rollout_trial::RolloutTrial;
 use super::server::{Fleet, LAPSED_ENTRY_GRACE};
 use super::session::Sessions;
 use super::settings::Settings;
-use super::trial::RolloutTrial;
 use crate::config::Table;
 use crate::decide::budget::RetryBudget;
 use crate::decide::limit;
@@ -75,7 +75,7 @@
     /// Rollouts read from a restored copy of the store while a later order is known.
     pub deferred_rollouts: RefCell<HashMap<Service, Object>>,
     /// Observations of rollouts, by service.
-    pub trials: RefCell<HashMap<Service, RolloutTrial>>,
+    pub rollout_trials: RefCell<HashMap<Service, RolloutTrial>>,
     /// Sessions that were seen recently.
     pub sessions: RefCell<Sessions>,
     /// Sessions that other VMs report as pinned to the old version.
@@ -157,7 +157,7 @@
             rollouts: RefCell::default(),
             disputes_changed: Notify::new(),
             deferred_rollouts: RefCell::default(),
-            trials: RefCell::default(),
+            rollout_trials: RefCell::default(),
             sessions: RefCell::default(),
             pinned_sessions: RefCell::default(),
             poison: RefCell::default(),
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -14,8 +14,8 @@
 use kitepulley::decide::sequential::Count;
 use kitepulley::decide::{escalate, priority};
 use kitepulley::forward::replica::Phase;
+use kitepulley::forward::rollout_trial::{RolloutTrial, Sample, Source, Totals};
 use kitepulley::forward::sse::EventBuffer;
-use kitepulley::forward::trial::{RolloutTrial, Sample, Source, Totals};
 use kitepulley::unit::{Moment, Span, Version};
 use quickcheck::{TestResult, quickcheck};
 
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -7,8 +7,8 @@
 use kitepulley::decide::reader::{
     FollowerState, Place, Rank, SourceHistory, may_accept, should_read_store,
 };
-use kitepulley::forward::trial::Source;
-use kitepulley::forward::trial::{RolloutTrial, Sample, Verdict};
+use kitepulley::forward::rollout_trial::Source;
+use kitepulley::forward::rollout_trial::{RolloutTrial, Sample, Verdict};
 use kitepulley::unit::{Millicores, Moment, Span, Version, Vm};
 use quickcheck::quickcheck;
 
