--- a/src/command/confirm.rs
+++ b/src/command/confirm.rs
@@ -3,6 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use super::{block_on, query};
 use crate::cli;
 use crate::config::{Plan, digest};
 use crate::error::Error;
@@ -11,7 +12,6 @@
 use crate::platform::Store;
 use crate::unit::Revision;
 use crate::vm::Clock;
-use super::{block_on, query};
 
 /// Longest wait until the change is in force on all VMs.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(20);
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -2,12 +2,12 @@
 
 use std::path::Path;
 
+use super::block_on;
 use crate::config::{self, Plan, PlanSource};
 use crate::error::Error;
 use crate::options::address;
 use crate::platform::Store;
 use crate::{cli, operator};
-use super::block_on;
 
 /// Prints the plan and, with `--out`, writes it to a file for `confirm`.
 pub fn run(flags: &cli::Plan) -> Result<(), Error> {
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -4,20 +4,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::config::{self, Cascade, Declarations, Intent, ModelEntry, Objective, PlanSource, ServerEntry, ServerKind, ServiceEntry, VersionEntry, WorkspaceEntry, digest};
+use super::Node;
+use crate::config::{
+    self, Cascade, Declarations, Intent, ModelEntry, Objective, PlanSource, ServerEntry,
+    ServerKind, ServiceEntry, VersionEntry, WorkspaceEntry, digest,
+};
 use crate::decide::rollout::Policy;
 use crate::error::Error;
 use crate::history::Sink;
 use crate::operator::{Confirmation, confirm, read_snapshot};
 use crate::platform::Store;
+use crate::standin;
 use crate::standin::engine::{Behaviour, Engine, Profile};
 use crate::standin::platform::{Platform, RATES, VmEntry};
 use crate::standin::rating::Rater;
 use crate::standin::service::Service;
-use crate::standin;
 use crate::unit::{Cost, Rate, Revision, Size, Span, Target, Vm, Workspace};
 use crate::vm::{Clock, Settings};
-use super::Node;
 
 /// Address that servers of the demo listen on, with any free port.
 const LOOPBACK: &str = "127.0.0.1:0";
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::pinned::Draw;
+use super::pinned_sessions::Draw;
 use super::poison;
 use super::replica::Incarnation;
+use super::rollout_trial::Totals;
 use super::settings::Settings;
-use super::trial::Totals;
 use crate::unit::{DataCentre, Millicores, Rate, Server, Service, Span, Version, Vm as Name};
 
 /// A message from one VM to another.
@@ -26,7 +26,7 @@
         work: Span,
     },
     /// Counts of a new version since its rollout began.
-    TrialCounts {
+    RolloutCounts {
         /// The service.
         service: Service,
         /// The new version.
@@ -52,7 +52,7 @@
         /// Id of the server.
         server: Server,
         /// Start of the incarnation, in milliseconds since 1970 by its own clock.
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
         /// Address on which the server listens.
         address: SocketAddr,
         /// Requests per second from all VMs together; `None` if there is no limit any more.
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Semaphore, mpsc};
 
+use super::{Instance, complete, digest, launch};
 use crate::engine::wire::{Cancel, End, Frame, Generate, Load, NotRun, Order, Reason};
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::unit::{RequestId, Revision, Server, Target};
-use super::{Instance, complete, digest, launch};
 
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 4_000_000;
