--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -5,8 +5,8 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use kitepulley::decide::admission::{AdmissionController, Outcome};
 use kitepulley::decide::availability::Signal;
-use kitepulley::decide::cascade::{BINS, Belief, Ratings, Rungs, solve};
-use kitepulley::decide::replica::{Replica, choose};
+use kitepulley::decide::cascade::{CONFIDENCE_BINS, Observations, Ratings, Rungs, solve};
+use kitepulley::decide::replica::{Replica, select_replica};
 use kitepulley::decide::rollout::{Arm, Inputs, Policy, decide};
 use kitepulley::decide::sequential::Count;
 use kitepulley::forward::replica::Replica as Life;
@@ -30,7 +30,7 @@
         group.bench_function(BenchmarkId::from_parameter(count), |b| {
             b.iter(|| {
                 point = point.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                black_box(choose(&all, Some(point), point, Moment(1_200_000)))
+                black_box(select_replica(&all, Some(point), point, Moment(1_200_000)))
             });
         });
     }
@@ -42,22 +42,22 @@
     let view = Inputs {
         new: arm(1000, 80),
         old: arm(1000, 80),
-        earlier: Count::of(1500, 120),
+        earlier_ratings: Count::of(1500, 120),
         share: TrafficShare::from_fraction(0.05),
-        held: false,
-        at_share: Span::secs(100),
-        rate: 50.0,
-        lag: Span::secs(60),
-        since_rating: Span::secs(1),
-        prior: 0.08,
+        is_held: false,
+        time_at_share: Span::secs(100),
+        request_rate: 50.0,
+        rating_lag: Span::secs(60),
+        time_since_rating: Span::secs(1),
+        declared_bad_share: 0.08,
     };
     let policy = Policy::default();
     bench.bench_function("rollout", |b| b.iter(|| black_box(decide(&policy, &view))));
 }
 
 fn cascade(bench: &mut Criterion) {
-    let mut belief = Belief { requests: 1000.0, ..Belief::default() };
-    for i in 0..BINS {
+    let mut belief = Observations { requests: 1000.0, ..Observations::default() };
+    for i in 0..CONFIDENCE_BINS {
         belief.confidence_counts[i] = 60.0;
         belief.cheap[i] = Ratings { all: 20.0, pass: i as f64 * 1.2 };
     }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -57,7 +57,7 @@
     /// Admitted requests that end per second, and that run at once, as moving averages.
     rate: f64,
     mean_running: f64,
-    slot_time: f64,
+    mean_duration: f64,
     updated_at: Moment,
     demands: BTreeMap<Workspace, Demand>,
 }
@@ -72,7 +72,7 @@
             ended: 0.0,
             rate: 0.0,
             mean_running: 0.0,
-            slot_time: 0.0,
+            mean_duration: 0.0,
             updated_at: Moment(0),
             demands: BTreeMap::new(),
         }
@@ -118,7 +118,7 @@
 
     /// Returns true if a request is expected to end before `deadline`.
     pub fn can_meet_deadline(&self, now: Moment, deadline: Moment) -> bool {
-        now + Span((self.slot_time * MAX_DURATION_FACTOR * 1e6) as u64) < deadline
+        now + Span((self.mean_duration * MAX_DURATION_FACTOR * 1e6) as u64) < deadline
     }
 
     /// Returns the current concurrency limit.
@@ -138,12 +138,12 @@
         self.mean_running += SMOOTHING_FACTOR * (self.running - self.mean_running);
         self.ended = 0.0;
         // Little's law: mean time that a request holds its slot.
-        self.slot_time = if self.rate > 0.0 { self.mean_running / self.rate } else { 0.0 };
+        self.mean_duration = if self.rate > 0.0 { self.mean_running / self.rate } else { 0.0 };
         let mut wanted = Vec::with_capacity(self.demands.len());
         for demand in self.demands.values_mut() {
             demand.rate += SMOOTHING_FACTOR * (demand.offered / seconds - demand.rate);
             demand.offered = 0.0;
-            wanted.push((demand.rate * self.slot_time).max(demand.running));
+            wanted.push((demand.rate * self.mean_duration).max(demand.running));
         }
         let weights: Vec<f64> = self.demands.values().map(|demand| demand.weight).collect();
         let shares = fair::shares(&wanted, &weights, self.concurrency.limit());
--- a/src/decide/availability.rs
+++ b/src/decide/availability.rs
@@ -9,7 +9,7 @@
 
 use super::outcome::AttemptOutcome;
 use super::outlier::OutlierDetector;
-use super::server_limit::Limit;
+use super::server_limit::KnownLimit;
 use crate::unit::{Moment, Span};
 
 /// The longest backoff that is honoured. A server that sends a wrong number gets requests again
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Availability {
     /// Rate limit that the server advertises to all VMs together.
-    pub limit: Limit,
+    pub rate_limit: KnownLimit,
     outliers: OutlierDetector,
     /// Since when its entry in the store marks it as draining.
     entry_draining_since: Option<Moment>,
--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -9,8 +9,8 @@
 /// the work that this VM itself still waits for: a slow or silent server keeps its backlog.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backlog {
-    left: Span,
-    at: Moment,
+    work_at_update: Span,
+    updated_at: Moment,
     /// Prefill time of prompts that this VM sent and that have no first event yet.
     own_unread: Span,
 }
@@ -18,8 +18,8 @@
 impl Backlog {
     /// Adds work that this or another VM just sent.
     pub fn add(&mut self, work: Span, now: Moment) {
-        self.left = Span(self.expected(now).0 + work.0);
-        self.at = now;
+        self.work_at_update = Span(self.expected_remaining(now).0 + work.0);
+        self.updated_at = now;
     }
 
     /// Adds a prompt of this VM to those that have no first event yet.
@@ -35,12 +35,13 @@
 
     /// Returns the work that is left.
     pub fn remaining(&self, now: Moment) -> Span {
-        self.expected(now).max(Span((self.own_unread.0 as f64 * MIN_UNREAD_FRACTION) as u64))
+        self.expected_remaining(now)
+            .max(Span((self.own_unread.0 as f64 * MIN_UNREAD_FRACTION) as u64))
     }
 
     /// Returns the work that would be left if the server had worked at the usual speed, without
     /// delays of its own.
-    pub fn expected(&self, now: Moment) -> Span {
-        Span(self.left.0.saturating_sub(now.since(self.at).0))
+    pub fn expected_remaining(&self, now: Moment) -> Span {
+        Span(self.work_at_update.0.saturating_sub(now.since(self.updated_at).0))
     }
 }
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     bucket_length: Span,
-    share: f64,
-    extra: u32,
+    retry_ratio: f64,
+    extra_retries: u32,
     buckets: VecDeque<Bucket>,
 }
 
@@ -38,16 +38,16 @@
         let bucket_length = Span((window.0 / BUCKETS).max(1));
         RetryBudget {
             bucket_length,
-            share: share * USED_FRACTION,
-            extra: 1,
+            retry_ratio: share * USED_FRACTION,
+            extra_retries: 1,
             buckets: VecDeque::new(),
         }
     }
 
     /// Sets the number of retries beyond the share: this VM's part of what all VMs together may
     /// spend.
-    pub fn set_extra(&mut self, extra: u32) {
-        self.extra = extra;
+    pub fn set_extra_retries(&mut self, extra: u32) {
+        self.extra_retries = extra;
     }
 
     /// Records that a request is sent for the first time.
@@ -70,7 +70,7 @@
         self.bucket(now);
         let firsts: u32 = self.buckets.iter().map(|bucket| bucket.firsts).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
-        let all = f64::from(firsts) * self.share + f64::from(self.extra);
+        let all = f64::from(firsts) * self.retry_ratio + f64::from(self.extra_retries);
         if f64::from(repeats) + 1.0 > all * fraction {
             return false;
         }
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -135,41 +135,46 @@
     /// Present phase; none before the first step.
     pub phase: Option<Phase>,
     /// Time since this VM saw the order.
-    pub age: Span,
+    pub order_age: Span,
     /// Time limit of the roll-out.
-    pub within: Span,
+    pub time_limit: Span,
     /// Exposure bound: share of requests that a bad version may get.
-    pub exposure: f64,
+    pub max_exposure: f64,
     /// Servers of the new version that are ready.
-    pub ready: usize,
+    pub ready_servers: usize,
     /// True once the trial has found the version bad.
-    pub bad: bool,
+    pub is_found_bad: bool,
     /// Answers of the new version that were seen.
-    pub seen: f64,
+    pub answers_seen: f64,
     /// Evidence against it, on the scale of [`ROLLBACK_EVIDENCE`].
     pub evidence: f64,
 }
 
 /// Returns the next step of a roll-out.
 pub fn next_step(inputs: &Inputs) -> Step {
-    let completion_margin =
-        (inputs.within.0 as f64 * COMPLETION_MARGIN_FRACTION).max(MIN_COMPLETION_MARGIN.0 as f64);
-    let full_share_time = inputs.within.0 as f64 * inputs.exposure * FULL_SHARE_TIME_PER_EXPOSURE;
+    let completion_margin = (inputs.time_limit.0 as f64 * COMPLETION_MARGIN_FRACTION)
+        .max(MIN_COMPLETION_MARGIN.0 as f64);
+    let full_share_time =
+        inputs.time_limit.0 as f64 * inputs.max_exposure * FULL_SHARE_TIME_PER_EXPOSURE;
     let full_share_before = completion_margin + full_share_time;
     let complete_before = completion_margin
         + (full_share_time * MAX_ORDER_DELAY_FRACTION).min(MAX_ORDER_DELAY.0 as f64);
-    let left = inputs.within.0 as f64 - inputs.age.0 as f64;
+    let left = inputs.time_limit.0 as f64 - inputs.order_age.0 as f64;
     match inputs.phase {
         Some(Phase::Completed | Phase::RolledBack) => Step::Hold,
-        _ if inputs.bad => Step::Move(Phase::RolledBack),
-        None if inputs.ready == 0 || inputs.age < first_sessions_delay(inputs.within) => Step::Hold,
-        None => Step::Move(Phase::Running { share: first_share(inputs.exposure) }),
+        _ if inputs.is_found_bad => Step::Move(Phase::RolledBack),
+        None if inputs.ready_servers == 0
+            || inputs.order_age < first_sessions_delay(inputs.time_limit) =>
+        {
+            Step::Hold
+        }
+        None => Step::Move(Phase::Running { share: first_share(inputs.max_exposure) }),
         Some(Phase::Running { share }) if share >= 1.0 => {
-            let is_due = left <= complete_before && inputs.ready > 0;
+            let is_due = left <= complete_before && inputs.ready_servers > 0;
             if is_due { advance_unless_doubted(inputs, Phase::Completed) } else { Step::Hold }
         }
         Some(Phase::Running { .. }) => {
-            let has_enough_answers = inputs.seen >= MIN_ANSWERS && inputs.ready > 0;
+            let has_enough_answers = inputs.answers_seen >= MIN_ANSWERS && inputs.ready_servers > 0;
             let is_due = left <= full_share_before && has_enough_answers;
             if is_due {
                 advance_unless_doubted(inputs, Phase::Running { share: 1.0 })
@@ -187,7 +192,8 @@
 
 /// Returns a step towards the new version, or a rollback if the evidence against it is too strong.
 fn advance_unless_doubted(inputs: &Inputs, phase: Phase) -> Step {
-    let is_doubted = inputs.evidence > DOUBT_EVIDENCE.max(inputs.seen * DOUBT_EVIDENCE_PER_ANSWER);
+    let is_doubted =
+        inputs.evidence > DOUBT_EVIDENCE.max(inputs.answers_seen * DOUBT_EVIDENCE_PER_ANSWER);
     Step::Move(if is_doubted { Phase::RolledBack } else { phase })
 }
 
--- /dev/null
+++ b/src/decide/cascade/estimate.rs
@@ -0,0 +1,190 @@
+//! Estimates the quality of each rung for each kind of work: smoothed ratings and their standard
+//! errors.
+
+use super::rating::explore_probability;
+use super::{CONFIDENCE_BINS, Observations, PRIOR_RATINGS, Ratings, Rungs};
+
+/// Smoothed estimates for one kind of work.
+#[derive(Clone, Debug)]
+pub(super) struct Estimate {
+    pub(super) explore_probability: f64,
+    pub(super) weight: f64,
+    pub(super) confidence_shares: [f64; CONFIDENCE_BINS],
+    pub(super) cheap_pass_rate: [f64; CONFIDENCE_BINS],
+    pub(super) cheap_error: [f64; CONFIDENCE_BINS],
+    pub(super) strong_pass_rate: [f64; CONFIDENCE_BINS],
+    pub(super) strong_error: [f64; CONFIDENCE_BINS],
+    pub(super) direct_pass_rate: f64,
+    pub(super) direct_error: f64,
+}
+
+pub(super) fn estimate(observations: &[Observations], rungs: &Rungs) -> Vec<Estimate> {
+    let pooled = pooled_pass_rates(observations, rungs);
+    let strong = strong_ratings_of(observations);
+    let total: f64 = observations.iter().map(|b| b.requests + 1.0).sum();
+    observations
+        .iter()
+        .map(|observed| estimate_kind(observed, &pooled, strong, rungs, total))
+        .collect()
+}
+
+/// Returns the sum of all ratings of strong answers.
+fn strong_ratings_of(observations: &[Observations]) -> Ratings {
+    let cells = observations.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
+    cells.fold(Ratings::default(), |sum, cell| Ratings {
+        all: sum.all + cell.all,
+        pass: sum.pass + cell.pass,
+    })
+}
+
+/// Maximum weight, in ratings, of the other kinds in the estimate of the strong rung, which differs
+/// little between kinds.
+const MAX_POOLED_RATINGS: f64 = 80.0;
+
+/// Returns the pass rate of each bin over all kinds, the prior curve of a kind with few ratings.
+fn pooled_pass_rates(observations: &[Observations], rungs: &Rungs) -> [f64; CONFIDENCE_BINS] {
+    let mut pooled = [0.0; CONFIDENCE_BINS];
+    let mut weights = [0.0; CONFIDENCE_BINS];
+    for (i, share) in pooled.iter_mut().enumerate() {
+        let mut cell = Ratings::default();
+        for observed in observations {
+            cell.all += observed.cheap[i].all;
+            cell.pass += observed.cheap[i].pass;
+        }
+        // The prior gives confidence half the weight, so that it is trusted a little before any
+        // rating.
+        let middle = (i as f64 + 0.5) / CONFIDENCE_BINS as f64;
+        let prior = (rungs.cheap_quality * 0.5 + middle * 0.5).min(rungs.cheap_quality);
+        *share = cell.smoothed_rate(prior);
+        weights[i] = cell.all + PRIOR_RATINGS;
+    }
+    monotone(&mut pooled, &weights);
+    smooth(&pooled)
+}
+
+/// Averages each bin with its neighbours: the steps that an isotonic fit leaves are chance, not
+/// part of the curve.
+fn smooth(values: &[f64; CONFIDENCE_BINS]) -> [f64; CONFIDENCE_BINS] {
+    let mut smoothed = *values;
+    for i in 1..CONFIDENCE_BINS - 1 {
+        smoothed[i] = (values[i - 1] + 2.0 * values[i] + values[i + 1]) / 4.0;
+    }
+    smoothed
+}
+
+/// Weight, in ratings, of the prior that a kind has the level of all kinds.
+const LEVEL_PRIOR_RATINGS: f64 = 4.0;
+
+/// Newton iterations for a kind's level.
+const NEWTON_STEPS: usize = 6;
+
+/// Shifts the curve over all kinds, in log-odds, to the level of a kind's own ratings.
+fn shift_to_level(
+    pooled: &[f64; CONFIDENCE_BINS],
+    cells: &[Ratings; CONFIDENCE_BINS],
+) -> [f64; CONFIDENCE_BINS] {
+    let log_odds = pooled.map(|p| {
+        let p = p.clamp(0.01, 0.99);
+        (p / (1.0 - p)).ln()
+    });
+    let mut shift = 0.0;
+    for _ in 0..NEWTON_STEPS {
+        let mut gradient = -shift * LEVEL_PRIOR_RATINGS * 0.25;
+        let mut curvature = LEVEL_PRIOR_RATINGS * 0.25;
+        for (log_odds, cell) in log_odds.iter().zip(cells) {
+            let p = 1.0 / (1.0 + (-(log_odds + shift)).exp());
+            gradient += cell.pass - cell.all * p;
+            curvature += cell.all * p * (1.0 - p);
+        }
+        shift += (gradient / curvature).clamp(-1.0, 1.0);
+    }
+    log_odds.map(|log_odds| 1.0 / (1.0 + (-(log_odds + shift)).exp()))
+}
+
+fn estimate_kind(
+    observed: &Observations,
+    pooled: &[f64; CONFIDENCE_BINS],
+    all_strong_ratings: Ratings,
+    rungs: &Rungs,
+    total: f64,
+) -> Estimate {
+    let answer_count: f64 = observed.confidence_counts.iter().sum();
+    let weight = (observed.requests + 1.0) / total;
+    let mut confidence_shares = [1.0 / CONFIDENCE_BINS as f64; CONFIDENCE_BINS];
+    let mut cheap_pass_rate = [0.0; CONFIDENCE_BINS];
+    let mut weights = [0.0; CONFIDENCE_BINS];
+    let level = shift_to_level(pooled, &observed.cheap);
+    let own = strong_ratings_of(std::slice::from_ref(observed));
+    let prior = all_strong_ratings.smoothed_rate(rungs.strong_quality);
+    let trust = all_strong_ratings.all.min(MAX_POOLED_RATINGS) + PRIOR_RATINGS;
+    let overall = (own.pass + trust * prior) / (own.all + trust);
+    let overall_error = (overall * (1.0 - overall) / (own.all + trust)).sqrt();
+    let mut strong_pass_rate = [overall; CONFIDENCE_BINS];
+    let mut strong_error = [0.0; CONFIDENCE_BINS];
+    for i in 0..CONFIDENCE_BINS {
+        if answer_count > 0.0 {
+            confidence_shares[i] = (observed.confidence_counts[i] + 0.05)
+                / (answer_count + 0.05 * CONFIDENCE_BINS as f64);
+        }
+        cheap_pass_rate[i] = observed.cheap[i].smoothed_rate(level[i]);
+        weights[i] = observed.cheap[i].all + PRIOR_RATINGS;
+        strong_pass_rate[i] = observed.strong[i].smoothed_rate(overall);
+        strong_error[i] = overall_error;
+    }
+    monotone(&mut cheap_pass_rate, &weights);
+    monotone(&mut strong_pass_rate, &observed.strong.map(|cell| cell.all + PRIOR_RATINGS));
+    let mut cheap_error = [0.0; CONFIDENCE_BINS];
+    for i in 0..CONFIDENCE_BINS {
+        let p = cheap_pass_rate[i].clamp(0.02, 0.98);
+        cheap_error[i] = (p * (1.0 - p) / weights[i]).sqrt();
+    }
+    let direct_pass_rate = overall;
+    let direct_error = overall_error;
+    Estimate {
+        explore_probability: explore_probability(observed),
+        weight,
+        confidence_shares,
+        cheap_pass_rate,
+        cheap_error,
+        strong_pass_rate,
+        strong_error,
+        direct_pass_rate,
+        direct_error,
+    }
+}
+
+/// Isotonic regression by pooling adjacent violators: a more confident answer is not likelier to be
+/// poor.
+fn monotone(values: &mut [f64; CONFIDENCE_BINS], weights: &[f64; CONFIDENCE_BINS]) {
+    let mut blocks: [(f64, f64, usize); CONFIDENCE_BINS] = [(0.0, 0.0, 0); CONFIDENCE_BINS];
+    let mut count = 0;
+    for i in 0..CONFIDENCE_BINS {
+        blocks[count] = (values[i], weights[i], 1);
+        count += 1;
+        while count > 1 && blocks[count - 2].0 > blocks[count - 1].0 {
+            let (a, b) = (blocks[count - 2], blocks[count - 1]);
+            let weight = a.1 + b.1;
+            blocks[count - 2] = ((a.0 * a.1 + b.0 * b.1) / weight, weight, a.2 + b.2);
+            count -= 1;
+        }
+    }
+    let mut start = 0;
+    for block in &blocks[..count] {
+        values[start..start + block.2].fill(block.0);
+        start += block.2;
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn monotone_leaves_no_fall() {
+        let mut values = [0.5; CONFIDENCE_BINS];
+        values[3] = 0.9;
+        values[9] = 0.1;
+        monotone(&mut values, &[1.0; CONFIDENCE_BINS]);
+        assert!(values.windows(2).all(|pair| pair[0] <= pair[1] + 1e-12));
+    }
+}
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -5,15 +5,15 @@
 //! comparing the expected cost and quality of both. The solver finds the least multiplier whose
 //! expected quality, less a bound on the uncertainty, meets the target.
 
-mod expect;
+mod estimate;
 mod rating;
 
-use expect::{Expected, expect};
+use estimate::{Estimate, estimate};
 
 pub use rating::{Answer, Credit, DriftDetector, rating_value};
 
 /// Number of bins of an engine's confidence.
-pub const BINS: usize = 16;
+pub const CONFIDENCE_BINS: usize = 16;
 
 /// Weight, in ratings, of the prior in each bin: the curve over all kinds, shifted to the level of
 /// the kind.
@@ -58,26 +58,26 @@
 }
 
 /// Returns the bin of a confidence from 0 to 1.
-pub fn bin(confidence: f64) -> usize {
-    ((confidence * BINS as f64) as usize).min(BINS - 1)
+pub fn confidence_bin(confidence: f64) -> usize {
+    ((confidence * CONFIDENCE_BINS as f64) as usize).min(CONFIDENCE_BINS - 1)
 }
 
 /// Observations of one kind of work in one workspace, for a cheap and a strong rung.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct Observations {
     /// Requests of this kind.
     pub requests: f64,
     /// Answers of the cheap rung by bin of confidence.
-    pub confidence_counts: [f64; BINS],
+    pub confidence_counts: [f64; CONFIDENCE_BINS],
     /// Ratings of cheap answers by bin of confidence.
-    pub cheap: [Ratings; BINS],
+    pub cheap: [Ratings; CONFIDENCE_BINS],
     /// Ratings of strong answers by the confidence of the cheap answer before.
-    pub strong: [Ratings; BINS],
+    pub strong: [Ratings; CONFIDENCE_BINS],
     /// Ratings of strong answers of requests that began with the strong rung.
     pub direct: Ratings,
 }
 
-impl Belief {
+impl Observations {
     /// Decays all observations to the part `kept`.
     pub fn decay(&mut self, kept: f64) {
         self.requests *= kept;
@@ -118,40 +118,40 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
     /// Probability of beginning with the strong rung.
-    pub direct: f64,
+    pub direct_probability: f64,
     /// Probability of keeping a cheap answer, by bin of confidence.
-    pub keep: [f64; BINS],
+    pub keep_probability: [f64; CONFIDENCE_BINS],
     /// Expected share of answers that pass.
-    pub quality: f64,
+    pub expected_pass_rate: f64,
     /// Probability of trying the cheap rung though the rule begins with the strong one.
-    pub explore: f64,
+    pub explore_probability: f64,
     /// Expected share of cheap answers that pass, by bin of confidence.
-    pub cheap: [f64; BINS],
+    pub cheap_pass_rate: [f64; CONFIDENCE_BINS],
 }
 
 /// The rule without any observations: begin with the strong rung.
 impl Default for Rule {
     fn default() -> Rule {
         Rule {
-            direct: 1.0,
-            keep: [0.0; BINS],
-            quality: 0.0,
-            explore: rating::EXPLORE_UNKNOWN,
-            cheap: [0.0; BINS],
+            direct_probability: 1.0,
+            keep_probability: [0.0; CONFIDENCE_BINS],
+            expected_pass_rate: 0.0,
+            explore_probability: rating::EXPLORE_UNKNOWN,
+            cheap_pass_rate: [0.0; CONFIDENCE_BINS],
         }
     }
 }
 
 /// Returns the rules of all kinds, which share one quality target.
-pub fn solve(beliefs: &[Belief], rungs: &Rungs, target: f64) -> Vec<Rule> {
-    let expected = expect(beliefs, rungs);
+pub fn solve(observations: &[Observations], rungs: &Rungs, target: f64) -> Vec<Rule> {
+    let estimates = estimate(observations, rungs);
     let meets = |price: f64| {
-        let (quality, error) = expected_quality(&expected, rungs, price);
+        let (quality, error) = expected_quality(&estimates, rungs, price);
         quality - CAUTION_ERRORS * error - QUALITY_SLACK >= target
     };
     let top = MAX_PRICE_FACTOR * rungs.strong_cost;
     if meets(0.0) {
-        return expected.iter().map(|kind| rule(kind, rungs, 0.0)).collect();
+        return estimates.iter().map(|kind| rule(kind, rungs, 0.0)).collect();
     }
     let (mut low, mut high) = (0.0, top);
     // On a logarithmic scale, since prices of quality span orders of magnitude.
@@ -166,16 +166,16 @@
             break;
         }
     }
-    let share = mixing_share(&expected, rungs, target, low, high);
+    let share = mixing_share(&estimates, rungs, target, low, high);
     let mixed = |kind| rule(kind, rungs, low).interpolate(&rule(kind, rungs, high), share);
-    expected.iter().map(mixed).collect()
+    estimates.iter().map(mixed).collect()
 }
 
 /// Returns the share of the higher price with which the mixture of both rules just meets the
 /// target.
-fn mixing_share(expected: &[Expected], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
+fn mixing_share(estimates: &[Estimate], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
     let sure = |price| {
-        let (quality, error) = expected_quality(expected, rungs, price);
+        let (quality, error) = expected_quality(estimates, rungs, price);
         quality - CAUTION_ERRORS * error - QUALITY_SLACK
     };
     let (under, over) = (sure(low), sure(high));
@@ -189,69 +189,70 @@
     /// Returns true if the request begins with the strong rung; `point` is the request's own,
     /// uniform from 0 to 1.
     pub fn begins_strong(&self, point: f64) -> bool {
-        point < self.direct
+        point < self.direct_probability
     }
 
     /// Returns true if a cheap answer is kept; `point` is the request's own, uniform from 0 to 1.
     pub fn keeps(&self, bin: usize, point: f64) -> bool {
-        point < self.keep[bin]
+        point < self.keep_probability[bin]
     }
 
     fn interpolate(&self, other: &Rule, share: f64) -> Rule {
         let interpolate = |a: f64, b: f64| a + (b - a) * share;
-        let mut keep = [0.0; BINS];
+        let mut keep = [0.0; CONFIDENCE_BINS];
         for (i, keep) in keep.iter_mut().enumerate() {
-            *keep = interpolate(self.keep[i], other.keep[i]);
+            *keep = interpolate(self.keep_probability[i], other.keep_probability[i]);
         }
         Rule {
-            direct: interpolate(self.direct, other.direct),
-            keep,
-            quality: interpolate(self.quality, other.quality),
-            explore: self.explore,
-            cheap: self.cheap,
+            direct_probability: interpolate(self.direct_probability, other.direct_probability),
+            keep_probability: keep,
+            expected_pass_rate: interpolate(self.expected_pass_rate, other.expected_pass_rate),
+            explore_probability: self.explore_probability,
+            cheap_pass_rate: self.cheap_pass_rate,
         }
     }
 }
 
-fn rule(kind: &Expected, rungs: &Rungs, price: f64) -> Rule {
-    let mut keep = [0.0; BINS];
+fn rule(kind: &Estimate, rungs: &Rungs, price: f64) -> Rule {
+    let mut keep = [0.0; CONFIDENCE_BINS];
     let mut cheap_first_cost = rungs.cheap_cost;
     let mut quality = 0.0;
     for (i, keep) in keep.iter_mut().enumerate() {
-        let keep_cost = -price * kind.cheap[i];
-        let escalate_cost = rungs.strong_cost - price * kind.strong[i];
+        let keep_cost = -price * kind.cheap_pass_rate[i];
+        let escalate_cost = rungs.strong_cost - price * kind.strong_pass_rate[i];
         *keep = f64::from(u8::from(keep_cost <= escalate_cost));
-        cheap_first_cost += kind.seen[i] * keep_cost.min(escalate_cost);
-        quality += kind.seen[i] * if *keep > 0.0 { kind.cheap[i] } else { kind.strong[i] };
+        cheap_first_cost += kind.confidence_shares[i] * keep_cost.min(escalate_cost);
+        quality += kind.confidence_shares[i]
+            * if *keep > 0.0 { kind.cheap_pass_rate[i] } else { kind.strong_pass_rate[i] };
     }
-    let direct = rungs.strong_cost - price * kind.direct < cheap_first_cost;
-    let quality = if direct { kind.direct } else { quality };
+    let direct = rungs.strong_cost - price * kind.direct_pass_rate < cheap_first_cost;
+    let quality = if direct { kind.direct_pass_rate } else { quality };
     Rule {
-        direct: f64::from(u8::from(direct)),
-        keep,
-        quality,
-        explore: kind.explore,
-        cheap: kind.cheap,
+        direct_probability: f64::from(u8::from(direct)),
+        keep_probability: keep,
+        expected_pass_rate: quality,
+        explore_probability: kind.explore_probability,
+        cheap_pass_rate: kind.cheap_pass_rate,
     }
 }
 
 /// Returns the expected quality over all kinds and its standard error.
-fn expected_quality(expected: &[Expected], rungs: &Rungs, price: f64) -> (f64, f64) {
+fn expected_quality(estimates: &[Estimate], rungs: &Rungs, price: f64) -> (f64, f64) {
     let mut quality = 0.0;
     let mut variance = 0.0;
-    for kind in expected {
+    for kind in estimates {
         let rule = rule(kind, rungs, price);
-        quality += kind.weight * rule.quality;
-        if rule.direct > 0.0 {
+        quality += kind.weight * rule.expected_pass_rate;
+        if rule.direct_probability > 0.0 {
             variance += (kind.weight * kind.direct_error).powi(2);
             continue;
         }
         let mut escalated_error = 0.0;
-        for i in 0..BINS {
-            if rule.keep[i] > 0.0 {
-                variance += (kind.weight * kind.seen[i] * kind.cheap_error[i]).powi(2);
+        for i in 0..CONFIDENCE_BINS {
+            if rule.keep_probability[i] > 0.0 {
+                variance += (kind.weight * kind.confidence_shares[i] * kind.cheap_error[i]).powi(2);
             } else {
-                escalated_error += kind.seen[i] * kind.strong_error[i];
+                escalated_error += kind.confidence_shares[i] * kind.strong_error[i];
             }
         }
         variance += (kind.weight * escalated_error).powi(2);
@@ -266,24 +267,24 @@
     const RUNGS: Rungs =
         Rungs { cheap_cost: 1.0, strong_cost: 10.0, cheap_quality: 0.7, strong_quality: 0.95 };
 
-    fn informed(pass_low: f64, pass_high: f64, ratings: f64) -> Belief {
-        let mut belief = Belief::default();
-        for i in 0..BINS {
-            belief.confidence_counts[i] = 100.0;
-            let pass = if i < BINS / 2 { pass_low } else { pass_high };
-            belief.cheap[i] = Ratings { all: ratings, pass: ratings * pass };
-            belief.strong[i] = Ratings { all: ratings, pass: ratings * 0.95 };
+    fn informed(pass_low: f64, pass_high: f64, ratings: f64) -> Observations {
+        let mut observed = Observations::default();
+        for i in 0..CONFIDENCE_BINS {
+            observed.confidence_counts[i] = 100.0;
+            let pass = if i < CONFIDENCE_BINS / 2 { pass_low } else { pass_high };
+            observed.cheap[i] = Ratings { all: ratings, pass: ratings * pass };
+            observed.strong[i] = Ratings { all: ratings, pass: ratings * 0.95 };
         }
-        belief
+        observed
     }
 
     #[test]
     fn confident_answers_are_kept_and_others_climb() {
         let rules = solve(&[informed(0.3, 0.96, 500.0)], &RUNGS, 0.93);
-        assert!(rules[0].direct < 0.5);
-        assert!(rules[0].keeps(BINS - 1, 0.99));
+        assert!(rules[0].direct_probability < 0.5);
+        assert!(rules[0].keeps(CONFIDENCE_BINS - 1, 0.99));
         assert!(!rules[0].keeps(0, 0.01));
-        assert!(rules[0].quality >= 0.93);
+        assert!(rules[0].expected_pass_rate >= 0.93);
     }
 
     #[test]
@@ -296,7 +297,7 @@
     fn little_evidence_costs_caution() {
         let few = solve(&[informed(0.6, 0.96, 3.0)], &RUNGS, 0.92);
         let many = solve(&[informed(0.6, 0.96, 3000.0)], &RUNGS, 0.92);
-        let kept = |rule: &Rule| rule.keep.iter().filter(|keep| **keep > 0.5).count();
-        assert!(few[0].direct > 0.5 || kept(&few[0]) <= kept(&many[0]));
+        let kept = |rule: &Rule| rule.keep_probability.iter().filter(|keep| **keep > 0.5).count();
+        assert!(few[0].direct_probability > 0.5 || kept(&few[0]) <= kept(&many[0]));
     }
 }
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -1,7 +1,7 @@
 //! Chooses which answers to have rated, and detects when ratings no longer agree with the
 //! estimates.
 
-use super::{BINS, Belief, Rule};
+use super::{CONFIDENCE_BINS, Observations, Rule};
 use crate::decide::sequential::{Count, evidence};
 
 /// Ratings of cheap answers from which a kind counts as known.
@@ -15,8 +15,8 @@
 
 /// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
 /// caller still gets the strong answer, so exploration costs money and never quality.
-pub(super) fn explore(belief: &Belief) -> f64 {
-    let known: f64 = belief.cheap.iter().map(|cell| cell.all).sum();
+pub(super) fn explore_probability(observed: &Observations) -> f64 {
+    let known: f64 = observed.cheap.iter().map(|cell| cell.all).sum();
     if known < KNOWN_FROM_RATINGS { EXPLORE_UNKNOWN } else { EXPLORE_KNOWN }
 }
 
@@ -26,7 +26,7 @@
     /// A cheap answer in this bin of confidence.
     Cheap(usize),
     /// A strong answer after a cheap one was escalated.
-    Climbed,
+    Escalated,
     /// A strong answer that the cascade began with.
     Direct,
 }
@@ -38,10 +38,11 @@
 /// Returns how informative a rating of an answer is, relative to others.
 pub fn rating_value(rule: &Rule, answer: Answer) -> f64 {
     let Answer::Cheap(bin) = answer else {
-        return if answer == Answer::Climbed { 0.8 } else { 0.3 };
+        return if answer == Answer::Escalated { 0.8 } else { 0.3 };
     };
-    let near = bin.saturating_sub(NEAR_BINS)..(bin + NEAR_BINS).min(BINS - 1);
-    let decides = rule.direct > 0.5 || near.into_iter().any(|i| rule.keep[i] != rule.keep[i + 1]);
+    let near = bin.saturating_sub(NEAR_BINS)..(bin + NEAR_BINS).min(CONFIDENCE_BINS - 1);
+    let decides = rule.direct_probability > 0.5
+        || near.into_iter().any(|i| rule.keep_probability[i] != rule.keep_probability[i + 1]);
     if decides { 2.0 } else { 0.7 }
 }
 
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -13,20 +13,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     level: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl TokenBucket {
     /// Creates a full bucket.
     pub fn new(rate: Rate, now: Moment) -> TokenBucket {
-        TokenBucket { level: (rate.0 * BURST_SECS).max(1.0), at: now }
+        TokenBucket { level: (rate.0 * BURST_SECS).max(1.0), updated_at: now }
     }
 
     /// Takes one token, or returns how long to wait for it.
     pub fn take(&mut self, rate: Rate, now: Moment) -> Result<(), Span> {
-        let gained = now.since(self.at).as_secs() * rate.0;
+        let gained = now.since(self.updated_at).as_secs() * rate.0;
         self.level = (self.level + gained).min((rate.0 * BURST_SECS).max(1.0));
-        self.at = now;
+        self.updated_at = now;
         if self.level >= 1.0 {
             self.level -= 1.0;
             return Ok(());
@@ -73,13 +73,19 @@
     max: f64,
     good: f64,
     bad: f64,
-    used: bool,
+    was_reached: bool,
 }
 
 impl ConcurrencyLimit {
     /// Creates a limit that starts at `limit` and never exceeds `max`.
     pub fn new(limit: f64, max: f64) -> ConcurrencyLimit {
-        ConcurrencyLimit { limit: limit.clamp(1.0, max), max, good: 0.0, bad: 0.0, used: false }
+        ConcurrencyLimit {
+            limit: limit.clamp(1.0, max),
+            max,
+            good: 0.0,
+            bad: 0.0,
+            was_reached: false,
+        }
     }
 
     /// Returns the current limit.
@@ -90,7 +96,7 @@
     /// Returns true if one more request fits, and records whether the limit was reached.
     pub fn admits(&mut self, running: f64) -> bool {
         let fits = running + 1.0 <= self.limit;
-        self.used |= !fits;
+        self.was_reached |= !fits;
         fits
     }
 
@@ -113,12 +119,12 @@
         let excess = self.bad / all - TOLERATED_BAD_FRACTION;
         if excess > 0.0 {
             self.limit = (self.limit * (1.0 - DECREASE_FACTOR * excess)).max(1.0);
-        } else if self.used {
+        } else if self.was_reached {
             self.limit = (self.limit * (1.0 + INCREASE_FACTOR)).max(self.limit + 0.5).min(self.max);
         }
         self.good = 0.0;
         self.bad = 0.0;
-        self.used = false;
+        self.was_reached = false;
     }
 }
 
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -31,7 +31,7 @@
 
 /// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Another server is tried, if attempts, budget and time allow it.
     Retry,
     /// The caller gets the server's response.
@@ -42,16 +42,16 @@
 
 /// Returns what follows an attempt. After a failed or broken attempt, a request that may run twice is
 /// retried; another one is not, since it may have run.
-pub fn next(end: AttemptOutcome, repeat: RetryPolicy) -> Next {
+pub fn next_action(end: AttemptOutcome, repeat: RetryPolicy) -> NextAction {
     match (end, repeat) {
-        (AttemptOutcome::Good, _) => Next::Deliver,
+        (AttemptOutcome::Good, _) => NextAction::Deliver,
         (AttemptOutcome::NotSent | AttemptOutcome::Withheld | AttemptOutcome::NotRun, _) => {
-            Next::Retry
+            NextAction::Retry
         }
-        (AttemptOutcome::Late, _) => Next::Unknown,
-        (AttemptOutcome::Failed, RetryPolicy::Never) => Next::Deliver,
-        (AttemptOutcome::Broken, RetryPolicy::Never) => Next::Unknown,
-        (AttemptOutcome::Failed | AttemptOutcome::Broken, _) => Next::Retry,
+        (AttemptOutcome::Late, _) => NextAction::Unknown,
+        (AttemptOutcome::Failed, RetryPolicy::Never) => NextAction::Deliver,
+        (AttemptOutcome::Broken, RetryPolicy::Never) => NextAction::Unknown,
+        (AttemptOutcome::Failed | AttemptOutcome::Broken, _) => NextAction::Retry,
     }
 }
 
--- a/src/decide/prefill.rs
+++ b/src/decide/prefill.rs
@@ -64,7 +64,8 @@
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
-        self.samples.push_back(((time - self.base_micros) / work(tokens)).max(MIN_TOKEN_MICROS));
+        self.samples
+            .push_back(((time - self.base_micros) / relative_cost(tokens)).max(MIN_TOKEN_MICROS));
         let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         self.token_micros = sorted[(QUANTILE * sorted.len() as f64) as usize];
@@ -72,7 +73,7 @@
 
     /// Returns the time to read `tokens` tokens.
     pub fn prefill_time(&self, tokens: u64) -> Span {
-        Span((work(tokens) * self.token_micros) as u64)
+        Span((relative_cost(tokens) * self.token_micros) as u64)
     }
 
     /// Returns the time to the first event of a prompt that does not have to queue.
@@ -82,7 +83,7 @@
 }
 
 /// Returns the cost of a prompt's prefill in units of the first token's.
-fn work(tokens: u64) -> f64 {
+fn relative_cost(tokens: u64) -> f64 {
     let tokens = tokens as f64;
     tokens * (1.0 + tokens / (2.0 * ATTENTION_TOKENS))
 }
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -12,13 +12,13 @@
 
 /// A queue time counts as at most this many latency goals, so that one stuck request does not
 /// dominate.
-const MAX_WAIT: f64 = 2.0;
+const MAX_WAIT_GOALS: f64 = 2.0;
 
 /// Recent queue times relative to the latency goals of their requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure {
-    waited: f64,
-    answers: f64,
+    decayed_wait: f64,
+    decayed_responses: f64,
     at: Moment,
 }
 
@@ -27,8 +27,8 @@
     pub fn record(&mut self, waited: Span, goal: Span, now: Moment) {
         let decay = self.decay(now);
         let part = waited.0 as f64 / goal.0.max(1) as f64;
-        self.waited = self.waited * decay + part.min(MAX_WAIT);
-        self.answers = self.answers * decay + 1.0;
+        self.decayed_wait = self.decayed_wait * decay + part.min(MAX_WAIT_GOALS);
+        self.decayed_responses = self.decayed_responses * decay + 1.0;
         self.at = now;
     }
 
@@ -36,7 +36,7 @@
     /// arrive.
     pub fn level(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
-        self.waited * decay / (self.answers * decay + PRIOR_WEIGHT)
+        self.decayed_wait * decay / (self.decayed_responses * decay + PRIOR_WEIGHT)
     }
 
     fn decay(&self, now: Moment) -> f64 {
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -57,23 +57,23 @@
 const STARTUP_SILENT_BACKOFF: Span = Span::millis(300);
 
 /// Timeout of a poll.
-pub const ANSWER_TIMEOUT: Span = Span::millis(450);
+pub const POLL_TIMEOUT: Span = Span::millis(450);
 
 /// Timeout of a poll while this VM has no snapshot yet. When all VMs restart, some sources are not
 /// up yet.
-pub const FIRST_ANSWER_TIMEOUT: Span = Span::millis(250);
+pub const FIRST_POLL_TIMEOUT: Span = Span::millis(250);
 
 /// Maximum age of server data that is forwarded, as a fraction of the time in which a draining
 /// server may still get work. With a smaller fraction most VMs read the store themselves when the
 /// store delays a request for a second. Followers don't apply it to their own data, which
 /// [`READ_STORE_AGE`] bounds.
-const FORWARDED_AGE_LIMIT: f64 = 0.65;
+const MAX_FORWARDED_AGE_FRACTION: f64 = 0.65;
 
 /// Age of its server data, as a fraction of the same time, at which a follower reads the store
 /// itself, even if a source may still answer: its own read takes some milliseconds. One poll
 /// interval, two timeouts and the oldest data that is forwarded would add up to more than the whole
 /// time.
-const READ_STORE_AGE: f64 = 0.8;
+const READ_STORE_AGE_FRACTION: f64 = 0.8;
 
 /// Updates that were forwarded by more VMs than this are rejected. Two hops are usual, and three
 /// where the first of a group is skipped.
@@ -96,28 +96,28 @@
 
 /// Returns true if server data of this age is too old to be forwarded. `leave_within` is the time
 /// in which a draining server may still get work.
-pub fn is_stale(servers_age: Span, leave_within: Span) -> bool {
-    servers_age > leave_within.mul_f64(FORWARDED_AGE_LIMIT)
+pub fn is_too_old_to_forward(servers_age: Span, leave_within: Span) -> bool {
+    servers_age > leave_within.mul_f64(MAX_FORWARDED_AGE_FRACTION)
 }
 
 /// Returns true if the VM `by` may accept an update that `reader` read from the store and that took
 /// `hops` hops. Its own reads and updates that were forwarded too often tell it nothing new.
-pub fn may_accept(reader: &Vm, hops: u8, by: &Vm) -> bool {
+pub fn may_accept_update(reader: &Vm, hops: u8, by: &Vm) -> bool {
     reader != by && hops <= MAX_HOPS
 }
 
 /// Returns the timeout of the next poll, or none if it is time to read the store. `known` is the
 /// date of a follower's server data; a VM that reads the store itself passes none and always gets
 /// the full timeout.
-pub fn answer_timeout(known: Option<Moment>, leave_within: Span, now: Moment) -> Option<Span> {
-    let Some(known) = known else { return Some(ANSWER_TIMEOUT) };
-    let left = (known + leave_within.mul_f64(READ_STORE_AGE)).since(now);
-    (left > Span::default()).then(|| left.min(ANSWER_TIMEOUT))
+pub fn poll_timeout(known: Option<Moment>, leave_within: Span, now: Moment) -> Option<Span> {
+    let Some(known) = known else { return Some(POLL_TIMEOUT) };
+    let left = (known + leave_within.mul_f64(READ_STORE_AGE_FRACTION)).since(now);
+    (left > Span::default()).then(|| left.min(POLL_TIMEOUT))
 }
 
 /// Reason why a source is not polled for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
+enum BackoffReason {
     /// Consecutive timeouts.
     Silent(u32),
     /// The source had no update.
@@ -128,36 +128,36 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    reason: Reason,
+    reason: BackoffReason,
     until: Moment,
 }
 
 /// Backoff state of the sources that a VM has polled.
 #[derive(Clone, Debug, Default)]
 pub struct SourceHistory {
-    backoff: BTreeMap<Vm, Backoff>,
+    backoffs: BTreeMap<Vm, Backoff>,
 }
 
 impl SourceHistory {
     /// Clears the backoff of a source that sent an update.
     pub fn on_update(&mut self, vm: &Vm) {
-        self.backoff.remove(vm);
+        self.backoffs.remove(vm);
     }
 
     /// Backs off from a source that had no update.
     pub fn on_declined(&mut self, vm: &Vm, now: Moment) {
-        self.set_backoff(vm, Reason::Declined, now + DECLINED_BACKOFF);
+        self.set_backoff(vm, BackoffReason::Declined, now + DECLINED_BACKOFF);
     }
 
     /// Backs off from a source that reported the store as lost.
     pub fn on_store_lost(&mut self, vm: &Vm, now: Moment) {
-        self.set_backoff(vm, Reason::StoreLost, now + DECLINED_BACKOFF);
+        self.set_backoff(vm, BackoffReason::StoreLost, now + DECLINED_BACKOFF);
     }
 
     /// Clears the backoff of all sources that declined or reported a lost store. Called when the
     /// store answers again.
     pub fn clear_declined(&mut self) {
-        self.backoff.retain(|_, backoff| matches!(backoff.reason, Reason::Silent(_)));
+        self.backoffs.retain(|_, backoff| matches!(backoff.reason, BackoffReason::Silent(_)));
     }
 
     /// Returns true if the last answer of any source of `own` was that the store is lost. A source
@@ -170,9 +170,9 @@
         now: Moment,
     ) -> bool {
         let reports_lost = |rank: &&Rank| {
-            let backoff = self.backoff.get(&rank.vm);
+            let backoff = self.backoffs.get(&rank.vm);
             backoff.is_some_and(|one| {
-                one.reason == Reason::StoreLost && now < one.until + STORE_LOST_GRACE
+                one.reason == BackoffReason::StoreLost && now < one.until + STORE_LOST_GRACE
             })
         };
         self.sources_before(own, group, now).iter().any(reports_lost)
@@ -180,36 +180,36 @@
 
     /// Backs off briefly from a source that does not have a full snapshot yet.
     pub fn on_not_ready(&mut self, vm: &Vm, now: Moment) {
-        self.set_backoff(vm, Reason::Declined, now + NOT_READY_BACKOFF);
+        self.set_backoff(vm, BackoffReason::Declined, now + NOT_READY_BACKOFF);
     }
 
     /// Backs off from a source that did not answer, doubling the time with each consecutive
     /// timeout.
     pub fn on_timeout(&mut self, vm: &Vm, now: Moment) {
-        let timeouts_before = match self.backoff.get(vm) {
-            Some(Backoff { reason: Reason::Silent(timeouts), .. }) => *timeouts,
+        let timeouts_before = match self.backoffs.get(vm) {
+            Some(Backoff { reason: BackoffReason::Silent(timeouts), .. }) => *timeouts,
             _ => 0,
         };
         let doubled = Span(SILENT_BACKOFF.0 << timeouts_before.min(8)).min(MAX_SILENT_BACKOFF);
-        self.set_backoff(vm, Reason::Silent(timeouts_before + 1), now + doubled);
+        self.set_backoff(vm, BackoffReason::Silent(timeouts_before + 1), now + doubled);
     }
 
     /// Backs off briefly from a source that did not answer a VM which has just started.
     pub fn on_startup_timeout(&mut self, vm: &Vm, now: Moment) {
-        self.set_backoff(vm, Reason::Silent(0), now + STARTUP_SILENT_BACKOFF);
+        self.set_backoff(vm, BackoffReason::Silent(0), now + STARTUP_SILENT_BACKOFF);
     }
 
-    fn set_backoff(&mut self, vm: &Vm, reason: Reason, until: Moment) {
-        self.backoff.insert(vm.clone(), Backoff { reason, until });
+    fn set_backoff(&mut self, vm: &Vm, reason: BackoffReason, until: Moment) {
+        self.backoffs.insert(vm.clone(), Backoff { reason, until });
     }
 
-    fn backoff(&self, vm: &Vm, now: Moment) -> Option<Reason> {
-        let backoff = self.backoff.get(vm).filter(|backoff| now < backoff.until);
+    fn backoff_reason(&self, vm: &Vm, now: Moment) -> Option<BackoffReason> {
+        let backoff = self.backoffs.get(vm).filter(|backoff| now < backoff.until);
         backoff.map(|backoff| backoff.reason)
     }
 
     fn is_silent(&self, vm: &Vm, now: Moment) -> bool {
-        matches!(self.backoff(vm, now), Some(Reason::Silent(_)))
+        matches!(self.backoff_reason(vm, now), Some(BackoffReason::Silent(_)))
     }
 
     /// Returns the responsive sources of higher rank than `own`, the highest first, at most
@@ -236,7 +236,10 @@
         now: Moment,
     ) -> Option<&'a Vm> {
         let sources_before = self.sources_before(own, group, now);
-        sources_before.into_iter().map(|rank| &rank.vm).find(|vm| self.backoff(vm, now).is_none())
+        sources_before
+            .into_iter()
+            .map(|rank| &rank.vm)
+            .find(|vm| self.backoff_reason(vm, now).is_none())
     }
 
     /// Returns any VM to poll next, whatever its rank. Used by a VM that has lost the store.
@@ -245,7 +248,7 @@
         group: impl Iterator<Item = &'a Rank>,
         now: Moment,
     ) -> Option<&'a Vm> {
-        group.filter(|rank| self.backoff(&rank.vm, now).is_none()).min().map(|rank| &rank.vm)
+        group.filter(|rank| self.backoff_reason(&rank.vm, now).is_none()).min().map(|rank| &rank.vm)
     }
 
     /// Returns the highest-ranked VM of a group that is not known as unresponsive.
@@ -258,23 +261,23 @@
     }
 
     /// Returns the place of a VM in its group.
-    pub fn place<'a>(
+    pub fn group_position<'a>(
         &'a self,
         own: &'a Rank,
         group: impl Iterator<Item = &'a Rank>,
         now: Moment,
-    ) -> Place {
+    ) -> GroupPosition {
         match self.sources_before(own, group, now).len() {
-            0 => Place::First,
-            count if count < MAX_SOURCES => Place::Next,
-            _ => Place::Behind,
+            0 => GroupPosition::First,
+            count if count < MAX_SOURCES => GroupPosition::Next,
+            _ => GroupPosition::Behind,
         }
     }
 }
 
 /// Place of a VM in its group, by the number of responsive VMs of higher rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum GroupPosition {
     /// No VM of higher rank in the group answers.
     First,
     /// One of those next to the first.
@@ -287,7 +290,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FollowerState {
     /// Place in its group.
-    pub place: Place,
+    pub group_position: GroupPosition,
     /// True if there are other groups, which the first of this one polls.
     pub has_other_groups: bool,
     /// True if there is a source to poll next.
@@ -313,11 +316,11 @@
     if state.has_source {
         return false;
     }
-    match state.place {
-        Place::First => true,
-        Place::Next => state.has_snapshot || !state.is_starting,
+    match state.group_position {
+        GroupPosition::First => true,
+        GroupPosition::Next => state.has_snapshot || !state.is_starting,
         // One of its sources will have an update soon.
-        Place::Behind => !state.has_snapshot && !state.is_starting,
+        GroupPosition::Behind => !state.has_snapshot && !state.is_starting,
     }
 }
 
@@ -326,9 +329,9 @@
 /// and serves the rest refuses three given VMs at once on one day in twenty. Once their data is too
 /// old more VMs try, but in a fleet of several groups none of those behind.
 fn should_try_lost_store(state: &FollowerState) -> bool {
-    match state.place {
-        Place::First => true,
-        Place::Next => !state.has_other_groups || state.is_overdue,
-        Place::Behind => !state.has_other_groups && state.is_overdue,
+    match state.group_position {
+        GroupPosition::First => true,
+        GroupPosition::Next => !state.has_other_groups || state.is_overdue,
+        GroupPosition::Behind => !state.has_other_groups && state.is_overdue,
     }
 }
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -41,9 +41,9 @@
     /// When the report was made.
     pub reported_at: Moment,
     /// This VM's own open requests there now.
-    pub own: f64,
+    pub own_open: f64,
     /// This VM's own open requests there when the report was made.
-    pub own_at_report: f64,
+    pub own_open_at_report: f64,
     /// True if it accepts new requests.
     pub accepting: bool,
     /// When a request last failed there without having run.
@@ -60,8 +60,8 @@
             slots,
             reported: 0.0,
             reported_at: Moment(0),
-            own: 0.0,
-            own_at_report: 0.0,
+            own_open: 0.0,
+            own_open_at_report: 0.0,
             accepting: true,
             failed_at: None,
             latency: Span(0),
@@ -69,7 +69,7 @@
     }
 
     /// Returns true if new requests may be sent there now.
-    pub fn usable(&self, now: Moment) -> bool {
+    pub fn is_usable(&self, now: Moment) -> bool {
         self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= FAILURE_BACKOFF)
     }
 
@@ -77,9 +77,9 @@
     fn load(&self, mean: f64, now: Moment) -> f64 {
         let age = now.since(self.reported_at).as_secs() / REPORT_HALF_LIFE.as_secs();
         let weight = 0.5f64.powf(age);
-        let sent_since = (self.own - self.own_at_report).max(0.0);
+        let sent_since = (self.own_open - self.own_open_at_report).max(0.0);
         let estimate = weight * self.reported / self.slots + (1.0 - weight) * mean;
-        estimate.max(self.own / self.slots) + sent_since / self.slots
+        estimate.max(self.own_open / self.slots) + sent_since / self.slots
     }
 }
 
@@ -97,7 +97,7 @@
 ) -> [Option<usize>; AFFINE_REPLICAS] {
     let mut best = [(0, None); AFFINE_REPLICAS];
     for (i, replica) in replicas.iter().enumerate() {
-        if !replica.usable(now) {
+        if !replica.is_usable(now) {
             continue;
         }
         let mut entry = (mix(prefix, replica.id), Some(i));
@@ -112,8 +112,13 @@
 
 /// Chooses the replica for a request; `prefix` is a digest of the beginning of its prompt, if it
 /// has one, and `point` a random number of its own.
-pub fn choose(replicas: &[Replica], prefix: Option<u64>, point: u64, now: Moment) -> Option<usize> {
-    let mean = mean(replicas);
+pub fn select_replica(
+    replicas: &[Replica],
+    prefix: Option<u64>,
+    point: u64,
+    now: Moment,
+) -> Option<usize> {
+    let mean = mean_load(replicas);
     let mut best: Option<(f64, usize)> = None;
     let mut consider = |i: usize, bonus: f64| {
         let replica = &replicas[i];
@@ -138,7 +143,7 @@
     for _ in 0..RANDOM_CANDIDATES * 8 {
         state = mix(state, 1);
         let i = (state % replicas.len().max(1) as u64) as usize;
-        if replicas.get(i).is_some_and(|replica| replica.usable(now)) {
+        if replicas.get(i).is_some_and(|replica| replica.is_usable(now)) {
             consider(i, 0.0);
             candidates += 1;
         }
@@ -146,10 +151,10 @@
             break;
         }
     }
-    best.map(|(_, i)| i).or_else(|| replicas.iter().position(|replica| replica.usable(now)))
+    best.map(|(_, i)| i).or_else(|| replicas.iter().position(|replica| replica.is_usable(now)))
 }
 
-fn mean(replicas: &[Replica]) -> f64 {
+fn mean_load(replicas: &[Replica]) -> f64 {
     let (load, slots) = replicas
         .iter()
         .filter(|replica| replica.accepting)
@@ -173,22 +178,23 @@
             replica.accepting = false;
         }
         for point in 0..200 {
-            assert_eq!(choose(&replicas, Some(point), point, now), Some(9));
+            assert_eq!(select_replica(&replicas, Some(point), point, now), Some(9));
         }
         replicas[9].failed_at = Some(now);
-        assert_eq!(choose(&replicas, None, 1, now), None);
-        assert_eq!(choose(&[], Some(1), 1, now), None);
+        assert_eq!(select_replica(&replicas, None, 1, now), None);
+        assert_eq!(select_replica(&[], Some(1), 1, now), None);
     }
 
     #[test]
     fn a_prefix_stays_home_until_home_is_busy() {
         let now = Moment(1_000_000);
         let mut replicas: Vec<Replica> = (0..50).map(idle).collect();
-        let home = choose(&replicas, Some(42), 1, now).unwrap();
-        let again = (0..100).filter(|p| choose(&replicas, Some(42), *p, now) == Some(home)).count();
+        let home = select_replica(&replicas, Some(42), 1, now).unwrap();
+        let again =
+            (0..100).filter(|p| select_replica(&replicas, Some(42), *p, now) == Some(home)).count();
         assert!(again >= 95, "{again}");
         replicas[home].reported = 30.0;
-        assert_ne!(choose(&replicas, Some(42), 1, now), Some(home));
+        assert_ne!(select_replica(&replicas, Some(42), 1, now), Some(home));
     }
 
     #[test]
@@ -196,7 +202,7 @@
         let now = Moment(1_000_000);
         let mut replicas: Vec<Replica> = (0..2).map(idle).collect();
         replicas[0].reported = 16.0;
-        let busy = (0..100).filter(|p| choose(&replicas, None, *p, now) == Some(0)).count();
+        let busy = (0..100).filter(|p| select_replica(&replicas, None, *p, now) == Some(0)).count();
         assert!(busy <= 30, "{busy}");
     }
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -53,7 +53,7 @@
 /// Returns true if another attempt may follow, apart from the budget. An attempt that may have run
 /// is only followed by another if the request is `repeatable`; `min_time` is the least time left to
 /// the deadline for a retry to make sense.
-pub fn is_allowed(
+pub fn is_retry_allowed(
     failure: Failure,
     repeatable: bool,
     attempts: u32,
@@ -71,7 +71,7 @@
 
     #[test]
     fn what_may_not_be_repeated_is_tried_again_only_if_it_did_not_run() {
-        let allowed = |failure| is_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
+        let allowed = |failure| is_retry_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
         assert!(allowed(Failure::NotSent));
         assert!(allowed(Failure::NotRun));
         assert!(!allowed(Failure::Broken));
@@ -90,6 +90,6 @@
 
     #[test]
     fn no_retry_starts_past_the_deadline() {
-        assert!(!is_allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
+        assert!(!is_retry_allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
     }
 }
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -25,9 +25,9 @@
     /// Maximum expected harm at which sessions may begin on the version.
     pub max_session_harm: f64,
     /// Minimum time for the share to double.
-    pub doubling: Span,
+    pub min_doubling_time: Span,
     /// Multiple of the usual rating lag without any rating after which ratings count as stopped.
-    pub patience: f64,
+    pub max_silence_lags: f64,
 }
 
 impl Default for Policy {
@@ -41,8 +41,8 @@
             default_first_share: TrafficShare(2_000),
             first_requests: 25.0,
             max_session_harm: 0.012,
-            doubling: Span::secs(120),
-            patience: 4.0,
+            min_doubling_time: Span::secs(120),
+            max_silence_lags: 4.0,
         }
     }
 }
@@ -66,21 +66,21 @@
     /// Counts of the version in service, over the same time.
     pub old: Arm,
     /// Ratings of the version in service before the roll-out began.
-    pub earlier: Count,
+    pub earlier_ratings: Count,
     /// Present share of the traffic that the new version gets.
     pub share: TrafficShare,
     /// True while the roll-out is held because ratings stopped.
-    pub held: bool,
+    pub is_held: bool,
     /// Time at the present share.
-    pub at_share: Span,
+    pub time_at_share: Span,
     /// Requests per second for the model over all VMs.
-    pub rate: f64,
+    pub request_rate: f64,
     /// Usual time from an answer until its rating is available to this decision.
-    pub lag: Span,
+    pub rating_lag: Span,
     /// Time since the latest rating of either version.
-    pub since_rating: Span,
+    pub time_since_rating: Span,
     /// Declared share of bad answers of the version in service.
-    pub prior: f64,
+    pub declared_bad_share: f64,
 }
 
 /// Next step of a roll-out, with the new share where it changes and the reason for operators.
@@ -127,8 +127,8 @@
 /// Returns the baseline: ratings of the version in service over the same time, plus earlier ones if
 /// they agree.
 fn baseline(inputs: &Inputs) -> Count {
-    let (now, before) = (inputs.old.poor, inputs.earlier.capped(MAX_EARLIER_RATINGS));
-    let difference = Difference::between(now, before, inputs.prior);
+    let (now, before) = (inputs.old.poor, inputs.earlier_ratings.capped(MAX_EARLIER_RATINGS));
+    let difference = Difference::between(now, before, inputs.declared_bad_share);
     if difference.mean.abs() > MAX_DRIFT_ERRORS * difference.error {
         return now;
     }
@@ -143,7 +143,7 @@
         rate + error + policy.tolerance
     };
     [
-        ("ratings", evidence(inputs.new.poor, limit(baseline(inputs), inputs.prior))),
+        ("ratings", evidence(inputs.new.poor, limit(baseline(inputs), inputs.declared_bad_share))),
         ("errors", evidence(inputs.new.errors, limit(inputs.old.errors, 0.01))),
         ("late first tokens", evidence(inputs.new.slow, limit(inputs.old.slow, 0.05))),
     ]
@@ -151,12 +151,12 @@
 
 /// Estimates how much larger the new version's share of poor answers is.
 pub fn difference(inputs: &Inputs) -> Difference {
-    Difference::between(inputs.new.poor, baseline(inputs), inputs.prior)
+    Difference::between(inputs.new.poor, baseline(inputs), inputs.declared_bad_share)
 }
 
 /// Returns true if sessions may begin on the version. They stay on it, so they wait for more
 /// evidence than single requests.
-pub fn takes_sessions(policy: &Policy, inputs: &Inputs) -> bool {
+pub fn admits_sessions(policy: &Policy, inputs: &Inputs) -> bool {
     inputs.new.poor.all >= MIN_RATINGS
         && difference(inputs).expected_harm(policy.tolerance) <= policy.max_session_harm
 }
@@ -184,22 +184,23 @@
             inputs.new.poor.bad, inputs.new.poor.all, inputs.old.poor.bad, inputs.old.poor.all
         ));
     }
-    let first = first_share(policy, inputs.rate, inputs.lag);
+    let first = first_share(policy, inputs.request_rate, inputs.rating_lag);
     if worst >= (1.0 / SHRINK_CHANCE).ln() && inputs.share > first {
         let back = TrafficShare::from_fraction(inputs.share.fraction() * SHRINK_FACTOR).max(first);
-        if inputs.at_share >= inputs.lag {
+        if inputs.time_at_share >= inputs.rating_lag {
             return Action::Shrink(back, format!("{signal} make harm likely but do not prove it"));
         }
         return Action::Stay;
     }
-    let is_silent = inputs.since_rating.as_secs() > policy.patience * inputs.lag.as_secs().max(1.0);
-    if is_silent && !inputs.held {
+    let is_silent = inputs.time_since_rating.as_secs()
+        > policy.max_silence_lags * inputs.rating_lag.as_secs().max(1.0);
+    if is_silent && !inputs.is_held {
         return Action::Hold(
             inputs.share.min(first),
-            format!("no rating came for {}", inputs.since_rating),
+            format!("no rating came for {}", inputs.time_since_rating),
         );
     }
-    if inputs.held {
+    if inputs.is_held {
         return if is_silent {
             Action::Stay
         } else {
@@ -228,13 +229,15 @@
             policy.margin * 100.0
         )
     };
-    if inputs.share >= MAX_PARTIAL_SHARE && risk <= policy.max_risk && inputs.at_share >= inputs.lag
+    if inputs.share >= MAX_PARTIAL_SHARE
+        && risk <= policy.max_risk
+        && inputs.time_at_share >= inputs.rating_lag
     {
         return Action::Complete(reason());
     }
-    let unrated = inputs.lag.as_secs() * inputs.rate;
+    let unrated = inputs.rating_lag.as_secs() * inputs.request_rate;
     let allowed = policy.max_unrated_harm / (unrated * harm).max(1e-9);
-    let doublings = inputs.at_share.as_secs() / policy.doubling.as_secs();
+    let doublings = inputs.time_at_share.as_secs() / policy.min_doubling_time.as_secs();
     let paced = inputs.share.fraction().max(first.fraction()) * 2f64.powf(doublings);
     let next = TrafficShare::from_fraction(allowed.min(paced)).min(MAX_PARTIAL_SHARE);
     if next.fraction() >= inputs.share.fraction() * MIN_GROWTH_FACTOR
@@ -274,14 +277,14 @@
         Inputs {
             new: Arm { poor: new, ..Arm::default() },
             old: Arm { poor: old, ..Arm::default() },
-            earlier: Count::default(),
+            earlier_ratings: Count::default(),
             share: TrafficShare::from_fraction(share),
-            held: false,
-            at_share: Span::secs(600),
-            rate: 50.0,
-            lag: Span::secs(60),
-            since_rating: Span::secs(1),
-            prior: 0.1,
+            is_held: false,
+            time_at_share: Span::secs(600),
+            request_rate: 50.0,
+            rating_lag: Span::secs(60),
+            time_since_rating: Span::secs(1),
+            declared_bad_share: 0.1,
         }
     }
 
@@ -314,11 +317,11 @@
     fn silence_holds_and_ratings_resume() {
         let policy = Policy::default();
         let mut silent = inputs(Count::of(1000, 100), Count::of(1000, 100), 0.2);
-        silent.since_rating = Span::secs(1000);
+        silent.time_since_rating = Span::secs(1000);
         assert!(matches!(decide(&policy, &silent), Action::Hold(..)));
-        silent.held = true;
+        silent.is_held = true;
         assert_eq!(decide(&policy, &silent), Action::Stay);
-        silent.since_rating = Span::secs(1);
+        silent.time_since_rating = Span::secs(1);
         assert!(matches!(decide(&policy, &silent), Action::Resume(_)));
     }
 
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -191,15 +191,15 @@
 
 /// What one VM knows of the rate limit of one incarnation of a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Limit {
+pub struct KnownLimit {
     known: Option<Update>,
     /// Since when a limit has been known without interruption.
-    since: Option<Moment>,
+    limited_since: Option<Moment>,
     /// What other VMs know, as far as this VM announced it to them or received it from them.
     announced: Option<Announcement>,
 }
 
-impl Limit {
+impl KnownLimit {
     /// Applies the header of a response to a request that was sent at `sent_at`. Returns true if
     /// that changes the limit. A response without the header ends the limit only if its request was
     /// sent after the limit was observed, since responses overtake each other.
@@ -234,7 +234,7 @@
         self.known = Some(update);
         let continues = previous.is_some() && update.rate.is_some();
         if !continues {
-            self.since = update.rate.map(|_| now);
+            self.limited_since = update.rate.map(|_| now);
         }
         previous != self.rate(now)
     }
@@ -279,8 +279,8 @@
     }
 
     /// Returns how long a limit has been known without interruption.
-    pub fn age(&self, now: Moment) -> Option<Span> {
-        self.since.map(|since| now.since(since))
+    pub fn limited_for(&self, now: Moment) -> Option<Span> {
+        self.limited_since.map(|since| now.since(since))
     }
 }
 
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -133,7 +133,7 @@
         stop_within: Span::secs(20),
         body_limit: Size(1_000_000),
         rated_share: 0.5,
-        rollout: Policy { doubling: Span::secs(2), ..Policy::default() },
+        rollout: Policy { min_doubling_time: Span::secs(2), ..Policy::default() },
         fleet_key: name("the-demo's-fleet-key"),
         session_keys: name("k1:the-demo's-session-key"),
         operator_key: None,
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -3,7 +3,7 @@
 use tokio::sync::oneshot;
 
 use super::Dispatcher;
-use crate::decide::cascade::{self, Answer, BINS, Rule};
+use crate::decide::cascade::{self, Answer, CONFIDENCE_BINS, Rule};
 use crate::evidence::{Counts, Key};
 use crate::ledger::{Entry, Part, Reason};
 use crate::standin::rating::Sample;
@@ -86,7 +86,7 @@
             bin: bin as u8,
         };
         let keys = self.count_answer(target, key);
-        let answer = if bin == BINS { Answer::Direct } else { Answer::Climbed };
+        let answer = if bin == CONFIDENCE_BINS { Answer::Direct } else { Answer::Escalated };
         let value = cascade::rating_value(rule, answer);
         self.sample_for_rating(target, self.job.request.clone(), keys, value, received.concat());
     }
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -181,8 +181,14 @@
             self.may_have_run |= failure == Failure::Broken;
             let now = self.vm.clock.now();
             // An answer can be resumed at its offset, so every model request is repeatable.
-            let can_retry =
-                retry::is_allowed(failure, true, attempts, now, self.job.deadline, MIN_RETRY_TIME);
+            let can_retry = retry::is_retry_allowed(
+                failure,
+                true,
+                attempts,
+                now,
+                self.job.deadline,
+                MIN_RETRY_TIME,
+            );
             if !can_retry || !self.vm.try_spend_retry() {
                 return Err(Abort::Refused(self.final_refusal(failure, &reason, now)));
             }
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -12,7 +12,7 @@
 use super::refusal::{Kind as Refused, Refusal};
 use crate::chart::{self, Machine};
 use crate::config::{Snapshot, WorkspaceEntry};
-use crate::decide::cascade::{BINS, Rule, bin};
+use crate::decide::cascade::{CONFIDENCE_BINS, Rule, confidence_bin};
 use crate::engine::client::EngineClient;
 use crate::engine::wire::End;
 use crate::ledger::{Part, Reason};
@@ -195,7 +195,7 @@
         let rule = self.rule();
         let point = rand::random::<f64>();
         let strong_first = rule.begins_strong(point);
-        let explore = rand::random::<f64>() < rule.explore;
+        let explore = rand::random::<f64>() < rule.explore_probability;
         if strong_first && !explore {
             self.steps.push(format!("the cascade starts with {strong} because of its rule"));
             return self.run_strong(&strong).await;
@@ -209,8 +209,8 @@
             }
             Err(abort) => return Err(abort),
         };
-        let bin = bin(end.confidence);
-        let expected = rule.cheap[bin];
+        let bin = confidence_bin(end.confidence);
+        let expected = rule.cheap_pass_rate[bin];
         self.rate_cheap(&cheap, bin, &rule, &received);
         if rule.keeps(bin, point) && !strong_first {
             self.steps.push(format!(
@@ -241,7 +241,7 @@
     async fn run_strong(&mut self, strong: &Target) -> Result<End, Abort> {
         let mut received = Vec::new();
         let end = self.stream_to_client(strong, &mut received).await?;
-        self.rate_strong(strong, BINS, &self.rule(), &received);
+        self.rate_strong(strong, CONFIDENCE_BINS, &self.rule(), &received);
         Ok(end)
     }
 
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -391,7 +391,7 @@
             let request = OpenRequest { content, was_stable: false };
             poison::on_broken_response(vm, &picked.server, picked.address, request);
         }
-        let can_retry = retry::is_allowed(
+        let can_retry = retry::is_retry_allowed(
             failure,
             call.is_retryable,
             attempts,
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -114,31 +114,34 @@
 struct Entry {
     counts: Counts,
     /// Number of its last change.
-    changed: u64,
+    change_number: u64,
     /// The peer that sent that change; none for the VM's own.
-    from: Option<Vm>,
+    received_from: Option<Vm>,
 }
 
 /// All counters that a VM knows.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<Origin, BTreeMap<Key, Entry>>,
-    counter: u64,
+    last_change: u64,
 }
 
 impl Table {
     /// Adds to a counter of the VM's own row.
     pub fn add(&mut self, own: &Origin, key: Key, more: Counts) {
-        self.counter += 1;
-        let changed = self.counter;
+        self.last_change += 1;
+        let changed = self.last_change;
         let row = match self.rows.get_mut(own) {
             Some(row) => row,
             None => self.rows.entry(own.clone()).or_default(),
         };
-        let entry =
-            row.entry(key).or_insert(Entry { counts: Counts::default(), changed, from: None });
+        let entry = row.entry(key).or_insert(Entry {
+            counts: Counts::default(),
+            change_number: changed,
+            received_from: None,
+        });
         entry.counts = entry.counts.plus(more);
-        entry.changed = changed;
+        entry.change_number = changed;
     }
 
     /// Merges rows that a peer sent.
@@ -151,39 +154,42 @@
                 if before == Some(joined) {
                     continue;
                 }
-                self.counter += 1;
-                let entry =
-                    Entry { counts: joined, changed: self.counter, from: Some(from.clone()) };
+                self.last_change += 1;
+                let entry = Entry {
+                    counts: joined,
+                    change_number: self.last_change,
+                    received_from: Some(from.clone()),
+                };
                 stored_row.insert(cell.key, entry);
             }
         }
     }
 
     /// Number of the latest change, a cursor for [`Table::delta`].
-    pub fn counter(&self) -> u64 {
-        self.counter
+    pub fn last_change(&self) -> u64 {
+        self.last_change
     }
 
     /// Returns the counters that changed after the cursor `since` and did not come from `to`, at
     /// most `max_cells`, and the cursor up to which they are complete.
     pub fn delta(&self, to: &Vm, since: u64, max_cells: usize) -> (Vec<Row>, u64) {
-        if self.counter == since {
+        if self.last_change == since {
             return (Vec::new(), since);
         }
         let mut changed: Vec<(u64, &Origin, &Key, &Entry)> = Vec::new();
         for (origin, row) in &self.rows {
-            let newer = row.iter().filter(|(_, entry)| entry.changed > since);
-            changed.extend(newer.map(|(key, entry)| (entry.changed, origin, key, entry)));
+            let newer = row.iter().filter(|(_, entry)| entry.change_number > since);
+            changed.extend(newer.map(|(key, entry)| (entry.change_number, origin, key, entry)));
         }
         changed.sort_by_key(|entry| entry.0);
         let up_to = match changed.get(max_cells) {
             Some(next) => next.0 - 1,
-            None => self.counter,
+            None => self.last_change,
         };
         changed.truncate(max_cells);
         let mut rows: BTreeMap<&Origin, Vec<Cell>> = BTreeMap::new();
         for (_, origin, key, entry) in changed {
-            if entry.from.as_ref() != Some(to) {
+            if entry.received_from.as_ref() != Some(to) {
                 let cell = Cell { key: key.clone(), counts: entry.counts };
                 rows.entry(origin).or_default().push(cell);
             }
@@ -199,7 +205,7 @@
     }
 
     /// Returns the VM's own counts for one key.
-    pub fn own(&self, own: &Origin, key: &Key) -> Counts {
+    pub fn own_counts(&self, own: &Origin, key: &Key) -> Counts {
         let entry = self.rows.get(own).and_then(|row| row.get(key));
         entry.map(|entry| entry.counts).unwrap_or_default()
     }
@@ -285,7 +291,7 @@
             from.merge(&a, rows(&facts));
             let mut to = Table::default();
             let mut since = 0;
-            while since < from.counter() {
+            while since < from.last_change() {
                 let (rows, up_to) = from.delta(&b, since, usize::from(max_cells % 7) + 1);
                 to.merge(&a, rows);
                 since = up_to;
--- a/src/experiment/bound/world.rs
+++ b/src/experiment/bound/world.rs
@@ -8,7 +8,7 @@
 
 use super::{Skew, Way};
 use crate::decide::server_limit::{
-    LIMIT_WINDOW, Limit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender,
+    KnownLimit, LIMIT_WINDOW, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender,
     max_senders,
 };
 use crate::peer::neighbours;
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Copy, Default)]
 struct View {
-    limit: Limit,
+    limit: KnownLimit,
     turns: Pacer,
     first_heard: Option<Moment>,
 }
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -11,8 +11,8 @@
 use super::options::Options;
 use super::table::{Row, Table, quantile};
 use crate::decide::cascade::{
-    Answer, BINS, Belief, Credit, DriftDetector, RATING_DECAY, Rule, Rungs, bin, rating_value,
-    solve,
+    Answer, CONFIDENCE_BINS, Credit, DriftDetector, Observations, RATING_DECAY, Rule, Rungs,
+    confidence_bin, rating_value, solve,
 };
 
 /// Costs of a cheap and a strong answer.
@@ -269,7 +269,7 @@
 }
 
 struct Ours {
-    beliefs: Vec<Belief>,
+    beliefs: Vec<Observations>,
     watches: Vec<DriftDetector>,
     rules: Vec<Rule>,
     rungs: Rungs,
@@ -281,7 +281,7 @@
 impl Ours {
     fn new(options: &Options) -> Ours {
         Ours {
-            beliefs: vec![Belief::default(); options.kinds],
+            beliefs: vec![Observations::default(); options.kinds],
             watches: vec![DriftDetector::default(); options.kinds],
             rules: vec![Rule::default(); options.kinds],
             rungs: Rungs {
@@ -314,12 +314,12 @@
         self.beliefs[request.kind].requests += 1.0;
         let rule = self.rules[request.kind];
         let strong = rule.begins_strong(request.point);
-        if strong && request.explore >= rule.explore {
+        if strong && request.explore >= rule.explore_probability {
             trail.direct(request);
-            self.rate(due, request, Answer::Direct, BINS, request.rated);
+            self.rate(due, request, Answer::Direct, CONFIDENCE_BINS, request.rated);
             return;
         }
-        let bin = bin(request.confidence);
+        let bin = confidence_bin(request.confidence);
         self.beliefs[request.kind].confidence_counts[bin] += 1.0;
         self.rate(due, request, Answer::Cheap(bin), bin, request.rated);
         if rule.keeps(bin, request.point) && !strong {
@@ -327,7 +327,7 @@
             return;
         }
         trail.climb(request);
-        self.rate(due, request, Answer::Climbed, bin, request.which);
+        self.rate(due, request, Answer::Escalated, bin, request.which);
     }
 
     fn rate(&mut self, due: usize, request: &Request, answer: Answer, bin: usize, point: f64) {
@@ -336,7 +336,7 @@
             return;
         }
         let cheap = matches!(answer, Answer::Cheap(_));
-        let expected = if cheap { rule.cheap[bin] } else { self.rungs.strong_quality };
+        let expected = if cheap { rule.cheap_pass_rate[bin] } else { self.rungs.strong_quality };
         let pass = if cheap { request.cheap_passes } else { request.strong_passes };
         self.ratings.push_back(Rated { due, kind: request.kind, bin, answer, expected, pass });
         self.rated += 1;
@@ -349,7 +349,7 @@
             belief.decay(RATING_DECAY);
             let cell = match rated.answer {
                 Answer::Cheap(bin) => &mut belief.cheap[bin],
-                Answer::Climbed => &mut belief.strong[rated.bin],
+                Answer::Escalated => &mut belief.strong[rated.bin],
                 Answer::Direct => &mut belief.direct,
             };
             cell.add(rated.pass);
--- a/src/experiment/reading/world.rs
+++ b/src/experiment/reading/world.rs
@@ -10,8 +10,9 @@
 use super::node::{DATA_CENTRES, Node, Role};
 
 use crate::decide::reader::{
-    ANSWER_TIMEOUT, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Place,
-    Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, answer_timeout, may_accept, should_read_store,
+    FAST_POLL_INTERVAL, FIRST_POLL_TIMEOUT, FollowerState, GroupPosition, POLL_INTERVAL,
+    POLL_TIMEOUT, Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, may_accept_update, poll_timeout,
+    should_read_store,
 };
 use crate::unit::{Moment, Span, Vm as Name};
 
@@ -210,22 +211,22 @@
         others.filter_map(first).collect()
     }
 
-    fn place(&self, at: usize) -> Place {
+    fn place(&self, at: usize) -> GroupPosition {
         let node = &self.nodes[at];
-        node.asked.place(&node.rank, self.group(at), self.now)
+        node.asked.group_position(&node.rank, self.group(at), self.now)
     }
 
     fn next(&self, at: usize) -> Option<usize> {
         let node = &self.nodes[at];
         let next = match (self.place(at), self.way) {
-            (Place::First, Way::Itself) => None,
-            (Place::First, Way::Passed) if node.lost => {
+            (GroupPosition::First, Way::Itself) => None,
+            (GroupPosition::First, Way::Passed) if node.lost => {
                 node.asked.any_source(self.firsts(at).into_iter(), self.now)
             }
-            (Place::First, Way::Passed) => {
+            (GroupPosition::First, Way::Passed) => {
                 node.asked.next_source(&node.rank, self.firsts(at).into_iter(), self.now)
             }
-            (Place::Next | Place::Behind, _) => {
+            (GroupPosition::Next | GroupPosition::Behind, _) => {
                 node.asked.next_source(&node.rank, self.group(at), self.now)
             }
         };
@@ -245,8 +246,8 @@
         let settled = has_news || self.go_without(at, told.contains(&Some(false)));
         let waited = match (answered, self.nodes[at].known) {
             (true, _) => QUESTION,
-            (false, None) => FIRST_ANSWER_TIMEOUT,
-            (false, Some(_)) => ANSWER_TIMEOUT,
+            (false, None) => FIRST_POLL_TIMEOUT,
+            (false, Some(_)) => POLL_TIMEOUT,
         };
         let pause = if settled { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let life = self.nodes[at].life;
@@ -277,7 +278,9 @@
             node.asked.on_not_ready(&name, now);
             return None;
         };
-        if !may_accept(&reader_name, hops, &node.rank.vm) || (lost && node.role == Role::Reads) {
+        if !may_accept_update(&reader_name, hops, &node.rank.vm)
+            || (lost && node.role == Role::Reads)
+        {
             node.asked.on_declined(&name, now);
             return None;
         }
@@ -314,13 +317,13 @@
             return true;
         }
         let without = FollowerState {
-            place: self.place(at),
+            group_position: self.place(at),
             has_other_groups: self.way == Way::Passed,
             has_source: self.next(at).is_some(),
             is_store_lost: node.asked.is_store_reported_lost(&node.rank, self.group(at), self.now),
             has_snapshot: node.known.is_some(),
             is_starting: self.now.since(node.began) < STARTUP_WAIT,
-            is_overdue: answer_timeout(node.known, LEAVE_WITHIN, self.now).is_none(),
+            is_overdue: poll_timeout(node.known, LEAVE_WITHIN, self.now).is_none(),
         };
         let itself = match self.way {
             Way::Passed => should_read_store(&without),
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -8,7 +8,7 @@
 
 use super::options::Options;
 use super::table::{Row, Table, quantile};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::unit::Moment;
 
 /// Requests that a replica runs at once.
@@ -172,11 +172,11 @@
                 for (replica, load) in view.iter_mut().zip(&loads) {
                     replica.reported = *load;
                     replica.reported_at = Moment(at);
-                    replica.own_at_report = replica.own;
+                    replica.own_open_at_report = replica.own_open;
                 }
                 for (sent, server) in &self.own[vm] {
                     if *sent > at {
-                        view[*server].own_at_report -= 1.0;
+                        view[*server].own_open_at_report -= 1.0;
                     }
                 }
             }
@@ -186,7 +186,7 @@
     fn forget(&mut self, ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>, now: u64) {
         while ends.peek().is_some_and(|Reverse((end, ..))| *end <= now) {
             let Reverse((_, vm, server)) = ends.pop().expect("there is one");
-            self.views[vm][server].own -= 1.0;
+            self.views[vm][server].own_open -= 1.0;
         }
         let lag = self.lag * 2;
         for own in &mut self.own {
@@ -208,7 +208,7 @@
             let known = &mut self.views[request.vm][server];
             known.reported = load;
             known.reported_at = Moment(now);
-            known.own_at_report = known.own;
+            known.own_open_at_report = known.own_open;
             if load < SLOTS as f64 {
                 break;
             }
@@ -243,7 +243,9 @@
                     b
                 }
             }
-            Kind::Ours => choose(view, request.prefix, request.point, Moment(now)).unwrap_or(a),
+            Kind::Ours => {
+                select_replica(view, request.prefix, request.point, Moment(now)).unwrap_or(a)
+            }
             Kind::Bound => self.best(request, now),
         }
     }
@@ -285,7 +287,7 @@
         run.report(now);
         let (server, now) = run.place(request, now);
         let (first, end, hit) = run.servers[server].take(now, request.prefix, request.answer);
-        run.views[request.vm][server].own += 1.0;
+        run.views[request.vm][server].own_open += 1.0;
         run.own[request.vm].push_back((now, server));
         ends.push(Reverse((end, request.vm, server)));
         if i >= warm {
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -184,21 +184,21 @@
         Inputs {
             new: Arm { poor: self.new, ..Arm::default() },
             old: Arm { poor: self.old, ..Arm::default() },
-            earlier: self.before,
+            earlier_ratings: self.before,
             share: self.share,
-            held: self.held,
-            at_share: Span::secs(now - self.since),
-            rate: RATE,
-            lag: Span(self.options.rating_lag.0 + Span::secs(self.delay).0),
-            since_rating: Span::secs(now - self.rated_at),
-            prior: USUAL,
+            is_held: self.held,
+            time_at_share: Span::secs(now - self.since),
+            request_rate: RATE,
+            rating_lag: Span(self.options.rating_lag.0 + Span::secs(self.delay).0),
+            time_since_rating: Span::secs(now - self.rated_at),
+            declared_bad_share: USUAL,
         }
     }
 
     fn decide_ours(&mut self, now: u64, result: &mut Result) {
         let policy = Policy::default();
         let view = self.view(now);
-        self.takes_sessions = rollout::takes_sessions(&policy, &view);
+        self.takes_sessions = rollout::admits_sessions(&policy, &view);
         let share = match rollout::decide(&policy, &view) {
             Action::Stay => return,
             Action::Withdraw(_) => {
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -12,7 +12,7 @@
 use super::probe::allocated_bytes;
 use super::table::{Row, Table};
 use crate::config::{self, Declarations, Root, Snapshot, digest};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::entry::session::{self, Session};
 use crate::error::Error;
 use crate::evidence::{Counts, Key, Origin, Table as Evidence};
@@ -250,7 +250,7 @@
             let mut point = 0u64;
             micros(|| {
                 point = point.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                black_box(choose(&all, Some(point), point, Moment(1_200_000)));
+                black_box(select_replica(&all, Some(point), point, Moment(1_200_000)));
             })
         }),
         time("time_per_token_check", [1, 2, 3, 4], |n| {
--- a/src/forward/announce.rs
+++ b/src/forward/announce.rs
@@ -53,7 +53,7 @@
         let mut fleet = vm.fleet.borrow_mut();
         fleet
             .incarnation_mut(replica)
-            .and_then(|server| server.availability.limit.next_announcement(now))
+            .and_then(|server| server.availability.rate_limit.next_announcement(now))
     };
     match report {
         Some((news, Recipients::All)) => peer::broadcast(vm, &limit_message(replica, news, now)),
@@ -97,7 +97,7 @@
         };
         let server = fleet.get_mut(report.server).filter(|one| is_same(&one.replica));
         let Some(server) = server else { return };
-        let limit = &mut server.availability.limit;
+        let limit = &mut server.availability.rate_limit;
         let before = limit.rate(now);
         let relays = limit.merge(news, now);
         (server.replica.clone(), before != limit.rate(now), relays)
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -298,8 +298,12 @@
         let Some(server) = fleet.incarnation_mut(replica) else { return };
         let availability = &mut server.availability;
         let limit_changed =
-            availability.limit.observe(response.limit, sent_at.unwrap_or_default(), now);
-        (availability.observe(response.signal, now), limit_changed, availability.limit.rate(now))
+            availability.rate_limit.observe(response.limit, sent_at.unwrap_or_default(), now);
+        (
+            availability.observe(response.signal, now),
+            limit_changed,
+            availability.rate_limit.rate(now),
+        )
     };
     announce::broadcast_limit(vm, replica);
     let signals = [
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -12,7 +12,7 @@
 use super::trial_attempt::TrialAttempt;
 use crate::config::RetryPolicy;
 use crate::decide::escalate;
-use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
+use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, NextAction};
 use crate::entry::refusal::{Kind, Refusal};
 use crate::unit::{Model, Moment, Span};
 
@@ -110,13 +110,15 @@
             progress.unsent_of_model = 0;
             continue;
         }
-        match outcome::next(outcome.end, job.route.retry) {
-            Next::Deliver => return deliver(job, placement.replica, model, outcome, progress),
-            Next::Unknown if !may_retry_timeout(job, &outcome) => {
+        match outcome::next_action(outcome.end, job.route.retry) {
+            NextAction::Deliver => {
+                return deliver(job, placement.replica, model, outcome, progress);
+            }
+            NextAction::Unknown if !may_retry_timeout(job, &outcome) => {
                 progress.may_have_run = true;
                 return give_up(job, progress, outcome.end);
             }
-            Next::Unknown | Next::Retry => {}
+            NextAction::Unknown | NextAction::Retry => {}
         }
         let end = outcome.end;
         let unsent = u32::from(end.is_unsent());
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -17,8 +17,8 @@
 use super::vm::Vm;
 use super::{peer, poison};
 use crate::decide::reader::{
-    self as decide, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Rank,
-    STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, answer_timeout, may_accept,
+    self as decide, FAST_POLL_INTERVAL, FIRST_POLL_TIMEOUT, FollowerState, POLL_INTERVAL, Rank,
+    STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, may_accept_update, poll_timeout,
 };
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
@@ -127,7 +127,7 @@
     fn time_to_ask(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.upstream_store_lost.get() || self.is_store_reported_down(candidates);
-        answer_timeout(
+        poll_timeout(
             self.servers_as_of.filter(|_| !lost),
             self.vm.settings.bounds.drain_within,
             now,
@@ -160,26 +160,26 @@
         Candidates { own, group, firsts }
     }
 
-    fn place(&self, candidates: &Candidates) -> decide::Place {
-        self.asked.place(&candidates.own, candidates.group.iter(), self.vm.now())
+    fn place(&self, candidates: &Candidates) -> decide::GroupPosition {
+        self.asked.group_position(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
     /// Updates since when this VM is the first of its group, and whether so many firsts of
     /// other groups rank before it that it may try the store rarely.
     fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
-        let is_first = self.place(candidates) == decide::Place::First;
+        let is_first = self.place(candidates) == decide::GroupPosition::First;
         let since = self.vm.first_in_group_since.get();
         self.vm.first_in_group_since.set(is_first.then(|| since.unwrap_or(now)));
-        let among = self.asked.place(&candidates.own, candidates.firsts.iter(), now);
-        self.vm.probes_rarely.set(among == decide::Place::Behind);
+        let among = self.asked.group_position(&candidates.own, candidates.firsts.iter(), now);
+        self.vm.probes_rarely.set(among == decide::GroupPosition::Behind);
     }
 
     /// Returns the next VM to poll: one that ranks before this one in its group or, for the first
     /// of a group, the first of another group.
     fn next_target(&self, candidates: &Candidates) -> Option<Name> {
         let now = self.vm.now();
-        let next = if self.place(candidates) != decide::Place::First {
+        let next = if self.place(candidates) != decide::GroupPosition::First {
             self.asked.next_source(&candidates.own, candidates.group.iter(), now)
         } else if self.vm.store_lost.get() || self.vm.store_suspect.get() {
             self.asked.any_source(candidates.firsts.iter(), now)
@@ -194,7 +194,7 @@
         let (name, vm) = (name?, &self.vm);
         let asked = vm.now();
         let within = match self.is_starting() {
-            true => FIRST_ANSWER_TIMEOUT,
+            true => FIRST_POLL_TIMEOUT,
             false => self.time_to_ask(candidates)?,
         };
         let cursor = self.cursors.get(&name).copied().unwrap_or_default();
@@ -230,7 +230,7 @@
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
         let is_lost = update.store == Reachability::Down;
-        if !may_accept(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
+        if !may_accept_update(reader, *hops, &vm.settings.vm) || (is_lost && vm.is_reader()) {
             self.asked.on_declined(from, vm.now());
             return Gain::None;
         }
@@ -293,13 +293,13 @@
         let now = vm.now();
         let bound = vm.settings.bounds.drain_within;
         let without = FollowerState {
-            place: self.place(candidates),
+            group_position: self.place(candidates),
             has_other_groups: !candidates.firsts.is_empty(),
             has_source: self.next_target(candidates).is_some(),
             is_store_lost: self.is_store_reported_down(candidates),
             has_snapshot: self.servers_as_of.is_some(),
             is_starting: self.is_young(),
-            is_overdue: answer_timeout(self.servers_as_of, bound, now).is_none(),
+            is_overdue: poll_timeout(self.servers_as_of, bound, now).is_none(),
         };
         if decide::should_read_store(&without) {
             become_reader(vm, &without);
@@ -397,7 +397,7 @@
 }
 
 fn become_reader(vm: &Vm, without: &FollowerState) {
-    let place = format!("{:?}", without.place);
+    let place = format!("{:?}", without.group_position);
     let fields = [
         ("place", place.as_str().into()),
         ("told_lost", without.is_store_lost.into()),
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -18,7 +18,7 @@
 use super::rollout_counts::{self, Observations};
 use super::vm::Vm;
 use super::{peer, poison};
-use crate::decide::reader::is_stale;
+use crate::decide::reader::is_too_old_to_forward;
 use crate::peer::wire::{decode, encode};
 use crate::unit::{Span, Vm as Name};
 
@@ -162,7 +162,7 @@
     // A proof of the configuration does not cover servers, which have an age of their own.
     let servers = vm.feed.borrow().freshness(Kind::Servers).ok_or(Decline::KnowsTooLittle)?;
     let age = vm.now().since(servers.sent);
-    if is_stale(age, vm.settings.bounds.drain_within) {
+    if is_too_old_to_forward(age, vm.settings.bounds.drain_within) {
         return Err(Decline::OldServers);
     }
     Ok(())
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -28,7 +28,8 @@
         let limiter = limiter(vm, service, now);
         let of_service = || fleet.all().filter(|server| server.replica.service == *service);
         let cold = of_service().filter(|server| limiter.is_cold(server)).count();
-        let limited = of_service().filter(|one| one.availability.limit.rate(now).is_some()).count();
+        let limited =
+            of_service().filter(|one| one.availability.rate_limit.rate(now).is_some()).count();
         vm.metrics.cold_servers.with_label_values(&[service.as_str()]).set(cold as i64);
         vm.metrics.limited_servers.with_label_values(&[service.as_str()]).set(limited as i64);
     }
@@ -86,7 +87,7 @@
     /// Returns the rate limit of a server, if it has one; the tightest if there are several.
     pub fn rate_limit(&self, server: &Server) -> Option<RateLimit> {
         let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(RateLimit::from);
-        let limit = server.availability.limit.rate(self.now).map(RateLimit::advertised);
+        let limit = server.availability.rate_limit.rate(self.now).map(RateLimit::advertised);
         cold.into_iter().chain(limit).reduce(RateLimit::strictest)
     }
 
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -235,7 +235,7 @@
     let fleet = vm.fleet.borrow();
     let is_eligible =
         |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
-    let is_limited = |one: &Server| one.availability.limit.rate(now).is_some();
+    let is_limited = |one: &Server| one.availability.rate_limit.rate(now).is_some();
     let mut resting = fleet.backing_off(criteria.service, now);
     let mut serving = fleet.eligible(criteria.service, now);
     resting.any(|(one, _)| is_eligible(one))
@@ -355,7 +355,11 @@
     let mut fleet = vm.fleet.borrow_mut();
     let Some(server) = fleet.incarnation_mut(replica) else { return Estimate::default() };
     let (load, bar) = (server.load.estimate(now), server.availability.unavailable_reason(now));
-    let limit = server.availability.limit.rate(now).zip(server.availability.limit.age(now));
+    let limit = server
+        .availability
+        .rate_limit
+        .rate(now)
+        .zip(server.availability.rate_limit.limited_for(now));
     server.availability.on_send(now);
     if call.prompt.is_empty() {
         return Estimate { load, bar, limit, ..Estimate::default() };
@@ -365,7 +369,7 @@
     let prompt_tokens = prompt.tokens();
     let prefill_time = vm.prefill_time(model, uncached_tokens);
     let queue_time = server.backlog.remaining(now);
-    let expected_time = Some(Span(server.backlog.expected(now).0 + prefill_time.0));
+    let expected_time = Some(Span(server.backlog.expected_remaining(now).0 + prefill_time.0));
     server.backlog.add(prefill_time, now);
     prompt.hashes().for_each(|part| server.record_prefix(part, now));
     drop(fleet);
--- a/src/forward/steps.rs
+++ b/src/forward/steps.rs
@@ -108,10 +108,10 @@
             let fields = [
                 ("service", service.as_str().into()),
                 ("to", name.as_str().into()),
-                ("age_ms", inputs.age.as_millis().into()),
-                ("seen", inputs.seen.into()),
+                ("age_ms", inputs.order_age.as_millis().into()),
+                ("seen", inputs.answers_seen.into()),
                 ("evidence", inputs.evidence.into()),
-                ("bad", inputs.bad.into()),
+                ("bad", inputs.is_found_bad.into()),
             ];
             vm.log("roll-out moved", &fields);
             apply_rollout(vm, &object);
@@ -158,12 +158,12 @@
     let Verdict { seen, evidence } = trial.verdict();
     let inputs = Inputs {
         phase: rollout.phase,
-        age: trial.age(now),
-        within: rollout.within,
-        exposure: vm.settings.bounds.max_exposure,
-        ready,
-        bad: trial.is_bad(),
-        seen,
+        order_age: trial.age(now),
+        time_limit: rollout.within,
+        max_exposure: vm.settings.bounds.max_exposure,
+        ready_servers: ready,
+        is_found_bad: trial.is_bad(),
+        answers_seen: seen,
         evidence,
     };
     let phase = match canary::next_step(&inputs) {
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -433,7 +433,7 @@
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(bounds.retry_window, bounds.retry_share));
         let vms = self.peers.borrow().count_live(self.now()) as u32;
-        budget.set_extra(limit::even_share(bounds.retry_extra as u32, vms));
+        budget.set_extra_retries(limit::even_share(bounds.retry_extra as u32, vms));
         act(budget)
     }
 }
--- a/src/options.rs
+++ b/src/options.rs
@@ -116,8 +116,11 @@
     let rated: TrafficShare =
         with_default("rated-share", flags.rated_share.as_ref(), TrafficShare::from_fraction(0.05))?;
     let policy = Policy::default();
-    let doubling =
-        with_default("rollout-doubling", flags.rollout_doubling.as_ref(), policy.doubling)?;
+    let doubling = with_default(
+        "rollout-doubling",
+        flags.rollout_doubling.as_ref(),
+        policy.min_doubling_time,
+    )?;
     let settings = Settings {
         vm: required("vm", flags.vm.as_ref())?,
         data_centre: required("data-centre", flags.data_centre.as_ref())?,
@@ -130,7 +133,7 @@
         stop_within: with_default("stop-within", flags.stop_within.as_ref(), Span::secs(30))?,
         body_limit: with_default("body-limit", flags.body_limit.as_ref(), Size(1_000_000))?,
         rated_share: rated.fraction(),
-        rollout: Policy { doubling, ..policy },
+        rollout: Policy { min_doubling_time: doubling, ..policy },
         fleet_key: required_secret("FLEET_KEY")?,
         session_keys: required_secret("SESSION_KEYS")?,
         operator_key: secret("OPERATOR_KEY")?,
@@ -150,7 +153,7 @@
     if settings.rating_service == Some(settings.platform) {
         return fault("--rating and --platform name the same address; each is its own service.");
     }
-    if settings.rollout.doubling == Span(0) {
+    if settings.rollout.min_doubling_time == Span(0) {
         return Err(Error::flag("--rollout-doubling", "0s", "use more than nothing."));
     }
     Ok(())
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -6,7 +6,7 @@
 
 use super::BASELINE_WINDOWS;
 use crate::config::{Snapshot, VersionEntry};
-use crate::decide::cascade::{self, Belief, Rungs};
+use crate::decide::cascade::{self, Observations, Rungs};
 use crate::decide::{limit, rollout};
 use crate::evidence::{Counts, Key};
 use crate::unit::{Kind, Model, Rate, Target, Workspace};
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct CascadeState {
     last_sums: BTreeMap<Key, Counts>,
-    beliefs: BTreeMap<Kind, Belief>,
+    beliefs: BTreeMap<Kind, Observations>,
     detectors: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
@@ -51,7 +51,7 @@
         update_beliefs(control, &workspace.name, state);
         for declared in &workspace.cascades {
             let Some(rungs) = cascade_rungs(snapshot, &declared.rungs) else { continue };
-            let beliefs: Vec<Belief> = state.beliefs.values().cloned().collect();
+            let beliefs: Vec<Observations> = state.beliefs.values().cloned().collect();
             let rules = cascade::solve(&beliefs, &rungs, declared.target);
             let mut installed = control.vm.cascade_rules.write().expect("no panic while held");
             for (kind, rule) in state.beliefs.keys().zip(rules) {
@@ -93,16 +93,16 @@
         let rated = sum.rated.saturating_sub(before.rated);
         let poor = sum.poor.saturating_sub(before.poor);
         let (Key::Cheap { kind, bin, .. } | Key::Strong { kind, bin, .. }) = key else { continue };
-        let bin = usize::from(*bin).min(cascade::BINS);
+        let bin = usize::from(*bin).min(cascade::CONFIDENCE_BINS);
         let belief = state.beliefs.entry(kind.clone()).or_default();
         belief.decay(cascade::RATING_DECAY.powf(rated as f64));
         let cell = match key {
             Key::Cheap { .. } => {
                 belief.requests += ended;
-                belief.confidence_counts[bin.min(cascade::BINS - 1)] += ended;
-                &mut belief.cheap[bin.min(cascade::BINS - 1)]
+                belief.confidence_counts[bin.min(cascade::CONFIDENCE_BINS - 1)] += ended;
+                &mut belief.cheap[bin.min(cascade::CONFIDENCE_BINS - 1)]
             }
-            _ if bin < cascade::BINS => &mut belief.strong[bin],
+            _ if bin < cascade::CONFIDENCE_BINS => &mut belief.strong[bin],
             _ => {
                 belief.requests += ended;
                 &mut belief.direct
@@ -116,7 +116,8 @@
         }
         let rules = control.vm.cascade_rules.read().expect("no panic while held");
         let rule = rules.get(&(workspace.clone(), kind.clone()));
-        let expected = rule.map_or(0.0, |rule| rule.cheap[bin.min(cascade::BINS - 1)]);
+        let expected =
+            rule.map_or(0.0, |rule| rule.cheap_pass_rate[bin.min(cascade::CONFIDENCE_BINS - 1)]);
         let detector = state.detectors.entry(kind.clone()).or_default();
         let alarms = (0..rated).filter(|i| expected > 0.0 && detector.record(expected, *i >= poor));
         if alarms.count() > 0 {
@@ -135,8 +136,9 @@
     let vms = control.other_vms().len() + 1;
     for workspace in &snapshot.declared.workspaces {
         let key = Key::Demand { workspace: workspace.name.clone() };
-        let (own, all) = control
-            .with_gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
+        let (own, all) = control.with_gossip(|g| {
+            (g.evidence.own_counts(&origin, &key).ended, g.evidence.sum(&key).ended)
+        });
         let known = demand.entry(workspace.name.clone()).or_default();
         // Requests counted last (own, of all VMs), then decayed sums of both. The decay makes
         // recent demand count: a VM that was busy an hour ago needs no share now.
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -57,7 +57,7 @@
     let policy = &control.vm.settings.rollout;
     let (event, share, reason) = match rollout::decide(policy, &inputs) {
         // Sessions may be admitted or excluded without a change of share.
-        Action::Stay if rollout.sessions != rollout::takes_sessions(policy, &inputs) => {
+        Action::Stay if rollout.sessions != rollout::admits_sessions(policy, &inputs) => {
             ("grow", rollout.share, "sessions".to_owned())
         }
         Action::Stay => return,
@@ -71,7 +71,7 @@
     if rollout.state == "held" && event == "grow" {
         return;
     }
-    let sessions = rollout::takes_sessions(policy, &inputs);
+    let sessions = rollout::admits_sessions(policy, &inputs);
     write_step(control, snapshot, rollout, event, (share, sessions), &reason).await;
 }
 
@@ -163,15 +163,15 @@
     Inputs {
         new: arm(new),
         old: arm(old),
-        earlier: ratings_before(control, &from, rollout.begun.0),
+        earlier_ratings: ratings_before(control, &from, rollout.begun.0),
         share: rollout.share,
-        held: rollout.state == "held",
-        at_share: date.since(rollout.since),
-        rate: state.rate,
+        is_held: rollout.state == "held",
+        time_at_share: date.since(rollout.since),
+        request_rate: state.rate,
         // Evidence and the step itself take time to reach all VMs.
-        lag: Span(lag.0 + Span::millis(1500).0),
-        since_rating: date.since(state.rated_at),
-        prior: 1.0 - declared,
+        rating_lag: Span(lag.0 + Span::millis(1500).0),
+        time_since_rating: date.since(state.rated_at),
+        declared_bad_share: 1.0 - declared,
     }
 }
 
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -5,7 +5,7 @@
 
 use crate::chart::{self, Machine};
 use crate::config::{ServerEntry, Snapshot};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::engine::wire::Load;
 use crate::unit::{DataCentre, Moment, Revision, Server, Service, Span, Target};
 
@@ -103,7 +103,7 @@
         now: Moment,
     ) -> Option<SelectedServer> {
         let (replicas, names) = self.groups.get(group)?;
-        let at = choose(replicas, prefix, point, now)?;
+        let at = select_replica(replicas, prefix, point, now)?;
         let server = names[at].clone();
         let state = self.servers.get_mut(&server)?;
         state.in_flight += 1.0;
@@ -198,10 +198,13 @@
                 self.servers.get(name).map_or("unknown", |server| server.state_machine.state());
             let verdict = if !replica.accepting {
                 format!("ruled out: {state} or not loaded")
-            } else if !replica.usable(now) {
+            } else if !replica.is_usable(now) {
                 "ruled out: failed recently".to_owned()
             } else {
-                format!("load {:.0}, in flight from this VM {:.0}", replica.reported, replica.own)
+                format!(
+                    "load {:.0}, in flight from this VM {:.0}",
+                    replica.reported, replica.own_open
+                )
             };
             format!("{name}: {verdict}")
         };
@@ -256,8 +259,8 @@
         slots: state.slots,
         reported: f64::from(state.load.running + state.load.waiting),
         reported_at: state.reported_at,
-        own: state.in_flight,
-        own_at_report: state.in_flight_at_report,
+        own_open: state.in_flight,
+        own_open_at_report: state.in_flight_at_report,
         accepting: !matches!(state.state_machine.state(), "leaving" | "gone"),
         failed_at: state.failed_at,
         latency: state.latency,
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -6,7 +6,7 @@
 use kitepulley::decide::budget::RetryBudget;
 use kitepulley::decide::canary::{self, Comparison, Inputs, Step};
 use kitepulley::decide::limit::even_share;
-use kitepulley::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
+use kitepulley::decide::outcome::{self, AttemptOutcome, FinalResponse, NextAction};
 use kitepulley::decide::outlier::OutlierDetector;
 use kitepulley::decide::placement::{Candidate, least_loaded, soonest};
 use kitepulley::decide::prefill::PrefillEstimator;
@@ -39,7 +39,7 @@
                 | AttemptOutcome::Late
                 | AttemptOutcome::Good
         );
-        let goes_on = outcome::next(end, RetryPolicy::Never) == Next::Retry;
+        let goes_on = outcome::next_action(end, RetryPolicy::Never) == NextAction::Retry;
         assert!(!(may_have_run && goes_on), "{end:?}");
     }
 }
@@ -67,7 +67,7 @@
     fn repeats_stay_within_the_budget(steps: Vec<(u8, bool)>) -> bool {
         const WINDOW: u64 = 10_000_000;
         let mut budget = RetryBudget::new(Span(WINDOW), 0.9);
-        budget.set_extra(3);
+        budget.set_extra_retries(3);
         let (mut now, mut events) = (1_000_000, Vec::new());
         for (pause, repeat) in steps {
             now += u64::from(pause) * 20_000;
@@ -93,7 +93,7 @@
     /// Second runs for a better response never use up what is reserved for failures.
     fn failures_find_a_repeat_left_whatever_second_runs_took(firsts: u8) -> bool {
         let mut budget = RetryBudget::new(Span::secs(10), 0.9);
-        budget.set_extra(8);
+        budget.set_extra_retries(8);
         (0..firsts).for_each(|_| budget.record_first(Moment(1)));
         while budget.try_spend_optional(Moment(1)) {}
         budget.try_spend(Moment(1))
@@ -173,7 +173,7 @@
         let (mut phase, mut exposed) = (None, 0.0);
         for ms in (0..within.0).step_by(10_000) {
             let known = Inputs {
-                phase, age: Span(ms), within, exposure, ready: 3, bad: false, seen: 100.0, evidence: 0.0,
+                phase, order_age: Span(ms), time_limit: within, max_exposure: exposure, ready_servers: 3, is_found_bad: false, answers_seen: 100.0, evidence: 0.0,
             };
             if let Step::Move(next) = canary::next_step(&known) {
                 phase = Some(next);
@@ -185,7 +185,7 @@
             } * 10_000.0;
         }
         let bad = Inputs {
-            phase, age: Span(0), within, exposure, ready: 3, bad: true, seen: 9.0, evidence: 9.0,
+            phase, order_age: Span(0), time_limit: within, max_exposure: exposure, ready_servers: 3, is_found_bad: true, answers_seen: 9.0, evidence: 9.0,
         };
         let goes_on = matches!(
             canary::next_step(&bad), Step::Move(Phase::Running { .. } | Phase::Completed));
@@ -523,12 +523,12 @@
 fn a_version_in_doubt_does_not_take_over() {
     let known = |phase, evidence| Inputs {
         phase: Some(phase),
-        age: Span::millis(21_900),
-        within: Span::secs(22),
-        exposure: 0.15,
-        ready: 3,
-        bad: false,
-        seen: 30.0,
+        order_age: Span::millis(21_900),
+        time_limit: Span::secs(22),
+        max_exposure: 0.15,
+        ready_servers: 3,
+        is_found_bad: false,
+        answers_seen: 30.0,
         evidence,
     };
     for share in [0.06, 1.0] {
@@ -547,12 +547,12 @@
     let within = Span::secs(24);
     let known = |phase, age| Inputs {
         phase,
-        age,
-        within,
-        exposure: 0.15,
-        ready: 3,
-        bad: false,
-        seen: 30.0,
+        order_age: age,
+        time_limit: within,
+        max_exposure: 0.15,
+        ready_servers: 3,
+        is_found_bad: false,
+        answers_seen: 30.0,
         evidence: 0.0,
     };
     let (heard, looks) = (Span::millis(970), Span::millis(400));
@@ -622,12 +622,12 @@
         let (age, within) = (Span::millis(age), Span::secs(within));
         let known = Inputs {
             phase: None,
-            age,
-            within,
-            exposure: 0.15,
-            ready: 3,
-            bad: false,
-            seen: 0.0,
+            order_age: age,
+            time_limit: within,
+            max_exposure: 0.15,
+            ready_servers: 3,
+            is_found_bad: false,
+            answers_seen: 0.0,
             evidence: 0.0,
         };
         canary::next_step(&known)
@@ -644,12 +644,12 @@
     let goes_back = |seen, evidence| {
         let known = Inputs {
             phase: Some(Phase::Running { share: 1.0 }),
-            age: Span::millis(21_900),
-            within: Span::secs(22),
-            exposure: 0.15,
-            ready: 3,
-            bad: false,
-            seen,
+            order_age: Span::millis(21_900),
+            time_limit: Span::secs(22),
+            max_exposure: 0.15,
+            ready_servers: 3,
+            is_found_bad: false,
+            answers_seen: seen,
             evidence,
         };
         canary::next_step(&known) == Step::Move(Phase::RolledBack)
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-use kitepulley::decide::reader::{Rank, SourceHistory, answer_timeout, is_stale};
+use kitepulley::decide::reader::{Rank, SourceHistory, is_too_old_to_forward, poll_timeout};
 use kitepulley::forward::apply::{self, Source};
 use kitepulley::forward::feed::{Cursor, Feed, Origin, Reachability, Status, Update};
 use kitepulley::forward::kind::Kind;
@@ -220,11 +220,14 @@
     let leave_within = Span::secs(2);
     // The oldest state that a reader serves, plus the longest time until its follower reads the
     // store itself: polls, one after the other, of VMs that don't answer.
-    let oldest = (0..2000).map(Span::millis).rfind(|age| !is_stale(*age, leave_within)).unwrap();
+    let oldest = (0..2000)
+        .map(Span::millis)
+        .rfind(|age| !is_too_old_to_forward(*age, leave_within))
+        .unwrap();
     let known = Moment(10_000_000);
     let mut now = Moment(known.0 + oldest.0);
     let mut asked = 0;
-    while let Some(time) = answer_timeout(Some(known), leave_within, now) {
+    while let Some(time) = poll_timeout(Some(known), leave_within, now) {
         now = now + time;
         asked += 1;
         assert!(asked < 10, "each question takes time");
@@ -232,10 +235,7 @@
     let read = now.since(known);
     assert!(read <= Span::millis(1600), "{read} old when it reads for itself");
     assert!(oldest >= Span::millis(800), "a reader that asks every 0.6 s is never stale");
-    assert!(
-        answer_timeout(None, leave_within, now).is_some(),
-        "one that reads for itself has time"
-    );
+    assert!(poll_timeout(None, leave_within, now).is_some(), "one that reads for itself has time");
 }
 
 /// When the store recovers, VMs that had reported it down or served no updates are polled at once;
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -27,7 +27,7 @@
 use kitepulley::decide::availability::Signal;
 use kitepulley::decide::outcome::AttemptOutcome;
 use kitepulley::decide::server_limit::{
-    Limit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender, max_senders,
+    KnownLimit, LimitHeader, Pacer, RateLimit, Recipients, Share, Update, is_sender, max_senders,
 };
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::{self, attempt, selection};
@@ -279,7 +279,7 @@
 
 fn announce(vm: &forward::Vm, incarnation: &Life, limit_header: LimitHeader) {
     let now = vm.now();
-    vm.fleet.borrow_mut().incarnation_mut(incarnation).unwrap().availability.limit.observe(
+    vm.fleet.borrow_mut().incarnation_mut(incarnation).unwrap().availability.rate_limit.observe(
         limit_header,
         now,
         now,
@@ -472,7 +472,7 @@
     let second = |number: u64| Moment(number * 1_000_000);
     let news = |rate: f64, as_of| Update { rate: Some(Rate(rate)), as_of };
     let senders = |before, now| Recipients::Senders([Rate(before), Rate(now)]);
-    let mut limit = Limit::default();
+    let mut limit = KnownLimit::default();
     assert_eq!(limit.next_announcement(Moment(1)), None);
     limit.observe(LimitHeader::Present(Rate(2.0)), Moment(1), second(1));
     assert_eq!(limit.next_announcement(second(1)), Some((news(2.0, second(1)), Recipients::All)));
@@ -516,7 +516,7 @@
 fn what_is_told_again_is_passed_on_by_those_who_heard_it_later() {
     let second = |number: u64| Moment(number * 1_000_000);
     let news = |as_of| Update { rate: Some(Rate(2.0)), as_of };
-    let mut limit = Limit::default();
+    let mut limit = KnownLimit::default();
     assert!(limit.merge(news(second(1)), second(1) + Span::millis(40)));
     assert!(!limit.merge(news(second(5)), second(5)), "the same limit from another VM");
     assert!(limit.merge(news(second(16)), second(16) + Span::millis(10)));
@@ -525,7 +525,7 @@
 
 #[test]
 fn a_limit_that_changes_ten_times_a_second_is_told_four_times_a_second_at_most() {
-    let mut limit = Limit::default();
+    let mut limit = KnownLimit::default();
     let mut sent = 0;
     for tenth in 1..=200 {
         let now = Moment(tenth * 100_000);
@@ -540,7 +540,7 @@
 fn of_two_words_of_a_limit_the_newer_holds_and_an_old_one_is_forgotten() {
     let second = |number: u64| Moment(number * 1_000_000);
     let news = |rate: Option<f64>, as_of| Update { rate: rate.map(Rate), as_of: second(as_of) };
-    let mut limit = Limit::default();
+    let mut limit = KnownLimit::default();
     assert!(limit.merge(news(Some(2.0), 5), second(6)), "relayed to the others");
     assert!(!limit.merge(news(None, 4), second(6)), "older than the known one");
     assert_eq!(limit.rate(second(6)), Some(Rate(2.0)));
@@ -585,12 +585,15 @@
 
 #[test]
 fn an_answer_without_a_limit_ends_it_only_if_it_was_asked_for_later() {
-    let mut limit = Limit::default();
+    let mut limit = KnownLimit::default();
     assert!(limit.observe(LimitHeader::Present(Rate(2.0)), Moment(10), Moment(20)));
     assert!(!limit.observe(LimitHeader::Present(Rate(2.0)), Moment(12), Moment(24)));
     assert!(!limit.observe(LimitHeader::Absent, Moment(13), Moment(25)));
     assert!(!limit.observe(LimitHeader::Invalid, Moment(26), Moment(27)));
-    assert_eq!((limit.rate(Moment(27)), limit.age(Moment(27))), (Some(Rate(2.0)), Some(Span(7))));
+    assert_eq!(
+        (limit.rate(Moment(27)), limit.limited_for(Moment(27))),
+        (Some(Rate(2.0)), Some(Span(7)))
+    );
     assert!(limit.observe(LimitHeader::Absent, Moment(25), Moment(28)));
     assert_eq!(limit.rate(Moment(28)), None);
 }
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use kitepulley::decide::reader::{
-    FollowerState, Place, Rank, SourceHistory, may_accept, should_read_store,
+    FollowerState, GroupPosition, Rank, SourceHistory, may_accept_update, should_read_store,
 };
 use kitepulley::forward::trial::Source;
 use kitepulley::forward::trial::{RolloutTrial, Sample, Verdict};
@@ -34,16 +34,18 @@
     own: &Rank,
 ) -> FollowerState {
     let now = Moment(1);
-    let place = history.place(own, groups[at].iter(), now);
+    let place = history.group_position(own, groups[at].iter(), now);
     let others = groups.iter().enumerate().filter(|(group, _)| *group != at);
     let firsts: Vec<&Rank> =
         others.filter_map(|(_, group)| history.first_responsive(group.iter(), now)).collect();
     let next = match place {
-        Place::First => history.next_source(own, firsts.iter().copied(), now),
-        Place::Next | Place::Behind => history.next_source(own, groups[at].iter(), now),
+        GroupPosition::First => history.next_source(own, firsts.iter().copied(), now),
+        GroupPosition::Next | GroupPosition::Behind => {
+            history.next_source(own, groups[at].iter(), now)
+        }
     };
     FollowerState {
-        place,
+        group_position: place,
         has_other_groups: !firsts.is_empty(),
         has_source: next.is_some(),
         is_store_lost: history.is_store_reported_lost(own, groups[at].iter(), now),
@@ -111,7 +113,7 @@
 #[test]
 fn what_is_too_old_is_read_unless_the_store_is_lost() {
     let behind = FollowerState {
-        place: Place::Behind,
+        group_position: GroupPosition::Behind,
         has_other_groups: true,
         has_source: true,
         is_store_lost: false,
@@ -138,9 +140,9 @@
 #[test]
 fn what_a_vm_read_itself_is_no_news_to_it() {
     let (own, other) = (rank(1).vm, rank(2).vm);
-    assert!(!may_accept(&own, 1, &own));
-    assert!(may_accept(&other, 2, &own));
-    assert!(!may_accept(&other, 9, &own), "it was forwarded too often");
+    assert!(!may_accept_update(&own, 1, &own));
+    assert!(may_accept_update(&other, 2, &own));
+    assert!(!may_accept_update(&other, 9, &own), "it was forwarded too often");
 }
 
 /// Returns the answers in the verdict and those in fact seen, if VMs report their counts repeatedly
--- a/tests/sleep.rs
+++ b/tests/sleep.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use kitepulley::decide::poison::{Exchange, OpenRequest, ServerIncarnation, Topology};
-use kitepulley::decide::reader::is_stale;
+use kitepulley::decide::reader::is_too_old_to_forward;
 use kitepulley::decide::server_limit::{Pacer, RateLimit, Share};
 use kitepulley::forward::{Vm, apply, wake};
 use kitepulley::unit::{Moment, Rate, Revision, Span, digest};
@@ -104,7 +104,11 @@
         AGES_AWAKE.fetch_add(1000, Ordering::SeqCst);
         suspend(&AGES_ASLEEP, Span::secs(sleeps));
         let now = clock.now();
-        assert_eq!(is_stale(now.since(before), Span::secs(2)), stale, "servers after {sleeps} s");
+        assert_eq!(
+            is_too_old_to_forward(now.since(before), Span::secs(2)),
+            stale,
+            "servers after {sleeps} s"
+        );
         assert_eq!(
             pacer.next_send(&share, now),
             now.max(before + share.interval),
