--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -25,7 +25,7 @@
 pub struct Attempt<'a> {
     vm: &'a Vm,
     work: Generate,
-    picked: SelectedServer,
+    selected: SelectedServer,
     frames: Frames,
     next_offset: u32,
     is_complete: bool,
@@ -42,7 +42,7 @@
 /// Picks a server and starts the generation on it.
 ///
 /// # Errors
-/// Returns the fault if no server can take the request (then without a server) or if the picked
+/// Returns the error if no server can take the request (then without a server) or if the selected
 /// server refused it or failed.
 pub async fn start<'a>(
     vm: &'a Vm,
@@ -54,7 +54,7 @@
 ) -> Result<Attempt<'a>, (Option<SelectedServer>, AttemptError)> {
     let now = vm.clock.now();
     let group = Group::Version(work.target.clone());
-    let picked = {
+    let selected = {
         let mut fleet = vm.fleet.lock().expect("no panic while held");
         if fleet.server_count(&group) <= MAX_TRACED_CANDIDATES
             || rand::random::<f64>() < TRACED_SHARE
@@ -63,58 +63,55 @@
         }
         fleet.select_server(&group, Some(prefix), rand::random(), now)
     };
-    let Some(picked) = picked else {
-        let words = format!("no server of {} can take it", work.target);
-        return Err((
-            None,
-            AttemptError { failure: Failure::NotRun, not_run: None, reason: words },
-        ));
+    let Some(selected) = selected else {
+        let reason = format!("no server of {} can take it", work.target);
+        return Err((None, AttemptError { failure: Failure::NotRun, not_run: None, reason }));
     };
     vm.history.record(|| Event::Started {
         vm: vm.settings.vm.clone(),
         request: work.request.clone(),
         revision,
         target: Some(work.target.clone()),
-        server: picked.server.clone(),
+        server: selected.server.clone(),
     });
-    let outcome = engines.generate(picked.address, &work).await;
+    let outcome = engines.generate(selected.address, &work).await;
     let now = vm.clock.now();
     match outcome {
         Ok(frames) => {
             if let Some((running, waiting)) = frames.load {
                 let mut fleet = vm.fleet.lock().expect("no panic while held");
-                fleet.on_load_hint(&picked.server, running, waiting, now);
+                fleet.on_load_hint(&selected.server, running, waiting, now);
             }
             steps.push(format!(
                 "{} started on {}, the cheapest of the sampled servers",
-                work.target, picked.server
+                work.target, selected.server
             ));
             let next_offset = work.offset;
-            Ok(Attempt { vm, work, picked, frames, next_offset, is_complete: false })
+            Ok(Attempt { vm, work, selected, frames, next_offset, is_complete: false })
         }
-        Err(fault) => {
-            record_fault(vm, &picked, &fault, now);
-            steps.push(format!("{} on {}: {}", work.target, picked.server, fault.reason));
+        Err(error) => {
+            record_failed_start(vm, &selected, &error, now);
+            steps.push(format!("{} on {}: {}", work.target, selected.server, error.reason));
             count_attempt(vm, &work.target, "refused");
-            Err((Some(picked), fault))
+            Err((Some(selected), error))
         }
     }
 }
 
-fn record_fault(vm: &Vm, picked: &SelectedServer, fault: &AttemptError, now: Moment) {
+fn record_failed_start(vm: &Vm, selected: &SelectedServer, error: &AttemptError, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
-    fleet.on_request_end(&picked.server);
-    match &fault.not_run {
-        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&picked.server),
+    fleet.on_request_end(&selected.server);
+    match &error.not_run {
+        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&selected.server),
         // A full server has not failed. Its reported load steers other requests away from it.
         Some(NotRun { reason: Reason::Full, load }) => {
-            fleet.on_load_hint(&picked.server, load.0, load.1, now);
+            fleet.on_load_hint(&selected.server, load.0, load.1, now);
             return;
         }
-        _ => fleet.on_failure(&picked.server, now),
+        _ => fleet.on_failure(&selected.server, now),
     }
     drop(fleet);
-    vm.send_command(Command::ProbeServer(picked.server.clone()));
+    vm.send_command(Command::ProbeServer(selected.server.clone()));
 }
 
 fn count_attempt(vm: &Vm, target: &Target, outcome: &str) {
@@ -124,12 +121,12 @@
 impl Attempt<'_> {
     /// Returns the address of the server.
     pub fn address(&self) -> SocketAddr {
-        self.picked.address
+        self.selected.address
     }
 
     /// Returns the server that the attempt runs on.
     pub fn server(&self) -> &Server {
-        &self.picked.server
+        &self.selected.server
     }
 
     /// Returns the next token or the end.
@@ -179,12 +176,13 @@
 impl Drop for Attempt<'_> {
     /// Cancels the attempt at the engine unless it is complete.
     fn drop(&mut self) {
-        self.vm.fleet.lock().expect("no panic while held").on_request_end(&self.picked.server);
+        self.vm.fleet.lock().expect("no panic while held").on_request_end(&self.selected.server);
         if !self.is_complete {
             count_attempt(self.vm, &self.work.target, "cut");
             let (request, attempt): (RequestId, u32) =
                 (self.work.request.clone(), self.work.attempt);
-            self.vm.send_command(Command::Cancel(self.picked.address, Cancel { request, attempt }));
+            self.vm
+                .send_command(Command::Cancel(self.selected.address, Cancel { request, attempt }));
         }
     }
 }
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -8,7 +8,7 @@
 use crate::ledger::{Entry, Part, Reason};
 use crate::standin::rating::Sample;
 use crate::unit::{Cost, Moment, RequestId, Span, Target};
-use crate::vm::{Command, Subject};
+use crate::vm::{Command, PendingSample};
 use crate::watch::Trace;
 
 impl Dispatcher {
@@ -35,7 +35,7 @@
     /// Adds the tokens of a generation to the bill, at the price of its version.
     pub(super) fn add_bill_part(&mut self, target: &Target, tokens: u32, is_complete: bool) {
         let price = self.job.snapshot.version(target).map_or(Cost(0), |version| version.cost);
-        self.parts.push(Part {
+        self.bill_parts.push(Part {
             reason: if is_complete { Reason::Answer } else { Reason::Broken },
             target: Some(target.clone()),
             tokens,
@@ -57,7 +57,13 @@
     }
 
     /// Counts a cheap answer of a cascade, whether kept or not, and may submit it for rating.
-    pub(super) fn rate_cheap(&self, target: &Target, bin: usize, rule: &Rule, received: &[String]) {
+    pub(super) fn record_cheap_answer(
+        &self,
+        target: &Target,
+        bin: usize,
+        rule: &Rule,
+        received: &[String],
+    ) {
         let key = Key::Cheap {
             workspace: self.job.workspace.name.clone(),
             kind: self.job.kind.clone(),
@@ -73,7 +79,7 @@
 
     /// Counts a strong answer of a cascade and may submit it for rating. `bin` is the confidence
     /// bin of the cheap answer before it, or `BINS` if the strong version ran alone.
-    pub(super) fn rate_strong(
+    pub(super) fn record_strong_answer(
         &self,
         target: &Target,
         bin: usize,
@@ -113,8 +119,8 @@
         if !rated {
             return;
         }
-        let subject = Subject { keys, date: self.vm.clock.date() };
-        self.vm.pending_samples.lock().expect("no panic while held").insert(id.clone(), subject);
+        let pending = PendingSample { keys, answered_at: self.vm.clock.date() };
+        self.vm.pending_samples.lock().expect("no panic while held").insert(id.clone(), pending);
         self.vm.send_command(Command::SubmitSample(Sample {
             vm: self.vm.settings.vm.clone(),
             request: id,
@@ -123,16 +129,16 @@
     }
 
     /// Bills the collected parts and returns true once other VMs or the store hold the bill.
-    pub(super) async fn bill(&mut self) -> bool {
+    pub(super) async fn record_bill(&mut self) -> bool {
         self.record_event("bill");
         let entry = Entry {
             number: 0,
             request: self.job.request.clone(),
             workspace: self.job.workspace.name.clone(),
             date: self.vm.clock.date(),
-            parts: std::mem::take(&mut self.parts),
+            parts: std::mem::take(&mut self.bill_parts),
         };
-        self.steps.push(format!("billed {} in {} part(s)", entry.cost(), entry.parts.len()));
+        self.trace_steps.push(format!("billed {} in {} part(s)", entry.cost(), entry.parts.len()));
         let (sender, is_stored) = oneshot::channel();
         self.vm.send_command(Command::RecordBill(entry, sender));
         is_stored.await.unwrap_or(false)
@@ -144,7 +150,7 @@
             workspace: self.job.workspace.name.clone(),
             revision: self.job.snapshot.revision(),
             date: self.vm.clock.date(),
-            steps: std::mem::take(&mut self.steps),
+            steps: std::mem::take(&mut self.trace_steps),
         };
         self.vm.traces.lock().expect("no panic while held").record(trace);
     }
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -32,7 +32,7 @@
     /// Generates an answer with one version and records the outcome for admission, roll-out
     /// evidence, error budget and bill. Tokens are collected in `received` and, with `to_client`,
     /// also sent.
-    pub(super) async fn stream(
+    pub(super) async fn generate(
         &mut self,
         target: &Target,
         received: &mut Vec<String>,
@@ -64,9 +64,9 @@
     fn admit(&mut self, target: &Target, now: Moment) -> Result<(), Abort> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
-        let (in_time, is_admitted) = self.vm.with_admission(&target.model, |gate| {
-            let in_time = gate.can_meet_deadline(now, deadline);
-            (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
+        let (in_time, is_admitted) = self.vm.with_admission(&target.model, |controller| {
+            let in_time = controller.can_meet_deadline(now, deadline);
+            (in_time, in_time && controller.try_admit(&workspace.name, workspace.limit.0, now))
         });
         let refuse = |kind, reason| Err(Abort::Refused(Refusal::with_detail(kind, reason)));
         match (in_time, is_admitted) {
@@ -89,8 +89,9 @@
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm
-            .with_admission(&target.model, |gate| gate.on_end(workspace, admission_outcome, now));
+        self.vm.with_admission(&target.model, |controller| {
+            controller.on_end(workspace, admission_outcome, now)
+        });
     }
 
     /// Tries servers until one completes the answer or no retry is allowed.
@@ -129,7 +130,7 @@
             )
             .await;
             drop(dispatch_guard);
-            self.steps.append(&mut steps);
+            self.trace_steps.append(&mut steps);
             let (failure, reason) = match started {
                 Ok(mut attempt) => {
                     self.record_event("send");
@@ -158,23 +159,24 @@
                                 .lock()
                                 .expect("no panic while held")
                                 .on_failure(&server, now);
-                            self.steps.push(format!("{server} ended the stream early: {reason}"));
+                            self.trace_steps
+                                .push(format!("{server} ended the stream early: {reason}"));
                             (Failure::Broken, reason)
                         }
                     }
                 }
-                Err((_, fault)) if fault.is_full() && full_refusals < MAX_FULL_REFUSALS => {
+                Err((_, error)) if error.is_full() && full_refusals < MAX_FULL_REFUSALS => {
                     // Nothing ran and little time was lost, so it does not use the retry budget.
                     full_refusals += 1;
                     attempts -= 1;
                     self.record_event("fail");
                     continue;
                 }
-                Err((picked, fault)) => {
-                    if let Some(picked) = picked.filter(|_| fault.failure == Failure::Broken) {
-                        self.report_broken(&picked.server, picked.address, None);
+                Err((selected, error)) => {
+                    if let Some(selected) = selected.filter(|_| error.failure == Failure::Broken) {
+                        self.report_broken(&selected.server, selected.address, None);
                     }
-                    (fault.failure, fault.reason)
+                    (error.failure, error.reason)
                 }
             };
             self.record_event("fail");
@@ -192,7 +194,7 @@
             if !can_retry || !self.vm.try_spend_retry() {
                 return Err(Abort::Refused(self.final_refusal(failure, &reason, now)));
             }
-            self.steps.push("retrying on another server".to_owned());
+            self.trace_steps.push("retrying on another server".to_owned());
         }
     }
 
@@ -207,7 +209,7 @@
 
     /// Returns the refusal for a request that may not be retried.
     fn final_refusal(&self, failure: Failure, reason: &str, now: Moment) -> Refusal {
-        if failure == Failure::Broken || !self.parts.is_empty() {
+        if failure == Failure::Broken || !self.bill_parts.is_empty() {
             return Refusal::with_detail(Refused::Broken, reason);
         }
         let kind = if now >= self.job.deadline { Refused::Late } else { Refused::NoServer };
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -71,7 +71,7 @@
     /// Priority; higher values go first.
     pub priority: u8,
     /// When the request arrived.
-    pub arrived: Moment,
+    pub arrived_at: Moment,
     /// When the client gives up.
     pub deadline: Moment,
 }
@@ -82,14 +82,14 @@
 impl InFlightGuard {
     /// Increments the number of requests in flight.
     pub fn new(vm: &Data<Vm>) -> InFlightGuard {
-        vm.running.fetch_add(1, Ordering::SeqCst);
+        vm.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlightGuard(vm.clone())
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.running.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -99,8 +99,8 @@
     job: Job,
     output: mpsc::Sender<Output>,
     lifecycle: Machine,
-    steps: Vec<String>,
-    parts: Vec<Part>,
+    trace_steps: Vec<String>,
+    bill_parts: Vec<Part>,
     attempts: u32,
     head_sent: bool,
     /// True if a failed attempt may have run without returning a token.
@@ -127,30 +127,30 @@
         job,
         output,
         lifecycle,
-        steps: vec![reason],
-        parts: Vec::new(),
+        trace_steps: vec![reason],
+        bill_parts: Vec::new(),
         attempts: 0,
         head_sent: false,
         may_have_run: false,
         first_token: None,
     };
     dispatcher.vm.record_first_attempt();
-    dispatcher.complete().await;
+    dispatcher.process().await;
     dispatcher.store_trace();
     drop(in_flight);
 }
 
 impl Dispatcher {
     /// Runs the route, bills what ran and sends the last output.
-    async fn complete(&mut self) {
+    async fn process(&mut self) {
         let ended = self.run_route().await;
-        let any_ran = !self.parts.is_empty();
-        let billed = if any_ran { self.bill().await } else { true };
+        let any_ran = !self.bill_parts.is_empty();
+        let billed = if any_ran { self.record_bill().await } else { true };
         let (last, outcome) = match ended {
             Ok(_) if !billed => (Output::Refused(Refusal::new(Refused::Unbilled)), "unbilled"),
             Ok(end) => (Output::Completed(end.tokens), "whole"),
             Err(Abort::ClientGone) => {
-                self.steps.push("the client disconnected".to_owned());
+                self.trace_steps.push("the client disconnected".to_owned());
                 self.count_request("gone");
                 return;
             }
@@ -160,7 +160,7 @@
                 let ran = any_ran || self.may_have_run;
                 let refusal = if ran { broken_refusal(&refusal) } else { refusal };
                 let name = refusal.kind.row().name;
-                self.steps.push(format!("refused: {name}"));
+                self.trace_steps.push(format!("refused: {name}"));
                 self.vm.metrics.refusals.with_label_values(&[name]).inc();
                 (Output::Refused(refusal), "refused")
             }
@@ -192,28 +192,28 @@
             }
             Route::Cascade(cheap, strong) => (cheap, strong),
         };
-        let rule = self.rule();
+        let rule = self.cascade_rule();
         let point = rand::random::<f64>();
         let strong_first = rule.begins_strong(point);
         let explore = rand::random::<f64>() < rule.explore_probability;
         if strong_first && !explore {
-            self.steps.push(format!("the cascade starts with {strong} because of its rule"));
+            self.trace_steps.push(format!("the cascade starts with {strong} because of its rule"));
             return self.run_strong(&strong).await;
         }
         let mut received = Vec::new();
         let end = match self.run_target(&cheap, Some(&mut received)).await {
             Ok(end) => end,
             Err(Abort::Refused(refusal)) if refusal.kind != Refused::Late => {
-                self.steps.push(format!("escalates to {strong}: {cheap} returned no answer"));
+                self.trace_steps.push(format!("escalates to {strong}: {cheap} returned no answer"));
                 return self.run_strong(&strong).await;
             }
             Err(abort) => return Err(abort),
         };
         let bin = confidence_bin(end.confidence);
         let expected = rule.cheap_pass_rate[bin];
-        self.rate_cheap(&cheap, bin, &rule, &received);
+        self.record_cheap_answer(&cheap, bin, &rule, &received);
         if rule.keeps(bin, point) && !strong_first {
-            self.steps.push(format!(
+            self.trace_steps.push(format!(
                 "keeps the answer of {cheap}: confidence {:.2}, expected to pass {expected:.2}",
                 end.confidence
             ));
@@ -223,17 +223,17 @@
             }
             return Ok(end);
         }
-        self.steps.push(format!(
+        self.trace_steps.push(format!(
             "escalates to {strong}: confidence {:.2}, expected to pass {expected:.2}",
             end.confidence
         ));
-        if let Some(part) = self.parts.last_mut() {
+        if let Some(part) = self.bill_parts.last_mut() {
             part.reason = Reason::Rung;
         }
         self.record_event("climb");
         let mut received = Vec::new();
         let end = self.stream_to_client(&strong, &mut received).await?;
-        self.rate_strong(&strong, bin, &rule, &received);
+        self.record_strong_answer(&strong, bin, &rule, &received);
         Ok(end)
     }
 
@@ -241,12 +241,12 @@
     async fn run_strong(&mut self, strong: &Target) -> Result<End, Abort> {
         let mut received = Vec::new();
         let end = self.stream_to_client(strong, &mut received).await?;
-        self.rate_strong(strong, CONFIDENCE_BINS, &self.rule(), &received);
+        self.record_strong_answer(strong, CONFIDENCE_BINS, &self.cascade_rule(), &received);
         Ok(end)
     }
 
     /// Returns the cascade rule of the workspace and kind of work.
-    fn rule(&self) -> Rule {
+    fn cascade_rule(&self) -> Rule {
         let rules = self.vm.cascade_rules.read().expect("no panic while held");
         let key = (self.job.workspace.name.clone(), self.job.kind.clone());
         rules.get(&key).copied().unwrap_or_default()
@@ -258,7 +258,7 @@
         target: &Target,
         received: &mut Vec<String>,
     ) -> Result<End, Abort> {
-        self.stream(target, received, true).await
+        self.generate(target, received, true).await
     }
 
     /// Generates an answer. With `withheld`, collects the tokens there instead of sending them, so
@@ -269,10 +269,10 @@
         withheld: Option<&mut Vec<String>>,
     ) -> Result<End, Abort> {
         match withheld {
-            Some(received) => self.stream(target, received, false).await,
+            Some(received) => self.generate(target, received, false).await,
             None => {
                 let mut received = Vec::new();
-                let end = self.stream(target, &mut received, true).await?;
+                let end = self.generate(target, &mut received, true).await?;
                 let keys = vec![self.trial_key(target)];
                 self.sample_for_rating(
                     target,
@@ -298,7 +298,7 @@
         if self.first_token.is_none() {
             let now = self.vm.clock.now();
             self.first_token = Some(now);
-            self.vm.metrics.first_token.observe(now.since(self.job.arrived).as_secs());
+            self.vm.metrics.first_token.observe(now.since(self.job.arrived_at).as_secs());
         }
         self.vm.metrics.tokens.inc();
         self.output.send(Output::Token(text)).await.map_err(|_| Abort::ClientGone)
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -37,7 +37,7 @@
 const PREFIX_CHARS: usize = 256;
 
 #[derive(Deserialize)]
-struct Chat {
+struct ChatRequest {
     model: String,
     messages: Vec<Message>,
     #[serde(default)]
@@ -106,7 +106,7 @@
     let mut received = Vec::new();
     while let Some(chunk) = payload.next().await {
         let chunk =
-            chunk.map_err(|fault| Refusal::with_detail(Refused::Malformed, fault.to_string()))?;
+            chunk.map_err(|error| Refusal::with_detail(Refused::Malformed, error.to_string()))?;
         if received.len() + chunk.len() > limit {
             return Err(Refusal::new(Refused::TooLarge));
         }
@@ -239,8 +239,9 @@
     id: RequestId,
 ) -> Result<(Job, bool, Option<Session>), Refusal> {
     let malformed = |detail: String| Refusal::with_detail(Refused::Malformed, detail);
-    let text = std::str::from_utf8(bytes).map_err(|fault| malformed(fault.to_string()))?;
-    let chat: Chat = serde_json::from_str(text).map_err(|fault| malformed(fault.to_string()))?;
+    let text = std::str::from_utf8(bytes).map_err(|error| malformed(error.to_string()))?;
+    let chat: ChatRequest =
+        serde_json::from_str(text).map_err(|error| malformed(error.to_string()))?;
     if chat.messages.is_empty() {
         return Err(malformed("`messages` is empty".to_owned()));
     }
@@ -299,7 +300,7 @@
         max_tokens: chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).clamp(1, MAX_TOKENS_LIMIT),
         kind: caller.kind,
         priority: caller.priority,
-        arrived: now,
+        arrived_at: now,
         deadline: now + caller.timeout,
     };
     Ok((job, chat.stream, new_session))
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -51,12 +51,13 @@
 
 /// `GET /metrics`, in the Prometheus text format.
 pub async fn metrics(vm: Data<Vm>) -> HttpResponse {
-    let slices = vm.burn.lock().expect("no panic while held").counts(vm.clock.date());
-    for slice in slices {
+    let counts = vm.burn.lock().expect("no panic while held").counts(vm.clock.date());
+    for objective in counts {
         for (window, (name, _)) in WINDOWS.iter().enumerate() {
-            let (workspace, version) = (slice.workspace.to_string(), slice.target.to_string());
+            let (workspace, version) =
+                (objective.workspace.to_string(), objective.target.to_string());
             let gauge = vm.metrics.burn.with_label_values(&[workspace.as_str(), &version, name]);
-            gauge.set(slice.burn_rate(window));
+            gauge.set(objective.burn_rate(window));
         }
     }
     HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(vm.metrics.text())
@@ -69,8 +70,8 @@
 
 /// `GET /operator/status`: configuration, roll-outs and members as this VM sees them.
 pub async fn status(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(check_access) = check_access(&vm, &request) {
-        return check_access;
+    if let Some(refusal) = check_access(&vm, &request) {
+        return refusal;
     }
     let now = vm.clock.now();
     let snapshot = vm.config();
@@ -105,15 +106,15 @@
 
 /// `GET /operator/explain/REQUEST`: the decision trace of a request, from whichever VM keeps it.
 pub async fn explain(vm: Data<Vm>, request: HttpRequest, id: Path<String>) -> HttpResponse {
-    if let Some(check_access) = check_access(&vm, &request) {
-        return check_access;
+    if let Some(refusal) = check_access(&vm, &request) {
+        return refusal;
     }
     let own = {
         let traces = vm.traces.lock().expect("no panic while held");
         traces.find(&id).map(|trace| trace.to_text())
     };
     let found = match own {
-        Some(words) => Some(words),
+        Some(text) => Some(text),
         None => {
             let (sender, answered) = oneshot::channel();
             vm.send_command(Command::Explain(id.into_inner(), sender));
@@ -121,33 +122,33 @@
         }
     };
     match found {
-        Some(words) => HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(words),
+        Some(text) => HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(text),
         None => HttpResponse::NotFound().body("No VM keeps a record of this request.\n"),
     }
 }
 
 /// `GET /operator/burn`: error budget burn, summed over all VMs; as JSON with `?json`.
 pub async fn burn(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(check_access) = check_access(&vm, &request) {
-        return check_access;
+    if let Some(refusal) = check_access(&vm, &request) {
+        return refusal;
     }
     let date = vm.clock.date();
-    let mut slices = vm.burn.lock().expect("no panic while held").counts(date);
+    let mut counts = vm.burn.lock().expect("no panic while held").counts(date);
     let (sender, answered) = oneshot::channel();
     vm.send_command(Command::CollectBurn(sender));
     for text in answered.await.unwrap_or_default() {
-        slices.extend(serde_json::from_str::<Vec<ObjectiveCounts>>(&text).unwrap_or_default());
+        counts.extend(serde_json::from_str::<Vec<ObjectiveCounts>>(&text).unwrap_or_default());
     }
     if request.query_string().contains("json") {
-        return HttpResponse::Ok().json(slices);
+        return HttpResponse::Ok().json(counts);
     }
-    HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(burn_table(slices))
+    HttpResponse::Ok().content_type("text/plain; charset=utf-8").body(burn_table(counts))
 }
 
 /// `GET /operator/decisions`: streams decision records as server-sent events.
 pub async fn decisions(vm: Data<Vm>, request: HttpRequest) -> HttpResponse {
-    if let Some(check_access) = check_access(&vm, &request) {
-        return check_access;
+    if let Some(refusal) = check_access(&vm, &request) {
+        return refusal;
     }
     let (sender, mut records) = mpsc::channel::<String>(CHANNEL_CAPACITY);
     vm.traces.lock().expect("no panic while held").subscribe(sender);
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -139,7 +139,7 @@
     /// Kind of refusal.
     pub kind: Kind,
     /// Time until a retry, if known more precisely than in the table.
-    pub delay: Option<Span>,
+    pub retry_delay: Option<Span>,
     /// Specifics of this case, for the client.
     pub detail: Option<String>,
 }
@@ -147,7 +147,7 @@
 impl Refusal {
     /// Creates a refusal with the defaults of the table.
     pub fn new(kind: Kind) -> Refusal {
-        Refusal { kind, delay: None, detail: None }
+        Refusal { kind, retry_delay: None, detail: None }
     }
 
     /// Creates a refusal with a detail for the client.
@@ -157,12 +157,12 @@
 
     /// Creates a refusal with its own time until a retry.
     pub fn with_retry_after(kind: Kind, delay: Span) -> Refusal {
-        Refusal { delay: Some(delay), ..Refusal::new(kind) }
+        Refusal { retry_delay: Some(delay), ..Refusal::new(kind) }
     }
 
     /// Returns the whole seconds until a retry, at least 1; `None` if the client should not retry.
     pub fn retry_after(&self) -> Option<u64> {
-        let seconds = self.delay.map(|span| (span.as_secs().ceil() as u64).max(1));
+        let seconds = self.retry_delay.map(|span| (span.as_secs().ceil() as u64).max(1));
         seconds.or(self.kind.row().retry_after_s)
     }
 
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -149,7 +149,7 @@
 }
 
 /// Builds the claim of the call's key. Keys are scoped to workspace and service.
-fn claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
+fn build_claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
     let key = call.key.as_deref().unwrap_or_default();
     Claim {
         key: digest(&[
@@ -188,7 +188,7 @@
         Answer::Reserved(holder) => Some(holder),
         Answer::Unavailable => None,
     };
-    let key_use = KeyUse { key: claim.key, user: claim.request.clone(), body: claim.body };
+    let key_use = KeyUse { key: claim.key, request: claim.request.clone(), body: claim.body };
     let (sender, answered) = oneshot::channel();
     vm.send_command(Command::UseKey(key_use, holder.clone().map(|holder| holder.vm), sender));
     match (answered.await.ok().flatten(), holder) {
@@ -216,7 +216,7 @@
     caller: &Caller,
     call: &Call,
 ) -> Result<Response, Refusal> {
-    let claim = claim(vm, caller, call, false);
+    let claim = build_claim(vm, caller, call, false);
     let request = match acquire_key(vm, &claim).await? {
         KeyState::Acquired(request) => request,
         KeyState::Ended(outcome) => return replay(outcome),
@@ -259,7 +259,7 @@
         if !vm.reserved.lock().expect("no panic while held").has_room(vm.clock.now()) {
             return Err(Refusal::new(Refused::Limited));
         }
-        let claim = claim(&vm, &caller, &call, true);
+        let claim = build_claim(&vm, &caller, &call, true);
         let (sender, answered) = oneshot::channel();
         vm.send_command(Command::Claim(claim.clone(), sender));
         match answered.await.unwrap_or(Answer::Unavailable) {
@@ -350,13 +350,13 @@
         if !allowed.is_some_and(|workspace| workspace.services.contains(&call.service)) {
             return Err(Refusal::new(Refused::NotAllowed));
         }
-        let picked = vm.fleet.lock().expect("no panic while held").select_server(
+        let selected = vm.fleet.lock().expect("no panic while held").select_server(
             &group,
             None,
             rand::random(),
             now,
         );
-        let Some(picked) = picked else {
+        let Some(selected) = selected else {
             return Err(Refusal::new(Refused::NoServer));
         };
         attempts += 1;
@@ -365,17 +365,17 @@
             request: call.request.clone(),
             revision: snapshot.revision(),
             target: None,
-            server: picked.server.clone(),
+            server: selected.server.clone(),
         });
         // A service responds only when the call is done, so the guard is released before sending.
         drop(dispatch_guard);
-        let result = send(engines, picked.address, call, now).await;
+        let result = send(engines, selected.address, call, now).await;
         let now = vm.clock.now();
         {
             let mut fleet = vm.fleet.lock().expect("no panic while held");
-            fleet.on_request_end(&picked.server);
+            fleet.on_request_end(&selected.server);
             if result.is_err() {
-                fleet.on_failure(&picked.server, now);
+                fleet.on_failure(&selected.server, now);
             }
         }
         let failure = match result {
@@ -389,7 +389,7 @@
         if failure == Failure::Broken {
             *may_have_run = true;
             let request = OpenRequest { content, was_stable: false };
-            poison::on_broken_response(vm, &picked.server, picked.address, request);
+            poison::on_broken_response(vm, &selected.server, selected.address, request);
         }
         let can_retry = retry::is_retry_allowed(
             failure,
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -326,7 +326,7 @@
         FinalResponse::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
         FinalResponse::Refused => {
             let delay = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
-            refuse(job, Refusal { delay, ..Refusal::new(Kind::NoServer) })
+            refuse(job, Refusal { retry_delay: delay, ..Refusal::new(Kind::NoServer) })
         }
         FinalResponse::Unknown | FinalResponse::Delivered if !progress.may_have_run => {
             refuse(job, Refusal::new(Kind::Busy))
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -380,7 +380,7 @@
     set(actix_http::header::CONTENT_TYPE, "application/problem+json");
     set(HeaderName::from_static(crate::entry::header::VM), vm.settings.vm.as_str());
     if row.retry_after_s.is_some() {
-        let again = refused.delay.unwrap_or(DEFAULT_RETRY_AFTER).min(Span(left.0 / 3));
+        let again = refused.retry_delay.unwrap_or(DEFAULT_RETRY_AFTER).min(Span(left.0 / 3));
         set(RETRY_AFTER, &format!("{:.3}", again.as_secs()));
     }
     response
--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -12,7 +12,7 @@
 /// The unflushed bills that one VM holds.
 #[derive(Clone, Debug)]
 pub struct Buffer {
-    own: Origin,
+    own_origin: Origin,
     next_number: u64,
     chain_end: u64,
     entries: BTreeMap<Origin, BTreeMap<u64, Entry>>,
@@ -21,15 +21,15 @@
 
 impl Buffer {
     /// Creates an empty buffer for one incarnation of a VM.
-    pub fn new(own: Origin) -> Buffer {
-        Buffer { own, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
+    pub fn new(own_origin: Origin) -> Buffer {
+        Buffer { own_origin, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
     }
 
     /// Assigns the next number to an entry of this VM and inserts it.
     pub fn record(&mut self, mut entry: Entry) -> Entry {
         entry.number = self.next_number;
         self.next_number += 1;
-        self.insert(self.own.clone(), entry.clone());
+        self.insert(self.own_origin.clone(), entry.clone());
         entry
     }
 
@@ -96,17 +96,17 @@
 
     /// Returns the origins whose entries are held here, except this VM.
     pub fn other_origins(&self) -> Vec<Origin> {
-        self.entries.keys().filter(|origin| **origin != self.own).cloned().collect()
+        self.entries.keys().filter(|origin| **origin != self.own_origin).cloned().collect()
     }
 
     /// Returns the name and incarnation of this VM.
     pub fn own_origin(&self) -> &Origin {
-        &self.own
+        &self.own_origin
     }
 
     /// Returns the highest number up to which all entries of this VM are in the store.
     pub fn flushed_up_to(&self) -> u64 {
-        let first = self.entries.get(&self.own).and_then(|entries| entries.keys().next());
+        let first = self.entries.get(&self.own_origin).and_then(|entries| entries.keys().next());
         first.map_or(self.next_number, |first| *first) - 1
     }
 
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -7,6 +7,6 @@
 
 pub use crate::unit::{Digest, digest};
 pub use claim::{Answer, Claim, Outcome, SHARDS, Settlement, shard_of};
-pub use owner::{MAX_SETTLE_DELAY, Owner};
+pub use owner::{MAX_SETTLE_DELAY, ShardOwner};
 pub use reserved::{KeyGrant, Reserved};
 pub use shard::{Record, Shard};
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -41,20 +41,20 @@
 
 /// Handle to the shard tasks of a VM.
 #[derive(Clone)]
-pub struct Owner {
+pub struct ShardOwner {
     shards: Vec<mpsc::UnboundedSender<Command>>,
 }
 
-impl Owner {
+impl ShardOwner {
     /// Starts one task per shard. Each reads its chain when it gets its first command.
-    pub fn start(store: &Store, clock: Clock) -> Owner {
+    pub fn start(store: &Store, clock: Clock) -> ShardOwner {
         let start = |number| {
             let (sender, receiver) = mpsc::unbounded_channel();
-            let task = Task::new(number, store, clock);
+            let task = ShardTask::new(number, store, clock);
             actix_web::rt::spawn(task.run(receiver));
             sender
         };
-        Owner { shards: (0..SHARDS).map(start).collect() }
+        ShardOwner { shards: (0..SHARDS).map(start).collect() }
     }
 
     /// Claims a key and returns the answer once the claim is decided.
@@ -71,7 +71,7 @@
     }
 }
 
-struct Task {
+struct ShardTask {
     number: u64,
     store: Store,
     clock: Clock,
@@ -81,9 +81,9 @@
     refilled_at: Moment,
 }
 
-impl Task {
-    fn new(number: u64, store: &Store, clock: Clock) -> Task {
-        Task {
+impl ShardTask {
+    fn new(number: u64, store: &Store, clock: Clock) -> ShardTask {
+        ShardTask {
             number,
             store: store.clone(),
             clock,
@@ -104,7 +104,7 @@
                 match tokio::time::timeout(MAX_SETTLE_DELAY, commands.recv()).await {
                     Ok(command) => command,
                     Err(_) => {
-                        self.write(Vec::new(), &mut settled).await;
+                        self.write_batch(Vec::new(), &mut settled).await;
                         continue;
                     }
                 }
@@ -120,7 +120,7 @@
                 enqueue(command, &mut claims, &mut settled);
             }
             if !claims.is_empty() || settled.len() >= MAX_RECORDS_PER_LINK {
-                self.write(claims, &mut settled).await;
+                self.write_batch(claims, &mut settled).await;
             }
         }
     }
@@ -139,14 +139,14 @@
     }
 
     /// Writes a batch of claims and outcomes and answers the claims.
-    async fn write(
+    async fn write_batch(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &mut Vec<Settlement>,
     ) {
         self.shard.evict(self.clock.date());
         self.refresh(&claims).await;
-        let mut pending = self.answer_known(claims, settled);
+        let mut pending = self.answer_decided(claims, settled);
         for _ in 0..MAX_WRITE_ATTEMPTS {
             if pending.is_empty() && settled.is_empty() {
                 return;
@@ -156,7 +156,7 @@
                 Ok(false) => {}
                 Err(_) => continue,
             }
-            pending = self.answer_known(pending, settled);
+            pending = self.answer_decided(pending, settled);
         }
         for (_, reply) in pending {
             let _ = reply.send(Answer::Unavailable);
@@ -183,7 +183,7 @@
     }
 
     /// Answers claims that the known state decides and returns the others, at most one per key.
-    fn answer_known(
+    fn answer_decided(
         &self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &[Settlement],
@@ -343,8 +343,8 @@
     use crate::standin::platform::{Platform, Rates};
     use crate::unit::{Date, Incarnation};
 
-    fn task(store: &Store) -> Task {
-        Task::new(0, store, Clock::default())
+    fn task(store: &Store) -> ShardTask {
+        ShardTask::new(0, store, Clock::default())
     }
 
     fn claim(i: u64, date: Date) -> Claim {
@@ -369,16 +369,16 @@
             let date = first.clock.date();
             let held = claim(1, date);
             let (sender, receiver) = oneshot::channel();
-            first.write(vec![(held.clone(), sender)], &mut Vec::new()).await;
+            first.write_batch(vec![(held.clone(), sender)], &mut Vec::new()).await;
             assert_eq!(receiver.await.unwrap(), Answer::Granted);
             second.read_new_links().await.unwrap();
             let outcome = Outcome::Ran { status: 200, content_type: String::new(), body: None };
             let Claim { key, request, body, .. } = held.clone();
             let settled = Settlement { key, request, body, outcome: outcome.clone() };
-            first.write(Vec::new(), &mut vec![settled]).await;
+            first.write_batch(Vec::new(), &mut vec![settled]).await;
             let again = Claim { request: "another".parse().unwrap(), ..held };
             let (sender, receiver) = oneshot::channel();
-            second.write(vec![(again, sender)], &mut Vec::new()).await;
+            second.write_batch(vec![(again, sender)], &mut Vec::new()).await;
             assert_eq!(receiver.await.unwrap(), Answer::Ended(outcome));
         });
         running.kill();
@@ -395,7 +395,7 @@
             let date = first.clock.date();
             for i in 0..LINKS {
                 let (sender, receiver) = oneshot::channel();
-                first.write(vec![(claim(i, date), sender)], &mut Vec::new()).await;
+                first.write_batch(vec![(claim(i, date), sender)], &mut Vec::new()).await;
                 assert_eq!(receiver.await.unwrap(), Answer::Granted);
             }
             let before = platform.calls().reads;
--- a/src/once/reserved.rs
+++ b/src/once/reserved.rs
@@ -33,7 +33,7 @@
 struct Slot {
     reserved_at: Moment,
     reservation: RequestId,
-    user: Option<(RequestId, Digest)>,
+    used_by: Option<(RequestId, Digest)>,
 }
 
 /// Keys reserved on this VM.
@@ -51,12 +51,12 @@
 
     /// Adds a key whose claim is in the store.
     pub fn add(&mut self, key: Digest, reservation: RequestId, now: Moment) {
-        self.slots.entry(key).or_insert(Slot { reserved_at: now, reservation, user: None });
+        self.slots.entry(key).or_insert(Slot { reserved_at: now, reservation, used_by: None });
     }
 
     /// Removes and returns the keys that no call has used, to be released before this VM stops.
     pub fn take_unused(&mut self) -> Vec<(Digest, RequestId)> {
-        let unused = self.slots.extract_if(|_, slot| slot.user.is_none());
+        let unused = self.slots.extract_if(|_, slot| slot.used_by.is_none());
         unused.map(|(key, slot)| (key, slot.reservation)).collect()
     }
 
@@ -73,7 +73,7 @@
         if now.since(slot.reserved_at) >= GRANT_WINDOW {
             return None;
         }
-        let (first, first_body) = slot.user.get_or_insert_with(|| (user.clone(), body));
+        let (first, first_body) = slot.used_by.get_or_insert_with(|| (user.clone(), body));
         if first == user {
             return Some(KeyGrant::Granted(slot.reservation.clone()));
         }
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Shard {
     next_link: u64,
-    recent: HashMap<Digest, HeldKey>,
-    old: HashMap<Digest, EndedKey>,
-    abandoned: VecDeque<RequestId>,
+    recent_keys: HashMap<Digest, HeldKey>,
+    old_keys: HashMap<Digest, EndedKey>,
+    abandoned_requests: VecDeque<RequestId>,
 }
 
 impl Shard {
@@ -66,7 +66,7 @@
 
     /// Returns the number of retained keys.
     pub fn len(&self) -> usize {
-        self.recent.len() + self.old.len()
+        self.recent_keys.len() + self.old_keys.len()
     }
 
     /// Returns true if no key is retained.
@@ -85,15 +85,15 @@
     fn apply(&mut self, record: Record) {
         match record {
             // The first claim wins; a later one of the same key was never granted.
-            Record::Claim(claim) if self.old.contains_key(&claim.key) => {}
+            Record::Claim(claim) if self.old_keys.contains_key(&claim.key) => {}
             // The request gave up before a slow owner wrote its claim, so no outcome would follow
             // and the key would stay blocked.
-            Record::Claim(claim) if self.abandoned.contains(&claim.request) => {}
+            Record::Claim(claim) if self.abandoned_requests.contains(&claim.request) => {}
             Record::Claim(claim) => {
-                self.recent.entry(claim.key).or_insert(HeldKey { claim, outcome: None });
+                self.recent_keys.entry(claim.key).or_insert(HeldKey { claim, outcome: None });
             }
             Record::Settled(settled) => {
-                let held = self.recent.get_mut(&settled.key);
+                let held = self.recent_keys.get_mut(&settled.key);
                 let own = held.filter(|held| held.claim.request == settled.request);
                 let Some(held) = own else {
                     self.record_abandoned(settled);
@@ -102,7 +102,7 @@
                 held.claim.body = settled.body;
                 match settled.outcome {
                     Outcome::NotRun => {
-                        self.recent.remove(&settled.key);
+                        self.recent_keys.remove(&settled.key);
                     }
                     outcome => held.outcome = Some(outcome),
                 }
@@ -115,18 +115,18 @@
         if settled.outcome != Outcome::NotRun {
             return;
         }
-        if self.abandoned.len() >= MAX_ABANDONED_REQUESTS {
-            self.abandoned.pop_front();
+        if self.abandoned_requests.len() >= MAX_ABANDONED_REQUESTS {
+            self.abandoned_requests.pop_front();
         }
-        self.abandoned.push_back(settled.request);
+        self.abandoned_requests.push_back(settled.request);
     }
 
     /// Returns the answer to a claim, or `None` if the key is free as far as the chain was read.
     pub fn answer(&self, claim: &Claim) -> Option<Answer> {
-        if let Some(old) = self.old.get(&claim.key) {
+        if let Some(old) = self.old_keys.get(&claim.key) {
             return Some(old.answer(claim));
         }
-        let held = self.recent.get(&claim.key)?;
+        let held = self.recent_keys.get(&claim.key)?;
         if held.claim.request == claim.request {
             return Some(Answer::Granted);
         }
@@ -145,8 +145,8 @@
     /// Removes keys older than `RETENTION`, and the responses of calls older than
     /// `OUTCOME_RETENTION`.
     pub fn evict(&mut self, now: Date) {
-        self.old.retain(|_, old| now.since(old.date) < RETENTION);
-        let Shard { recent, old, .. } = self;
+        self.old_keys.retain(|_, old| now.since(old.date) < RETENTION);
+        let Shard { recent_keys: recent, old_keys: old, .. } = self;
         recent.retain(|key, held| {
             let age = now.since(held.claim.date);
             if age < OUTCOME_RETENTION || held.outcome.is_none() && age < RETENTION {
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -9,7 +9,7 @@
 use crate::unit::Vm;
 
 /// Number of other VMs tried before this one acts as the owner of the shard.
-const MAX_OWNERS_ASKED: usize = 2;
+const MAX_OWNER_ATTEMPTS: usize = 2;
 
 /// Returns the candidates for owner of a shard in rank order, including this VM.
 fn ranked_owners(control: &Control, shard: u64) -> Vec<Member> {
@@ -20,7 +20,7 @@
 /// Claims a key at the owner of its shard.
 pub async fn claim(control: &Control, claim: Claim) -> Answer {
     let own_vm = &control.vm.settings.vm;
-    for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNERS_ASKED) {
+    for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNER_ATTEMPTS) {
         if member.vm == *own_vm {
             break;
         }
@@ -70,7 +70,7 @@
     key_use: KeyUse,
     holder: Option<Vm>,
 ) -> Option<KeyGrant> {
-    let KeyUse { key, user, body } = key_use;
+    let KeyUse { key, request: user, body } = key_use;
     let now = control.vm.clock.now();
     let own_reply =
         control.vm.reserved.lock().expect("no panic while held").try_use(key, &user, body, now);
--- a/src/vm/command.rs
+++ b/src/vm/command.rs
@@ -14,7 +14,7 @@
     /// Digest of the key.
     pub key: Digest,
     /// The request that would run.
-    pub user: RequestId,
+    pub request: RequestId,
     /// Digest of the call's body.
     pub body: Digest,
 }
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -15,7 +15,7 @@
 use crate::evidence::Origin;
 use crate::history::Event;
 use crate::ledger::Buffer;
-use crate::once::Owner;
+use crate::once::ShardOwner;
 use crate::peer::wire::{Call, Envelope, Frame, Reply, decode, encode};
 use crate::peer::{Incoming, Links, Member, rendezvous_order};
 use crate::platform::{RatingClient, Store};
@@ -39,7 +39,7 @@
     /// Bills that are not in the store yet, own and copies.
     pub unflushed: Rc<RefCell<Buffer>>,
     /// Handle to the tasks of this VM that own shards of idempotency keys.
-    pub owner: Owner,
+    pub owner: ShardOwner,
     /// Queue of the task that makes bills durable.
     pub bill_queue: mpsc::UnboundedSender<(crate::ledger::Entry, oneshot::Sender<bool>)>,
     /// The rating service, if there is one.
@@ -82,7 +82,7 @@
     /// callers.
     pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
-        let (snapshot, permit, accepted) =
+        let (snapshot, start_lease, accepted) =
             self.with_gossip(|g| (g.snapshot.clone(), g.start_lease_until(now), g.accepted()));
         if accepted > self.vm.metrics.accepted() {
             self.vm.metrics.set_accepted(accepted);
@@ -91,7 +91,7 @@
         let enforced = self.vm.enforced_revision();
         self.with_gossip(|g| g.set_enforced_revision(enforced));
         if snapshot.revision() <= self.vm.config().revision() {
-            self.vm.set_permit(permit);
+            self.vm.set_start_lease_until(start_lease);
             return;
         }
         let revision = snapshot.revision();
@@ -102,7 +102,7 @@
             .apply_snapshot(&snapshot, &self.vm.settings.data_centre);
         *self.vm.snapshot.write().expect("no panic while held") = snapshot;
         // The permit is set last: renewed earlier, it would let work start under the old revision.
-        self.vm.set_permit(permit);
+        self.vm.set_start_lease_until(start_lease);
         self.vm.metrics.revision.set(revision.0 as i64);
         log::info!(
             "{} {} applied configuration revision {revision}",
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -37,7 +37,7 @@
         })
 }
 
-fn arm(counts: Counts) -> Arm {
+fn arm_counts(counts: Counts) -> Arm {
     Arm {
         errors: Count::of(counts.ended, counts.failed),
         slow: Count::of(counts.ended, counts.slow),
--- a/src/vm/duty/monitor.rs
+++ b/src/vm/duty/monitor.rs
@@ -1,6 +1,6 @@
 //! Withdraws versions whose quality falls while they are in service.
 
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm_counts, is_responsible};
 use crate::config::{Change, Plan, Snapshot};
 use crate::decide::sequential;
 use crate::evidence::{Counts, Key};
@@ -37,7 +37,7 @@
             }
             let window = date.0 / TRIAL_WINDOW_US * TRIAL_WINDOW_US;
             let (now, before) = ratings_by_window(&control, &target, window);
-            let usual = arm(before).poor;
+            let usual = arm_counts(before).poor;
             if usual.all < 50.0 {
                 continue;
             }
@@ -45,7 +45,7 @@
             let spread = (rate * (1.0 - rate) / usual.all).sqrt();
             let policy = &control.vm.settings.rollout;
             let limit = rate + 2.0 * spread + policy.tolerance;
-            let evidence = sequential::evidence(arm(now).poor, limit);
+            let evidence = sequential::evidence(arm_counts(now).poor, limit);
             // There are many windows a day, so each may err a hundred times less often than a
             // rollout.
             if evidence >= (100.0 / policy.alpha).ln() {
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct CascadeState {
     last_sums: BTreeMap<Key, Counts>,
-    beliefs: BTreeMap<Kind, Observations>,
+    observations: BTreeMap<Kind, Observations>,
     detectors: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
@@ -48,13 +48,13 @@
             continue;
         }
         let state = cascades.entry(workspace.name.clone()).or_default();
-        update_beliefs(control, &workspace.name, state);
+        update_observations(control, &workspace.name, state);
         for declared in &workspace.cascades {
             let Some(rungs) = cascade_rungs(snapshot, &declared.rungs) else { continue };
-            let beliefs: Vec<Observations> = state.beliefs.values().cloned().collect();
-            let rules = cascade::solve(&beliefs, &rungs, declared.target);
+            let observations: Vec<Observations> = state.observations.values().cloned().collect();
+            let rules = cascade::solve(&observations, &rungs, declared.target);
             let mut installed = control.vm.cascade_rules.write().expect("no panic while held");
-            for (kind, rule) in state.beliefs.keys().zip(rules) {
+            for (kind, rule) in state.observations.keys().zip(rules) {
                 installed.insert((workspace.name.clone(), kind.clone()), rule);
             }
         }
@@ -81,7 +81,7 @@
 }
 
 /// Adds the growth of the evidence to the beliefs, in which older ratings decay.
-fn update_beliefs(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
+fn update_observations(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
     let of_workspace = |key: &Key| match key {
         Key::Cheap { workspace: w, .. } | Key::Strong { workspace: w, .. } => w == workspace,
         _ => false,
@@ -94,18 +94,18 @@
         let poor = sum.poor.saturating_sub(before.poor);
         let (Key::Cheap { kind, bin, .. } | Key::Strong { kind, bin, .. }) = key else { continue };
         let bin = usize::from(*bin).min(cascade::CONFIDENCE_BINS);
-        let belief = state.beliefs.entry(kind.clone()).or_default();
-        belief.decay(cascade::RATING_DECAY.powf(rated as f64));
+        let observed = state.observations.entry(kind.clone()).or_default();
+        observed.decay(cascade::RATING_DECAY.powf(rated as f64));
         let cell = match key {
             Key::Cheap { .. } => {
-                belief.requests += ended;
-                belief.confidence_counts[bin.min(cascade::CONFIDENCE_BINS - 1)] += ended;
-                &mut belief.cheap[bin.min(cascade::CONFIDENCE_BINS - 1)]
+                observed.requests += ended;
+                observed.confidence_counts[bin.min(cascade::CONFIDENCE_BINS - 1)] += ended;
+                &mut observed.cheap[bin.min(cascade::CONFIDENCE_BINS - 1)]
             }
-            _ if bin < cascade::CONFIDENCE_BINS => &mut belief.strong[bin],
+            _ if bin < cascade::CONFIDENCE_BINS => &mut observed.strong[bin],
             _ => {
-                belief.requests += ended;
-                &mut belief.direct
+                observed.requests += ended;
+                &mut observed.direct
             }
         };
         for i in 0..rated {
@@ -121,7 +121,7 @@
         let detector = state.detectors.entry(kind.clone()).or_default();
         let alarms = (0..rated).filter(|i| expected > 0.0 && detector.record(expected, *i >= poor));
         if alarms.count() > 0 {
-            belief.discount();
+            observed.discount();
         }
     }
     state.last_sums = sums;
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm_counts, is_responsible};
 use crate::config::{Change, Plan, Rollout, Snapshot};
 use crate::decide::rollout::{self, Action, Inputs};
 use crate::decide::sequential::Count;
@@ -24,7 +24,7 @@
     rated_at: Date,
     ended: u64,
     ended_at: Date,
-    rate: f64,
+    request_rate: f64,
 }
 
 /// Steps the rollouts that this VM is responsible for, until the process ends.
@@ -151,23 +151,23 @@
     let since = date.since(state.ended_at).as_secs();
     if state.ended_at == Date(0) {
         let age = date.since(rollout.begun).as_secs().max(1.0);
-        state.rate = ended as f64 / age;
+        state.request_rate = ended as f64 / age;
     } else if since > 0.0 {
         let recent = ended.saturating_sub(state.ended) as f64 / since;
-        state.rate += SMOOTHING_FACTOR * (recent - state.rate);
+        state.request_rate += SMOOTHING_FACTOR * (recent - state.request_rate);
     }
     state.ended = ended;
     state.ended_at = date;
-    let lag = control.vm.pending_samples.lock().expect("no panic while held").lag();
+    let lag = control.vm.pending_samples.lock().expect("no panic while held").mean_lag();
     let declared = snapshot.version(&from).map_or(0.9, |version| version.quality);
     Inputs {
-        new: arm(new),
-        old: arm(old),
+        new: arm_counts(new),
+        old: arm_counts(old),
         earlier_ratings: ratings_before(control, &from, rollout.begun.0),
         share: rollout.share,
         is_held: rollout.state == "held",
         time_at_share: date.since(rollout.since),
-        request_rate: state.rate,
+        request_rate: state.request_rate,
         // Evidence and the step itself take time to reach all VMs.
         rating_lag: Span(lag.0 + Span::millis(1500).0),
         time_since_rating: date.since(state.rated_at),
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -44,7 +44,7 @@
     latency: Span,
     replica_id: u64,
     /// Groups of the server, with the index of its replica in each.
-    positions: Vec<(Group, usize)>,
+    group_indices: Vec<(Group, usize)>,
 }
 
 /// All backend servers of the configuration.
@@ -75,12 +75,12 @@
             } else {
                 CROSS_DATA_CENTRE_LATENCY
             };
-            state.positions.clear();
+            state.group_indices.clear();
             if !snapshot.root.drained.contains(&entry.data_centre) {
                 for group in groups_of(entry) {
                     let (replicas, names) = self.groups.entry(group.clone()).or_default();
-                    state.positions.push((group, replicas.len()));
-                    replicas.push(replica(&state));
+                    state.group_indices.push((group, replicas.len()));
+                    replicas.push(to_replica(&state));
                     names.push(entry.name.clone());
                 }
             }
@@ -88,7 +88,7 @@
         }
         let names: Vec<Server> = self.servers.keys().cloned().collect();
         for name in names {
-            self.refresh(&name);
+            self.update_replicas(&name);
         }
     }
 
@@ -108,7 +108,7 @@
         let state = self.servers.get_mut(&server)?;
         state.in_flight += 1.0;
         let address = state.address;
-        self.refresh(&server);
+        self.update_replicas(&server);
         Some(SelectedServer { server, address })
     }
 
@@ -116,7 +116,7 @@
     pub fn on_request_end(&mut self, server: &Server) {
         if let Some(state) = self.servers.get_mut(server) {
             state.in_flight = (state.in_flight - 1.0).max(0.0);
-            self.refresh(server);
+            self.update_replicas(server);
         }
     }
 
@@ -133,7 +133,7 @@
         if !state.load.leaving {
             state.failed_at = None;
         }
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Records the running and waiting requests that a server sent with a response.
@@ -145,7 +145,7 @@
         state.load.waiting = waiting;
         state.reported_at = now;
         state.in_flight_at_report = state.in_flight;
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Records that a server did not accept a request, or failed in the middle of one.
@@ -155,7 +155,7 @@
         };
         let _ = state.state_machine.apply("fail");
         state.failed_at = Some(now);
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Records that a server announced that it is draining.
@@ -164,7 +164,7 @@
             return;
         };
         let _ = state.state_machine.apply("leave");
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Returns the name and address of each server.
@@ -212,15 +212,15 @@
     }
 
     /// Rebuilds the replicas of a server in its groups after its state changed.
-    fn refresh(&mut self, server: &Server) {
+    fn update_replicas(&mut self, server: &Server) {
         let Some(state) = self.servers.get(server) else {
             return;
         };
-        for (group, at) in &state.positions {
+        for (group, at) in &state.group_indices {
             let Some((replicas, _)) = self.groups.get_mut(group) else {
                 continue;
             };
-            let mut updated = replica(state);
+            let mut updated = to_replica(state);
             if let Group::Version(target) = group
                 && state.reported_at > Moment(0)
                 && !state.load.loaded.is_empty()
@@ -244,7 +244,7 @@
         failed_at: None,
         latency: Span(0),
         replica_id: 0,
-        positions: Vec::new(),
+        group_indices: Vec::new(),
     }
 }
 
@@ -253,7 +253,7 @@
     versions.chain(entry.service.iter().cloned().map(Group::Service)).collect()
 }
 
-fn replica(state: &ServerState) -> Replica {
+fn to_replica(state: &ServerState) -> Replica {
     Replica {
         id: state.replica_id,
         slots: state.slots,
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -18,7 +18,7 @@
 pub use command::{Command, KeyUse};
 pub use config_watch::{ROOT_KEY, fetch_snapshot, piece_key};
 pub use fleet::{Fleet, Group, SelectedServer};
-pub use ratings::{PendingSamples, Subject};
+pub use ratings::{PendingSample, PendingSamples};
 pub use run::{Handle, start};
 pub use settings::{Secret, SessionKeys, Settings};
 pub use state::Vm;
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -91,9 +91,9 @@
 fn apply_effects(vm: &Vm, effects: Effects) {
     for transition in effects.transitions {
         match transition {
-            Transition::Quarantined(content, ends) => {
+            Transition::Quarantined(content, crashes) => {
                 log::warn!(
-                    "{} content {content} quarantined after {ends} server crashes",
+                    "{} content {content} quarantined after {crashes} server crashes",
                     vm.settings.vm
                 );
             }
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -20,11 +20,11 @@
 
 /// The counters that the rating of a sample is added to.
 #[derive(Clone, Debug)]
-pub struct Subject {
+pub struct PendingSample {
     /// Counters to add to.
     pub keys: Vec<Key>,
     /// Time at which the answer was sent.
-    pub date: Date,
+    pub answered_at: Date,
 }
 
 thread_local! {
@@ -35,34 +35,37 @@
 /// Samples that wait for a rating, and the average lag of ratings.
 #[derive(Debug, Default)]
 pub struct PendingSamples {
-    subjects: HashMap<RequestId, Subject>,
+    samples: HashMap<RequestId, PendingSample>,
     order: VecDeque<RequestId>,
-    lag: f64,
+    mean_lag: f64,
 }
 
 impl PendingSamples {
     /// Inserts a sample with the counters that its rating will be added to.
-    pub fn insert(&mut self, request: RequestId, subject: Subject) {
+    pub fn insert(&mut self, request: RequestId, pending: PendingSample) {
         if self.order.len() >= MAX_PENDING_SAMPLES
             && let Some(oldest) = self.order.pop_front()
         {
-            self.subjects.remove(&oldest);
+            self.samples.remove(&oldest);
         }
         self.order.push_back(request.clone());
-        self.subjects.insert(request, subject);
+        self.samples.insert(request, pending);
     }
 
-    fn remove(&mut self, request: &RequestId, now: Date) -> Option<Subject> {
-        let subject = self.subjects.remove(request)?;
-        let lag = now.since(subject.date).as_secs();
-        self.lag =
-            if self.lag == 0.0 { lag } else { self.lag + SMOOTHING_FACTOR * (lag - self.lag) };
-        Some(subject)
+    fn remove(&mut self, request: &RequestId, now: Date) -> Option<PendingSample> {
+        let pending = self.samples.remove(request)?;
+        let lag = now.since(pending.answered_at).as_secs();
+        self.mean_lag = if self.mean_lag == 0.0 {
+            lag
+        } else {
+            self.mean_lag + SMOOTHING_FACTOR * (lag - self.mean_lag)
+        };
+        Some(pending)
     }
 
     /// Returns the average time from an answer to its rating.
-    pub fn lag(&self) -> Span {
-        Span((self.lag * 1e6) as u64)
+    pub fn mean_lag(&self) -> Span {
+        Span((self.mean_lag * 1e6) as u64)
     }
 }
 
@@ -86,15 +89,15 @@
         }
         let date = control.vm.clock.date();
         for rating in ratings.fetch(&control.vm.settings.vm).await {
-            let subject = control
+            let pending = control
                 .vm
                 .pending_samples
                 .lock()
                 .expect("no panic while held")
                 .remove(&rating.request, date);
-            let Some(subject) = subject else { continue };
+            let Some(pending) = pending else { continue };
             let more = Counts { rated: 1, poor: u64::from(!rating.pass), ..Counts::default() };
-            for key in subject.keys {
+            for key in pending.keys {
                 control.vm.record_evidence(key, more);
             }
         }
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -19,7 +19,7 @@
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::ledger::Buffer;
-use crate::once::Owner;
+use crate::once::ShardOwner;
 use crate::peer::{Gossip, Links, Member, State};
 use crate::platform::{RatingClient, Store};
 use crate::unit::{Incarnation, Moment};
@@ -61,7 +61,7 @@
     let address = listener.local_addr().map_err(bind_error)?;
     let (to_control, incoming) = mpsc::unbounded_channel();
     let links = Links::bind(settings.peer, settings.fleet_key.bytes(), to_control)?;
-    let me = Member {
+    let own_member = Member {
         vm: settings.vm.clone(),
         address: links.address().unwrap_or(settings.peer),
         data_centre: settings.data_centre.clone(),
@@ -70,14 +70,14 @@
         state: State::Alive,
     };
     let (command_sender, commands) = mpsc::unbounded_channel();
-    let gossip = Gossip::new(me, clock.now());
+    let gossip = Gossip::new(own_member, clock.now());
     let vm = Arc::new(Vm::new(settings, clock, gossip, history, command_sender));
     let store = Store::new(vm.settings.platform);
     let (bill_queue, bills) = mpsc::unbounded_channel();
     let control = Control {
         vm: vm.clone(),
         links,
-        owner: Owner::start(&store, clock),
+        owner: ShardOwner::start(&store, clock),
         store,
         unflushed: Rc::new(RefCell::new(Buffer::new(vm.origin()))),
         bill_queue,
@@ -136,10 +136,10 @@
         log::info!("{} {} planned stop started", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
-        while vm.running.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
+        while vm.in_flight.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
-        let cut = vm.running.load(Ordering::SeqCst);
+        let cut = vm.in_flight.load(Ordering::SeqCst);
         self.control.leave().await;
         self.server.stop(true).await;
         self.control.links.close();
@@ -149,7 +149,7 @@
     /// Stops at once, as in a crash: nothing is handed over.
     pub fn kill(self) {
         self.vm.history.record(|| Event::Killed { vm: self.vm.settings.vm.clone() });
-        self.vm.set_permit(Moment(0));
+        self.vm.set_start_lease_until(Moment(0));
         drop(self.server.stop(false));
         self.control.links.close();
     }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -46,7 +46,7 @@
     /// True once a planned stop has begun.
     pub stopping: AtomicBool,
     /// Number of requests in flight.
-    pub running: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// True while the buffer of unflushed bills has room.
     pub has_bill_room: AtomicBool,
     /// Samples that wait for a rating.
@@ -61,14 +61,14 @@
     pub poison: Mutex<Exchange>,
     /// Idempotency keys reserved on this VM.
     pub reserved: Mutex<Reserved>,
-    admission: Mutex<HashMap<Model, AdmissionController>>,
+    admission_controllers: Mutex<HashMap<Model, AdmissionController>>,
     /// Number of open dispatches by the revision that they follow.
-    dispatches: Mutex<BTreeMap<Revision, usize>>,
-    buckets: Mutex<HashMap<Workspace, TokenBucket>>,
+    open_dispatches: Mutex<BTreeMap<Revision, usize>>,
+    rate_buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
     rating_credit: Mutex<Credit>,
     /// Moment until which new work may start, in microseconds; 0 if none may.
-    permit_until: AtomicU64,
+    start_lease_until: AtomicU64,
     next_request_number: AtomicU64,
     commands: mpsc::UnboundedSender<Command>,
 }
@@ -94,7 +94,7 @@
             metrics: Metrics::new(),
             history,
             stopping: AtomicBool::new(false),
-            running: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             has_bill_room: AtomicBool::new(true),
             pending_samples: Mutex::default(),
             cascade_rules: RwLock::default(),
@@ -102,12 +102,12 @@
             rate_shares: RwLock::default(),
             poison: Mutex::default(),
             reserved: Mutex::default(),
-            admission: Mutex::default(),
-            dispatches: Mutex::default(),
-            buckets: Mutex::default(),
+            admission_controllers: Mutex::default(),
+            open_dispatches: Mutex::default(),
+            rate_buckets: Mutex::default(),
             retry_budget: Mutex::default(),
             rating_credit: Mutex::default(),
-            permit_until: AtomicU64::new(0),
+            start_lease_until: AtomicU64::new(0),
             next_request_number: AtomicU64::new(0),
             commands,
         }
@@ -120,10 +120,10 @@
 
     /// Returns the configuration in force on this VM with a guard: until the guard is dropped, this
     /// VM does not report to other VMs that all its work follows a later revision.
-    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
+    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, DispatchGuard<'_>) {
         loop {
             let snapshot = self.config();
-            let dispatch = Dispatch::new(self, snapshot.revision());
+            let dispatch = DispatchGuard::new(self, snapshot.revision());
             // A later revision applied before the guard existed may have been reported already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
@@ -135,18 +135,18 @@
     /// the revision in force, or that of the oldest open dispatch.
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
-        let dispatches = self.dispatches.lock().expect("no panic while held");
+        let dispatches = self.open_dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
     }
 
     /// Returns true if new work may start now.
     pub fn may_start(&self, now: Moment) -> bool {
-        now.0 < self.permit_until.load(Ordering::Relaxed)
+        now.0 < self.start_lease_until.load(Ordering::Relaxed)
     }
 
     /// Sets the moment until which new work may start.
-    pub fn set_permit(&self, until: Moment) {
-        self.permit_until.store(until.0, Ordering::Relaxed);
+    pub fn set_start_lease_until(&self, until: Moment) {
+        self.start_lease_until.store(until.0, Ordering::Relaxed);
     }
 
     /// Returns true once a planned stop has begun.
@@ -189,7 +189,7 @@
     ) -> Result<(), crate::unit::Span> {
         let share = self.rate_shares.read().expect("no panic while held").get(workspace).copied();
         let rate = share.unwrap_or(limit);
-        let mut buckets = self.buckets.lock().expect("no panic while held");
+        let mut buckets = self.rate_buckets.lock().expect("no panic while held");
         let bucket =
             buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
         bucket.take(rate, now)
@@ -201,7 +201,7 @@
         model: &Model,
         f: impl FnOnce(&mut AdmissionController) -> T,
     ) -> T {
-        let mut controllers = self.admission.lock().expect("no panic while held");
+        let mut controllers = self.admission_controllers.lock().expect("no panic while held");
         match controllers.get_mut(model) {
             Some(controller) => f(controller),
             None => f(controllers
@@ -247,22 +247,22 @@
 }
 
 /// Guard of a piece of work between the decision on it and its receipt by a backend server.
-pub struct Dispatch<'a> {
+pub struct DispatchGuard<'a> {
     vm: &'a Vm,
     revision: Revision,
 }
 
-impl<'a> Dispatch<'a> {
-    fn new(vm: &'a Vm, revision: Revision) -> Dispatch<'a> {
-        let mut dispatches = vm.dispatches.lock().expect("no panic while held");
+impl<'a> DispatchGuard<'a> {
+    fn new(vm: &'a Vm, revision: Revision) -> DispatchGuard<'a> {
+        let mut dispatches = vm.open_dispatches.lock().expect("no panic while held");
         *dispatches.entry(revision).or_default() += 1;
-        Dispatch { vm, revision }
+        DispatchGuard { vm, revision }
     }
 }
 
-impl Drop for Dispatch<'_> {
+impl Drop for DispatchGuard<'_> {
     fn drop(&mut self) {
-        let mut dispatches = self.vm.dispatches.lock().expect("no panic while held");
+        let mut dispatches = self.vm.open_dispatches.lock().expect("no panic while held");
         if let Some(count) = dispatches.get_mut(&self.revision) {
             *count -= 1;
             if *count == 0 {
