--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -5,9 +5,9 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use kitepulley::decide::admission::{AdmissionController, Outcome};
 use kitepulley::decide::availability::Signal;
-use kitepulley::decide::cascade::{CONFIDENCE_BINS, Observations, Ratings, Rungs, solve};
+use kitepulley::decide::cascade::{CONFIDENCE_BINS, Observations, Ratings, Rungs, solve_rules};
 use kitepulley::decide::replica::{Replica, select_replica};
-use kitepulley::decide::rollout::{Arm, Inputs, Policy, decide};
+use kitepulley::decide::rollout::{Arm, Inputs, Policy, next_step};
 use kitepulley::decide::sequential::Count;
 use kitepulley::forward::replica::Replica as Life;
 use kitepulley::forward::server::Fleet;
@@ -52,7 +52,7 @@
         declared_bad_share: 0.08,
     };
     let policy = Policy::default();
-    bench.bench_function("rollout", |b| b.iter(|| black_box(decide(&policy, &view))));
+    bench.bench_function("rollout", |b| b.iter(|| black_box(next_step(&policy, &view))));
 }
 
 fn cascade(bench: &mut Criterion) {
@@ -65,7 +65,7 @@
         Rungs { cheap_cost: 1.0, strong_cost: 15.0, cheap_quality: 0.7, strong_quality: 0.95 };
     let beliefs = vec![belief; 4];
     bench.bench_function("cascade solve, 4 kinds", |b| {
-        b.iter(|| black_box(solve(&beliefs, &rungs, 0.9)));
+        b.iter(|| black_box(solve_rules(&beliefs, &rungs, 0.9)));
     });
 }
 
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -20,7 +20,7 @@
 const CROWDED_THRESHOLD: f64 = 0.85;
 
 /// Every workspace may hold this many slots, however small its fair share.
-const MIN_SHARE: f64 = 2.0;
+const MIN_FAIR_SHARE: f64 = 2.0;
 
 /// A request is assumed to take up to this many times the mean duration.
 const MAX_DURATION_FACTOR: f64 = 2.0;
@@ -89,9 +89,9 @@
         };
         demand.weight = weight;
         demand.offered += 1.0;
-        let fair = !crowded || demand.running < demand.share.max(MIN_SHARE);
+        let fair = !crowded || demand.running < demand.share.max(MIN_FAIR_SHARE);
         // A workspace within its share is admitted even if others have filled the limit.
-        let within_share = demand.running + 1.0 <= demand.share.max(MIN_SHARE);
+        let within_share = demand.running + 1.0 <= demand.share.max(MIN_FAIR_SHARE);
         let has_room = self.concurrency.admits(self.running);
         if !fair || !(has_room || within_share) {
             return false;
@@ -122,7 +122,7 @@
     }
 
     /// Returns the current concurrency limit.
-    pub fn limit(&self) -> f64 {
+    pub fn concurrency_limit(&self) -> f64 {
         self.concurrency.limit()
     }
 
--- a/src/decide/cascade/estimate.rs
+++ b/src/decide/cascade/estimate.rs
@@ -58,7 +58,7 @@
         *share = cell.smoothed_rate(prior);
         weights[i] = cell.all + PRIOR_RATINGS;
     }
-    monotone(&mut pooled, &weights);
+    fit_monotone(&mut pooled, &weights);
     smooth(&pooled)
 }
 
@@ -131,8 +131,8 @@
         strong_pass_rate[i] = observed.strong[i].smoothed_rate(overall);
         strong_error[i] = overall_error;
     }
-    monotone(&mut cheap_pass_rate, &weights);
-    monotone(&mut strong_pass_rate, &observed.strong.map(|cell| cell.all + PRIOR_RATINGS));
+    fit_monotone(&mut cheap_pass_rate, &weights);
+    fit_monotone(&mut strong_pass_rate, &observed.strong.map(|cell| cell.all + PRIOR_RATINGS));
     let mut cheap_error = [0.0; CONFIDENCE_BINS];
     for i in 0..CONFIDENCE_BINS {
         let p = cheap_pass_rate[i].clamp(0.02, 0.98);
@@ -155,7 +155,7 @@
 
 /// Isotonic regression by pooling adjacent violators: a more confident answer is not likelier to be
 /// poor.
-fn monotone(values: &mut [f64; CONFIDENCE_BINS], weights: &[f64; CONFIDENCE_BINS]) {
+fn fit_monotone(values: &mut [f64; CONFIDENCE_BINS], weights: &[f64; CONFIDENCE_BINS]) {
     let mut blocks: [(f64, f64, usize); CONFIDENCE_BINS] = [(0.0, 0.0, 0); CONFIDENCE_BINS];
     let mut count = 0;
     for i in 0..CONFIDENCE_BINS {
@@ -184,7 +184,7 @@
         let mut values = [0.5; CONFIDENCE_BINS];
         values[3] = 0.9;
         values[9] = 0.1;
-        monotone(&mut values, &[1.0; CONFIDENCE_BINS]);
+        fit_monotone(&mut values, &[1.0; CONFIDENCE_BINS]);
         assert!(values.windows(2).all(|pair| pair[0] <= pair[1] + 1e-12));
     }
 }
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -10,7 +10,7 @@
 
 use estimate::{Estimate, estimate};
 
-pub use rating::{Answer, Credit, DriftDetector, rating_value};
+pub use rating::{Answer, DriftDetector, RatingBudget, rating_value};
 
 /// Number of bins of an engine's confidence.
 pub const CONFIDENCE_BINS: usize = 16;
@@ -143,7 +143,7 @@
 }
 
 /// Returns the rules of all kinds, which share one quality target.
-pub fn solve(observations: &[Observations], rungs: &Rungs, target: f64) -> Vec<Rule> {
+pub fn solve_rules(observations: &[Observations], rungs: &Rungs, target: f64) -> Vec<Rule> {
     let estimates = estimate(observations, rungs);
     let meets = |price: f64| {
         let (quality, error) = expected_quality(&estimates, rungs, price);
@@ -151,7 +151,7 @@
     };
     let top = MAX_PRICE_FACTOR * rungs.strong_cost;
     if meets(0.0) {
-        return estimates.iter().map(|kind| rule(kind, rungs, 0.0)).collect();
+        return estimates.iter().map(|kind| rule_at_price(kind, rungs, 0.0)).collect();
     }
     let (mut low, mut high) = (0.0, top);
     // On a logarithmic scale, since prices of quality span orders of magnitude.
@@ -167,7 +167,9 @@
         }
     }
     let share = mixing_share(&estimates, rungs, target, low, high);
-    let mixed = |kind| rule(kind, rungs, low).interpolate(&rule(kind, rungs, high), share);
+    let mixed = |kind| {
+        rule_at_price(kind, rungs, low).interpolate(&rule_at_price(kind, rungs, high), share)
+    };
     estimates.iter().map(mixed).collect()
 }
 
@@ -213,7 +215,7 @@
     }
 }
 
-fn rule(kind: &Estimate, rungs: &Rungs, price: f64) -> Rule {
+fn rule_at_price(kind: &Estimate, rungs: &Rungs, price: f64) -> Rule {
     let mut keep = [0.0; CONFIDENCE_BINS];
     let mut cheap_first_cost = rungs.cheap_cost;
     let mut quality = 0.0;
@@ -241,7 +243,7 @@
     let mut quality = 0.0;
     let mut variance = 0.0;
     for kind in estimates {
-        let rule = rule(kind, rungs, price);
+        let rule = rule_at_price(kind, rungs, price);
         quality += kind.weight * rule.expected_pass_rate;
         if rule.direct_probability > 0.0 {
             variance += (kind.weight * kind.direct_error).powi(2);
@@ -280,7 +282,7 @@
 
     #[test]
     fn confident_answers_are_kept_and_others_climb() {
-        let rules = solve(&[informed(0.3, 0.96, 500.0)], &RUNGS, 0.93);
+        let rules = solve_rules(&[informed(0.3, 0.96, 500.0)], &RUNGS, 0.93);
         assert!(rules[0].direct_probability < 0.5);
         assert!(rules[0].keeps(CONFIDENCE_BINS - 1, 0.99));
         assert!(!rules[0].keeps(0, 0.01));
@@ -289,14 +291,14 @@
 
     #[test]
     fn hopeless_kinds_begin_with_the_strong_rung() {
-        let rules = solve(&[informed(0.05, 0.1, 500.0)], &RUNGS, 0.9);
+        let rules = solve_rules(&[informed(0.05, 0.1, 500.0)], &RUNGS, 0.9);
         assert!(rules[0].begins_strong(0.85));
     }
 
     #[test]
     fn little_evidence_costs_caution() {
-        let few = solve(&[informed(0.6, 0.96, 3.0)], &RUNGS, 0.92);
-        let many = solve(&[informed(0.6, 0.96, 3000.0)], &RUNGS, 0.92);
+        let few = solve_rules(&[informed(0.6, 0.96, 3.0)], &RUNGS, 0.92);
+        let many = solve_rules(&[informed(0.6, 0.96, 3000.0)], &RUNGS, 0.92);
         let kept = |rule: &Rule| rule.keep_probability.iter().filter(|keep| **keep > 0.5).count();
         assert!(few[0].direct_probability > 0.5 || kept(&few[0]) <= kept(&many[0]));
     }
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -55,9 +55,9 @@
 /// Rating budget: spends a share of ratings on the most informative answers, and no more than that
 /// share.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Credit(f64);
+pub struct RatingBudget(f64);
 
-impl Credit {
+impl RatingBudget {
     /// Adds the credit of a request; `share` is the ratio of ratings to requests.
     pub fn earn(&mut self, share: f64) {
         self.0 = (self.0 + share).min(MAX_CREDIT);
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -7,7 +7,7 @@
 
 /// A VM's share of a limit never falls below this fraction of an even share, so that a workspace
 /// whose callers move to it is not refused until the other VMs know of the new demand.
-const MIN_SHARE: f64 = 0.2;
+const MIN_SHARE_OF_EVEN: f64 = 0.2;
 
 /// Token bucket of one workspace on one VM.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     }
 
     /// Takes one token, or returns how long to wait for it.
-    pub fn take(&mut self, rate: Rate, now: Moment) -> Result<(), Span> {
+    pub fn try_take(&mut self, rate: Rate, now: Moment) -> Result<(), Span> {
         let gained = now.since(self.updated_at).as_secs() * rate.0;
         self.level = (self.level + gained).min((rate.0 * BURST_SECS).max(1.0));
         self.updated_at = now;
@@ -40,9 +40,9 @@
 pub fn local_share(limit: Rate, own: f64, all: f64, vms: usize) -> Rate {
     let even = 1.0 / vms.max(1) as f64;
     let share = if all > 0.0 { own / all } else { even };
-    let floor = MIN_SHARE * even;
+    let floor = MIN_SHARE_OF_EVEN * even;
     // The minimum shares of all VMs are part of the limit, so that the shares sum to it.
-    Rate(limit.0 * (floor + share * (1.0 - MIN_SHARE)))
+    Rate(limit.0 * (floor + share * (1.0 - MIN_SHARE_OF_EVEN)))
 }
 
 /// Fraction of a limit that is divided among the known VMs; the rest is for VMs that are not known
@@ -142,8 +142,8 @@
     #[test]
     fn a_bucket_says_when_to_come_back() {
         let mut bucket = TokenBucket::new(Rate(1.0), Moment(0));
-        assert!(bucket.take(Rate(1.0), Moment(0)).is_ok());
-        assert_eq!(bucket.take(Rate(1.0), Moment(500_000)), Err(Span(500_000)));
+        assert!(bucket.try_take(Rate(1.0), Moment(0)).is_ok());
+        assert_eq!(bucket.try_take(Rate(1.0), Moment(500_000)), Err(Span(500_000)));
     }
 
     #[test]
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -8,7 +8,7 @@
 /// Number of requests that a server reported, and what this VM had open there at that moment.
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    held: u32,
+    requests: u32,
     open: u32,
     at: Moment,
 }
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     open: u32,
-    report: Option<Report>,
+    last_report: Option<Report>,
 }
 
 impl Load {
@@ -38,16 +38,17 @@
 
     /// Records how many requests the server reported to hold.
     pub fn observe(&mut self, held: u32, now: Moment) {
-        self.report = Some(Report { held, open: self.open, at: now });
+        self.last_report = Some(Report { requests: held, open: self.open, at: now });
     }
 
     /// Returns the estimated number of requests at the server: the reported ones plus those that
     /// this VM sent since.
     pub fn estimate(&self, now: Moment) -> f64 {
         let own = f64::from(self.open);
-        let Some(report) = self.report.filter(|report| now.since(report.at) < REPORT_TTL) else {
+        let Some(report) = self.last_report.filter(|report| now.since(report.at) < REPORT_TTL)
+        else {
             return own;
         };
-        (f64::from(report.held) + own - f64::from(report.open)).max(own)
+        (f64::from(report.requests) + own - f64::from(report.open)).max(own)
     }
 }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -39,7 +39,7 @@
 
 /// Returns the index of the candidate where a prompt of `bytes` is read soonest, or none if there
 /// is no candidate.
-pub fn soonest(candidates: &[Candidate], bytes: usize) -> Option<usize> {
+pub fn select_soonest(candidates: &[Candidate], bytes: usize) -> Option<usize> {
     let score = |candidate: &Candidate| {
         let transfer = if candidate.local { 0.0 } else { bytes as f64 * TRANSFER_MICROS_PER_BYTE };
         candidate.until_prefilled.0 as f64 + candidate.utilization() * FULL_SERVER_MICROS + transfer
@@ -49,7 +49,7 @@
 }
 
 /// Returns the index of the least loaded candidate; `point`, between 0 and 1, chooses among equals.
-pub fn least_loaded(candidates: &[Candidate], point: f64) -> Option<usize> {
+pub fn select_least_loaded(candidates: &[Candidate], point: f64) -> Option<usize> {
     let score = |candidate: &Candidate| {
         candidate.utilization() + if candidate.local { 0.0 } else { REMOTE_PENALTY }
     };
--- a/src/decide/poison/evidence.rs
+++ b/src/decide/poison/evidence.rs
@@ -136,7 +136,7 @@
 
 /// Change of a content's state that an event caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum EvidenceChange {
     /// Nothing new.
     None,
     /// The content became a suspect, or the evidence against it grew.
@@ -196,10 +196,10 @@
         incarnation: ServerIncarnation,
         at: Moment,
         now: Moment,
-    ) -> Change {
+    ) -> EvidenceChange {
         let OpenRequest { content, .. } = request;
         if self.has_recent_success(&content, at) {
-            return Change::None;
+            return EvidenceChange::None;
         }
         let was_quarantined = self.quarantine_crashes(&content, now).is_some();
         self.evict_if_full(now);
@@ -207,13 +207,13 @@
         suspect.forget_until(expiry_cutoff(now));
         let weight = request.weight();
         match suspect.crashes.iter_mut().find(|crash| crash.incarnation == incarnation) {
-            Some(known) if known.weight >= weight => return Change::None,
+            Some(known) if known.weight >= weight => return EvidenceChange::None,
             Some(known) => known.weight = weight,
             None => suspect.crashes.push(Crash { incarnation, at, weight }),
         }
         match self.quarantine_crashes(&content, now) {
-            Some(_) if !was_quarantined => Change::Quarantined,
-            _ => Change::Suspected,
+            Some(_) if !was_quarantined => EvidenceChange::Quarantined,
+            _ => EvidenceChange::Suspected,
         }
     }
 
@@ -224,9 +224,9 @@
         crashes: u32,
         last_crash: Moment,
         now: Moment,
-    ) -> Change {
+    ) -> EvidenceChange {
         if self.has_recent_success(&content, last_crash) || now.since(last_crash) >= SUSPICION_TTL {
-            return Change::None;
+            return EvidenceChange::None;
         }
         let was_quarantined = self.quarantine_crashes(&content, now).is_some();
         self.evict_if_full(now);
@@ -237,20 +237,20 @@
                 last_crash: known.last_crash.max(last_crash),
             });
         suspect.reported = Some(known);
-        if was_quarantined { Change::None } else { Change::Quarantined }
+        if was_quarantined { EvidenceChange::None } else { EvidenceChange::Quarantined }
     }
 
     /// Records that a request with this content completed at the moment `at`, here or at another
     /// VM.
-    pub fn on_success(&mut self, content: Digest, at: Moment, now: Moment) -> Change {
+    pub fn on_success(&mut self, content: Digest, at: Moment, now: Moment) -> EvidenceChange {
         self.successes.record(content, at, now);
-        let Some(suspect) = self.suspects.get_mut(&content) else { return Change::None };
+        let Some(suspect) = self.suspects.get_mut(&content) else { return EvidenceChange::None };
         let was_quarantined = suspect.quarantine().is_some();
         if suspect.forget_until(at + SUCCESS_TTL) {
-            return Change::None;
+            return EvidenceChange::None;
         }
         self.suspects.remove(&content);
-        Change::Cleared { was_quarantined }
+        EvidenceChange::Cleared { was_quarantined }
     }
 
     /// Returns the age of the last success of a content if it still clears the content.
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -7,7 +7,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::{Change, Evidence, OpenRequest, QuarantinedContent, ServerIncarnation};
+use super::evidence::{
+    Evidence, EvidenceChange, OpenRequest, QuarantinedContent, ServerIncarnation,
+};
 use crate::unit::{Digest, Moment, Span};
 
 /// Maximum number of quarantined contents in a message, the most recent first; each takes some 24
@@ -139,7 +141,9 @@
     /// Handles the completion of a request of this VM.
     pub fn on_success(&mut self, content: Digest, now: Moment) -> Effects {
         let mut effects = Effects::default();
-        if let Change::Cleared { was_quarantined } = self.evidence.on_success(content, now, now) {
+        if let EvidenceChange::Cleared { was_quarantined } =
+            self.evidence.on_success(content, now, now)
+        {
             effects.transitions.extend(was_quarantined.then_some(Transition::Released(content)));
             let to =
                 if was_quarantined { Recipients::All } else { Recipients::Aggregators(content) };
@@ -152,7 +156,8 @@
     pub fn on_message(&mut self, message: &Message, topology: Topology, now: Moment) -> Effects {
         match message {
             Message::ServerCrashed { incarnation, requests, age } => {
-                let mut effects = self.apply_crash(*incarnation, requests, before(now, *age), now);
+                let mut effects =
+                    self.apply_crash(*incarnation, requests, moment_before(now, *age), now);
                 for request in requests {
                     self.report_success(
                         request.content,
@@ -184,10 +189,10 @@
             let change = self.evidence.on_quarantine_report(
                 *content,
                 *crashes,
-                before(reported_at, *age),
+                moment_before(reported_at, *age),
                 now,
             );
-            if change == Change::Quarantined {
+            if change == EvidenceChange::Quarantined {
                 effects.transitions.push(Transition::Quarantined(*content, *crashes));
             }
             self.report_success(*content, Recipients::All, now, &mut effects);
@@ -206,8 +211,8 @@
         now: Moment,
     ) -> Effects {
         let mut effects = Effects::default();
-        let change = self.evidence.on_success(content, before(now, age), now);
-        if change == (Change::Cleared { was_quarantined: true }) {
+        let change = self.evidence.on_success(content, moment_before(now, age), now);
+        if change == (EvidenceChange::Cleared { was_quarantined: true }) {
             effects.transitions.push(Transition::Released(content));
             if topology == Topology::Gossip {
                 effects.send(Recipients::All, Message::Succeeded { content, age });
@@ -225,7 +230,8 @@
     ) -> Effects {
         let mut effects = Effects::default();
         for request in requests {
-            if self.evidence.on_crash(*request, incarnation, at, now) == Change::Quarantined {
+            if self.evidence.on_crash(*request, incarnation, at, now) == EvidenceChange::Quarantined
+            {
                 let crashes = self.quarantine_crashes(&request.content, now).unwrap_or_default();
                 effects.transitions.push(Transition::Quarantined(request.content, crashes));
             }
@@ -244,6 +250,6 @@
     }
 }
 
-fn before(now: Moment, age: Span) -> Moment {
+fn moment_before(now: Moment, age: Span) -> Moment {
     Moment(now.0.saturating_sub(age.0))
 }
--- a/src/decide/poison/mod.rs
+++ b/src/decide/poison/mod.rs
@@ -13,6 +13,6 @@
 mod exchange;
 
 pub use evidence::{
-    Change, Evidence, OpenRequest, QuarantinedContent, STABLE_AFTER, ServerIncarnation,
+    Evidence, EvidenceChange, OpenRequest, QuarantinedContent, STABLE_AFTER, ServerIncarnation,
 };
 pub use exchange::{Effects, Exchange, Message, Outgoing, Recipients, Topology, Transition};
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -34,7 +34,7 @@
 
     /// Returns the mean queue time as a fraction of the latency goal; it decays while no responses
     /// arrive.
-    pub fn level(&self, now: Moment) -> f64 {
+    pub fn mean_wait(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
         self.decayed_wait * decay / (self.decayed_responses * decay + PRIOR_WEIGHT)
     }
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -175,7 +175,7 @@
                 one.reason == BackoffReason::StoreLost && now < one.until + STORE_LOST_GRACE
             })
         };
-        self.sources_before(own, group, now).iter().any(reports_lost)
+        self.responsive_sources(own, group, now).iter().any(reports_lost)
     }
 
     /// Backs off briefly from a source that does not have a full snapshot yet.
@@ -214,17 +214,17 @@
 
     /// Returns the responsive sources of higher rank than `own`, the highest first, at most
     /// [`MAX_SOURCES`].
-    fn sources_before<'a>(
+    fn responsive_sources<'a>(
         &'a self,
         own: &'a Rank,
         group: impl Iterator<Item = &'a Rank>,
         now: Moment,
     ) -> Vec<&'a Rank> {
-        let mut sources_before: Vec<&Rank> =
+        let mut sources: Vec<&Rank> =
             group.filter(|rank| *rank < own && !self.is_silent(&rank.vm, now)).collect();
-        sources_before.sort();
-        sources_before.truncate(MAX_SOURCES);
-        sources_before
+        sources.sort();
+        sources.truncate(MAX_SOURCES);
+        sources
     }
 
     /// Returns the source of a group to poll next. None if `own` is the first responsive VM, or if
@@ -235,11 +235,8 @@
         group: impl Iterator<Item = &'a Rank>,
         now: Moment,
     ) -> Option<&'a Vm> {
-        let sources_before = self.sources_before(own, group, now);
-        sources_before
-            .into_iter()
-            .map(|rank| &rank.vm)
-            .find(|vm| self.backoff_reason(vm, now).is_none())
+        let sources = self.responsive_sources(own, group, now);
+        sources.into_iter().map(|rank| &rank.vm).find(|vm| self.backoff_reason(vm, now).is_none())
     }
 
     /// Returns any VM to poll next, whatever its rank. Used by a VM that has lost the store.
@@ -267,7 +264,7 @@
         group: impl Iterator<Item = &'a Rank>,
         now: Moment,
     ) -> GroupPosition {
-        match self.sources_before(own, group, now).len() {
+        match self.responsive_sources(own, group, now).len() {
             0 => GroupPosition::First,
             count if count < MAX_SOURCES => GroupPosition::Next,
             _ => GroupPosition::Behind,
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -126,7 +126,7 @@
 
 /// Returns the baseline: ratings of the version in service over the same time, plus earlier ones if
 /// they agree.
-fn baseline(inputs: &Inputs) -> Count {
+fn baseline_ratings(inputs: &Inputs) -> Count {
     let (now, before) = (inputs.old.poor, inputs.earlier_ratings.capped(MAX_EARLIER_RATINGS));
     let difference = Difference::between(now, before, inputs.declared_bad_share);
     if difference.mean.abs() > MAX_DRIFT_ERRORS * difference.error {
@@ -143,22 +143,25 @@
         rate + error + policy.tolerance
     };
     [
-        ("ratings", evidence(inputs.new.poor, limit(baseline(inputs), inputs.declared_bad_share))),
+        (
+            "ratings",
+            evidence(inputs.new.poor, limit(baseline_ratings(inputs), inputs.declared_bad_share)),
+        ),
         ("errors", evidence(inputs.new.errors, limit(inputs.old.errors, 0.01))),
         ("late first tokens", evidence(inputs.new.slow, limit(inputs.old.slow, 0.05))),
     ]
 }
 
 /// Estimates how much larger the new version's share of poor answers is.
-pub fn difference(inputs: &Inputs) -> Difference {
-    Difference::between(inputs.new.poor, baseline(inputs), inputs.declared_bad_share)
+pub fn rating_difference(inputs: &Inputs) -> Difference {
+    Difference::between(inputs.new.poor, baseline_ratings(inputs), inputs.declared_bad_share)
 }
 
 /// Returns true if sessions may begin on the version. They stay on it, so they wait for more
 /// evidence than single requests.
 pub fn admits_sessions(policy: &Policy, inputs: &Inputs) -> bool {
     inputs.new.poor.all >= MIN_RATINGS
-        && difference(inputs).expected_harm(policy.tolerance) <= policy.max_session_harm
+        && rating_difference(inputs).expected_harm(policy.tolerance) <= policy.max_session_harm
 }
 
 /// Returns the first share: small enough that few requests are exposed before the first ratings
@@ -173,7 +176,7 @@
 }
 
 /// Decides the next step.
-pub fn decide(policy: &Policy, inputs: &Inputs) -> Action {
+pub fn next_step(policy: &Policy, inputs: &Inputs) -> Action {
     let proof = (3.0 / policy.alpha).ln();
     let harm_signals = harm_signals(policy, inputs);
     let (signal, worst) =
@@ -207,10 +210,10 @@
             Action::Resume("ratings are back".to_owned())
         };
     }
-    grow(policy, inputs, first)
+    growth_step(policy, inputs, first)
 }
 
-fn grow(policy: &Policy, inputs: &Inputs, first: TrafficShare) -> Action {
+fn growth_step(policy: &Policy, inputs: &Inputs, first: TrafficShare) -> Action {
     if inputs.new.poor.all < MIN_RATINGS {
         let has_started = inputs.share >= first;
         return if has_started {
@@ -219,7 +222,7 @@
             Action::Grow(first, "first requests".to_owned())
         };
     }
-    let difference = difference(inputs);
+    let difference = rating_difference(inputs);
     let harm = difference.expected_harm(policy.tolerance);
     let risk = difference.chance_above(policy.margin);
     let reason = || {
@@ -292,25 +295,25 @@
     fn it_waits_for_the_first_ratings() {
         let policy = Policy::default();
         let inputs = inputs(Count::default(), Count::of(500, 50), 0.02);
-        assert_eq!(decide(&policy, &inputs), Action::Stay);
+        assert_eq!(next_step(&policy, &inputs), Action::Stay);
     }
 
     #[test]
     fn proof_withdraws_and_likely_harm_steps_back() {
         let policy = Policy::default();
         let bad = inputs(Count::of(100, 40), Count::of(500, 50), 0.1);
-        assert!(matches!(decide(&policy, &bad), Action::Withdraw(_)));
+        assert!(matches!(next_step(&policy, &bad), Action::Withdraw(_)));
         let likely = inputs(Count::of(60, 15), Count::of(500, 50), 0.1);
-        assert!(matches!(decide(&policy, &likely), Action::Shrink(..)));
+        assert!(matches!(next_step(&policy, &likely), Action::Shrink(..)));
     }
 
     #[test]
     fn a_good_version_grows_and_ends() {
         let policy = Policy::default();
         let good = inputs(Count::of(1000, 100), Count::of(1000, 100), 0.01);
-        assert!(matches!(decide(&policy, &good), Action::Grow(..)));
+        assert!(matches!(next_step(&policy, &good), Action::Grow(..)));
         let sure = inputs(Count::of(8000, 800), Count::of(8000, 800), 0.5);
-        assert!(matches!(decide(&policy, &sure), Action::Complete(_)));
+        assert!(matches!(next_step(&policy, &sure), Action::Complete(_)));
     }
 
     #[test]
@@ -318,11 +321,11 @@
         let policy = Policy::default();
         let mut silent = inputs(Count::of(1000, 100), Count::of(1000, 100), 0.2);
         silent.time_since_rating = Span::secs(1000);
-        assert!(matches!(decide(&policy, &silent), Action::Hold(..)));
+        assert!(matches!(next_step(&policy, &silent), Action::Hold(..)));
         silent.is_held = true;
-        assert_eq!(decide(&policy, &silent), Action::Stay);
+        assert_eq!(next_step(&policy, &silent), Action::Stay);
         silent.time_since_rating = Span::secs(1);
-        assert!(matches!(decide(&policy, &silent), Action::Resume(_)));
+        assert!(matches!(next_step(&policy, &silent), Action::Resume(_)));
     }
 
     #[test]
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
     /// Time of the slot.
-    pub at: Moment,
+    pub send_at: Moment,
     previous: Option<Moment>,
 }
 
@@ -121,8 +121,8 @@
 
     /// Reserves the next free slot.
     pub fn reserve(&mut self, share: &Share, now: Moment) -> Reservation {
-        let reservation = Reservation { at: self.next_send(share, now), previous: self.last };
-        self.last = Some(reservation.at);
+        let reservation = Reservation { send_at: self.next_send(share, now), previous: self.last };
+        self.last = Some(reservation.send_at);
         reservation
     }
 
@@ -135,7 +135,7 @@
     /// Releases a slot in which nothing was sent. The slot is lost if a later one is already
     /// reserved.
     pub fn release(&mut self, reservation: Reservation) {
-        if self.last == Some(reservation.at) {
+        if self.last == Some(reservation.send_at) {
             self.last = reservation.previous;
         }
     }
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -127,7 +127,7 @@
     let prepared = async {
         let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        prepare(&vm, &request, caller, &bytes, id.clone()).await
+        prepare_job(&vm, &request, caller, &bytes, id.clone()).await
     };
     let (job, stream, new_session) = match prepared.await {
         Ok(prepared) => prepared,
@@ -231,7 +231,7 @@
 
 /// Parses a chat request and resolves its session and route. Returns the job, if the answer is to
 /// be streamed, and the session of which the client gets a token.
-async fn prepare(
+async fn prepare_job(
     vm: &Data<Vm>,
     request: &HttpRequest,
     caller: Caller,
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -70,11 +70,11 @@
     let outcome = async {
         let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        let call = prepare(&vm, &request, &caller, bytes, id.clone())?;
+        let call = prepare_call(&vm, &request, &caller, bytes, id.clone())?;
         if call.is_retryable {
-            run(&vm, &engines, &caller, &call).await
+            run_call(&vm, &engines, &caller, &call).await
         } else {
-            run_once(&vm, &engines, &caller, &call).await
+            run_call_once(&vm, &engines, &caller, &call).await
         }
     };
     let answer = match outcome.await {
@@ -97,7 +97,7 @@
 }
 
 /// Checks that the workspace may call the service and that a call that is not idempotent has a key.
-fn prepare(
+fn prepare_call(
     vm: &Data<Vm>,
     request: &HttpRequest,
     caller: &Caller,
@@ -210,7 +210,7 @@
 }
 
 /// Acquires the key, runs the call at most once, and records its outcome.
-async fn run_once(
+async fn run_call_once(
     vm: &Data<Vm>,
     engines: &EngineClient,
     caller: &Caller,
@@ -219,7 +219,7 @@
     let claim = build_claim(vm, caller, call, false);
     let request = match acquire_key(vm, &claim).await? {
         KeyState::Acquired(request) => request,
-        KeyState::Ended(outcome) => return replay(outcome),
+        KeyState::Ended(outcome) => return replay_outcome(outcome),
     };
     let settle = |outcome| {
         let (key, body) = (claim.key, claim.body);
@@ -230,7 +230,7 @@
             outcome,
         }));
     };
-    let outcome = run(vm, engines, caller, call).await;
+    let outcome = run_call(vm, engines, caller, call).await;
     match &outcome {
         Ok(response) => settle(Outcome::Ran {
             status: response.status,
@@ -252,7 +252,7 @@
     let outcome = async {
         read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        let call = prepare(&vm, &request, &caller, Bytes::new(), id.clone())?;
+        let call = prepare_call(&vm, &request, &caller, Bytes::new(), id.clone())?;
         if call.key.is_none() {
             return Err(Refusal::new(Refused::KeyMissing));
         }
@@ -293,7 +293,7 @@
 }
 
 /// Returns the stored response of an earlier call with the same key.
-fn replay(outcome: Outcome) -> Result<Response, Refusal> {
+fn replay_outcome(outcome: Outcome) -> Result<Response, Refusal> {
     match outcome {
         Outcome::Ran { status, content_type, body: Some(body) } => {
             Ok(Response { status, content_type, body: body.into() })
@@ -309,7 +309,7 @@
 }
 
 /// Runs a call, with retries on other servers where that is safe, and bills it.
-async fn run(
+async fn run_call(
     vm: &Data<Vm>,
     engines: &EngineClient,
     caller: &Caller,
@@ -381,7 +381,7 @@
         let failure = match result {
             Ok(response) => {
                 poison::on_success(vm, content);
-                bill(vm, caller, call).await?;
+                record_bill(vm, caller, call).await?;
                 return Ok(response);
             }
             Err(failure) => failure,
@@ -452,7 +452,7 @@
 }
 
 /// Bills a call and waits until other VMs or the store hold the bill.
-async fn bill(vm: &Data<Vm>, caller: &Caller, call: &Call) -> Result<(), Refusal> {
+async fn record_bill(vm: &Data<Vm>, caller: &Caller, call: &Call) -> Result<(), Refusal> {
     let entry = Entry {
         number: 0,
         request: call.request.clone(),
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -11,8 +11,8 @@
 use super::options::Options;
 use super::table::{Row, Table, quantile};
 use crate::decide::cascade::{
-    Answer, CONFIDENCE_BINS, Credit, DriftDetector, Observations, RATING_DECAY, Rule, Rungs,
-    confidence_bin, rating_value, solve,
+    Answer, CONFIDENCE_BINS, DriftDetector, Observations, RATING_DECAY, RatingBudget, Rule, Rungs,
+    confidence_bin, rating_value, solve_rules,
 };
 
 /// Costs of a cheap and a strong answer.
@@ -274,7 +274,7 @@
     rules: Vec<Rule>,
     rungs: Rungs,
     ratings: VecDeque<Rated>,
-    credit: Credit,
+    credit: RatingBudget,
     rated: usize,
 }
 
@@ -291,7 +291,7 @@
                 strong_quality: 0.95,
             },
             ratings: VecDeque::new(),
-            credit: Credit::default(),
+            credit: RatingBudget::default(),
             rated: 0,
         }
     }
@@ -302,7 +302,7 @@
         for (i, request) in requests.iter().enumerate() {
             self.learn(i);
             if i % SOLVE_EVERY == 0 {
-                self.rules = solve(&self.beliefs, &self.rungs, TARGET);
+                self.rules = solve_rules(&self.beliefs, &self.rungs, TARGET);
             }
             self.decide(i + lag, request, options.rated_share, &mut trail);
         }
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -199,7 +199,7 @@
         let policy = Policy::default();
         let view = self.view(now);
         self.takes_sessions = rollout::admits_sessions(&policy, &view);
-        let share = match rollout::decide(&policy, &view) {
+        let share = match rollout::next_step(&policy, &view) {
             Action::Stay => return,
             Action::Withdraw(_) => {
                 result.withdrawn = Some(now);
--- a/src/experiment/shed/world.rs
+++ b/src/experiment/shed/world.rs
@@ -9,7 +9,7 @@
 use super::Way;
 use crate::decide::availability::{self, Availability, Signal, Unavailable};
 use crate::decide::load::Load;
-use crate::decide::placement::{Candidate, least_loaded};
+use crate::decide::placement::{Candidate, select_least_loaded};
 use crate::unit::{Moment, Span};
 
 /// Servers for each VM, as on the users' large site; and the fewest.
@@ -270,7 +270,7 @@
             }
         };
         let candidates: Vec<Candidate> = open.iter().map(candidate).collect();
-        let least = least_loaded(&candidates, self.rng.random());
+        let least = select_least_loaded(&candidates, self.rng.random());
         let spares = self.way == Way::Spares && self.now + LOOK <= request.since + AIM;
         match least {
             Some(at) if spares && candidates[at].load >= f64::from(SLOTS) => {
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -141,7 +141,7 @@
 fn book(entries: usize) -> Buffer {
     let mut book = Buffer::new(origin());
     (0..entries).for_each(|i| {
-        book.record(entry(i as u64));
+        book.insert_own(entry(i as u64));
     });
     book
 }
@@ -226,7 +226,7 @@
                 outcome: Outcome::Ran { status: 200, content_type: String::new(), body: None },
             };
             shard.apply_link((0..n).map(|i| Record::Settled(ended(i))).collect());
-            shard.evict(Date(claim(0).date.0 + Span::secs(7200).0));
+            shard.evict_expired(Date(claim(0).date.0 + Span::secs(7200).0));
             shard
         }),
         memory("memory_per_claim", [20_000, 40_000, 60_000, 80_000], shard),
@@ -300,7 +300,7 @@
             let mut book = Buffer::new(origin());
             micros(|| {
                 for _ in 0..n {
-                    let made = book.record(entry(0));
+                    let made = book.insert_own(entry(0));
                     black_box(encode(&made));
                     book.remove(&origin(), made.number);
                 }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -302,8 +302,8 @@
     let candidates: Vec<Candidate> =
         servers.iter().map(|server| candidate(vm, criteria, &prompt, server, now)).collect();
     let at = match criteria.call.prompt.is_empty() {
-        true => placement::least_loaded(&candidates, rand::random()),
-        false => placement::soonest(&candidates, criteria.body_bytes),
+        true => placement::select_least_loaded(&candidates, rand::random()),
+        false => placement::select_soonest(&candidates, criteria.body_bytes),
     };
     at.map(|at| {
         let skipped = Skipped::count(&fleet, &access, criteria.service, now);
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -407,7 +407,7 @@
 
     /// Returns the recent mean wait at the servers of a service, as a fraction of the latency goal.
     pub fn pressure(&self, service: &Service, now: Moment) -> f64 {
-        self.pressures.borrow().get(service).map_or(0.0, |pressure| pressure.level(now))
+        self.pressures.borrow().get(service).map_or(0.0, |pressure| pressure.mean_wait(now))
     }
 
     /// Counts the first attempt of a request at a service, which earns retry budget.
--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -26,7 +26,7 @@
     }
 
     /// Assigns the next number to an entry of this VM and inserts it.
-    pub fn record(&mut self, mut entry: Entry) -> Entry {
+    pub fn insert_own(&mut self, mut entry: Entry) -> Entry {
         entry.number = self.next_number;
         self.next_number += 1;
         self.insert(self.own_origin.clone(), entry.clone());
@@ -144,7 +144,7 @@
     fn numbers_rise_and_flushed_ones_are_dropped() {
         let mut buffer = Buffer::new(origin());
         for id in ["r1", "r2", "r3"] {
-            buffer.record(entry(id));
+            buffer.insert_own(entry(id));
         }
         assert_eq!(buffer.flushed_up_to(), 0);
         buffer.remove_up_to(&origin(), 2);
--- a/src/once/mod.rs
+++ b/src/once/mod.rs
@@ -8,5 +8,5 @@
 pub use crate::unit::{Digest, digest};
 pub use claim::{Answer, Claim, Outcome, SHARDS, Settlement, shard_of};
 pub use owner::{MAX_SETTLE_DELAY, ShardOwner};
-pub use reserved::{KeyGrant, Reserved};
+pub use reserved::{KeyGrant, ReservedKeys};
 pub use shard::{Record, Shard};
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -144,8 +144,8 @@
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &mut Vec<Settlement>,
     ) {
-        self.shard.evict(self.clock.date());
-        self.refresh(&claims).await;
+        self.shard.evict_expired(self.clock.date());
+        self.refresh_if_in_use(&claims).await;
         let mut pending = self.answer_decided(claims, settled);
         for _ in 0..MAX_WRITE_ATTEMPTS {
             if pending.is_empty() && settled.is_empty() {
@@ -169,7 +169,7 @@
 
     /// Reads new links if a claimed key seems to be in use: meanwhile, another VM may have owned
     /// the shard and written the outcome of the call.
-    async fn refresh(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
+    async fn refresh_if_in_use(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
         let is_in_use = |claim: &Claim| {
             matches!(self.shard.answer(claim), Some(Answer::Running(_) | Answer::Reserved(_)))
         };
--- a/src/once/reserved.rs
+++ b/src/once/reserved.rs
@@ -30,7 +30,7 @@
 const GRANT_WINDOW: Span = Span::secs(12 * 3600);
 
 #[derive(Clone, Debug)]
-struct Slot {
+struct ReservedKey {
     reserved_at: Moment,
     reservation: RequestId,
     used_by: Option<(RequestId, Digest)>,
@@ -38,11 +38,11 @@
 
 /// Keys reserved on this VM.
 #[derive(Clone, Debug, Default)]
-pub struct Reserved {
-    slots: HashMap<Digest, Slot>,
+pub struct ReservedKeys {
+    slots: HashMap<Digest, ReservedKey>,
 }
 
-impl Reserved {
+impl ReservedKeys {
     /// Returns true if one more key may be reserved; removes those whose grant window has passed.
     pub fn has_room(&mut self, now: Moment) -> bool {
         self.slots.retain(|_, slot| now.since(slot.reserved_at) < GRANT_WINDOW);
@@ -51,7 +51,11 @@
 
     /// Adds a key whose claim is in the store.
     pub fn add(&mut self, key: Digest, reservation: RequestId, now: Moment) {
-        self.slots.entry(key).or_insert(Slot { reserved_at: now, reservation, used_by: None });
+        self.slots.entry(key).or_insert(ReservedKey {
+            reserved_at: now,
+            reservation,
+            used_by: None,
+        });
     }
 
     /// Removes and returns the keys that no call has used, to be released before this VM stops.
@@ -88,7 +92,7 @@
 
     #[test]
     fn a_key_set_aside_is_given_to_one_call_only() {
-        let mut reserved = Reserved::default();
+        let mut reserved = ReservedKeys::default();
         let (key, body) = (digest(&[b"k"]), digest(&[b"b"]));
         let (one, two): (RequestId, RequestId) = ("r1".parse().unwrap(), "r2".parse().unwrap());
         let now = Moment(1);
@@ -103,7 +107,7 @@
 
     #[test]
     fn a_key_is_not_given_out_near_the_end_of_the_chains_memory() {
-        let mut reserved = Reserved::default();
+        let mut reserved = ReservedKeys::default();
         let (key, one) = (digest(&[b"k"]), "r1".parse().unwrap());
         reserved.add(key, "r0".parse().unwrap(), Moment(1));
         assert_eq!(reserved.try_use(key, &one, key, Moment(1) + GRANT_WINDOW), None);
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -144,7 +144,7 @@
 
     /// Removes keys older than `RETENTION`, and the responses of calls older than
     /// `OUTCOME_RETENTION`.
-    pub fn evict(&mut self, now: Date) {
+    pub fn evict_expired(&mut self, now: Date) {
         self.old_keys.retain(|_, old| now.since(old.date) < RETENTION);
         let Shard { recent_keys: recent, old_keys: old, .. } = self;
         recent.retain(|key, held| {
@@ -227,7 +227,7 @@
         let Claim { key, request, body, .. } = claim(1, 1);
         let settled = Settlement { key, request, body, outcome };
         shard.apply_link(vec![Record::Claim(claim(1, 1)), Record::Settled(settled)]);
-        shard.evict(Date(OUTCOME_RETENTION.0));
+        shard.evict_expired(Date(OUTCOME_RETENTION.0));
         let answer = shard.answer(&claim(1, 2));
         assert!(matches!(
             answer,
@@ -235,7 +235,7 @@
         ));
         shard.apply_link(vec![Record::Claim(claim(1, 2))]);
         assert_ne!(shard.answer(&claim(1, 2)), Some(Answer::Granted));
-        shard.evict(Date(RETENTION.0));
+        shard.evict_expired(Date(RETENTION.0));
         assert_eq!(shard.answer(&claim(1, 3)), None);
     }
 
--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -40,7 +40,7 @@
         let (entries, replies): (Vec<Entry>, Vec<_>) = batch.into_iter().unzip();
         let entries: Vec<Entry> = {
             let mut unflushed = control.unflushed.borrow_mut();
-            entries.into_iter().map(|entry| unflushed.record(entry)).collect()
+            entries.into_iter().map(|entry| unflushed.insert_own(entry)).collect()
         };
         let control = control.clone();
         actix_web::rt::spawn(async move {
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -52,7 +52,7 @@
         for declared in &workspace.cascades {
             let Some(rungs) = cascade_rungs(snapshot, &declared.rungs) else { continue };
             let observations: Vec<Observations> = state.observations.values().cloned().collect();
-            let rules = cascade::solve(&observations, &rungs, declared.target);
+            let rules = cascade::solve_rules(&observations, &rungs, declared.target);
             let mut installed = control.vm.cascade_rules.write().expect("no panic while held");
             for (kind, rule) in state.observations.keys().zip(rules) {
                 installed.insert((workspace.name.clone(), kind.clone()), rule);
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -46,7 +46,7 @@
 
 async fn step(control: &Control, snapshot: &Snapshot, rollout: &Rollout, state: &mut StepState) {
     if rollout.state == "loading" {
-        if preload(control, snapshot, rollout).await {
+        if load_on_servers(control, snapshot, rollout).await {
             let no_share = (TrafficShare(0), false);
             write_step(control, snapshot, rollout, "loaded", no_share, "all its servers have it")
                 .await;
@@ -55,7 +55,7 @@
     }
     let inputs = collect_inputs(control, snapshot, rollout, state);
     let policy = &control.vm.settings.rollout;
-    let (event, share, reason) = match rollout::decide(policy, &inputs) {
+    let (event, share, reason) = match rollout::next_step(policy, &inputs) {
         // Sessions may be admitted or excluded without a change of share.
         Action::Stay if rollout.sessions != rollout::admits_sessions(policy, &inputs) => {
             ("grow", rollout.share, "sessions".to_owned())
@@ -109,7 +109,7 @@
 /// Orders servers to load the version, one at a time to limit the load on the weight store.
 ///
 /// Returns true once all servers have loaded it.
-async fn preload(control: &Control, snapshot: &Snapshot, rollout: &Rollout) -> bool {
+async fn load_on_servers(control: &Control, snapshot: &Snapshot, rollout: &Rollout) -> bool {
     for server in snapshot.servers_of(&rollout.to) {
         let loaded = {
             let fleet = control.vm.fleet.lock().expect("no panic while held");
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -10,13 +10,13 @@
 use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
-use crate::decide::cascade::{Credit, Rule};
+use crate::decide::cascade::{RatingBudget, Rule};
 use crate::decide::limit::TokenBucket;
 use crate::decide::poison::Exchange;
 use crate::decide::retry::Budget;
 use crate::evidence::{Counts, Key, Origin};
 use crate::history::Sink;
-use crate::once::Reserved;
+use crate::once::ReservedKeys;
 use crate::peer::Gossip;
 use crate::unit::{Date, Incarnation, Kind, Model, Moment, Rate, RequestId, Revision, Workspace};
 use crate::watch::{BurnTracker, Metrics, TraceLog};
@@ -60,13 +60,13 @@
     /// Contents that crash servers.
     pub poison: Mutex<Exchange>,
     /// Idempotency keys reserved on this VM.
-    pub reserved: Mutex<Reserved>,
+    pub reserved: Mutex<ReservedKeys>,
     admission_controllers: Mutex<HashMap<Model, AdmissionController>>,
     /// Number of open dispatches by the revision that they follow.
     open_dispatches: Mutex<BTreeMap<Revision, usize>>,
     rate_buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
-    rating_credit: Mutex<Credit>,
+    rating_credit: Mutex<RatingBudget>,
     /// Moment until which new work may start, in microseconds; 0 if none may.
     start_lease_until: AtomicU64,
     next_request_number: AtomicU64,
@@ -192,7 +192,7 @@
         let mut buckets = self.rate_buckets.lock().expect("no panic while held");
         let bucket =
             buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
-        bucket.take(rate, now)
+        bucket.try_take(rate, now)
     }
 
     /// Calls `f` with the admission controller of the pool of a model.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -45,7 +45,7 @@
         // The VMs start at different moments.
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
         while is_sender(&part, server, name(own), &others) && now < Moment(5_000_000) {
-            now = turns.reserve(&part, now).at;
+            now = turns.reserve(&part, now).send_at;
             all.push(now);
         }
     }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -8,7 +8,7 @@
 use kitepulley::decide::limit::even_share;
 use kitepulley::decide::outcome::{self, AttemptOutcome, FinalResponse, NextAction};
 use kitepulley::decide::outlier::OutlierDetector;
-use kitepulley::decide::placement::{Candidate, least_loaded, soonest};
+use kitepulley::decide::placement::{Candidate, select_least_loaded, select_soonest};
 use kitepulley::decide::prefill::PrefillEstimator;
 use kitepulley::decide::pressure::Pressure;
 use kitepulley::decide::sequential::Count;
@@ -123,7 +123,7 @@
             until_prefilled: Span(u64::from(*micros)), prefill: Span(0),
         };
         let candidates: Vec<Candidate> = loads.iter().map(candidate).collect();
-        let Some(at) = soonest(&candidates, 0) else {
+        let Some(at) = select_soonest(&candidates, 0) else {
             return TestResult::from_bool(candidates.is_empty());
         };
         let best = candidates[at];
@@ -138,7 +138,7 @@
             load: f64::from(*load), slots: 6.0, local: true, until_prefilled: Span(0), prefill: Span(0),
         };
         let candidates: Vec<Candidate> = loads.iter().map(candidate).collect();
-        match least_loaded(&candidates, f64::from(point) / 256.0) {
+        match select_least_loaded(&candidates, f64::from(point) / 256.0) {
             Some(at) => loads.iter().all(|load| *load >= loads[at]),
             None => loads.is_empty(),
         }
@@ -206,8 +206,8 @@
         prefill: Span(0),
     };
     let candidates = [at(true, 150), at(false, 100)];
-    assert_eq!(soonest(&candidates, 1000), Some(1));
-    assert_eq!(soonest(&candidates, 17_000), Some(0));
+    assert_eq!(select_soonest(&candidates, 1000), Some(1));
+    assert_eq!(select_soonest(&candidates, 17_000), Some(0));
 }
 
 fn doubtful(confidence: f64, pressure: f64) -> escalate::Inputs {
@@ -273,12 +273,12 @@
         pressure.record(Span::secs(1), goal, Moment(number * 50_000));
     }
     let at = Moment(1_000_000);
-    assert!((0.4..0.5).contains(&pressure.level(at)), "{}", pressure.level(at));
-    assert!(pressure.level(at + Span::secs(5)) < 0.1);
+    assert!((0.4..0.5).contains(&pressure.mean_wait(at)), "{}", pressure.mean_wait(at));
+    assert!(pressure.mean_wait(at + Span::secs(5)) < 0.1);
     for number in 0..20u64 {
         pressure.record(Span(0), goal, at + Span::millis(number * 50));
     }
-    assert!(pressure.level(at + Span::secs(1)) < 0.2);
+    assert!(pressure.mean_wait(at + Span::secs(1)) < 0.2);
 }
 
 #[test]
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -1,7 +1,7 @@
 //! Which contents are quarantined, decided without a network: crashes and successes in any order,
 //! and the limits of what is remembered.
 
-use kitepulley::decide::poison::{Change, Evidence, OpenRequest, ServerIncarnation};
+use kitepulley::decide::poison::{Evidence, EvidenceChange, OpenRequest, ServerIncarnation};
 use kitepulley::unit::{Digest, Moment, Span, digest};
 use quickcheck::quickcheck;
 
@@ -25,7 +25,7 @@
 
 /// Records crashes of different incarnations under a request, a second apart, and returns the
 /// changes.
-fn crash(evidence: &mut Evidence, request: OpenRequest, crashes: u64) -> Vec<Change> {
+fn crash(evidence: &mut Evidence, request: OpenRequest, crashes: u64) -> Vec<EvidenceChange> {
     let crash = |number: u64| {
         let at = NOW + Span::secs(number);
         evidence.on_crash(request, incarnation(number), at, at)
@@ -37,7 +37,12 @@
 fn three_lives_that_end_under_a_content_hold_it_back() {
     let mut evidence = Evidence::default();
     let changes = crash(&mut evidence, fresh(1), 4);
-    let expected = [Change::Suspected, Change::Suspected, Change::Quarantined, Change::Suspected];
+    let expected = [
+        EvidenceChange::Suspected,
+        EvidenceChange::Suspected,
+        EvidenceChange::Quarantined,
+        EvidenceChange::Suspected,
+    ];
     assert_eq!(changes, expected);
     assert_eq!(evidence.quarantine_crashes(&content(1), NOW + Span::secs(4)), Some(4));
     assert_eq!(evidence.quarantine_crashes(&content(2), NOW), None);
@@ -58,7 +63,7 @@
 fn a_run_that_went_well_for_a_while_is_suspected_less() {
     let mut evidence = Evidence::default();
     let changes = crash(&mut evidence, stable(1), 5);
-    assert_eq!(changes.iter().position(|change| *change == Change::Quarantined), Some(4));
+    assert_eq!(changes.iter().position(|change| *change == EvidenceChange::Quarantined), Some(4));
 }
 
 #[test]
@@ -66,22 +71,28 @@
     let mut evidence = Evidence::default();
     crash(&mut evidence, fresh(1), 3);
     let at = NOW + Span::secs(4);
-    assert_eq!(evidence.on_success(content(1), at, at), Change::Cleared { was_quarantined: true });
+    assert_eq!(
+        evidence.on_success(content(1), at, at),
+        EvidenceChange::Cleared { was_quarantined: true }
+    );
     assert_eq!(evidence.quarantine_crashes(&content(1), at), None);
     // If many callers send the content, it is open at all servers that crash in the next seconds.
     for number in 10..20 {
         assert_eq!(
             evidence.on_crash(fresh(1), incarnation(number), at + Span::secs(9), at),
-            Change::None
+            EvidenceChange::None
         );
     }
     // Other VMs may not know of the success yet.
-    assert_eq!(evidence.on_quarantine_report(content(1), 3, NOW + Span::secs(3), at), Change::None);
+    assert_eq!(
+        evidence.on_quarantine_report(content(1), 3, NOW + Span::secs(3), at),
+        EvidenceChange::None
+    );
     // A success does not clear a content for ever.
     let later = at + Span::secs(40);
     let held =
         (10..13).map(|number| evidence.on_crash(fresh(1), incarnation(number), later, later));
-    assert_eq!(held.last(), Some(Change::Quarantined));
+    assert_eq!(held.last(), Some(EvidenceChange::Quarantined));
 }
 
 #[test]
@@ -94,7 +105,7 @@
     assert!(evidence.is_empty());
     assert_eq!(
         evidence.on_quarantine_report(content(1), 3, NOW, NOW + Span::secs(610)),
-        Change::None
+        EvidenceChange::None
     );
 }
 
@@ -124,11 +135,11 @@
     let last = Moment(now.0 - reports[0].age.0);
     assert_eq!(
         other.on_quarantine_report(reports[0].content, reports[0].crashes, last, now),
-        Change::Quarantined
+        EvidenceChange::Quarantined
     );
     assert_eq!(
         other.on_quarantine_report(reports[0].content, reports[0].crashes, last, now),
-        Change::None
+        EvidenceChange::None
     );
     assert_eq!(other.quarantine_crashes(&content(1), now), Some(3));
     assert_eq!(other.quarantine_crashes(&content(1), last + Span::secs(601)), None);
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -401,7 +401,7 @@
         let mut pacer = Pacer::default();
         let mut now = Moment(own as u64 * 7_919 % 1_000_000);
         while is_sender(&share, server, name(own), &others) && now < Moment(20_000_000) {
-            now = pacer.reserve(&share, now).at;
+            now = pacer.reserve(&share, now).send_at;
             all.push(now);
         }
     }
@@ -441,13 +441,13 @@
             now = now + Span::millis(u64::from(amount % 700));
             let share = Share::new(&RateLimit::advertised(Rate(f64::from(kind) / 10.0)), 1);
             let reservation = pacer.reserve(&share, now);
-            if last.is_some_and(|last| reservation.at.since(last) < share.interval) {
+            if last.is_some_and(|last| reservation.send_at.since(last) < share.interval) {
                 return false;
             }
             match kind % 3 {
                 0 => pacer.release(reservation),
                 _ => {
-                    now = now.max(reservation.at) + Span::millis(u64::from(kind % 50));
+                    now = now.max(reservation.send_at) + Span::millis(u64::from(kind % 50));
                     pacer.on_send(now);
                     last = Some(now);
                 }
