--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -7,44 +7,48 @@
 use super::limit::ConcurrencyLimit;
 use crate::unit::{Moment, Span, Workspace};
 
-/// Time between two updates of demand and limit.
+/// Time between two updates of the measured demand of workspaces and of the concurrency limit.
 const UPDATE_INTERVAL: Span = Span::millis(200);
 
-/// Weight of the latest sample in the moving averages.
+/// Weight of the latest sample in the moving averages of rates and of running requests.
 const SMOOTHING_FACTOR: f64 = 0.3;
 
 /// Upper bound of the concurrency limit of one VM for one pool.
 const MAX_CONCURRENCY: f64 = 100_000.0;
 
-/// Fair shares are enforced while more than this fraction of the limit is in use.
+/// Fraction of the concurrency limit in use from which fair shares of workspaces are enforced.
 const CROWDED_THRESHOLD: f64 = 0.85;
 
-/// Every workspace may hold this many slots, however small its fair share.
+/// Number of concurrent requests that every workspace may have, however small its fair share.
 const MIN_FAIR_SHARE: f64 = 2.0;
 
-/// A request is assumed to take up to this many times the mean duration.
+/// Factor on the mean duration of requests for the time that a new request is assumed to need.
 const MAX_DURATION_FACTOR: f64 = 2.0;
 
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded in time.
+    /// The request succeeded in time.
     Good,
-    /// It ended late or without a response.
+    /// The request ended late or without a response.
     Bad,
-    /// Every back end that was tried was full.
+    /// Every backend server that was tried was full.
     Full,
     /// The outcome says nothing about the pool: the caller disconnected, or the request was
     /// invalid.
     Unrelated,
 }
 
+/// Requests of one workspace to the pool.
 #[derive(Clone, Copy, Debug, Default)]
 struct Demand {
+    /// Weight of the workspace in the division of the limit.
     weight: f64,
+    /// Requests since the last update, admitted or not.
     offered: f64,
     rate: f64,
     running: f64,
+    /// Number of concurrent requests that is the workspace's fair share of the limit.
     share: f64,
 }
 
@@ -53,18 +57,21 @@
 pub struct AdmissionController {
     concurrency: ConcurrencyLimit,
     running: f64,
+    /// Admitted requests that ended since the last update.
     ended: f64,
-    /// Admitted requests that end per second, and that run at once, as moving averages.
+    /// Admitted requests that end per second, as a moving average.
     rate: f64,
+    /// Admitted requests that run at once, as a moving average.
     mean_running: f64,
+    /// Mean time in seconds that a request runs.
     mean_duration: f64,
     updated_at: Moment,
     demands: BTreeMap<Workspace, Demand>,
 }
 
 impl AdmissionController {
-    /// Creates a controller for a pool of `slots`. The initial limit assumes that this VM is the
-    /// only one.
+    /// Creates a controller for a pool whose back ends run `slots` requests at once. The initial
+    /// limit assumes that no other VM sends to the pool.
     pub fn new(slots: f64) -> AdmissionController {
         AdmissionController {
             concurrency: ConcurrencyLimit::new(slots, MAX_CONCURRENCY),
@@ -78,8 +85,8 @@
         }
     }
 
-    /// Returns true if the request is admitted. The share of its workspace is proportional to
-    /// `weight`.
+    /// Returns true if a request of `workspace` is admitted, and then counts it as running. While
+    /// the pool is nearly full, the fair share of the workspace is proportional to `weight`.
     pub fn try_admit(&mut self, workspace: &Workspace, weight: f64, now: Moment) -> bool {
         self.update(now);
         let crowded = self.running >= CROWDED_THRESHOLD * self.concurrency.limit();
@@ -116,12 +123,13 @@
         }
     }
 
-    /// Returns true if a request is expected to end before `deadline`.
+    /// Returns true if a request that starts now is expected to end before `deadline`, from the
+    /// mean duration of recent requests.
     pub fn can_meet_deadline(&self, now: Moment, deadline: Moment) -> bool {
         now + Span((self.mean_duration * MAX_DURATION_FACTOR * 1e6) as u64) < deadline
     }
 
-    /// Returns the current concurrency limit.
+    /// Returns how many requests of this VM may run at the pool at once.
     pub fn concurrency_limit(&self) -> f64 {
         self.concurrency.limit()
     }
--- a/src/decide/availability.rs
+++ b/src/decide/availability.rs
@@ -1,9 +1,9 @@
-//! Availability of one incarnation of a backend server, derived from its entry, the headers of its
-//! responses and the outcome of attempts.
+//! Decides if one incarnation (process lifetime) of a backend server may get requests, from its
+//! entry in the platform's store, the headers of its responses and the outcome of attempts.
 //!
 //! What a server announces about itself (that it is draining, or asks for a backoff) binds every VM
 //! that received it and is never overridden. What a VM only infers from failures may be wrong, and
-//! is ignored where no other server is left.
+//! is ignored if no other server is left.
 
 use std::fmt;
 
@@ -12,17 +12,18 @@
 use super::server_limit::KnownLimit;
 use crate::unit::{Moment, Span};
 
-/// The longest backoff that is honoured. A server that sends a wrong number gets requests again
-/// after it; operators would take a longer backoff for an outage and remove the server.
+/// Maximum backoff that a VM grants a server. A server that asks for a longer one by mistake gets
+/// requests again after this time; operators would take a longer backoff for an outage and remove
+/// the server.
 const MAX_BACKOFF: Span = Span::secs(600);
 
-/// Callers that are refused because all servers back off are spread over this time after the first
-/// backoff ends, so that they don't all return at once.
+/// Callers that are refused because all servers back off are told to retry at random times within
+/// this span after the first backoff ends, so that they don't all return at once.
 const RETRY_SPREAD: Span = Span::millis(500);
 
-/// A server whose backoff is over gets one request at a time until it accepts one. A probe without
-/// a response counts for this long only: response headers of a server that has room arrive within
-/// some ten milliseconds.
+/// After its backoff a server gets one request at a time, a probe, until it accepts one. If a probe
+/// has no response after this time, the next may follow: response headers of a server that has room
+/// arrive within some ten milliseconds.
 const PROBE_TIMEOUT: Span = Span::millis(250);
 
 /// What the headers of one response say about the state of its server.
@@ -30,32 +31,34 @@
 pub struct Signal {
     /// True if the server is draining and accepts no new requests.
     pub draining: bool,
-    /// How long the server asks to get no requests, if it does.
+    /// Time for which the server asks to get no requests; none if it does not ask.
     pub backoff: Option<Span>,
 }
 
 /// Why a server may not receive requests now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// It announced, or its entry did, this long ago that it is draining.
+    /// The server, or its entry in the store, announced this long ago that it is draining.
     Draining(Span),
-    /// Its entry was removed, or a later incarnation started.
+    /// The server's entry was removed from the store, or a later incarnation of the server started.
     Removed,
-    /// Another server answered at its address.
+    /// Another server answered at the address of this one.
     AddressReused,
-    /// An operator's order evacuates its data centre.
+    /// An operator's order evacuates the data centre of the server.
     Evacuated,
-    /// It asked for a backoff, which lasts this much longer.
+    /// The server asked for a backoff, which lasts this much longer.
     BackingOff(Span),
-    /// Its backoff is over and a probe request is under way; the next may follow after this time.
+    /// The server's backoff is over and a probe request is under way; the next may follow after
+    /// this time.
     Probing(Span),
-    /// It failed recently and stays ejected for this much longer.
+    /// Attempts at the server failed recently, and it stays ejected for this much longer.
     Ejected(Span),
 }
 
 impl Unavailable {
-    /// Returns true if the reason holds even where no other server is left. That another server
-    /// uses its address is only inferred, from a refusal that can have other causes.
+    /// Returns true if the server may not be used even if no other server is left. `Ejected` is
+    /// only inferred from failures, and `AddressReused` from a refusal that can have other causes,
+    /// so they are not hard.
     pub fn is_hard(self) -> bool {
         !matches!(self, Unavailable::Ejected(_) | Unavailable::AddressReused)
     }
@@ -83,21 +86,22 @@
     }
 }
 
-/// Returns when a refused caller should retry, given how long each server stays unavailable;
-/// `random` is between 0 and 1.
+/// Returns the time after which a refused caller should retry, given how much longer each server
+/// backs off; `random`, uniform from 0 to 1, spreads the callers. None if `backoffs` is empty.
 pub fn retry_after(backoffs: impl Iterator<Item = Span>, random: f64) -> Option<Span> {
     backoffs.min().map(|left| Span(left.0 + RETRY_SPREAD.mul_f64(random).0))
 }
 
-/// What is known about one incarnation of a server. A new incarnation starts with an empty state.
+/// What one VM knows about the availability of one incarnation of a server. A new incarnation
+/// starts with an empty state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Availability {
-    /// Rate limit that the server advertises to all VMs together.
+    /// Rate limit that the server advertises in response headers, for all VMs together.
     pub rate_limit: KnownLimit,
     outliers: OutlierDetector,
-    /// Since when its entry in the store marks it as draining.
+    /// Time since which the server's entry in the store marks it as draining.
     entry_draining_since: Option<Moment>,
-    /// Since when the server itself has announced that it is draining.
+    /// Time since which the server itself has announced that it is draining.
     signalled_draining_since: Option<Moment>,
     backoff_until: Option<Moment>,
     probed_at: Option<Moment>,
@@ -105,16 +109,18 @@
 }
 
 impl Availability {
-    /// Applies its entry in the store, which a later entry may revert. No entry reverts what the
-    /// server itself announced, since the entry may be older.
+    /// Applies the server's entry in the store: an entry that is not `ready` marks the server as
+    /// draining, and a later one may revert that. No entry reverts what the server itself
+    /// announced, since the entry may be older.
     pub fn apply_entry(&mut self, ready: bool, now: Moment) {
         self.entry_draining_since = (!ready).then(|| self.entry_draining_since.unwrap_or(now));
     }
 
-    /// Applies the headers of a response and returns true if they change anything. Of two backoffs
-    /// the later end holds, since responses on several connections overtake each other.
+    /// Applies the headers of a response and returns true if they change the server's drain or
+    /// backoff. Of two backoffs the one that ends later counts, since responses on several
+    /// connections overtake each other.
     pub fn observe(&mut self, signal: Signal, now: Moment) -> bool {
-        // A response after the backoff that asks for no other one ends it.
+        // A response after the end of the backoff that asks for no further one clears it.
         if signal.backoff.is_none() && self.backoff_until.is_some_and(|until| until <= now) {
             (self.backoff_until, self.probed_at) = (None, None);
         }
@@ -130,25 +136,26 @@
         previous != (self.signalled_draining_since, self.backoff_until)
     }
 
-    /// Records that a request is sent to the server.
+    /// Records that a request is sent to the server; during or after a backoff the request counts
+    /// as a probe.
     pub fn on_send(&mut self, now: Moment) {
         if self.backoff_until.is_some() {
             self.probed_at = Some(now);
         }
     }
 
-    /// Records that another server answered at its address.
+    /// Records that another server answered at the address of this one.
     pub fn mark_address_reused(&mut self) {
         self.address_reused = true;
     }
 
-    /// Records the outcome of an attempt; `pool_failure_rate` is that of the whole pool. Returns
-    /// true if the server is ejected as a result.
+    /// Records the outcome of an attempt at the server; `pool_failure_rate` is the recent share of
+    /// failures at all servers of its pool. Returns true if the server is ejected as a result.
     pub fn record(&mut self, end: AttemptOutcome, pool_failure_rate: f64, now: Moment) -> bool {
         self.outliers.record(end, pool_failure_rate, now)
     }
 
-    /// Returns the recent share of its responses that were failures.
+    /// Returns the recent share of the server's responses that were failures, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.outliers.failure_rate()
     }
@@ -163,7 +170,8 @@
         announced.into_iter().flatten().min()
     }
 
-    /// Returns why the server may not receive requests now, hard reasons first.
+    /// Returns the first reason that applies why the server may not receive requests now, or none
+    /// if it may.
     pub fn unavailable_reason(&self, now: Moment) -> Option<Unavailable> {
         let left = |until: Moment| Some(until.since(now)).filter(|left| *left > Span(0));
         let draining =
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -1,10 +1,11 @@
-//! Decides the next step of a roll-out that has a time limit: a small share of sessions while the
-//! new version does no worse than the old, all sessions at the very end, and a rollback as soon as
-//! it does worse.
+//! Decides the next step of a roll-out that has a time limit: a small share of sessions uses the
+//! new version while its answers are no worse than those of the old one, all sessions do at the
+//! very end, and the roll-out is rolled back as soon as the new version is worse.
 //!
-//! Some versions fail only under a load or at a time that the trial does not meet. So all sessions
-//! move as late as the time limit allows, and even a bad version that no test detects has then
-//! received less than its bounded share of the requests.
+//! An answer is bad if it failed or is slow, by the signal that a comparison counts. Some versions
+//! fail only under a load or at a time that the trial does not meet. So all sessions move as late
+//! as the time limit allows, and even a bad version that no test detects has then received less
+//! than its bounded share of the requests.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,73 +13,82 @@
 use crate::forward::replica::Phase;
 use crate::unit::Span;
 
-/// Share of sessions that try the new version first, as a fraction of the exposure bound, and its
-/// maximum. With a smaller share a short trial gets too few answers of each kind of request.
+/// Share of sessions that try the new version first, as a fraction of the exposure bound (the share
+/// of requests that a bad version may get). With a smaller share a short trial gets too few answers
+/// of each kind of request.
 const FIRST_SHARE_PER_EXPOSURE: f64 = 0.4;
+/// Maximum share of sessions that try the new version first.
 const MAX_FIRST_SHARE: f64 = 0.1;
 
 /// Part of the time limit for which all sessions use the new version, as a fraction of the exposure
-/// bound. Together with the first share and the harm that operators tolerate it keeps the bound.
+/// bound. Together with the first share and the harm that operators tolerate, this value keeps
+/// exposure below the bound.
 const FULL_SHARE_TIME_PER_EXPOSURE: f64 = 0.3;
 
-/// Time reserved at the end for writing the completion, as a fraction of the time limit, and its
-/// minimum. VMs check a few times a second, and a write may be lost once.
+/// Time reserved at the end of a roll-out for writing its completion, as a fraction of the time
+/// limit. VMs check a few times a second, and a write may be lost once.
 const COMPLETION_MARGIN_FRACTION: f64 = 0.04;
+/// Minimum time reserved for writing the completion of a roll-out.
 const MIN_COMPLETION_MARGIN: Span = Span::millis(700);
 
-/// Maximum delay until a VM sees an order, also as a fraction of the time at full share. VMs count
-/// from when they see the order: a store reports changes after up to 0.8 s, and the next watch
-/// begins up to 0.25 s after the last. The completion is written earlier by this delay; without it
-/// a roll-out of 24 s that was seen 0.97 s late completed 0.21 s after its limit.
+/// Maximum delay until a VM sees the order of a roll-out. VMs measure the time limit from when they
+/// see the order: a store reports changes after up to 0.8 s, and the next watch begins up to 0.25 s
+/// after the last. The completion is written earlier by this delay; without it a roll-out of 24 s
+/// that was seen 0.97 s late completed 0.21 s after its limit.
 const MAX_ORDER_DELAY: Span = Span::secs(1);
+/// Maximum of the assumed delay, as a fraction of the time in which all sessions use the new
+/// version.
 const MAX_ORDER_DELAY_FRACTION: f64 = 0.6;
 
-/// Delay of the first sessions on the new version, and its maximum as a fraction of the time limit.
-/// VMs see an order within 0.8 s and then tell each other which sessions are pinned to the old
-/// version.
+/// Delay of the first sessions on the new version after the order. VMs see an order within 0.8 s
+/// and then send each other the sessions that are pinned to the old version.
 const FIRST_SESSIONS_DELAY: Span = Span::millis(1200);
+/// Maximum of [`FIRST_SESSIONS_DELAY`], as a fraction of the time limit of the roll-out.
 const MAX_FIRST_SESSIONS_DELAY_FRACTION: f64 = 0.06;
 
-/// Answers of the new version needed before the share rises.
+/// Answers of the new version that must have been seen before its share of sessions rises.
 const MIN_ANSWERS: f64 = 8.0;
 
-/// Evidence against a version, on the scale of [`ROLLBACK_EVIDENCE`], at which it is not promoted.
-/// After the promotion there is no way back, while a version that must wait for another order costs
-/// little. Many VMs check, each on what its neighbours saw: at 1.1 one of 91 VMs doubted a good
-/// version.
+/// Evidence against a version, on the scale of [`ROLLBACK_EVIDENCE`], above which the version is
+/// not promoted. A promotion can't be reverted, while a version that must wait for another order
+/// costs little. Many VMs check, each with the answers that its neighbours saw: with a threshold of
+/// 1.1, one of 91 VMs doubted a good version.
 const DOUBT_EVIDENCE: f64 = 3.0;
 
-/// The same per answer seen. A version that fails half of the answers on one of three routes has
-/// ten times this after as many answers, so little evidence from many answers is chance, given
-/// sixteen tests. Of twelve good versions one was rolled back at 4.2 of 119 answers, and one on a
-/// calm day at 3.2 of 558; of 48 bad ones one was found by this limit, at 4.2 of 53.
+/// Evidence per answer seen, at or below which evidence does not prevent a promotion. A version
+/// that fails half of the answers on one of three routes has ten times this after as many answers,
+/// so little evidence from many answers is chance, given sixteen tests. Of twelve good versions one
+/// was rolled back at 4.2 of 119 answers, and one on a calm day at 3.2 of 558; of 48 bad ones one
+/// was found by this limit, at 4.2 of 53 answers.
 const DOUBT_EVIDENCE_PER_ANSWER: f64 = 0.04;
 
 /// Evidence at which a version is rolled back: the log of the inverse of the false positive rate, a
 /// thousandth for one test however often it is looked at.
 pub const ROLLBACK_EVIDENCE: f64 = 6.9;
 
-/// Share of bad answers that is always tolerated.
+/// Share of bad answers that is tolerated even if the old version has fewer.
 const BASELINE_BAD_SHARE: f64 = 0.03;
 
-/// Minimum excess of the share of bad answers over the old version's, absolute and relative to the
-/// old share. A smaller excess does no harm that matters however certain it is, since the servers
-/// of a new version hold no prompts at first. Of 944 answers of a good version that 295 VMs had
-/// seen together the evidence against it was 2.8, close to the 3.0 at which it is rolled back.
+/// Minimum excess of the new version's share of bad answers over the old version's that counts as
+/// harm. A smaller excess does not matter however certain it is, since the servers of a new version
+/// have no prompts cached at first. In 944 answers of a good version that 295 VMs had seen
+/// together, the evidence against the version was 2.8, close to the 3.0 at which it is rolled back.
 const MIN_HARM: f64 = 0.05;
+/// [`MIN_HARM`] relative to the old version's share of bad answers; the larger of both applies.
 const MIN_HARM_FRACTION: f64 = 0.25;
 
-/// The same minimum for slow answers. The few servers of a version under trial have longer queues
-/// than the many of the old one, among which a prompt finds an idle server: on a calm day of 84 VMs
-/// with 6 of 140 servers in the trial, 24 in 100 answers of a good version were slow at the first
-/// level and 14 of the old one's, and it was rejected (evidence 7.3 of 256 answers). Of a version
-/// that is slow for half of its requests, half are.
+/// [`MIN_HARM`] for slow answers. The few servers of a version under trial have longer queues than
+/// the many of the old one, among which a prompt finds an idle server: on a calm day of 84 VMs with
+/// 6 of 140 servers in the trial, 24 in 100 answers of a good version exceeded the first latency
+/// threshold and 14 in 100 of the old one, and the good version was rejected (evidence 7.3 of 256
+/// answers). Of a version that is slow for half of its requests, 50 in 100 answers are slow.
 const MIN_SLOWNESS_HARM: f64 = 0.15;
 
-/// Bad answers needed before there is any evidence against a version.
+/// Number of bad answers of a version below which there is no evidence against it.
 const MIN_BAD_ANSWERS: f64 = 3.0;
 
-/// Answers of the new and the old version, counted by one way of being bad.
+/// Answers of the new and the old version of a roll-out. A bad answer is one that failed, or one
+/// that exceeded one latency threshold, depending on the comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
     /// Answers of the new version.
@@ -93,14 +103,14 @@
         Comparison { new: self.new.plus(other.new), old: self.old.plus(other.old) }
     }
 
-    /// Returns the evidence that the new version is worse, as a log likelihood ratio; zero while it
-    /// has few bad answers or its excess of them is too small to matter.
+    /// Returns the evidence that the new version is worse, as a log likelihood ratio; zero while
+    /// the new version has few bad answers, or hardly a larger share of them than the old one.
     pub fn evidence(&self) -> f64 {
         self.evidence_beyond(MIN_HARM)
     }
 
-    /// Returns the evidence if the bad answers are slow ones, for which the minimum excess is
-    /// larger.
+    /// Returns the evidence that the new version is worse if the bad answers are slow ones, for
+    /// which a larger excess counts as harm.
     pub fn evidence_of_slowness(&self) -> f64 {
         self.evidence_beyond(MIN_SLOWNESS_HARM)
     }
@@ -120,37 +130,39 @@
     }
 }
 
-/// Next status to write to the store.
+/// What a VM does next for a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing to write yet.
+    /// Write nothing to the store yet.
     Hold,
-    /// Write this phase.
+    /// Write this phase to the status of the roll-out in the store.
     Move(Phase),
 }
 
-/// What one VM knows of a roll-out.
+/// What one VM knows of a roll-out: the inputs of [`next_step`].
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
-    /// Present phase; none before the first step.
+    /// Present phase of the roll-out; none before the first step.
     pub phase: Option<Phase>,
-    /// Time since this VM saw the order.
+    /// Time since this VM saw the order of the roll-out.
     pub order_age: Span,
-    /// Time limit of the roll-out.
+    /// Time after the order by which the roll-out must be complete.
     pub time_limit: Span,
-    /// Exposure bound: share of requests that a bad version may get.
+    /// Exposure bound: maximum share of requests, over the whole roll-out, that a bad version may
+    /// get.
     pub max_exposure: f64,
-    /// Servers of the new version that are ready.
+    /// Number of servers of the new version that are ready.
     pub ready_servers: usize,
     /// True once the trial has found the version bad.
     pub is_found_bad: bool,
-    /// Answers of the new version that were seen.
+    /// Number of answers of the new version that this VM knows of, its own and those reported by
+    /// other VMs.
     pub answers_seen: f64,
-    /// Evidence against it, on the scale of [`ROLLBACK_EVIDENCE`].
+    /// Evidence against the new version, on the scale of [`ROLLBACK_EVIDENCE`].
     pub evidence: f64,
 }
 
-/// Returns the next step of a roll-out.
+/// Returns the next step of a roll-out, from what this VM knows of it.
 pub fn next_step(inputs: &Inputs) -> Step {
     let completion_margin = (inputs.time_limit.0 as f64 * COMPLETION_MARGIN_FRACTION)
         .max(MIN_COMPLETION_MARGIN.0 as f64);
@@ -185,25 +197,28 @@
     }
 }
 
-/// Returns the time until all VMs have seen an order and each other's pinned sessions.
+/// Returns the delay from an order to the first sessions on the new version, in which all VMs see
+/// the order and each other's pinned sessions.
 fn first_sessions_delay(within: Span) -> Span {
     FIRST_SESSIONS_DELAY.min(within.mul_f64(MAX_FIRST_SESSIONS_DELAY_FRACTION))
 }
 
-/// Returns a step towards the new version, or a rollback if the evidence against it is too strong.
+/// Returns the step to `phase`, or to a rollback if the evidence against the new version is too
+/// strong for a promotion.
 fn advance_unless_doubted(inputs: &Inputs, phase: Phase) -> Step {
     let is_doubted =
         inputs.evidence > DOUBT_EVIDENCE.max(inputs.answers_seen * DOUBT_EVIDENCE_PER_ANSWER);
     Step::Move(if is_doubted { Phase::RolledBack } else { phase })
 }
 
-/// Returns how many servers of the new version get its requests: few enough that each is about as
-/// busy as a server of the old version, since some versions fail only under load.
+/// Returns how many of the `servers` of the new version get requests at a `share` of the sessions:
+/// few enough that each is about as busy as a server of the old version, since some versions fail
+/// only under load.
 pub fn trial_servers(share: f64, servers: usize) -> usize {
     ((share * servers as f64).ceil() as usize).clamp(1, servers.max(1))
 }
 
-/// Returns the share of sessions that try the new version first.
+/// Returns the share of sessions that use the new version in its trial, for an exposure bound.
 pub fn first_share(exposure: f64) -> f64 {
     (exposure * FIRST_SHARE_PER_EXPOSURE).min(MAX_FIRST_SHARE)
 }
--- a/src/decide/cascade/estimate.rs
+++ b/src/decide/cascade/estimate.rs
@@ -1,23 +1,29 @@
-//! Estimates the quality of each rung for each kind of work: smoothed ratings and their standard
-//! errors.
+//! Estimates the pass rates of both rungs of a cascade for each kind of work, with their standard
+//! errors. Kinds with few ratings borrow from the others.
 
 use super::rating::explore_probability;
 use super::{CONFIDENCE_BINS, Observations, PRIOR_RATINGS, Ratings, Rungs};
 
-/// Smoothed estimates for one kind of work.
+/// Estimates for one kind of work. The arrays are indexed by confidence bin.
 #[derive(Clone, Debug)]
 pub(super) struct Estimate {
     pub(super) explore_probability: f64,
+    /// Share of the kind in all requests.
     pub(super) weight: f64,
+    /// Share of cheap answers in each bin.
     pub(super) confidence_shares: [f64; CONFIDENCE_BINS],
     pub(super) cheap_pass_rate: [f64; CONFIDENCE_BINS],
+    /// Standard error of `cheap_pass_rate`.
     pub(super) cheap_error: [f64; CONFIDENCE_BINS],
     pub(super) strong_pass_rate: [f64; CONFIDENCE_BINS],
+    /// Standard error of `strong_pass_rate`.
     pub(super) strong_error: [f64; CONFIDENCE_BINS],
     pub(super) direct_pass_rate: f64,
+    /// Standard error of `direct_pass_rate`.
     pub(super) direct_error: f64,
 }
 
+/// Returns the estimates of each kind of work, in the order of `observations`.
 pub(super) fn estimate(observations: &[Observations], rungs: &Rungs) -> Vec<Estimate> {
     let pooled = pooled_pass_rates(observations, rungs);
     let strong = strong_ratings_of(observations);
@@ -28,7 +34,7 @@
         .collect()
 }
 
-/// Returns the sum of all ratings of strong answers.
+/// Returns the sum of all ratings of strong answers, escalated and direct ones, over all kinds.
 fn strong_ratings_of(observations: &[Observations]) -> Ratings {
     let cells = observations.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
     cells.fold(Ratings::default(), |sum, cell| Ratings {
@@ -37,11 +43,12 @@
     })
 }
 
-/// Maximum weight, in ratings, of the other kinds in the estimate of the strong rung, which differs
-/// little between kinds.
+/// Maximum weight, in ratings, of all kinds together in a kind's estimate of the strong rung, whose
+/// pass rate differs little between kinds.
 const MAX_POOLED_RATINGS: f64 = 80.0;
 
-/// Returns the pass rate of each bin over all kinds, the prior curve of a kind with few ratings.
+/// Returns the cheap rung's pass rate in each confidence bin over all kinds of work. It is the
+/// prior of a kind with few ratings.
 fn pooled_pass_rates(observations: &[Observations], rungs: &Rungs) -> [f64; CONFIDENCE_BINS] {
     let mut pooled = [0.0; CONFIDENCE_BINS];
     let mut weights = [0.0; CONFIDENCE_BINS];
@@ -51,8 +58,8 @@
             cell.all += observed.cheap[i].all;
             cell.pass += observed.cheap[i].pass;
         }
-        // The prior gives confidence half the weight, so that it is trusted a little before any
-        // rating.
+        // The prior weighs the confidence itself by half, so that confidence is trusted a little
+        // before any rating.
         let middle = (i as f64 + 0.5) / CONFIDENCE_BINS as f64;
         let prior = (rungs.cheap_quality * 0.5 + middle * 0.5).min(rungs.cheap_quality);
         *share = cell.smoothed_rate(prior);
@@ -62,8 +69,8 @@
     smooth(&pooled)
 }
 
-/// Averages each bin with its neighbours: the steps that an isotonic fit leaves are chance, not
-/// part of the curve.
+/// Averages each confidence bin with its neighbours: the steps that an isotonic fit leaves are
+/// chance.
 fn smooth(values: &[f64; CONFIDENCE_BINS]) -> [f64; CONFIDENCE_BINS] {
     let mut smoothed = *values;
     for i in 1..CONFIDENCE_BINS - 1 {
@@ -72,13 +79,15 @@
     smoothed
 }
 
-/// Weight, in ratings, of the prior that a kind has the level of all kinds.
+/// Weight, in ratings, of the prior that a kind of work is as hard as all kinds together.
 const LEVEL_PRIOR_RATINGS: f64 = 4.0;
 
-/// Newton iterations for a kind's level.
+/// Number of Newton iterations that fit how much easier or harder a kind of work is than all kinds
+/// together.
 const NEWTON_STEPS: usize = 6;
 
-/// Shifts the curve over all kinds, in log-odds, to the level of a kind's own ratings.
+/// Shifts the pass rates over all kinds by the same log-odds in each bin, so that they fit the
+/// kind's own ratings best.
 fn shift_to_level(
     pooled: &[f64; CONFIDENCE_BINS],
     cells: &[Ratings; CONFIDENCE_BINS],
@@ -153,8 +162,8 @@
     }
 }
 
-/// Isotonic regression by pooling adjacent violators: a more confident answer is not likelier to be
-/// poor.
+/// Makes the values non-decreasing with confidence (isotonic regression by pooling adjacent
+/// violators), as a more confident answer is not likelier to be poor.
 fn fit_monotone(values: &mut [f64; CONFIDENCE_BINS], weights: &[f64; CONFIDENCE_BINS]) {
     let mut blocks: [(f64, f64, usize); CONFIDENCE_BINS] = [(0.0, 0.0, 0); CONFIDENCE_BINS];
     let mut count = 0;
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -1,9 +1,16 @@
-//! Decides with which rung a cascade begins and whether it escalates: least cost at the quality
-//! target.
+//! Decides with which model a cascade begins and if it escalates to the next one, so that the cost
+//! is least at the quality target.
 //!
-//! A Lagrange multiplier prices quality in money. At that price each answer is kept or escalated by
-//! comparing the expected cost and quality of both. The solver finds the least multiplier whose
-//! expected quality, less a bound on the uncertainty, meets the target.
+//! A cascade has *rungs*: a cheap model that answers first, and a strong one that answers instead
+//! if the cheap answer is discarded (*escalated*). *Direct* requests begin with the strong rung. An
+//! engine states a *confidence* from 0 to 1 with each answer, which is counted in
+//! [`CONFIDENCE_BINS`] bins. Some answers are *rated* by an external service: they pass or don't
+//! pass, and the *quality* is the share that passes. A *kind* of work is a class of requests that
+//! the client names.
+//!
+//! A Lagrange multiplier prices quality in money. At that price each cheap answer is kept or
+//! escalated, whichever costs less with its expected quality counted as money. The solver finds the
+//! least multiplier whose expected quality, less a bound on the uncertainty, meets the target.
 
 mod estimate;
 mod rating;
@@ -12,35 +19,38 @@
 
 pub use rating::{Answer, DriftDetector, RatingBudget, rating_value};
 
-/// Number of bins of an engine's confidence.
+/// Number of bins in which the confidence of answers, from 0 to 1, is counted.
 pub const CONFIDENCE_BINS: usize = 16;
 
-/// Weight, in ratings, of the prior in each bin: the curve over all kinds, shifted to the level of
-/// the kind.
+/// Weight, in ratings, of the prior of a pass rate. The prior of a confidence bin is the rate over
+/// all kinds of work, shifted to the level of the kind.
 const PRIOR_RATINGS: f64 = 10.0;
 
-/// Margin, in standard errors, between the expected quality and the target.
+/// Margin that is kept between the expected quality and the target, in standard errors of the
+/// expectation.
 const CAUTION_ERRORS: f64 = 0.6;
 
-/// Minimum margin between the expected quality and the target.
+/// Margin that is kept between the expected quality and the target in addition to
+/// [`CAUTION_ERRORS`].
 const QUALITY_SLACK: f64 = 0.001;
 
-/// Maximum number of bisections in the search for the multiplier.
+/// Maximum number of bisections in the search for the Lagrange multiplier.
 const MAX_BISECTIONS: usize = 40;
 
-/// Maximum multiplier, in costs of a strong answer.
+/// Maximum of the Lagrange multiplier, the price of quality, in costs of a strong answer.
 const MAX_PRICE_FACTOR: f64 = 1e4;
 
-/// Number of ratings and of those that passed, decayed with age.
+/// Number of ratings, and how many of them passed. Old ratings count less than 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ratings {
-    /// Ratings.
+    /// Number of ratings, those that passed included.
     pub all: f64,
-    /// Ratings that passed.
+    /// Number of ratings that passed.
     pub pass: f64,
 }
 
 impl Ratings {
+    /// Returns the share that passed, shrunk towards `prior` while there are few ratings.
     fn smoothed_rate(self, prior: f64) -> f64 {
         (self.pass + PRIOR_RATINGS * prior) / (self.all + PRIOR_RATINGS)
     }
@@ -50,35 +60,37 @@
         self.pass *= kept;
     }
 
-    /// Adds a rating.
+    /// Adds one rating.
     pub fn add(&mut self, pass: bool) {
         self.all += 1.0;
         self.pass += f64::from(u8::from(pass));
     }
 }
 
-/// Returns the bin of a confidence from 0 to 1.
+/// Returns the index of the bin of a confidence from 0 to 1.
 pub fn confidence_bin(confidence: f64) -> usize {
     ((confidence * CONFIDENCE_BINS as f64) as usize).min(CONFIDENCE_BINS - 1)
 }
 
-/// Observations of one kind of work in one workspace, for a cheap and a strong rung.
+/// Numbers observed for one kind of work in one workspace, from which the rule of the kind is made.
+/// They are decayed, so that recent requests and ratings count most.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observations {
-    /// Requests of this kind.
+    /// Number of requests of the kind of work.
     pub requests: f64,
-    /// Answers of the cheap rung by bin of confidence.
+    /// Number of answers of the cheap rung, by bin of their confidence.
     pub confidence_counts: [f64; CONFIDENCE_BINS],
-    /// Ratings of cheap answers by bin of confidence.
+    /// Ratings of answers of the cheap rung, by bin of their confidence.
     pub cheap: [Ratings; CONFIDENCE_BINS],
-    /// Ratings of strong answers by the confidence of the cheap answer before.
+    /// Ratings of answers of the strong rung after an escalation, by the confidence bin of the
+    /// cheap answer before.
     pub strong: [Ratings; CONFIDENCE_BINS],
-    /// Ratings of strong answers of requests that began with the strong rung.
+    /// Ratings of answers of the strong rung to requests that began with it.
     pub direct: Ratings,
 }
 
 impl Observations {
-    /// Decays all observations to the part `kept`.
+    /// Multiplies all numbers by `kept`, from 0 to 1, so that later observations weigh more.
     pub fn decay(&mut self, kept: f64) {
         self.requests *= kept;
         self.confidence_counts.iter_mut().for_each(|seen| *seen *= kept);
@@ -87,7 +99,8 @@
         self.direct.decay(kept);
     }
 
-    /// Discounts most ratings, since recent ones no longer agree with them.
+    /// Discounts the ratings to [`KEPT_AFTER_ALARM`]. Called after an alarm of the
+    /// [`DriftDetector`], when recent ratings no longer agree with older ones.
     pub fn discount(&mut self) {
         self.cheap.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
         self.strong.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
@@ -95,33 +108,34 @@
     }
 }
 
-/// Decay of the ratings of a kind with each further rating.
+/// Factor by which the observations of a kind of work decay with each further rating.
 pub const RATING_DECAY: f64 = 0.9995;
 
-/// Part of the ratings that is kept after an alarm; little, so that caution returns at once.
+/// Fraction of the ratings that is kept after a drift alarm; little, so that rules become cautious
+/// at once.
 const KEPT_AFTER_ALARM: f64 = 0.08;
 
-/// Cost and declared quality of the rungs.
+/// Cost and declared quality of the two rungs of a cascade.
 #[derive(Clone, Copy, Debug)]
 pub struct Rungs {
-    /// Cost of a cheap answer.
+    /// Cost of an answer of the cheap rung, in any unit of money that both costs share.
     pub cheap_cost: f64,
-    /// Cost of a strong answer.
+    /// Cost of an answer of the strong rung.
     pub strong_cost: f64,
-    /// Declared share of cheap answers that pass.
+    /// Share of the cheap rung's answers that pass, as operators declared it.
     pub cheap_quality: f64,
-    /// Declared share of strong answers that pass.
+    /// Share of the strong rung's answers that pass, as operators declared it.
     pub strong_quality: f64,
 }
 
-/// Rule for one kind of work.
+/// Rule of a cascade for requests of one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
     /// Probability of beginning with the strong rung.
     pub direct_probability: f64,
-    /// Probability of keeping a cheap answer, by bin of confidence.
+    /// Probability of keeping a cheap answer instead of escalating, by bin of its confidence.
     pub keep_probability: [f64; CONFIDENCE_BINS],
-    /// Expected share of answers that pass.
+    /// Expected share of answers that pass under this rule.
     pub expected_pass_rate: f64,
     /// Probability of trying the cheap rung though the rule begins with the strong one.
     pub explore_probability: f64,
@@ -129,7 +143,7 @@
     pub cheap_pass_rate: [f64; CONFIDENCE_BINS],
 }
 
-/// The rule without any observations: begin with the strong rung.
+/// The rule of a kind of work without any observations: every request begins with the strong rung.
 impl Default for Rule {
     fn default() -> Rule {
         Rule {
@@ -142,7 +156,8 @@
     }
 }
 
-/// Returns the rules of all kinds, which share one quality target.
+/// Returns a rule for each kind of work, in the order of `observations`. Weighted by their
+/// requests, the rules together meet the quality `target` at least cost.
 pub fn solve_rules(observations: &[Observations], rungs: &Rungs, target: f64) -> Vec<Rule> {
     let estimates = estimate(observations, rungs);
     let meets = |price: f64| {
@@ -173,8 +188,8 @@
     estimates.iter().map(mixed).collect()
 }
 
-/// Returns the share of the higher price with which the mixture of both rules just meets the
-/// target.
+/// Returns the weight, from 0 to 1, of the rules at the price `high` in a mixture with those at the
+/// price `low` that just meets the target.
 fn mixing_share(estimates: &[Estimate], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
     let sure = |price| {
         let (quality, error) = expected_quality(estimates, rungs, price);
@@ -188,17 +203,19 @@
 }
 
 impl Rule {
-    /// Returns true if the request begins with the strong rung; `point` is the request's own,
-    /// uniform from 0 to 1.
+    /// Returns true if the request begins with the strong rung. `point` is a random number of the
+    /// request, uniform from 0 to 1.
     pub fn begins_strong(&self, point: f64) -> bool {
         point < self.direct_probability
     }
 
-    /// Returns true if a cheap answer is kept; `point` is the request's own, uniform from 0 to 1.
+    /// Returns true if a cheap answer with a confidence in `bin` is kept. `point` is a random
+    /// number of the request, uniform from 0 to 1.
     pub fn keeps(&self, bin: usize, point: f64) -> bool {
         point < self.keep_probability[bin]
     }
 
+    /// Returns the mixture of two rules, with the weight `share` for `other`.
     fn interpolate(&self, other: &Rule, share: f64) -> Rule {
         let interpolate = |a: f64, b: f64| a + (b - a) * share;
         let mut keep = [0.0; CONFIDENCE_BINS];
@@ -215,6 +232,9 @@
     }
 }
 
+/// Returns the rule of a kind of work that costs least if quality is worth `price`: keeps a cheap
+/// answer if escalating does not gain enough quality for its cost, and begins with the strong rung
+/// if that costs less than the cheap rung with its escalations.
 fn rule_at_price(kind: &Estimate, rungs: &Rungs, price: f64) -> Rule {
     let mut keep = [0.0; CONFIDENCE_BINS];
     let mut cheap_first_cost = rungs.cheap_cost;
@@ -238,7 +258,8 @@
     }
 }
 
-/// Returns the expected quality over all kinds and its standard error.
+/// Returns the expected quality over all kinds of work at a price of quality, and its standard
+/// error.
 fn expected_quality(estimates: &[Estimate], rungs: &Rungs, price: f64) -> (f64, f64) {
     let mut quality = 0.0;
     let mut variance = 0.0;
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -1,16 +1,18 @@
-//! Chooses which answers to have rated, and detects when ratings no longer agree with the
-//! estimates.
+//! Chooses which answers of a cascade to have rated, and detects when ratings no longer agree with
+//! the estimated pass rates.
 
 use super::{CONFIDENCE_BINS, Observations, Rule};
 use crate::decide::sequential::{Count, evidence};
 
-/// Ratings of cheap answers from which a kind counts as known.
+/// Number of ratings of cheap answers from which the pass rates of a kind of work count as known.
 const KNOWN_FROM_RATINGS: f64 = 120.0;
 
-/// Share of requests that try the cheap rung against the rule while a kind is not yet known.
+/// Share of requests of a kind of work that try the cheap rung against the rule, until
+/// [`KNOWN_FROM_RATINGS`].
 pub(super) const EXPLORE_UNKNOWN: f64 = 0.4;
 
-/// The same once a kind is known.
+/// Share of requests of a kind of work that try the cheap rung against the rule, from
+/// [`KNOWN_FROM_RATINGS`] on.
 const EXPLORE_KNOWN: f64 = 0.02;
 
 /// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
@@ -20,22 +22,22 @@
     if known < KNOWN_FROM_RATINGS { EXPLORE_UNKNOWN } else { EXPLORE_KNOWN }
 }
 
-/// An answer that may be rated.
+/// An answer of a cascade that may be rated, by the rung that gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A cheap answer in this bin of confidence.
+    /// An answer of the cheap rung in this confidence bin.
     Cheap(usize),
-    /// A strong answer after a cheap one was escalated.
+    /// An answer of the strong rung after a cheap answer was discarded.
     Escalated,
-    /// A strong answer that the cascade began with.
+    /// An answer of the strong rung, with which the cascade began.
     Direct,
 }
 
-/// Bins on either side of a change between keeping and escalating whose ratings are the most
-/// informative.
+/// Number of confidence bins on either side of a change between keeping and escalating whose
+/// ratings are the most informative.
 const NEAR_BINS: usize = 2;
 
-/// Returns how informative a rating of an answer is, relative to others.
+/// Returns how informative a rating of an answer is, relative to an answer of value 1.
 pub fn rating_value(rule: &Rule, answer: Answer) -> f64 {
     let Answer::Cheap(bin) = answer else {
         return if answer == Answer::Escalated { 0.8 } else { 0.3 };
@@ -46,25 +48,25 @@
     if decides { 2.0 } else { 0.7 }
 }
 
-/// Maximum credit, in ratings.
+/// Maximum credit that is saved up, in ratings.
 const MAX_CREDIT: f64 = 40.0;
 
 /// Credit, in ratings, from which an answer of value 1 is certainly rated.
 const FULL_CREDIT: f64 = 8.0;
 
-/// Rating budget: spends a share of ratings on the most informative answers, and no more than that
-/// share.
+/// Budget of ratings, in ratings: requests earn a fixed share of a rating each, and the most
+/// informative answers spend it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RatingBudget(f64);
 
 impl RatingBudget {
-    /// Adds the credit of a request; `share` is the ratio of ratings to requests.
+    /// Adds the credit that one request earns; `share` is the agreed ratio of ratings to requests.
     pub fn earn(&mut self, share: f64) {
         self.0 = (self.0 + share).min(MAX_CREDIT);
     }
 
-    /// Returns true, and spends credit, if an answer of this value is to be rated; `point` is
-    /// uniform from 0 to 1.
+    /// Returns true, and spends the credit of one rating, if an answer is to be rated. `value` is
+    /// that of [`rating_value`], `point` a random number, uniform from 0 to 1.
     pub fn spend(&mut self, value: f64, point: f64) -> bool {
         let rated = self.0 >= 1.0 && point < value * self.0 / FULL_CREDIT;
         if rated {
@@ -77,19 +79,22 @@
 /// Effective number of ratings in the window of the drift detector.
 const WINDOW_RATINGS: f64 = 120.0;
 
-/// False positive rate of the drift alarm.
+/// Probability of a drift alarm although answers have not become worse.
 const ALARM_CHANCE: f64 = 1e-4;
 
-/// Detects when ratings no longer agree with the expected quality of the answers.
+/// Detects when answers pass less often than the estimates say, from the latest ratings of one kind
+/// of work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DriftDetector {
     observed: Count,
+    /// Sum of the expected shares of bad ratings, over the same ratings as `observed`.
     expected: f64,
 }
 
 impl DriftDetector {
     /// Records a rating of an answer that was expected to pass with probability `expected`. Returns
-    /// true, and resets, if ratings prove that answers have become worse.
+    /// true and resets the detector if the ratings prove, up to [`ALARM_CHANCE`], that answers have
+    /// become worse.
     pub fn record(&mut self, expected: f64, pass: bool) -> bool {
         let kept = 1.0 - 1.0 / WINDOW_RATINGS;
         self.observed.all = self.observed.all * kept + 1.0;
--- a/src/decide/cold_start.rs
+++ b/src/decide/cold_start.rs
@@ -1,10 +1,10 @@
-//! Rate limit of backend servers that have just started: until its caches and pools are
+//! Rate limit of backend servers that have just started: until its caches and connection pools are
 //! warm, a server accepts only some requests per second.
 
 use super::server_limit;
 use crate::unit::{Rate, Span};
 
-/// Window over which the declared rate is kept.
+/// Window in which a cold server gets at most the declared rate times the length of the window.
 const WINDOW: Span = Span::secs(1);
 
 /// Cold start limit that a service declares for its servers.
@@ -12,7 +12,7 @@
 pub struct ColdStart {
     /// Requests per second that a cold server accepts from all VMs together.
     pub rate: Rate,
-    /// How long a server is cold after its start.
+    /// Time after its start for which a server counts as cold.
     pub duration: Span,
 }
 
--- a/src/decide/escalate.rs
+++ b/src/decide/escalate.rs
@@ -1,24 +1,27 @@
 //! Decides whether an answer of a small model, which no caller has seen yet, is discarded for one
 //! of a larger model.
 //!
-//! A second run buys quality with engine time. While servers are idle that time is cheap, and the
-//! answer's confidence decides. The longer requests wait, the more each second run delays others;
-//! and the more of the time left to the latency goal its own prefill takes, the lower the
-//! confidence must be to justify it.
+//! A second run, on the larger model, costs engine time for a better answer. While servers are idle
+//! engine time is cheap, and the confidence that the small model states for its answer decides. The
+//! longer requests wait, the more each second run delays others; and the more of the time left to
+//! the latency goal the prefill of the second run takes, the lower the confidence must be to
+//! justify it.
 
 use crate::unit::Span;
 
-/// Default confidence, in hundredths, from which an answer is always kept; a flag overrides it.
+/// Default of the confidence, in hundredths, from which the small model's answer is always kept; a
+/// flag overrides it.
 pub const KEEP_CONFIDENCE: f64 = 60.0;
 
 /// Mean queue wait, as a fraction of the latency goal, from which no answer is escalated.
 const MAX_PRESSURE: f64 = 0.4;
 
-/// Reduction of the confidence threshold if prefill takes all of the time left to the goal;
-/// proportionally less for a shorter prefill.
+/// Reduction of the confidence threshold if the larger model's prefill takes all of the time left
+/// to the latency goal; proportionally less for a shorter prefill.
 const PREFILL_PENALTY: f64 = 0.5;
 
-/// Worth of a late answer, as a fraction of one in time.
+/// Confidence below which an answer is escalated even if the second answer will miss the latency
+/// goal: a late answer is worth this fraction of one in time.
 const LATE_ANSWER_WORTH: f64 = 0.3;
 
 /// Inputs of the decision, taken when the small model's answer is complete.
@@ -28,11 +31,11 @@
     pub confidence: f64,
     /// Confidence from which the answer is kept even if all servers are idle, from 0 to 1.
     pub keep_confidence: f64,
-    /// Recent mean wait at the servers, as a fraction of the latency goal.
+    /// Recent mean queue wait at the servers, as a fraction of the latency goal.
     pub pressure: f64,
     /// Expected queue wait at the larger model's server.
     pub queue_wait: Span,
-    /// Expected prefill time there.
+    /// Expected prefill time at the larger model's server.
     pub prefill_time: Span,
     /// Time left to the latency goal.
     pub time_left: Span,
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -1,6 +1,7 @@
 //! Weighted max-min fair shares of a capacity among workspaces.
 
-/// Returns the granted rates: each demand in full if it fits its share, the rest divided by weight.
+/// Returns the part of `capacity` granted to each demand: a demand that is below its fair share is
+/// met in full, and what is left is divided among the others by weight.
 ///
 /// `demands` and `weights` have the same length; the result sums to at most `capacity`.
 pub fn shares(demands: &[f64], weights: &[f64], capacity: f64) -> Vec<f64> {
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -5,13 +5,14 @@
 /// Burst size of a workspace, in seconds of its rate.
 const BURST_SECS: f64 = 1.0;
 
-/// A VM's share of a limit never falls below this fraction of an even share, so that a workspace
-/// whose callers move to it is not refused until the other VMs know of the new demand.
+/// Fraction of an even share of a workspace's limit that each VM always gets. Otherwise callers
+/// that move to another VM would be refused there until all VMs know of the new demand.
 const MIN_SHARE_OF_EVEN: f64 = 0.2;
 
 /// Token bucket of one workspace on one VM.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
+    /// Number of tokens at `updated_at`.
     level: f64,
     updated_at: Moment,
 }
@@ -22,7 +23,7 @@
         TokenBucket { level: (rate.0 * BURST_SECS).max(1.0), updated_at: now }
     }
 
-    /// Takes one token, or returns how long to wait for it.
+    /// Takes one token for a request. The error is the time until a token is available.
     pub fn try_take(&mut self, rate: Rate, now: Moment) -> Result<(), Span> {
         let gained = now.since(self.updated_at).as_secs() * rate.0;
         self.level = (self.level + gained).min((rate.0 * BURST_SECS).max(1.0));
@@ -36,7 +37,8 @@
     }
 }
 
-/// Returns this VM's share of a limit, from its own demand and that of all VMs.
+/// Returns this VM's share of a workspace's rate limit, given the recent demand at this VM (`own`)
+/// and at all VMs (`all`).
 pub fn local_share(limit: Rate, own: f64, all: f64, vms: usize) -> Rate {
     let even = 1.0 / vms.max(1) as f64;
     let share = if all > 0.0 { own / all } else { even };
@@ -45,25 +47,27 @@
     Rate(limit.0 * (floor + share * (1.0 - MIN_SHARE_OF_EVEN)))
 }
 
-/// Fraction of a limit that is divided among the known VMs; the rest is for VMs that are not known
-/// yet.
+/// Fraction of a limit on open items that is divided among the known VMs; the rest is a reserve for
+/// VMs that are not known yet.
 const ALLOCATED_FRACTION: f64 = 0.85;
 
-/// Returns one VM's even share of a limit on concurrently open items, at least one.
+/// Returns the share of one of `vms` VMs in a limit on concurrently open items (such as
+/// connections), at least one.
 pub fn even_share(limit: u32, vms: u32) -> u32 {
     ((f64::from(limit) * ALLOCATED_FRACTION / f64::from(vms.max(1))) as u32).max(1)
 }
 
-/// Relative increase of the concurrency limit at each update, while it is used up and hardly any
-/// request met a full pool.
+/// Relative increase of the concurrency limit at each update, while all of the limit is in use and
+/// hardly any request met a full pool.
 const INCREASE_FACTOR: f64 = 0.04;
 
-/// Fraction of requests that may find the pool full or end late before the limit decreases. It is
-/// not zero: without any such request nothing would show that the limit is near the pool's
-/// capacity.
+/// Fraction of requests that may find the pool full or end late before the concurrency limit
+/// decreases. The fraction is not zero: without any such request nothing would show that the limit
+/// is near the pool's capacity.
 const TOLERATED_BAD_FRACTION: f64 = 0.08;
 
-/// Relative decrease of the limit per unit of the fraction beyond the tolerated one.
+/// Relative decrease of the concurrency limit, times the fraction of bad requests beyond
+/// [`TOLERATED_BAD_FRACTION`].
 const DECREASE_FACTOR: f64 = 0.25;
 
 /// Concurrency limit of one VM for one pool, which adapts to late responses and refusals.
@@ -73,6 +77,7 @@
     max: f64,
     good: f64,
     bad: f64,
+    /// True if a request did not fit since the last adjustment.
     was_reached: bool,
 }
 
@@ -88,12 +93,13 @@
         }
     }
 
-    /// Returns the current limit.
+    /// Returns the number of requests that may run at once.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Returns true if one more request fits, and records whether the limit was reached.
+    /// Returns true if one more request fits besides `running` others. A request that does not fit
+    /// is remembered, as only a limit that was reached is increased.
     pub fn admits(&mut self, running: f64) -> bool {
         let fits = running + 1.0 <= self.limit;
         self.was_reached |= !fits;
@@ -105,12 +111,12 @@
         self.good += 1.0;
     }
 
-    /// Records a late response, or that no back end had room.
+    /// Records a request whose response was late, or for which no backend server had room.
     pub fn record_overload(&mut self) {
         self.bad += 1.0;
     }
 
-    /// Adjusts the limit to the outcomes since the last call.
+    /// Adjusts the limit to the outcomes recorded since the last call of this function.
     pub fn adapt(&mut self) {
         let all = self.good + self.bad;
         if all == 0.0 {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,9 @@
-//! Decisions of the router: pure functions of the known state and the current time.
+//! Decisions of the router: pure functions of the known state and the current time, without I/O.
+//!
+//! Words that several modules use: a *VM* is one router process; an *incarnation* is one process
+//! lifetime of a backend server or VM; the *content* of a request is a digest of what it asks for;
+//! a *roll-out* moves the traffic of a model from the old version to the new one; *exposure* is the
+//! share of requests that a new version gets; a *rung* is one model of a cascade.
 
 pub mod admission;
 pub mod availability;
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -1,4 +1,5 @@
-//! How an attempt at a server ended, and what follows: the table of `docs/PLATFORM.md`.
+//! How an attempt at a server ended, and if the request is retried then: the table of
+//! `docs/PLATFORM.md`.
 
 use crate::config::RetryPolicy;
 
@@ -7,16 +8,16 @@
 pub enum AttemptOutcome {
     /// No connection was established, or no byte was sent.
     NotSent,
-    /// The attempt was withheld before any byte was sent: what became known about the server since
-    /// it was chosen forbids it.
+    /// The attempt was withheld before any byte was sent, because the server became unavailable
+    /// after it was chosen.
     Withheld,
     /// The server stated that it did not run the request.
     NotRun,
     /// The connection broke, or the response was incomplete or invalid.
     Broken,
-    /// A complete error response, signed by the server.
+    /// The server sent a complete error response with its signature.
     Failed,
-    /// A complete response, or the first event of a stream.
+    /// The server sent a complete response, or the first event of a stream.
     Good,
     /// The deadline passed while the server had the request.
     Late,
@@ -29,19 +30,20 @@
     }
 }
 
-/// What follows an attempt.
+/// What a VM does after an attempt of a request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// Another server is tried, if attempts, budget and time allow it.
+    /// Try another server, if the limit on attempts, the retry budget and the deadline allow it.
     Retry,
-    /// The caller gets the server's response.
+    /// Send the server's response to the caller.
     Deliver,
-    /// The caller is told that it may have run.
+    /// End the request with an error that says that it may have run.
     Unknown,
 }
 
-/// Returns what follows an attempt. After a failed or broken attempt, a request that may run twice is
-/// retried; another one is not, since it may have run.
+/// Returns what a VM does after an attempt that ended with `end`. After a failed or broken attempt
+/// only a request that may run twice (by its route's `repeat` policy) is retried, since the attempt
+/// may have run.
 pub fn next_action(end: AttemptOutcome, repeat: RetryPolicy) -> NextAction {
     match (end, repeat) {
         (AttemptOutcome::Good, _) => NextAction::Deliver,
@@ -62,7 +64,7 @@
     Refused,
     /// The server's own error response.
     Delivered,
-    /// It may have run.
+    /// An error that says that the request may have run.
     Unknown,
 }
 
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -4,58 +4,69 @@
 use super::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span};
 
-/// Consecutive failures to connect, or broken responses, after which a server is ejected.
+/// Consecutive failures to connect after which a server is ejected.
 const UNREACHABLE_THRESHOLD: u32 = 1;
+/// Consecutive broken or late responses after which a server is ejected.
 const BROKEN_THRESHOLD: u32 = 3;
 
-/// Consecutive refusals after which a server is ejected, and for how long. A server that refuses
-/// everything runs nothing and so looks the least loaded.
+/// Consecutive refusals ("not run") after which a server is ejected for [`REFUSAL_EJECTION`]. A
+/// server that refuses everything runs nothing and so looks the least loaded.
 const REFUSAL_THRESHOLD: u32 = 3;
+/// Duration of an ejection after consecutive refusals.
 const REFUSAL_EJECTION: Span = Span::millis(300);
 
-/// Weight of the latest response in the failure rate.
+/// Weight of the latest response in the moving average of a server's failure rate.
 const SMOOTHING_FACTOR: f64 = 0.15;
 
-/// Number of responses from which the failure rate is significant.
+/// Number of responses from which a server's failure rate is significant enough to eject it.
 const MIN_SAMPLES: u32 = 8;
 
-/// A server is ejected if its failure rate exceeds twice the pool's rate plus this.
+/// Part of the ejection threshold: a server is ejected if its failure rate exceeds twice that of
+/// its pool plus this.
 const MIN_EXCESS_FAILURES: f64 = 0.25;
 
-/// First and longest ejection; the duration doubles each time.
+/// Duration of the first ejection of a server; each further one is twice as long, up to
+/// [`MAX_EJECTION`].
 const BASE_EJECTION: Span = Span::millis(600);
+/// Maximum duration of an ejection after failures.
 const MAX_EJECTION: Span = Span::secs(6);
 
-/// Outcomes of one VM's attempts at one server.
+/// Recent outcomes of one VM's attempts at one server, and the ejections that follow from them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutlierDetector {
+    /// Consecutive failures to connect.
     unreachable: u32,
+    /// Consecutive broken or late responses.
     broken: u32,
+    /// Consecutive refusals.
     refusals: u32,
     failure_rate: f64,
+    /// Responses counted in `failure_rate`.
     samples: u32,
     ejected_until: Option<Moment>,
+    /// Ejections in a row, which double the duration of the next.
     ejections: u32,
 }
 
 impl OutlierDetector {
-    /// Returns the recent share of responses that were failures.
+    /// Returns the recent share of the server's responses that were failures, from 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Returns when the last ejection ends.
+    /// Returns the end of the last ejection, which may be past; none if the server was never
+    /// ejected.
     pub fn ejected_until(&self) -> Option<Moment> {
         self.ejected_until
     }
 
-    /// Returns true if requests should go to other servers.
+    /// Returns true while the server is ejected, so that requests go to other servers.
     pub fn is_ejected(&self, now: Moment) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Records the outcome of an attempt; `pool_failure_rate` is that of the whole pool. Returns
-    /// true if the server is ejected as a result.
+    /// Records the outcome of an attempt at the server; `pool_failure_rate` is the recent share of
+    /// failures at all servers of its pool. Returns true if the server is ejected as a result.
     pub fn record(&mut self, end: AttemptOutcome, pool_failure_rate: f64, now: Moment) -> bool {
         match end {
             AttemptOutcome::NotSent => {
@@ -95,8 +106,8 @@
         false
     }
 
-    /// A refusal by a full server is a proper response, and its load tells the rest; only a run of
-    /// refusals ejects it.
+    /// Records a refusal. A full server refuses properly and its reported load keeps requests away,
+    /// so only several refusals in a row eject it.
     fn on_refusal(&mut self, now: Moment) -> bool {
         self.refusals += 1;
         if self.refusals >= REFUSAL_THRESHOLD {
--- a/src/decide/poison/evidence.rs
+++ b/src/decide/poison/evidence.rs
@@ -7,36 +7,39 @@
 
 use crate::unit::{Digest, Moment, Span, hash};
 
-/// Weight of a crash.
+/// Weight of one server crash as evidence against a content.
 const CRASH_WEIGHT: u32 = 5;
 
-/// Weight of crashes from which a content is quarantined. The users accept three crashed servers,
-/// and three retries after them.
+/// Sum of the weights of crashes from which a content is quarantined. The users accept three
+/// crashed servers for one content, and three retries after them.
 const QUARANTINE_WEIGHT: u32 = 3 * CRASH_WEIGHT;
 
 /// Weight of a crash under a request that had produced events for [`STABLE_AFTER`] before: five
 /// such crashes quarantine a content, two more than the three that the users accept. A stream that
-/// is resumed elsewhere meets the next crash caused by the same content: of twelve servers each has
-/// one chance in a hundred to meet three in a row, so with the full weight one stream in a hundred
-/// would be quarantined for another's fault.
+/// is resumed on another server may be there when the culprit crashes that one too: with twelve
+/// servers it meets three such crashes in a row once in a hundred times, so with the full weight
+/// one stream in a hundred would be quarantined for another content's fault.
 const STABLE_CRASH_WEIGHT: u32 = 3;
 
-/// Time after which a request that produces events is unlikely to be the cause if its server
-/// crashes.
+/// Time for which a request must have produced events at a server to be an unlikely cause if the
+/// server crashes.
 pub const STABLE_AFTER: Span = Span::secs(1);
 
-/// Time for which a completed request clears its content of crashes. A prompt that many callers
-/// send is open at every server that crashes, but it also completes many times a second.
+/// Time after the completion of a request during which crashes do not count against its content. A
+/// prompt that many callers send is open at every server that crashes, but it also completes many
+/// times a second.
 const SUCCESS_TTL: Span = Span::secs(30);
 
-/// Suspicions and quarantines expire when no server has crashed under the content for this long.
+/// Time without a further crash under a content after which suspicion against it, or its
+/// quarantine, expires.
 const SUSPICION_TTL: Span = Span::secs(600);
 
-/// Maximum number of suspects; 64 requests are open at a server that crashes. Beyond it those with
-/// the least weight are evicted.
+/// Maximum number of suspects, of which a crash adds up to 64, one for each open request. Beyond
+/// the maximum, the suspects with the least weight are evicted.
 const MAX_SUSPECTS: usize = 20_000;
 
-/// Maximum number of remembered successes. They are kept apart from suspects and evict none.
+/// Maximum number of contents whose last success is remembered. They are kept apart from suspects
+/// and evict none.
 const MAX_SUCCESSES: usize = 4_000;
 
 /// One incarnation of a backend server, identified by a hash of its id and its start.
@@ -44,8 +47,8 @@
 pub struct ServerIncarnation(u64);
 
 impl ServerIncarnation {
-    /// Creates the incarnation of the server `id` that started at `born`, if the server reports
-    /// that.
+    /// Creates the identifier of the incarnation of the server `id` that started at `born`; `born`
+    /// is none if the server does not report its start.
     pub fn new(id: &str, born: Option<u64>) -> ServerIncarnation {
         ServerIncarnation(hash::stable(&[
             id,
@@ -54,12 +57,12 @@
     }
 }
 
-/// A request that was open at a server incarnation when it crashed.
+/// A request that was open at a server incarnation when the server crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
     /// Digest of the request's content.
     pub content: Digest,
-    /// True if it had produced events there for [`STABLE_AFTER`].
+    /// True if the request had produced events at the server for [`STABLE_AFTER`] before the crash.
     pub was_stable: bool,
 }
 
@@ -80,26 +83,27 @@
 /// A quarantined content in a message between VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedContent {
-    /// The content.
+    /// Digest of the quarantined content.
     pub content: Digest,
-    /// Server incarnations that crashed under it.
+    /// Number of server incarnations that crashed under the content.
     pub crashes: u32,
-    /// Age of the last crash.
+    /// Time since the last crash under the content, when the message was sent.
     pub age: Span,
 }
 
-/// Quarantine of a content, as this VM knows it.
+/// Quarantine of a content: the number of server incarnations that crashed under it, and when the
+/// last one did.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
     crashes: u32,
     last_crash: Moment,
 }
 
-/// Evidence against a content.
+/// Evidence of one VM against one content.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
-    /// Quarantine reported by other VMs.
+    /// Quarantine of the content that other VMs reported, if any.
     reported: Option<Quarantine>,
 }
 
@@ -126,7 +130,8 @@
         }
     }
 
-    /// Drops evidence dated `before` or earlier. Returns true if any is left.
+    /// Drops evidence against the content dated `before` or earlier. Returns true if any evidence
+    /// is left.
     fn forget_until(&mut self, before: Moment) -> bool {
         self.crashes.retain(|crash| crash.at > before);
         self.reported = self.reported.filter(|reported| reported.last_crash > before);
@@ -134,10 +139,10 @@
     }
 }
 
-/// Change of a content's state that an event caused.
+/// Change in the evidence about a content that an event (a crash, success or report) caused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvidenceChange {
-    /// Nothing new.
+    /// The event changed nothing.
     None,
     /// The content became a suspect, or the evidence against it grew.
     Suspected,
@@ -145,13 +150,13 @@
     Quarantined,
     /// The content was a suspect or quarantined and no longer is.
     Cleared {
-        /// True if it was quarantined.
+        /// True if the content was quarantined, false if it was only a suspect.
         was_quarantined: bool,
     },
 }
 
-/// Contents that completed recently, with the time. The older half is dropped when the younger one
-/// is full or old.
+/// Contents of requests that completed recently, with the time of the last success. The older half
+/// is dropped when the younger half is full or [`SUCCESS_TTL`] old.
 #[derive(Clone, Debug, Default)]
 struct Successes {
     younger: HashMap<Digest, Moment>,
@@ -182,13 +187,14 @@
 }
 
 impl Evidence {
-    /// Returns the number of server incarnations that crashed under a content if it is quarantined.
+    /// Returns the number of server incarnations that crashed under a content if the content is
+    /// quarantined, else none.
     pub fn quarantine_crashes(&self, content: &Digest, now: Moment) -> Option<u32> {
         let quarantine = self.suspects.get(content)?.quarantine()?;
         (now.since(quarantine.last_crash) < SUSPICION_TTL).then_some(quarantine.crashes)
     }
 
-    /// Records that a server incarnation crashed under a request at the moment `at`. Repeated
+    /// Records that a server incarnation crashed at the moment `at` with a request open. Repeated
     /// reports of one crash count once.
     pub fn on_crash(
         &mut self,
@@ -253,7 +259,8 @@
         EvidenceChange::Cleared { was_quarantined }
     }
 
-    /// Returns the age of the last success of a content if it still clears the content.
+    /// Returns the time since the last success of a content, or none if that is too long ago to
+    /// clear the content.
     pub fn success_age(&self, content: &Digest, now: Moment) -> Option<Span> {
         let age = now.since(self.successes.last_success(content)?);
         (age < SUCCESS_TTL).then_some(age)
@@ -278,7 +285,7 @@
         all
     }
 
-    /// Number of contents that are suspects or quarantined.
+    /// Returns the number of contents that are suspects, the quarantined ones included.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
@@ -288,7 +295,7 @@
         self.suspects.is_empty()
     }
 
-    /// Drops expired evidence.
+    /// Drops evidence older than [`SUSPICION_TTL`].
     pub fn expire(&mut self, now: Moment) {
         self.suspects.retain(|_, suspect| suspect.forget_until(expiry_cutoff(now)));
     }
@@ -313,7 +320,7 @@
     }
 }
 
-/// Returns the time up to which evidence has expired.
+/// Returns the moment such that evidence dated then or earlier has expired by `now`.
 fn expiry_cutoff(now: Moment) -> Moment {
     Moment(now.0.saturating_sub(SUSPICION_TTL.0))
 }
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -1,9 +1,10 @@
-//! Messages between VMs about contents under which servers crash.
+//! Messages between VMs about request contents (digests of what requests ask for) under which
+//! servers crash.
 //!
-//! Each VM reports which contents were open at a server when it crashed. In a small fleet it
-//! reports to all others. In a large one a few aggregators, the same for all VMs, collect the
-//! reports about a content, so that a crash costs a few messages and not one for each pair of VMs.
-//! The VM that finds that a content must be quarantined informs all.
+//! Each VM reports which of its contents were open at a server when the server crashed: in a small
+//! fleet to all other VMs, in a large one to a few aggregators. The aggregators of a content, which
+//! every VM computes alike, collect all reports about it, so that a crash costs a few messages and
+//! not one for each pair of VMs. The VM that finds that a content must be quarantined informs all.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,37 +13,37 @@
 };
 use crate::unit::{Digest, Moment, Span};
 
-/// Maximum number of quarantined contents in a message, the most recent first; each takes some 24
-/// bytes.
+/// Maximum number of quarantined contents in a message; each takes some 24 bytes. The ones with the
+/// most recent crashes are sent.
 const MAX_QUARANTINED_PER_MESSAGE: usize = 100;
 
-/// A message from one VM to another.
+/// A message from one VM to another about contents under which servers crash.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A server incarnation crashed with these requests open.
     ServerCrashed {
-        /// The server incarnation.
+        /// The server incarnation that crashed.
         incarnation: ServerIncarnation,
-        /// Requests of the sender that were open there.
+        /// Requests of the sending VM that were open at the server.
         requests: Vec<OpenRequest>,
-        /// Time since then.
+        /// Time since the crash, when the message was sent.
         age: Span,
     },
-    /// These contents are quarantined.
+    /// The sending VM has quarantined these contents.
     Quarantined(Vec<QuarantinedContent>),
-    /// A request whose content others suspect completed.
+    /// A request completed whose content other VMs suspect.
     Succeeded {
-        /// The content.
+        /// Digest of the content of the completed request.
         content: Digest,
-        /// Time since then.
+        /// Time since the completion, when the message was sent.
         age: Span,
     },
 }
 
-/// Recipients of a message.
+/// VMs that a message is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipients {
-    /// All VMs; in a large fleet the neighbours, which forward it.
+    /// All VMs. In a large fleet the message is sent to neighbours, which forward it.
     All,
     /// The VMs that aggregate reports about this content; in a small fleet all VMs.
     Aggregators(Digest),
@@ -51,27 +52,27 @@
 /// A message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Its recipients.
+    /// The VMs that the message is sent to.
     pub to: Recipients,
-    /// The message.
+    /// The message to send.
     pub message: Message,
 }
 
-/// Change of a content's quarantine.
+/// Start or end of a quarantine at this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// A content is quarantined after this number of crashes.
+    /// The content is now quarantined, after this number of server crashes.
     Quarantined(Digest, u32),
     /// The content is no longer quarantined.
     Released(Digest),
 }
 
-/// Effects of an event: messages to send and quarantine changes.
+/// Effects of an event (a crash, a success or a received message), which the caller carries out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Messages to other VMs.
+    /// Messages to send to other VMs.
     pub messages: Vec<Outgoing>,
-    /// Quarantine changes at this VM.
+    /// Quarantines that start or end at this VM, for the log.
     pub transitions: Vec<Transition>,
 }
 
@@ -81,23 +82,24 @@
     }
 }
 
-/// How messages are spread.
+/// How messages reach all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
     /// Full mesh: each VM sends to each other.
     Direct,
-    /// Each VM sends to its neighbours and forwards what is new to it.
+    /// Each VM sends to its neighbours only, and forwards what is new to it.
     Gossip,
 }
 
-/// Exchange of evidence at one VM.
+/// One VM's evidence about contents, and its exchange with other VMs.
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
     evidence: Evidence,
 }
 
 impl Exchange {
-    /// Returns the number of server incarnations that crashed under a content if it is quarantined.
+    /// Returns the number of server incarnations that crashed under a content if the content is
+    /// quarantined, else none.
     pub fn quarantine_crashes(&self, content: &Digest, now: Moment) -> Option<u32> {
         self.evidence.quarantine_crashes(content, now)
     }
@@ -107,17 +109,18 @@
         self.evidence.quarantined(MAX_QUARANTINED_PER_MESSAGE, now)
     }
 
-    /// Number of suspects, the quarantined contents included.
+    /// Returns the number of suspects, the quarantined contents included.
     pub fn suspect_count(&self) -> usize {
         self.evidence.len()
     }
 
-    /// Drops expired evidence.
+    /// Drops evidence against contents under which no server crashed recently.
     pub fn expire(&mut self, now: Moment) {
         self.evidence.expire(now);
     }
 
-    /// Handles the crash of a server incarnation with these requests of this VM open.
+    /// Handles the crash of a server incarnation that this VM observed, with `requests` of this VM
+    /// open at the server.
     pub fn on_server_crash(
         &mut self,
         incarnation: ServerIncarnation,
@@ -138,7 +141,8 @@
         effects
     }
 
-    /// Handles the completion of a request of this VM.
+    /// Handles the completion of a request of this VM: clears its content, and informs other VMs if
+    /// the content was a suspect.
     pub fn on_success(&mut self, content: Digest, now: Moment) -> Effects {
         let mut effects = Effects::default();
         if let EvidenceChange::Cleared { was_quarantined } =
@@ -221,6 +225,7 @@
         effects
     }
 
+    /// Records a crash, and announces contents that are quarantined because of it to all VMs.
     fn apply_crash(
         &mut self,
         incarnation: ServerIncarnation,
@@ -242,7 +247,8 @@
         effects
     }
 
-    /// Reports a recent success of a content that others suspect.
+    /// Adds a message to `effects` if a content that another VM suspects has completed recently at
+    /// this VM.
     fn report_success(&self, content: Digest, to: Recipients, now: Moment, effects: &mut Effects) {
         if let Some(age) = self.evidence.success_age(&content, now) {
             effects.send(to, Message::Succeeded { content, age });
@@ -250,6 +256,7 @@
     }
 }
 
+/// Returns the moment that was `age` before `now`.
 fn moment_before(now: Moment, age: Span) -> Moment {
     Moment(now.0.saturating_sub(age.0))
 }
--- a/src/decide/poison/mod.rs
+++ b/src/decide/poison/mod.rs
@@ -1,9 +1,14 @@
 //! Quarantines request contents that crash backend servers.
 //!
-//! A server that crashes does not tell the cause, so all contents that were open at it become
-//! suspects. When they are sent again, innocent ones complete, and one that crashes servers never
-//! does. A content is quarantined once so many server incarnations have crashed under it that
-//! chance is no longer a likely cause.
+//! The *content* of a request is a digest of what it asks for (prompt or body, with its workspace
+//! and model or service), so that the same request sent again is recognised. A *suspect* is a
+//! content that was open at a server when that crashed, and an *incarnation* one process lifetime
+//! of a server.
+//!
+//! A server that crashes does not tell the cause, so all contents that were open at the server
+//! become suspects. When requests with these contents are sent again, innocent ones complete, and
+//! one that crashes servers never does. A content is quarantined, and requests with it are refused,
+//! once so many server incarnations have crashed under it that chance is no longer a likely cause.
 //!
 //! This bounds the damage of a request that crashes each server 20 to 180 ms after it begins to
 //! run. Sent by a caller three times a second to seven VMs, each of which tried three servers, it
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -2,19 +2,20 @@
 
 use crate::unit::{Moment, Span};
 
-/// The weight of a response falls to 1/e in this time: long enough to cover several responses of
+/// Time in which the weight of a response falls to 1/e: long enough to cover several responses of
 /// one VM, short enough to follow a burst.
 const DECAY_TIME: Span = Span::millis(800);
 
-/// Weight, in responses, of the prior that nothing queues. It is small, so that the estimate does
-/// not depend on how many requests a VM serves.
+/// Weight, in responses, of the prior that no request queues. A small one, so that the estimate
+/// does not depend on how many requests a VM serves.
 const PRIOR_WEIGHT: f64 = 0.2;
 
-/// A queue time counts as at most this many latency goals, so that one stuck request does not
-/// dominate.
+/// Maximum of a recorded queue time, in latency goals of its request, so that one stuck request
+/// does not dominate.
 const MAX_WAIT_GOALS: f64 = 2.0;
 
-/// Recent queue times relative to the latency goals of their requests.
+/// Recent queue times at the servers of a service, each relative to the latency goal of its
+/// request, with weights that decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure {
     decayed_wait: f64,
@@ -23,7 +24,7 @@
 }
 
 impl Pressure {
-    /// Records how long a request queued, without its own prefill.
+    /// Records the time that a request queued, without its own prefill, and its latency goal.
     pub fn record(&mut self, waited: Span, goal: Span, now: Moment) {
         let decay = self.decay(now);
         let part = waited.0 as f64 / goal.0.max(1) as f64;
@@ -32,8 +33,8 @@
         self.at = now;
     }
 
-    /// Returns the mean queue time as a fraction of the latency goal; it decays while no responses
-    /// arrive.
+    /// Returns the recent mean queue time as a fraction of the latency goal; the value decays while
+    /// no responses arrive.
     pub fn mean_wait(&self, now: Moment) -> f64 {
         let decay = self.decay(now);
         self.decayed_wait * decay / (self.decayed_responses * decay + PRIOR_WEIGHT)
--- a/src/decide/priority.rs
+++ b/src/decide/priority.rs
@@ -1,20 +1,20 @@
 //! Priority of a prompt in the queue of a backend server.
 //!
 //! Servers read the prompt with the highest priority first. A prompt that is short relative to the
-//! time it has left goes before a long one: it delays the long one little, while the long one would
-//! make it late.
+//! time left to its latency goal goes before a long one: a short prompt delays a long one little,
+//! while a long prompt would make a short one late.
 
 use crate::unit::Span;
 
-/// Number of prefill classes within one workspace priority.
+/// Number of classes of prefill time (short, medium, long) within each priority of a workspace.
 const PREFILL_CLASSES: u32 = 3;
 
 /// The lowest priority that servers support.
 const LOWEST_PRIORITY: u32 = 9;
 
-/// Up to these fractions of the time left to the latency goal a prefill counts as short and as
-/// medium.
+/// Fraction of the time left to the latency goal up to which a prefill counts as short.
 const SHORT_FRACTION: f64 = 0.05;
+/// Fraction of the time left to the latency goal up to which a prefill counts as medium.
 const MEDIUM_FRACTION: f64 = 0.2;
 
 /// Returns the priority, 0 being the highest, of a prompt whose prefill takes `prefill` and that
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -1,13 +1,18 @@
-//! Decides which VM reads the platform's store and which VM the others ask for updates.
+//! Decides which VM reads the platform's store and which VM the others poll for updates.
 //!
-//! VMs are ranked by CPU, largest first, then by name. A VM asks higher-ranked VMs of its group;
-//! the first of a group asks the firsts of the other groups that rank higher. In the normal case a
-//! single VM of the fleet reads the store, the first of each group asks that VM, and the others ask
-//! the first of their group. There is no election, and two readers do no harm.
+//! A *reader* is a VM that reads the store for others, a *follower* one that polls another VM, its
+//! *source*. *Server data* are the entries of backend servers in the store; their age is the time
+//! since a reader read them. A *group* is a set of VMs that are close to each other: those of one
+//! data centre.
 //!
-//! This bounds the load on the store when hundreds of VMs lack updates at the same moment, at a
-//! start or while the store is away: VMs keep asking higher-ranked ones, and only the first of each
-//! group, or those next to it, try the store.
+//! VMs are ranked by CPU, largest first, then by name. A VM polls higher-ranked VMs of its group;
+//! the first VM of a group polls the first VMs of other groups that rank higher. In the normal case
+//! a single VM of the fleet reads the store, the first VM of each group polls that VM, and the
+//! others poll the first VM of their group. There is no election, and two readers do no harm.
+//!
+//! The ranking bounds the load on the store when hundreds of VMs lack updates at the same moment,
+//! at a start or while the store does not answer: VMs keep polling higher-ranked ones, and only the
+//! first VM of each group, or the two of next rank, try the store.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,34 +24,35 @@
 /// Time between two polls of a source.
 pub const POLL_INTERVAL: Span = Span::millis(350);
 
-/// Poll interval while no source has an update; another VM may have one in a moment.
+/// Time between two polls while no source has an update; another VM may have one in a moment.
 pub const FAST_POLL_INTERVAL: Span = Span::millis(100);
 
-/// A store loss counts as confirmed after this time. Until then the VMs that try the store may
-/// still reach it, so they are polled at the fast interval, and a VM that has just started waits
-/// for their result.
+/// Time after which a loss of the store counts as confirmed. Before, the VMs that try the store may
+/// still reach it, so they are polled at [`FAST_POLL_INTERVAL`], and a VM that has just started
+/// waits for their result.
 pub const STORE_LOSS_CONFIRMED_AFTER: Span = Span::millis(1500);
 
 /// Time that a VM which has just started waits for its first update before it reads the store
-/// itself. When hundreds of VMs start at once, the first of a group needs some tenths of a second
-/// for a full read.
+/// itself. When hundreds of VMs start at once, the first VM of a group needs some tenths of a
+/// second to read the whole store.
 pub const STARTUP_WAIT: Span = Span::millis(2000);
 
-/// Maximum number of sources of a group, not counting unresponsive ones: the first and the two next
-/// to it. VMs of lower rank never need to be asked, since any of these three has what the first
-/// had.
+/// Maximum number of responsive sources that a VM polls in its group: the three of highest rank.
+/// VMs of lower rank never need to be polled, since any of these three has what the first one had.
 const MAX_SOURCES: usize = 3;
 
-/// Backoff after a source did not answer; it doubles with each consecutive timeout up to the
-/// maximum.
+/// Backoff after a source did not answer a poll. It doubles with each consecutive timeout, up to
+/// [`MAX_SILENT_BACKOFF`].
 const SILENT_BACKOFF: Span = Span::secs(2);
+/// Maximum backoff after a source did not answer several polls in a row.
 const MAX_SILENT_BACKOFF: Span = Span::secs(30);
 
-/// Backoff after a source had no update; it may have one soon.
+/// Backoff after a source answered that it has no update; short, since the source may have one
+/// soon.
 const DECLINED_BACKOFF: Span = Span::millis(1500);
 
-/// A report that the store is lost stays valid for this long after the backoff of the VM that sent
-/// it has ended.
+/// Time after the end of the backoff from a source for which the source's report that the store is
+/// lost stays valid.
 const STORE_LOST_GRACE: Span = Span::secs(1);
 
 /// Backoff after a source that has just started did not have a full snapshot yet.
@@ -56,30 +62,31 @@
 /// started too.
 const STARTUP_SILENT_BACKOFF: Span = Span::millis(300);
 
-/// Timeout of a poll.
+/// Maximum time that a follower waits for the answer to a poll.
 pub const POLL_TIMEOUT: Span = Span::millis(450);
 
-/// Timeout of a poll while this VM has no snapshot yet. When all VMs restart, some sources are not
-/// up yet.
+/// Maximum time that a VM without any snapshot yet waits for the answer to a poll; shorter, since
+/// some sources are not up yet when all VMs restart.
 pub const FIRST_POLL_TIMEOUT: Span = Span::millis(250);
 
-/// Maximum age of server data that is forwarded, as a fraction of the time in which a draining
-/// server may still get work. With a smaller fraction most VMs read the store themselves when the
-/// store delays a request for a second. Followers don't apply it to their own data, which
-/// [`READ_STORE_AGE`] bounds.
+/// Maximum age of server data that a VM forwards to followers, as a fraction of the time in which a
+/// draining server may still get work. With a smaller fraction most VMs read the store themselves
+/// when the store delays a request for a second. For the data that a follower uses itself,
+/// [`READ_STORE_AGE_FRACTION`] is the bound.
 const MAX_FORWARDED_AGE_FRACTION: f64 = 0.65;
 
-/// Age of its server data, as a fraction of the same time, at which a follower reads the store
-/// itself, even if a source may still answer: its own read takes some milliseconds. One poll
-/// interval, two timeouts and the oldest data that is forwarded would add up to more than the whole
-/// time.
+/// Age of a follower's server data, as a fraction of the time in which a draining server may still
+/// get work, at which the follower reads the store itself, even if a source may still answer: a
+/// read of the store takes some milliseconds. One poll interval, two timeouts and the oldest data
+/// that is forwarded would add up to more than the whole time.
 const READ_STORE_AGE_FRACTION: f64 = 0.8;
 
-/// Updates that were forwarded by more VMs than this are rejected. Two hops are usual, and three
-/// where the first of a group is skipped.
+/// Maximum number of VMs that an update may have been forwarded by. Two hops are usual, and three
+/// if the first VM of a group is skipped.
 const MAX_HOPS: u8 = 4;
 
-/// Rank of a VM. Larger VMs come first, since the first of a group answers the polls of its group.
+/// Rank of a VM in the order in which VMs read the store for others. VMs with more CPU come first,
+/// since the first VM of a group answers the polls of its group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
     cpu: Reverse<Millicores>,
@@ -94,21 +101,22 @@
     }
 }
 
-/// Returns true if server data of this age is too old to be forwarded. `leave_within` is the time
-/// in which a draining server may still get work.
+/// Returns true if server data of this age is too old to be forwarded to followers. `leave_within`
+/// is the time in which a draining server may still get work.
 pub fn is_too_old_to_forward(servers_age: Span, leave_within: Span) -> bool {
     servers_age > leave_within.mul_f64(MAX_FORWARDED_AGE_FRACTION)
 }
 
 /// Returns true if the VM `by` may accept an update that `reader` read from the store and that took
-/// `hops` hops. Its own reads and updates that were forwarded too often tell it nothing new.
+/// `hops` hops. What the VM read itself is rejected, and what was forwarded by too many VMs, as it
+/// may be old.
 pub fn may_accept_update(reader: &Vm, hops: u8, by: &Vm) -> bool {
     reader != by && hops <= MAX_HOPS
 }
 
-/// Returns the timeout of the next poll, or none if it is time to read the store. `known` is the
-/// date of a follower's server data; a VM that reads the store itself passes none and always gets
-/// the full timeout.
+/// Returns the timeout of the next poll, or none if the VM should read the store instead. `known`
+/// is when a follower's server data were read from the store; a VM that reads the store itself
+/// passes none and always gets the full timeout.
 pub fn poll_timeout(known: Option<Moment>, leave_within: Span, now: Moment) -> Option<Span> {
     let Some(known) = known else { return Some(POLL_TIMEOUT) };
     let left = (known + leave_within.mul_f64(READ_STORE_AGE_FRACTION)).since(now);
@@ -118,7 +126,7 @@
 /// Reason why a source is not polled for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BackoffReason {
-    /// Consecutive timeouts.
+    /// The source did not answer this number of polls in a row.
     Silent(u32),
     /// The source had no update.
     Declined,
@@ -132,7 +140,7 @@
     until: Moment,
 }
 
-/// Backoff state of the sources that a VM has polled.
+/// Results of one VM's polls of its sources: which sources are not polled for now, and why.
 #[derive(Clone, Debug, Default)]
 pub struct SourceHistory {
     backoffs: BTreeMap<Vm, Backoff>,
@@ -160,9 +168,9 @@
         self.backoffs.retain(|_, backoff| matches!(backoff.reason, BackoffReason::Silent(_)));
     }
 
-    /// Returns true if the last answer of any source of `own` was that the store is lost. A source
-    /// that only declines is no sign of it: during an outage the first of a group may stop or
-    /// stall, and the VMs behind it must keep waiting.
+    /// Returns true if the last answer of any source of the VM `own` was that the store is lost. A
+    /// source that only has no update is no sign of a lost store: during an outage the first VM of
+    /// a group may stop or stall, and the VMs of lower rank must keep waiting.
     pub fn is_store_reported_lost<'a>(
         &'a self,
         own: &'a Rank,
@@ -227,8 +235,8 @@
         sources
     }
 
-    /// Returns the source of a group to poll next. None if `own` is the first responsive VM, or if
-    /// all of its sources are backing off.
+    /// Returns the source in `group` that the VM `own` polls next. None if `own` is the first
+    /// responsive VM, or if all of its sources are in backoff.
     pub fn next_source<'a>(
         &'a self,
         own: &'a Rank,
@@ -257,7 +265,7 @@
         group.filter(|rank| !self.is_silent(&rank.vm, now)).min()
     }
 
-    /// Returns the place of a VM in its group.
+    /// Returns the position of the VM `own` among the responsive VMs of its group.
     pub fn group_position<'a>(
         &'a self,
         own: &'a Rank,
@@ -272,23 +280,26 @@
     }
 }
 
-/// Place of a VM in its group, by the number of responsive VMs of higher rank.
+/// Position of a VM in its group, by the number of responsive VMs of higher rank. It decides if the
+/// VM reads the store when its sources have no update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupPosition {
-    /// No VM of higher rank in the group answers.
+    /// No VM of higher rank in the group answers: the VM is the reader of its group.
     First,
-    /// One of those next to the first.
+    /// One or two VMs of higher rank in the group answer: the VM replaces the first one if that
+    /// fails.
     Next,
-    /// Any lower place.
+    /// At least three VMs of higher rank in the group answer.
     Behind,
 }
 
-/// State of a VM that got no update from its sources.
+/// State of a VM that got no update from its sources: the inputs of [`should_read_store`].
 #[derive(Clone, Copy, Debug)]
 pub struct FollowerState {
-    /// Place in its group.
+    /// Position of the VM among the responsive VMs of its group.
     pub group_position: GroupPosition,
-    /// True if there are other groups, which the first of this one polls.
+    /// True if there are other groups of VMs, whose first VMs are polled by the first VM of this
+    /// group.
     pub has_other_groups: bool,
     /// True if there is a source to poll next.
     pub has_source: bool,
@@ -298,11 +309,11 @@
     pub has_snapshot: bool,
     /// True while the VM started so recently that it may wait for its first update.
     pub is_starting: bool,
-    /// True if the VM's server data is too old.
+    /// True if the VM's server data is so old that the VM must not wait longer for an update.
     pub is_overdue: bool,
 }
 
-/// Returns true if a VM without an update reads the store itself.
+/// Returns true if a VM that got no update from its sources reads the store itself.
 pub fn should_read_store(state: &FollowerState) -> bool {
     if state.is_store_lost {
         return should_try_lost_store(state);
@@ -321,10 +332,11 @@
     }
 }
 
-/// Returns true if a VM tries a store that a source reported as lost. The first of a group always
-/// does, and in a fleet of one group also those next to it: a store that refuses a third of the VMs
-/// and serves the rest refuses three given VMs at once on one day in twenty. Once their data is too
-/// old more VMs try, but in a fleet of several groups none of those behind.
+/// Returns true if a VM tries to read a store that a source reported as lost. The first VM of a
+/// group always does, and in a fleet of one group also the two of next rank: a store that refuses a
+/// third of the VMs and serves the others refuses three given VMs at once on one day in twenty. VMs
+/// whose data is too old try too, except, in a fleet of several groups, those with three or more
+/// VMs of higher rank.
 fn should_try_lost_store(state: &FollowerState) -> bool {
     match state.group_position {
         GroupPosition::First => true,
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -1,54 +1,57 @@
-//! Choice of the replica for a request, from delayed load reports and the requests that this VM
-//! sent itself.
+//! Choice of the replica (one of several equal backend servers) for a request, from delayed load
+//! reports and the requests that this VM sent itself. A prompt *prefix* may be cached on some
+//! replicas, its *affine* ones.
 
 use crate::unit::hash::mix;
 use crate::unit::{Moment, Span};
 
-/// Half-life of a report's weight: other VMs have acted on the report in the meantime.
+/// Half-life of the weight of a replica's load report: other VMs have acted on the report in the
+/// meantime, so the reported load is out of date.
 const REPORT_HALF_LIFE: Span = Span::millis(400);
 
-/// Bonus of a replica that has the prefix cached, in the unit of `cost`.
+/// Reduction of the cost of a replica that has the prompt's prefix cached, in the unit of [`cost`].
 const AFFINITY_BONUS: f64 = 0.6;
 
-/// Load, as a fraction of the slots, from which a request may have to queue.
+/// Load of a replica, as a fraction of its slots, from which a request may have to queue.
 const QUEUEING_THRESHOLD: f64 = 0.94;
 
-/// Cost per unit of load: queueing beyond the threshold costs much, sharing a batch little.
+/// Cost per unit of load beyond [`QUEUEING_THRESHOLD`]: queueing delays a request much.
 const QUEUEING_COST: f64 = 6.0;
+/// Cost per unit of load: a request that shares a batch with others is delayed a little.
 const BATCHING_COST: f64 = 0.25;
 
-/// Number of replicas that a prefix may be cached on. Beyond them, all replicas are equal for it.
+/// Number of replicas on which a prefix is expected to be cached.
 const AFFINE_REPLICAS: usize = 3;
 
-/// Bonus of each further affine replica relative to the one before.
+/// Factor on [`AFFINITY_BONUS`] for each further affine replica of a prefix.
 const AFFINITY_DECAY: f64 = 0.7;
 
 /// Number of random candidates compared with the affine replicas of a prefix.
 const RANDOM_CANDIDATES: usize = 3;
 
-/// A failing replica gets no requests for this long.
+/// Time for which a replica gets no requests after a request failed there.
 const FAILURE_BACKOFF: Span = Span::millis(1500);
 
-/// State of one replica as known to one VM.
+/// State of one replica, as known to one VM: the inputs of [`select_replica`].
 #[derive(Clone, Copy, Debug)]
 pub struct Replica {
-    /// Stable number, used for the rendezvous hashing of prefixes.
+    /// Stable number of the replica, used for the rendezvous hashing of prefixes.
     pub id: u64,
-    /// Number of requests that it runs concurrently.
+    /// Number of requests that the replica runs concurrently.
     pub slots: f64,
-    /// Requests running and waiting according to its last report.
+    /// Requests running and waiting at the replica, by its last report.
     pub reported: f64,
-    /// When the report was made.
+    /// When the last report was received.
     pub reported_at: Moment,
-    /// This VM's own open requests there now.
+    /// This VM's open requests at the replica now.
     pub own_open: f64,
-    /// This VM's own open requests there when the report was made.
+    /// This VM's open requests at the replica when the last report was received.
     pub own_open_at_report: f64,
-    /// True if it accepts new requests.
+    /// True if the replica accepts new requests.
     pub accepting: bool,
-    /// When a request last failed there without having run.
+    /// When a request last failed at the replica without having run.
     pub failed_at: Option<Moment>,
-    /// One-way network latency to it.
+    /// One-way network latency from this VM to the replica.
     pub latency: Span,
 }
 
@@ -68,12 +71,13 @@
         }
     }
 
-    /// Returns true if new requests may be sent there now.
+    /// Returns true if new requests may be sent to the replica now.
     pub fn is_usable(&self, now: Moment) -> bool {
         self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= FAILURE_BACKOFF)
     }
 
-    /// Estimates its load as a fraction of its slots; `mean` is the mean load of all replicas.
+    /// Estimates the load of the replica as a fraction of its slots; `mean` is the mean load of all
+    /// replicas.
     fn load(&self, mean: f64, now: Moment) -> f64 {
         let age = now.since(self.reported_at).as_secs() / REPORT_HALF_LIFE.as_secs();
         let weight = 0.5f64.powf(age);
@@ -83,7 +87,7 @@
     }
 }
 
-/// Returns the cost of adding a request at this load.
+/// Returns the cost of sending a request to a replica with this load, a fraction of its slots.
 fn cost(load: f64) -> f64 {
     load * BATCHING_COST + (load - QUEUEING_THRESHOLD).max(0.0) * QUEUEING_COST
 }
@@ -110,8 +114,9 @@
     best.map(|place| place.1)
 }
 
-/// Chooses the replica for a request; `prefix` is a digest of the beginning of its prompt, if it
-/// has one, and `point` a random number of its own.
+/// Returns the index of the replica for a request; none if no replica is usable. `prefix` is a
+/// digest of the beginning of the prompt, if there is one, and `point` a random number of the
+/// request.
 pub fn select_replica(
     replicas: &[Replica],
     prefix: Option<u64>,
@@ -154,6 +159,7 @@
     best.map(|(_, i)| i).or_else(|| replicas.iter().position(|replica| replica.is_usable(now)))
 }
 
+/// Returns the mean reported load of the accepting replicas, as a fraction of their slots.
 fn mean_load(replicas: &[Replica]) -> f64 {
     let (load, slots) = replicas
         .iter()
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,17 +1,18 @@
-//! Conditions under which a request may be retried, and the budget that limits retries.
+//! Conditions under which a request may be retried, and a token-bucket budget of retries. The
+//! budget over a sliding window is [`super::budget`].
 
 use crate::unit::{Moment, Span};
 
-/// Retries allowed per first attempt.
+/// Retries that each first attempt adds to the budget.
 const RETRY_RATIO: f64 = 0.1;
 
-/// Maximum number of unused retries that are saved up.
+/// Maximum number of unused retries that the budget saves up.
 const MAX_SAVED: f64 = 20.0;
 
-/// Maximum number of attempts of one request.
+/// Maximum number of attempts of one request, the first one included.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// How an attempt failed that returned no complete response.
+/// How an attempt failed that got no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection was never established, so nothing was sent.
@@ -40,7 +41,7 @@
         self.level = (self.level + RETRY_RATIO).min(MAX_SAVED);
     }
 
-    /// Takes a retry from the budget and returns true, or returns false if none is left.
+    /// Spends one retry of the budget. Returns false if none is left.
     pub fn try_spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
@@ -50,9 +51,9 @@
     }
 }
 
-/// Returns true if another attempt may follow, apart from the budget. An attempt that may have run
-/// is only followed by another if the request is `repeatable`; `min_time` is the least time left to
-/// the deadline for a retry to make sense.
+/// Returns true if a request may be retried after `attempts` attempts, of which the last failed
+/// with `failure`; the caller checks the budget. After a `Broken` attempt, which may have run, only
+/// a `repeatable` request is retried. `min_time` is the time that must be left until the deadline.
 pub fn is_retry_allowed(
     failure: Failure,
     repeatable: bool,
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -1,32 +1,37 @@
-//! Decides the next step of a roll-out: grows as fast as the evidence rules out harm, and withdraws
-//! at once on proof.
+//! Decides the next step of a roll-out: the new version's share of traffic grows as fast as the
+//! evidence rules out harm, and the version is withdrawn at once if the evidence proves harm.
+//!
+//! *Harm* is the increase of the share of bad answers over the old version's. Answers are bad if
+//! they failed, were slow, or got a poor rating. Some answers are rated by an external service,
+//! which takes a while, the rating lag.
 
 use super::sequential::{Count, Difference, evidence};
 use crate::unit::{Span, TrafficShare};
 
-/// Limits of a roll-out.
+/// Limits of risk and pace of roll-outs, set by operators.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// False positive rate: probability of withdrawing a version that does no harm.
     pub alpha: f64,
-    /// Harm, as an increase of the share of bad answers, that operators tolerate.
+    /// Increase of the share of bad answers that operators tolerate; less does not count as harm.
     pub tolerance: f64,
-    /// Harm that must be unlikely before all traffic moves, as an increase of the share of bad
-    /// answers.
+    /// Increase of the share of bad answers that must be unlikely before all traffic moves to the
+    /// new version.
     pub margin: f64,
-    /// Maximum probability of harm beyond the margin with which all traffic may move.
+    /// Maximum probability of harm beyond `margin` at which all traffic may move.
     pub max_risk: f64,
     /// Maximum expected number of additional bad answers whose ratings are still outstanding.
     pub max_unrated_harm: f64,
-    /// First share if the request rate is not known.
+    /// First share of the new version if the request rate is not known.
     pub default_first_share: TrafficShare,
-    /// Requests that may be exposed before the first ratings arrive.
+    /// Number of requests that the new version may get before the first ratings arrive.
     pub first_requests: f64,
-    /// Maximum expected harm at which sessions may begin on the version.
+    /// Maximum expected harm at which sessions may begin on the new version.
     pub max_session_harm: f64,
-    /// Minimum time for the share to double.
+    /// Minimum time in which the new version's share may double.
     pub min_doubling_time: Span,
-    /// Multiple of the usual rating lag without any rating after which ratings count as stopped.
+    /// Time without any rating, in multiples of the usual rating lag, after which ratings count as
+    /// stopped.
     pub max_silence_lags: f64,
 }
 
@@ -47,7 +52,7 @@
     }
 }
 
-/// Counts of one version since the roll-out began.
+/// Counts of one version (the new or the old arm of the comparison) since the roll-out began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Arm {
     /// Requests that ended; the failed ones are bad.
@@ -58,41 +63,41 @@
     pub poor: Count,
 }
 
-/// Inputs of the decision.
+/// What is known of a roll-out: the inputs of [`decide`].
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
     /// Counts of the new version.
     pub new: Arm,
-    /// Counts of the version in service, over the same time.
+    /// Counts of the version in service, since the roll-out began.
     pub old: Arm,
     /// Ratings of the version in service before the roll-out began.
     pub earlier_ratings: Count,
-    /// Present share of the traffic that the new version gets.
+    /// Share of the traffic that the new version gets now.
     pub share: TrafficShare,
     /// True while the roll-out is held because ratings stopped.
     pub is_held: bool,
-    /// Time at the present share.
+    /// Time since the new version's share last changed.
     pub time_at_share: Span,
     /// Requests per second for the model over all VMs.
     pub request_rate: f64,
-    /// Usual time from an answer until its rating is available to this decision.
+    /// Usual time from an answer until its rating is counted.
     pub rating_lag: Span,
     /// Time since the latest rating of either version.
     pub time_since_rating: Span,
-    /// Declared share of bad answers of the version in service.
+    /// Share of poor answers of the version in service, as operators declared it.
     pub declared_bad_share: f64,
 }
 
-/// Next step of a roll-out, with the new share where it changes and the reason for operators.
+/// Next step of a roll-out, with the new share if it changes, and the reason for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// No change.
     Stay,
-    /// Increases the share.
+    /// Increases the share to this one.
     Grow(TrafficShare, String),
-    /// Reduces the share, since harm is likely but not proved.
+    /// Reduces the share to this one, since harm is likely but not proved.
     Shrink(TrafficShare, String),
-    /// Stops growth, since ratings stopped.
+    /// Stops growth at this share, since ratings stopped.
     Hold(TrafficShare, String),
     /// Resumes growth, since ratings arrive again.
     Resume(String),
@@ -102,30 +107,31 @@
     Withdraw(String),
 }
 
-/// False positive rate at which the share is reduced.
+/// False positive rate at which the new version's share is reduced.
 const SHRINK_CHANCE: f64 = 0.08;
 
-/// Maximum share before all traffic moves; two versions are compared best at equal shares.
+/// Maximum share of the new version before all traffic moves; two versions are compared best at
+/// equal shares.
 const MAX_PARTIAL_SHARE: TrafficShare = TrafficShare(500_000);
 
-/// Minimum factor of growth; less is not worth a change of configuration.
+/// Minimum factor by which the share grows; less is not worth a change of configuration.
 const MIN_GROWTH_FACTOR: f64 = 1.4;
 
-/// Ratings of the new version needed before the share grows beyond the first.
+/// Ratings of the new version that are needed before its share grows beyond the first.
 const MIN_RATINGS: f64 = 30.0;
 
-/// Factor by which the share is reduced when harm is likely.
+/// Factor on the new version's share when harm is likely.
 const SHRINK_FACTOR: f64 = 0.25;
 
-/// Maximum weight, in ratings, of the time before the roll-out.
+/// Maximum weight in the baseline, in ratings, of the version in service before the roll-out began.
 const MAX_EARLIER_RATINGS: f64 = 800.0;
 
-/// Maximum drift, in standard errors, of the baseline since before the roll-out. If it has moved
-/// further, only ratings of the same time count.
+/// Maximum difference, in standard errors, between the ratings of the version in service before and
+/// during the roll-out. If they differ more, only those during the roll-out count.
 const MAX_DRIFT_ERRORS: f64 = 3.0;
 
-/// Returns the baseline: ratings of the version in service over the same time, plus earlier ones if
-/// they agree.
+/// Returns the ratings with which the new version is compared: those of the version in service
+/// since the roll-out began, plus earlier ones if they agree.
 fn baseline_ratings(inputs: &Inputs) -> Count {
     let (now, before) = (inputs.old.poor, inputs.earlier_ratings.capped(MAX_EARLIER_RATINGS));
     let difference = Difference::between(now, before, inputs.declared_bad_share);
@@ -135,7 +141,8 @@
     now.plus(before)
 }
 
-/// Returns the names of the signals of harm and the evidence of each.
+/// Returns the signals of harm: their names, and the log evidence of each that the new version is
+/// worse than tolerated.
 fn harm_signals(policy: &Policy, inputs: &Inputs) -> [(&'static str, f64); 3] {
     let limit = |old: Count, prior: f64| {
         let rate = old.rate(prior);
@@ -152,20 +159,20 @@
     ]
 }
 
-/// Estimates how much larger the new version's share of poor answers is.
+/// Estimates how much larger the new version's share of poor ratings is than the baseline's.
 pub fn rating_difference(inputs: &Inputs) -> Difference {
     Difference::between(inputs.new.poor, baseline_ratings(inputs), inputs.declared_bad_share)
 }
 
-/// Returns true if sessions may begin on the version. They stay on it, so they wait for more
-/// evidence than single requests.
+/// Returns true if sessions may begin on the new version. A session stays on its version, so this
+/// needs more evidence than single requests do.
 pub fn admits_sessions(policy: &Policy, inputs: &Inputs) -> bool {
     inputs.new.poor.all >= MIN_RATINGS
         && rating_difference(inputs).expected_harm(policy.tolerance) <= policy.max_session_harm
 }
 
-/// Returns the first share: small enough that few requests are exposed before the first ratings
-/// arrive.
+/// Returns the first share of the new version, small enough that it gets few requests before the
+/// first ratings arrive. `rate` is in requests per second, `lag` the rating lag.
 pub fn first_share(policy: &Policy, rate: f64, lag: Span) -> TrafficShare {
     if rate <= 0.0 {
         return policy.default_first_share;
@@ -175,7 +182,7 @@
     )
 }
 
-/// Decides the next step.
+/// Decides the next step of a roll-out.
 pub fn next_step(policy: &Policy, inputs: &Inputs) -> Action {
     let proof = (3.0 / policy.alpha).ln();
     let harm_signals = harm_signals(policy, inputs);
@@ -213,6 +220,8 @@
     growth_step(policy, inputs, first)
 }
 
+/// Decides the next step if there is no sign of harm: the first share, growth, completion, or no
+/// change.
 fn growth_step(policy: &Policy, inputs: &Inputs, first: TrafficShare) -> Action {
     if inputs.new.poor.all < MIN_RATINGS {
         let has_started = inputs.share >= first;
@@ -251,17 +260,19 @@
     Action::Stay
 }
 
-/// Share of the ratings that the new version gets until it has [`BALANCED_FROM_RATINGS`].
+/// Share of the rating budget that goes to the new version until it has [`BALANCED_FROM_RATINGS`].
 const EARLY_RATING_SHARE: f64 = 0.7;
 
-/// Ratings of the new version from which both versions get equally many, which gives the most
-/// precise difference.
+/// Ratings of the new version from which both versions get equally many further ratings, which
+/// gives the most precise difference.
 const BALANCED_FROM_RATINGS: f64 = 500.0;
 
-/// Returns the shares of the answers of the new and the old version to have rated, within `budget`
-/// ratings per second, after `rated` answers of the new version were rated.
+/// Returns the shares of the answers of the new and of the old version that are to be rated.
+/// `share` is the new version's share of `rate` requests per second, `budget` the number of ratings
+/// per second, and `rated` the number of ratings of the new version so far.
 ///
-/// The new version comes first, since each of its ratings shortens the exposure.
+/// The new version gets more ratings at first, since each of them shortens the time in which a bad
+/// version gets traffic.
 pub fn rating_shares(share: TrafficShare, rate: f64, budget: f64, rated: f64) -> (f64, f64) {
     let new_rate = rate * share.fraction();
     let old_rate = rate - new_rate;
--- a/src/decide/sequential.rs
+++ b/src/decide/sequential.rs
@@ -1,18 +1,19 @@
-//! Sequential test on counts that stays valid at every look (anytime-valid).
+//! Sequential test on counts of good and bad events that stays valid however often it is evaluated
+//! (anytime-valid).
 //!
 //! The counts are sufficient statistics, so counts merged from many VMs can be tested as one.
 
 use serde::{Deserialize, Serialize};
 
-/// Alternatives of the mixture test, as increases of the share of bad events, and their weights.
-/// Harm that is worth finding fast weighs most.
+/// Alternatives of the mixture test: increases of the share of bad events, each with its weight.
+/// Increases that are worth finding fast weigh most.
 const HARM_ALTERNATIVES: [(f64, f64); 6] =
     [(0.03, 0.13), (0.06, 0.22), (0.12, 0.27), (0.24, 0.18), (0.48, 0.1), (0.9, 0.1)];
 
-/// Weight of the prior, in events; keeps rates of few events off 0 and 1.
+/// Weight, in events, of the prior of a rate; keeps rates of few events off 0 and 1.
 const PRIOR_EVENTS: f64 = 2.0;
 
-/// Shares are clamped this far from 0 and 1, so that logarithms stay finite.
+/// Minimum distance of a share from 0 and 1, so that logarithms stay finite.
 const MIN_SHARE: f64 = 1e-4;
 
 /// Number of events and of bad events among them. Fractional, since counts may be decayed or
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -1,53 +1,57 @@
 //! Rate limits of backend servers: how fast all VMs together send requests to one incarnation of a
 //! server.
 //!
-//! A server that is cold, or names a limit in its response headers, fails or slows down above some
-//! requests per second. Its short queue makes every VM choose it at the same moment, and an even
-//! share among hundreds of VMs is less than one request, which all of them may still send at once.
-//! So only a few VMs, which each VM computes alike, may send to it, each at a fixed interval.
+//! A server that is cold (has just started), or advertises a limit in its response headers, fails
+//! or slows down above some requests per second. Its short queue makes every VM choose the server
+//! at the same moment, and an even share among hundreds of VMs is less than one request, which all
+//! of them may still send at once. So only a few VMs, the *senders*, which each VM computes alike,
+//! may send to such a server, each at a fixed interval in its *send slots*.
 
 use std::fmt;
 
 use crate::unit::hash::mix;
 use crate::unit::{Moment, Rate, Span};
 
-/// The interval of a VM is this factor longer than needed: the latency of responses and of new
+/// Factor on the time between two requests of a sender: the latency of responses and of new
 /// connections shifts the arrival of two requests by some milliseconds.
 const INTERVAL_MARGIN: f64 = 1.05;
 
-/// Window over which an advertised limit is kept, as users verify it.
+/// Window in which a server gets at most the advertised rate times the length of the window. Users
+/// verify limits over windows of this length.
 pub const LIMIT_WINDOW: Span = Span::secs(4);
 
-/// A server that names a lower rate, or zero, still gets one request in ten seconds, so that its
-/// response can end the limit.
+/// Minimum rate. A server that advertises a lower one, or zero, still gets one request in ten
+/// seconds, so that its response can end the limit.
 const MIN_RATE: Rate = Rate(0.1);
 
-/// A server that names a higher rate counts as unlimited.
+/// Maximum rate; a server that advertises a higher one counts as unlimited.
 const MAX_RATE: Rate = Rate(1e6);
 
-/// Fraction of the rate usable by a single sender that is given up to have more senders.
+/// Fraction of the requests per window that may be given up by rounding, so that more VMs can be
+/// senders.
 const MAX_UNUSED: f64 = 0.05;
 
-/// A limit that was not renewed for this long expires: the message that it ended may have been
-/// lost.
+/// Time after which a limit that was not observed again expires: the message that the limit ended
+/// may have been lost.
 const LIMIT_TTL: Span = Span::secs(40);
 
 /// A limit is announced to all VMs again after this time, so that it stays in force at VMs that
 /// send no requests to the server.
 const REANNOUNCE_INTERVAL: Span = Span::secs(15);
 
-/// A rate is announced if it changed by more than this fraction. A decrease is announced at once,
-/// since other VMs may be sending too much; an increase waits until `MIN_INCREASE_INTERVAL` after
-/// the last announcement.
+/// Relative change of a server's limit above which the new rate is announced to other VMs. A
+/// decrease is announced at once, since other VMs may be sending too much; an increase waits until
+/// [`MIN_INCREASE_INTERVAL`] after the last announcement.
 const MIN_CHANGE: f64 = 0.1;
+/// Minimum time between two announcements of which the second increases the rate.
 const MIN_INCREASE_INTERVAL: Span = Span::millis(500);
 
-/// Requests that a server accepts from all VMs together.
+/// Rate of requests that a server accepts from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
     /// Sustained rate.
     pub rate: Rate,
-    /// Any window of this length holds at most `rate` times its length, or one request.
+    /// In any window of this length at most `rate` times the length are sent, or one request.
     pub window: Span,
 }
 
@@ -57,14 +61,14 @@
         RateLimit { rate: Rate(rate.0.clamp(MIN_RATE.0, MAX_RATE.0)), window: LIMIT_WINDOW }
     }
 
-    /// Returns the limit that satisfies both.
+    /// Returns the limit that satisfies both limits.
     pub fn strictest(self, other: RateLimit) -> RateLimit {
         let rate = Rate(self.rate.0.min(other.rate.0));
         RateLimit { rate, window: self.window.min(other.window) }
     }
 }
 
-/// Share of a rate limit that each sender gets.
+/// Division of a server's rate limit among its senders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     /// Number of VMs that may send to the server.
@@ -90,9 +94,9 @@
     }
 }
 
-/// Returns true if this VM may send to a server, given the hashes of the VMs' names: the senders
-/// are the VMs with the highest rendezvous weights for that server. VMs with different membership
-/// views disagree about few servers.
+/// Returns true if this VM is a sender of a server: the senders are the VMs with the highest
+/// rendezvous weights for that server. `server`, `own` and `others` are hashes of the names of the
+/// server, this VM and the other VMs. VMs that know different members disagree about few servers.
 pub fn is_sender(share: &Share, server: u64, own: u64, others: &[u64]) -> bool {
     let own = mix(server, own);
     let higher = others.iter().filter(|other| mix(server, **other) > own);
@@ -102,38 +106,38 @@
 /// A reserved send slot, with the state that releasing it restores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// Time of the slot.
+    /// Time at which the request may be sent.
     pub send_at: Moment,
     previous: Option<Moment>,
 }
 
-/// Send slots of one VM at one server.
+/// Send slots of one VM at one rate-limited server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
     last: Option<Moment>,
 }
 
 impl Pacer {
-    /// Returns the time of the next free slot.
+    /// Returns the time of the next free send slot.
     pub fn next_send(&self, share: &Share, now: Moment) -> Moment {
         self.last.map_or(now, |last| now.max(last + share.interval))
     }
 
-    /// Reserves the next free slot.
+    /// Reserves the next free send slot.
     pub fn reserve(&mut self, share: &Share, now: Moment) -> Reservation {
         let reservation = Reservation { send_at: self.next_send(share, now), previous: self.last };
         self.last = Some(reservation.send_at);
         reservation
     }
 
-    /// Records that a request was sent in its slot. The next slot counts from this time, as opening
-    /// a connection may have delayed the request.
+    /// Records that a request was sent in its reserved slot. The next slot follows the interval
+    /// after this time, as opening a connection may have delayed the request.
     pub fn on_send(&mut self, now: Moment) {
         self.last = self.last.max(Some(now));
     }
 
-    /// Releases a slot in which nothing was sent. The slot is lost if a later one is already
-    /// reserved.
+    /// Releases a reserved slot in which nothing was sent. The slot is lost if a later one is
+    /// already reserved.
     pub fn release(&mut self, reservation: Reservation) {
         if self.last == Some(reservation.send_at) {
             self.last = reservation.previous;
@@ -144,22 +148,22 @@
 /// The rate limit in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitHeader {
-    /// The header is missing.
+    /// The response has no limit header.
     #[default]
     Absent,
-    /// The value is not a rate.
+    /// The value of the header is not a rate.
     Invalid,
-    /// Requests per second from all VMs together.
+    /// The server accepts this rate from all VMs together.
     Present(Rate),
 }
 
 /// State of a server's rate limit at one moment, as VMs send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Update {
-    /// The limit, or none if it ended.
+    /// The advertised rate, or none if the limit ended.
     pub rate: Option<Rate>,
     /// When the limit was observed. For the end of a limit, when the request was sent whose
-    /// response showed it.
+    /// response had no limit header.
     pub as_of: Moment,
 }
 
@@ -168,24 +172,25 @@
 pub enum Recipients {
     /// All VMs, each of which forwards it.
     All,
-    /// The senders to a server at either rate, the previous and the new one: other VMs have no
-    /// share at either, so nothing changes for them.
+    /// The VMs that are senders of the server at the previous or at the new rate: other VMs have no
+    /// share at either rate, so nothing changes for them.
     Senders([Rate; 2]),
 }
 
-/// Returns how many of `vms` may be senders at either of two rates. A lower rate may have more
+/// Returns how many of `vms` VMs may be senders at one of two rates. The lower rate may have more
 /// senders.
 pub fn max_senders(rates: [Rate; 2], vms: usize) -> usize {
     let senders = rates.map(|rate| Share::new(&RateLimit::advertised(rate), vms).senders);
     senders[0].max(senders[1])
 }
 
-/// What was last announced to other VMs.
+/// The limit of a server that was last announced to other VMs.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     rate: Option<Rate>,
-    /// Time of the last announcement, and of the last one to all VMs.
+    /// Time of the last announcement to any VMs.
     at: Moment,
+    /// Time of the last announcement to all VMs.
     to_all_at: Moment,
 }
 
@@ -193,16 +198,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownLimit {
     known: Option<Update>,
-    /// Since when a limit has been known without interruption.
+    /// Time since which a limit has been known without interruption.
     limited_since: Option<Moment>,
-    /// What other VMs know, as far as this VM announced it to them or received it from them.
+    /// The limit that other VMs know, as far as this VM announced it to them or received it from
+    /// them.
     announced: Option<Announcement>,
 }
 
 impl KnownLimit {
-    /// Applies the header of a response to a request that was sent at `sent_at`. Returns true if
-    /// that changes the limit. A response without the header ends the limit only if its request was
-    /// sent after the limit was observed, since responses overtake each other.
+    /// Applies the limit header of a response to a request that was sent at `sent_at`. Returns true
+    /// if that changes the limit. A response without the header ends the limit only if its request
+    /// was sent after the limit was observed, since responses overtake each other.
     pub fn observe(&mut self, header: LimitHeader, sent_at: Moment, now: Moment) -> bool {
         match (header, self.known) {
             (LimitHeader::Present(rate), _) => {
@@ -215,10 +221,10 @@
         }
     }
 
-    /// Applies an update from another VM if it is newer than what is known. Returns true if it is
-    /// to be forwarded to all VMs. A start or end of the limit is; otherwise it is forwarded only
-    /// if half of `REANNOUNCE_INTERVAL` has passed since the last announcement to all: half, since
-    /// VMs measure that time slightly differently.
+    /// Applies an update from another VM if the update is newer than what is known. Returns true if
+    /// this VM must forward the update to all VMs: if a limit starts or ends, or if half of
+    /// `REANNOUNCE_INTERVAL` has passed since the last announcement to all VMs. Half, since VMs
+    /// measure that time slightly differently.
     pub fn merge(&mut self, update: Update, now: Moment) -> bool {
         if self.known.is_some_and(|known| known.as_of >= update.as_of) {
             return false;
@@ -253,8 +259,8 @@
         self.announced = Some(Announcement { rate, at: now, to_all_at });
     }
 
-    /// Returns the VMs whose information is outdated or about to expire: all VMs, if none was sent
-    /// to all of them for `every`.
+    /// Returns the VMs whose information about the limit is outdated or about to expire, or none.
+    /// These are all VMs if nothing was announced to all of them for `every`.
     fn recipients(&self, every: Span, now: Moment) -> Option<Recipients> {
         let known = self.known?.rate;
         let Some(announced) = self.announced else { return known.map(|_| Recipients::All) };
@@ -272,7 +278,7 @@
         (fell || rose).then_some(Recipients::Senders([previous, known]))
     }
 
-    /// Returns the limit, or none if there is none or it expired.
+    /// Returns the advertised rate, or none if the server has no limit or the limit expired.
     pub fn rate(&self, now: Moment) -> Option<Rate> {
         let known = self.known.filter(|known| now.since(known.as_of) < LIMIT_TTL)?;
         known.rate
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one engine.
+//! One attempt of a request at one engine (a backend server that runs models).
 //!
 //! Yields each frame of the request once and in order, and drops duplicates and frames of other
 //! requests.
@@ -13,20 +13,23 @@
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
 use crate::vm::{Command, Group, SelectedServer, Vm};
 
-/// Longest wait for the next frame before the attempt counts as broken.
+/// Maximum wait for the next frame of an answer before the attempt counts as broken.
 const FRAME_TIMEOUT: Span = Span::secs(3);
 
-/// Decision traces list every candidate server of groups up to this size. Of larger groups, only a
-/// share of the requests (`TRACED_SHARE`) lists them.
+/// Size of a group of servers up to which each decision trace lists every candidate server. For
+/// larger groups, only a share of the requests ([`TRACED_SHARE`]) lists them.
 const MAX_TRACED_CANDIDATES: usize = 32;
+/// Share of the requests whose traces list the candidates of a large group.
 const TRACED_SHARE: f64 = 0.01;
 
-/// An attempt that the engine accepted. Dropping it before its end cancels it.
+/// An attempt that the engine accepted. Dropping the value before the end of the answer cancels the
+/// attempt at the engine.
 pub struct Attempt<'a> {
     vm: &'a Vm,
     work: Generate,
     selected: SelectedServer,
     frames: Frames,
+    /// Index of the next token to yield.
     next_offset: u32,
     is_complete: bool,
 }
@@ -39,11 +42,11 @@
     End(End),
 }
 
-/// Picks a server and starts the generation on it.
+/// Selects a server and starts the generation there.
 ///
 /// # Errors
-/// Returns the error if no server can take the request (then without a server) or if the selected
-/// server refused it or failed.
+/// The cause, with the server that was selected, if that server refused the request or failed;
+/// without a server if none can take the request.
 pub async fn start<'a>(
     vm: &'a Vm,
     engines: &EngineClient,
@@ -98,12 +101,14 @@
     }
 }
 
+/// Records at the fleet state that an engine did not start an attempt, and asks for a probe of its
+/// load unless it was just full.
 fn record_failed_start(vm: &Vm, selected: &SelectedServer, error: &AttemptError, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
     fleet.on_request_end(&selected.server);
     match &error.not_run {
         Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&selected.server),
-        // A full server has not failed. Its reported load steers other requests away from it.
+        // A full server has not failed. The load that it reports steers other requests away.
         Some(NotRun { reason: Reason::Full, load }) => {
             fleet.on_load_hint(&selected.server, load.0, load.1, now);
             return;
@@ -114,22 +119,23 @@
     vm.send_command(Command::ProbeServer(selected.server.clone()));
 }
 
+/// Counts an attempt in the metrics, by version and outcome.
 fn count_attempt(vm: &Vm, target: &Target, outcome: &str) {
     vm.metrics.attempts.with_label_values(&[target.to_string().as_str(), outcome]).inc();
 }
 
 impl Attempt<'_> {
-    /// Returns the address of the server.
+    /// Returns the address of the server that runs the attempt.
     pub fn address(&self) -> SocketAddr {
         self.selected.address
     }
 
-    /// Returns the server that the attempt runs on.
+    /// Returns the name of the server that runs the attempt.
     pub fn server(&self) -> &Server {
         &self.selected.server
     }
 
-    /// Returns the next token or the end.
+    /// Returns the next token of the answer, or its end.
     ///
     /// # Errors
     /// Returns the reason if the stream ends early, skips a token, or sends no frame within
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -1,4 +1,5 @@
-//! Records of a request: bill, evidence, error budget, rating sample and decision trace.
+//! Records of a request: bill, evidence (counters that VMs merge), error budget, sample for rating
+//! and decision trace.
 
 use tokio::sync::oneshot;
 
@@ -13,14 +14,15 @@
 
 impl Dispatcher {
     /// Returns true if the first token came later than the first objective of the workspace allows,
-    /// or later than 2 s without an objective. A request without a token is not late.
+    /// or later than 2 s if the workspace has no objective. A request without a token is not late.
     pub(super) fn is_late(&self, started_at: Moment, first_token: Option<Moment>) -> bool {
         let objective = self.job.workspace.objectives.first();
         let allowed = objective.map_or(Span::secs(2), |o| Span::millis(o.first_token_ms));
         first_token.is_some_and(|first| first.since(started_at) > allowed)
     }
 
-    /// Counts the answer towards each objective of the workspace that covers its kind of work.
+    /// Counts an answer towards the error budget of each objective of the workspace that covers the
+    /// kind of work.
     pub(super) fn record_burn(&self, target: &Target, bad: bool) {
         let date = self.vm.clock.date();
         let mut burn = self.vm.burn.lock().expect("no panic while held");
@@ -43,20 +45,22 @@
         });
     }
 
-    /// Returns the evidence key of the version in the current trial of its model.
+    /// Returns the evidence key of a version in the current trial of its model: the running
+    /// roll-out or the current time window.
     pub(super) fn trial_key(&self, target: &Target) -> Key {
         let since = self.vm.trial_start(&target.model, self.vm.clock.date());
         Key::Trial { target: target.clone(), since }
     }
 
-    /// Counts an answer under the evidence key of its cascade and returns the keys that its rating
-    /// will count under: that of the trial and this one.
+    /// Counts an answer under `key`, the evidence key of its cascade, and returns the keys that its
+    /// rating will count under: that of the trial and `key`.
     fn count_answer(&self, target: &Target, key: Key) -> Vec<Key> {
         self.vm.record_evidence(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.trial_key(target), key]
     }
 
-    /// Counts a cheap answer of a cascade, whether kept or not, and may submit it for rating.
+    /// Counts an answer of a cascade's cheap version, kept or not, and may submit it for rating.
+    /// `bin` is the bin of its confidence.
     pub(super) fn record_cheap_answer(
         &self,
         target: &Target,
@@ -77,8 +81,9 @@
         }
     }
 
-    /// Counts a strong answer of a cascade and may submit it for rating. `bin` is the confidence
-    /// bin of the cheap answer before it, or `BINS` if the strong version ran alone.
+    /// Counts an answer of a cascade's strong version and may submit it for rating. `bin` is the
+    /// confidence bin of the cheap answer before it, or `CONFIDENCE_BINS` if the strong version ran
+    /// alone.
     pub(super) fn record_strong_answer(
         &self,
         target: &Target,
@@ -97,8 +102,9 @@
         self.sample_for_rating(target, self.job.request.clone(), keys, value, received.concat());
     }
 
-    /// Submits a sample of the answers for rating. During a roll-out of the model, its sampling
-    /// rates decide; otherwise the budget for ratings goes to the most informative answers.
+    /// Submits an answer for rating, if it is sampled. During a roll-out of the model, the sampling
+    /// rates of the roll-out decide; otherwise the budget for ratings goes to the answers with the
+    /// most informative ratings (`value`).
     pub(super) fn sample_for_rating(
         &self,
         target: &Target,
@@ -128,7 +134,8 @@
         }));
     }
 
-    /// Bills the collected parts and returns true once other VMs or the store hold the bill.
+    /// Bills the parts of the request that ran. Returns true once other VMs or the store hold the
+    /// bill, false if that failed.
     pub(super) async fn record_bill(&mut self) -> bool {
         self.record_event("bill");
         let entry = Entry {
@@ -144,6 +151,7 @@
         is_stored.await.unwrap_or(false)
     }
 
+    /// Stores the decision trace of the request for operators.
     pub(super) fn store_trace(&mut self) {
         let trace = Trace {
             request: self.job.request.clone(),
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -1,5 +1,5 @@
 //! Attempts of a request with one version. After a failure, another server continues the answer at
-//! the token where it stopped, so the client receives each token once.
+//! the token where the failed server stopped, so the client receives each token once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
 
-/// Minimum time until the deadline for a retry.
+/// Minimum time until the deadline at which a retry is still made.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
-/// After this many refusals by full engines, the request waits in the queue of the next one.
+/// Number of refusals by full engines after which the request asks the next engine to queue it.
 const MAX_FULL_REFUSALS: u32 = 3;
 
 /// Reason why the stream of an attempt ended early.
@@ -59,8 +59,8 @@
         outcome
     }
 
-    /// Asks the admission controller of the model's pool, so that a request that could not be
-    /// served is refused before it runs.
+    /// Asks the admission controller of the model's pool for admission, so that a request that
+    /// could not be served in time is refused before it runs.
     fn admit(&mut self, target: &Target, now: Moment) -> Result<(), Abort> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Reports the end of an admitted request to the admission controller, which adapts its limit.
     fn record_admission_end(&self, target: &Target, outcome: &Result<End, Abort>, late: bool) {
         let admission_outcome = match outcome {
             Ok(_) if late => Outcome::Bad,
@@ -94,7 +95,8 @@
         });
     }
 
-    /// Tries servers until one completes the answer or no retry is allowed.
+    /// Attempts the generation at one server after another until one completes the answer or no
+    /// retry is allowed.
     async fn try_servers(
         &mut self,
         target: &Target,
@@ -106,8 +108,8 @@
         let mut full_refusals = 0;
         loop {
             let vm = self.vm.clone();
-            // Held until the engine accepted or certainly refused the work: until then, this VM
-            // does not report a later revision as in force.
+            // The guard is held until the engine accepted or certainly refused the work: until
+            // then, this VM does not report a later revision as in force.
             let (snapshot, dispatch_guard) = vm.begin_dispatch();
             self.check_still_allowed(target, snapshot)?;
             self.record_event("choose");
@@ -166,7 +168,8 @@
                     }
                 }
                 Err((_, error)) if error.is_full() && full_refusals < MAX_FULL_REFUSALS => {
-                    // Nothing ran and little time was lost, so it does not use the retry budget.
+                    // Nothing ran and little time was lost, so the next attempt does not use the
+                    // retry budget.
                     full_refusals += 1;
                     attempts -= 1;
                     self.record_event("fail");
@@ -207,7 +210,7 @@
         poison::on_broken_response(&self.vm, server, address, request);
     }
 
-    /// Returns the refusal for a request that may not be retried.
+    /// Returns the refusal for a request whose last attempt failed and that may not be retried.
     fn final_refusal(&self, failure: Failure, reason: &str, now: Moment) -> Refusal {
         if failure == Failure::Broken || !self.bill_parts.is_empty() {
             return Refusal::with_detail(Refused::Broken, reason);
@@ -249,6 +252,8 @@
         }
     }
 
+    /// Builds the request to an engine for the tokens from `offset` on. With `wait`, a full engine
+    /// queues the request instead of refusing.
     fn generate_request(&self, target: &Target, offset: u32, wait: bool) -> Generate {
         Generate {
             request: self.job.request.clone(),
@@ -263,7 +268,8 @@
         }
     }
 
-    /// Reads the stream of an attempt to its end, or until the client disconnects.
+    /// Reads the stream of an attempt until its end or until the client disconnects; with
+    /// `to_client`, sends each token on.
     async fn relay_stream(
         &mut self,
         attempt: &mut Attempt<'_>,
--- a/src/entry/header.rs
+++ b/src/entry/header.rs
@@ -16,7 +16,7 @@
 pub const WORKSPACE: &str = "x-kitepulley-workspace";
 /// Kind of work, in the client's own terms; `any` if absent.
 pub const KIND: &str = "x-kitepulley-kind";
-/// Milliseconds that the client waits for the answer.
+/// Deadline of the request: milliseconds that the client waits for the answer.
 pub const DEADLINE: &str = "x-kitepulley-deadline-ms";
 /// Priority of the request from 0 to 9; 5 if absent, higher values go first.
 pub const PRIORITY: &str = "x-kitepulley-priority";
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -21,7 +21,7 @@
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Command, Vm};
 
-/// Tokens buffered for a slow client before generation waits for it.
+/// Number of tokens buffered for a slow client before generation waits.
 const CHANNEL_CAPACITY: usize = 16;
 
 /// Maximum answer length if the client sets none, in tokens.
@@ -33,7 +33,8 @@
 /// Time until the deadline if the client sets none.
 const DEFAULT_TIMEOUT: Span = Span::secs(60);
 
-/// Characters at the start of a prompt that are hashed to find servers that have it cached.
+/// Number of characters at the start of a prompt that are hashed, to find servers that have this
+/// prefix cached.
 const PREFIX_CHARS: usize = 256;
 
 #[derive(Deserialize)]
@@ -229,8 +230,8 @@
     }
 }
 
-/// Parses a chat request and resolves its session and route. Returns the job, if the answer is to
-/// be streamed, and the session of which the client gets a token.
+/// Parses a chat request and resolves its session and route. Returns the job, true if the answer is
+/// to be streamed, and the session for which the client gets a token, if any.
 async fn prepare_job(
     vm: &Data<Vm>,
     request: &HttpRequest,
@@ -306,7 +307,8 @@
     Ok((job, chat.stream, new_session))
 }
 
-/// Waits until this VM has fetched the revision of a session that a newer VM created.
+/// Returns the configuration once it has the revision of a session, which another VM created under
+/// a later revision than this VM's.
 async fn fetch_revision(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
     let (sender, done) = tokio::sync::oneshot::channel();
     vm.send_command(Command::CatchUp(session.revision, sender));
@@ -319,7 +321,8 @@
 }
 
 /// Resolves `name`, which is a cascade, a MODEL@VERSION or a model, to the versions that may
-/// answer. `point` is the random point of the request that a roll-out's share is compared with.
+/// answer. `point`, a random number of the request from 0 to 1, is compared with the share of a
+/// roll-out.
 fn resolve_route(
     snapshot: &Snapshot,
     workspace: &WorkspaceEntry,
@@ -391,14 +394,15 @@
     prompt
 }
 
-/// Derives a point from 0 to 1 from the request id, uniform over requests.
+/// Derives a number from 0 to 1 from the request id, uniform over requests, that decides if a
+/// roll-out's new version is used.
 fn rollout_point(id: &RequestId) -> f64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Hashes the workspace and the start of the prompt.
+/// Hashes the workspace and the start of the prompt, to find servers that have it cached.
 fn prefix_hash(workspace: &WorkspaceEntry, prompt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.name.hash(&mut hasher);
@@ -407,7 +411,8 @@
     hasher.finish()
 }
 
-/// Digests the workspace, the model as the client named it, and the whole prompt.
+/// Returns the digest of the workspace, the model as the client named it, and the whole prompt, to
+/// recognise requests that crash servers.
 fn content_digest(workspace: &WorkspaceEntry, model: &str, prompt: &str) -> Digest {
     unit::digest(&[workspace.name.as_str().as_bytes(), model.as_bytes(), prompt.as_bytes()])
 }
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -11,10 +11,10 @@
 use crate::vm::{Command, Vm};
 use crate::watch::{ObjectiveCounts, WINDOWS, burn_table};
 
-/// Decision records buffered for a slow client of `/operator/decisions`.
+/// Maximum number of decision records buffered for a slow client of `/operator/decisions`.
 const CHANNEL_CAPACITY: usize = 256;
 
-/// Returns a refusal unless the caller is an operator.
+/// Returns the HTTP response of a refusal unless the caller is an operator.
 ///
 /// If an operator key is configured, the request must send it as a bearer token; otherwise it must
 /// come from a loopback address.
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -19,7 +19,7 @@
     TooLarge,
     /// The path has no route.
     NotFound,
-    /// No model, version, cascade or service has that name.
+    /// No model, version, cascade or service has the requested name.
     UnknownModel,
     /// The workspace may not use the model, version or service.
     NotAllowed,
@@ -39,7 +39,7 @@
     Limited,
     /// No backend server can accept the request.
     NoServer,
-    /// The deadline passed before the request ran, or is expected to.
+    /// The deadline passed before the request ran, or the request is not expected to end in time.
     Late,
     /// The backend servers are too busy to answer in time.
     Busy,
@@ -75,9 +75,9 @@
     pub name: &'static str,
     /// HTTP status code.
     pub status: u16,
-    /// Tells the client if the request ran.
+    /// If the request ran: tells the client if a retry may run it twice.
     pub ran: Ran,
-    /// Default seconds until a retry; `None` if the client should not retry.
+    /// Default number of seconds until a retry; `None` if the client should not retry.
     pub retry_after_s: Option<u64>,
     /// Sentence that says what went wrong or what the client can do.
     pub title: &'static str,
@@ -127,7 +127,7 @@
 ];
 
 impl Kind {
-    /// Returns the row of this kind.
+    /// Returns the row of [`TABLE`] for this kind.
     pub fn row(self) -> &'static Row {
         TABLE.iter().find(|row| row.kind == self).expect("each kind has a row")
     }
@@ -138,14 +138,14 @@
 pub struct Refusal {
     /// Kind of refusal.
     pub kind: Kind,
-    /// Time until a retry, if known more precisely than in the table.
+    /// Time until a retry, if known more precisely than in [`TABLE`].
     pub retry_delay: Option<Span>,
-    /// Specifics of this case, for the client.
+    /// Details of the case, for the client.
     pub detail: Option<String>,
 }
 
 impl Refusal {
-    /// Creates a refusal with the defaults of the table.
+    /// Creates a refusal with the defaults of [`TABLE`].
     pub fn new(kind: Kind) -> Refusal {
         Refusal { kind, retry_delay: None, detail: None }
     }
@@ -155,7 +155,7 @@
         Refusal { detail: Some(detail.into()), ..Refusal::new(kind) }
     }
 
-    /// Creates a refusal with its own time until a retry.
+    /// Creates a refusal with a time until a retry that replaces the default.
     pub fn with_retry_after(kind: Kind, delay: Span) -> Refusal {
         Refusal { retry_delay: Some(delay), ..Refusal::new(kind) }
     }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -1,5 +1,5 @@
-//! Calls of plain services. Calls that are not idempotent need an idempotency key and run at most
-//! once.
+//! Calls of plain services (backend servers without models). Calls that are not idempotent need an
+//! idempotency key and run at most once.
 
 use std::time::Duration;
 
@@ -30,15 +30,17 @@
 /// Maximum size of a service's response body.
 const MAX_RESPONSE_BYTES: usize = 4_000_000;
 
-/// Larger response bodies are not stored with the key, so that the links of the chain stay small.
+/// Maximum size of a response body that is stored with the idempotency key. Larger ones are not
+/// stored, so that the objects with the keys in the store stay small.
 const MAX_STORED_BODY_BYTES: usize = 2_000;
 
-/// Longer idempotency keys are ignored.
+/// Maximum length of an idempotency key; a longer one counts as missing.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Minimum time until the deadline for a retry.
+/// Minimum time until the deadline at which a retry is still made.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
+/// A validated call of a service.
 struct Call {
     request: RequestId,
     service: Service,
@@ -51,14 +53,15 @@
     deadline: Moment,
 }
 
+/// Response of a service, or a stored one.
 struct Response {
     status: u16,
     content_type: String,
     body: Bytes,
 }
 
-/// `/v1/services/NAME/...`: forwards a call to a service, once only if it carries an idempotency
-/// key.
+/// `/v1/services/NAME/...`: forwards a call to a service; a call with an idempotency key runs at
+/// most once.
 pub async fn call(
     vm: Data<Vm>,
     engines: Data<EngineClient>,
@@ -142,13 +145,14 @@
     })
 }
 
-/// Returns true unless the path is configured as `once` and the method changes state.
+/// Returns true unless the path has a prefix that is configured as `once` and the method changes
+/// state.
 fn is_idempotent(entry: &ServiceEntry, path: &str, method: &Method) -> bool {
     let once = entry.once.iter().any(|prefix| path.starts_with(prefix.as_str()));
     !(once && *method != Method::GET && *method != Method::HEAD)
 }
 
-/// Builds the claim of the call's key. Keys are scoped to workspace and service.
+/// Builds the claim of a call's idempotency key. Keys are scoped to workspace and service.
 fn build_claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
     let key = call.key.as_deref().unwrap_or_default();
     Claim {
@@ -166,15 +170,17 @@
     }
 }
 
-/// State of an idempotency key that lets a call go on.
+/// State of an idempotency key that decides how its call goes on.
 enum KeyState {
-    /// The call holds the key under this request id and may run.
+    /// The call holds the key under this request id, that of the call or of the earlier
+    /// reservation, and may run.
     Acquired(RequestId),
-    /// An earlier call with the key ended; its outcome is replayed.
+    /// An earlier call with the key ended; its outcome is the answer.
     Ended(Outcome),
 }
 
-/// Acquires the key of a call through the store, or from the VM that reserved the key beforehand.
+/// Acquires the idempotency key of a call through the store, or from the VM that reserved the key
+/// beforehand.
 ///
 /// If the store is unavailable, all VMs are asked for a reservation of the key.
 async fn acquire_key(vm: &Data<Vm>, claim: &Claim) -> Result<KeyState, Refusal> {
@@ -200,8 +206,8 @@
     }
 }
 
-/// Releases a claim that was not confirmed. It may still have reached the store, where it would
-/// block the key.
+/// Releases a claim without an answer, since it may have reached the store, where it would block
+/// the key. Returns the refusal of the call.
 fn release_claim(vm: &Data<Vm>, claim: &Claim) -> Refusal {
     let Claim { key, request, body, .. } = claim.clone();
     let outcome = Outcome::NotRun;
@@ -209,7 +215,7 @@
     Refusal::new(Refused::StoreAway)
 }
 
-/// Acquires the key, runs the call at most once, and records its outcome.
+/// Acquires the idempotency key of a call, runs the call at most once, and records its outcome.
 async fn run_call_once(
     vm: &Data<Vm>,
     engines: &EngineClient,
@@ -282,8 +288,8 @@
     }
 }
 
-/// Refuses a call whose key another call holds. If the VM of that call is gone, its outcome stays
-/// unknown.
+/// Returns the refusal of a call whose key another call holds. If the VM that runs the other call
+/// (`holder`) is gone, the outcome of that call stays unknown.
 fn refuse_held_key(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
     let is_alive = gossip.member(&holder.vm).is_some_and(|member| {
@@ -325,8 +331,8 @@
     })
 }
 
-/// Tries servers until one responds or no retry is allowed. Sets `may_have_run` if an attempt
-/// failed after it was sent.
+/// Sends a call to one server after another until one responds or no retry is allowed. Sets
+/// `may_have_run` if an attempt failed after it was sent.
 async fn try_servers(
     vm: &Data<Vm>,
     engines: &EngineClient,
@@ -406,7 +412,8 @@
     }
 }
 
-/// Digests workspace, service, method, path and body of a call, regardless of its key.
+/// Returns the digest of workspace, service, method, path and body of a call, whatever its
+/// idempotency key, to recognise calls that crash servers.
 fn content_digest(caller: &Caller, call: &Call) -> Digest {
     let texts = [
         caller.workspace.name.as_str(),
--- a/src/entry/session.rs
+++ b/src/entry/session.rs
@@ -1,4 +1,5 @@
-//! Session tokens. They are signed, so every VM can verify them and none has to store sessions.
+//! Session tokens, which pin the requests of a session to one version. Tokens are signed, so every
+//! VM can verify them and no VM stores sessions.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -9,7 +10,7 @@
 use crate::unit::{Date, Revision, Span, Target, Workspace};
 use crate::vm::SessionKeys;
 
-/// A token is valid for this long after the session was created.
+/// Time after the creation of a session for which its tokens are valid.
 const SESSION_LIFETIME: Span = Span::secs(24 * 3600);
 
 /// Length of an HMAC-SHA256 signature.
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -1,8 +1,9 @@
-//! Table of grow-only counters (a CRDT) and its merge.
+//! Table of grow-only counters (a CRDT) and its merge. A *cell* holds the counts of one origin for
+//! one key.
 //!
-//! A row belongs to one incarnation of one VM, which alone adds to it. All others keep the maximum
-//! of what they have and what they receive, so order, repetition and loss of messages do not
-//! matter.
+//! A row belongs to one incarnation of one VM, which alone adds to it. All other VMs keep the
+//! maximum of the counts that they have and those that they receive, so order, repetition and loss
+//! of messages do not matter.
 
 use std::collections::BTreeMap;
 
@@ -13,64 +14,68 @@
 /// One incarnation of a VM, the only writer of its row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The VM.
+    /// Name of the VM.
     pub vm: Vm,
-    /// Its incarnation.
+    /// Incarnation (process lifetime) of the VM.
     pub incarnation: Incarnation,
 }
 
-/// Subject of a counter.
+/// What the counts of a cell are about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// A version during the trial (a roll-out or a watch window) that began at this date.
+    /// Answers of a version during one trial, which is a roll-out of its model or else a time
+    /// window of fixed length.
     Trial {
-        /// The version.
+        /// The version that gave the answers.
         target: Target,
         /// When the trial began, in microseconds since 1970.
         since: u64,
     },
-    /// Ratings of cheap answers of a cascade, by confidence.
+    /// Ratings of answers of a cascade's cheap rung, by confidence.
     Cheap {
         /// The workspace.
         workspace: Workspace,
         /// The kind of work.
         kind: Kind,
-        /// Bin of the confidence.
+        /// Bin of the answer's confidence.
         bin: u8,
     },
-    /// Ratings of strong answers of a cascade, by the confidence of the cheap answer before.
+    /// Ratings of answers of a cascade's strong rung, by the confidence of the cheap answer before.
     Strong {
         /// The workspace.
         workspace: Workspace,
         /// The kind of work.
         kind: Kind,
-        /// Bin of the confidence; one past the last if it began with the strong rung.
+        /// Bin of the cheap answer's confidence; one past the last bin if the request began with
+        /// the strong rung.
         bin: u8,
     },
-    /// Requests offered by a workspace's callers.
+    /// Requests from the callers of a workspace, admitted or not, as its demand for shares of its
+    /// rate limit.
     Demand {
         /// The workspace.
         workspace: Workspace,
     },
 }
 
-/// Counts for one key; each only grows.
+/// Counts for one key. Each of them only grows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Requests that ended.
     pub ended: u64,
-    /// Those that failed.
+    /// Ended requests that failed.
     pub failed: u64,
-    /// Those whose first token came late.
+    /// Ended requests whose first token came late.
     pub slow: u64,
-    /// Ratings.
+    /// Number of ratings.
     pub rated: u64,
     /// Ratings that did not pass.
     pub poor: u64,
 }
 
 impl Counts {
-    /// Returns the maximum of each count.
+    /// Returns the larger of the two values of each count, which merges two states of the same
+    /// counter.
     pub fn join(self, other: Counts) -> Counts {
         Counts {
             ended: self.ended.max(other.ended),
@@ -92,30 +97,30 @@
     }
 }
 
-/// One counter in a message.
+/// Counts of one origin for one key, in a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Its subject.
+    /// What the counts are about.
     pub key: Key,
-    /// The counts.
+    /// Counts since the origin started.
     pub counts: Counts,
 }
 
-/// Counters of one origin in a message.
+/// Cells of one origin in a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Origin of the counters.
+    /// Origin of the cells.
     pub origin: Origin,
-    /// The counters that changed.
+    /// The cells that changed.
     pub cells: Vec<Cell>,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     counts: Counts,
-    /// Number of its last change.
+    /// Number of the last change of this counter in the table's sequence of changes.
     change_number: u64,
-    /// The peer that sent that change; none for the VM's own.
+    /// The peer that sent the last change of this counter; none if this VM made it.
     received_from: Option<Vm>,
 }
 
@@ -127,7 +132,7 @@
 }
 
 impl Table {
-    /// Adds to a counter of the VM's own row.
+    /// Adds `more` to the counts for a key in this VM's own row.
     pub fn add(&mut self, own: &Origin, key: Key, more: Counts) {
         self.last_change += 1;
         let changed = self.last_change;
@@ -165,13 +170,13 @@
         }
     }
 
-    /// Number of the latest change, a cursor for [`Table::delta`].
+    /// Returns the number of the latest change, a cursor for [`Table::delta`].
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// Returns the counters that changed after the cursor `since` and did not come from `to`, at
-    /// most `max_cells`, and the cursor up to which they are complete.
+    /// Returns the cells that changed after the cursor `since`, at most `max_cells`, without those
+    /// that came from the VM `to`, and the cursor for the next call.
     pub fn delta(&self, to: &Vm, since: u64, max_cells: usize) -> (Vec<Row>, u64) {
         if self.last_change == since {
             return (Vec::new(), since);
@@ -198,19 +203,19 @@
         (rows.collect(), up_to)
     }
 
-    /// Returns the sum over all origins for one key.
+    /// Returns the sum of the counts of all origins for one key.
     pub fn sum(&self, key: &Key) -> Counts {
         let entry = self.rows.values().filter_map(|row| row.get(key));
         entry.fold(Counts::default(), |sum, entry| sum.plus(entry.counts))
     }
 
-    /// Returns the VM's own counts for one key.
+    /// Returns the counts of the origin `own` for one key.
     pub fn own_counts(&self, own: &Origin, key: &Key) -> Counts {
         let entry = self.rows.get(own).and_then(|row| row.get(key));
         entry.map(|entry| entry.counts).unwrap_or_default()
     }
 
-    /// Returns the sums over all origins for the keys that `wanted` selects.
+    /// Returns the sum of the counts of all origins for each key that `wanted` selects.
     pub fn sums(&self, wanted: impl Fn(&Key) -> bool) -> BTreeMap<Key, Counts> {
         let mut sums: BTreeMap<Key, Counts> = BTreeMap::new();
         for row in self.rows.values() {
@@ -222,7 +227,7 @@
         sums
     }
 
-    /// Removes the counters whose keys `needless` selects.
+    /// Removes the cells of all origins whose keys `needless` selects.
     pub fn remove_where(&mut self, needless: impl Fn(&Key) -> bool) {
         for row in self.rows.values_mut() {
             row.retain(|key, _| !needless(key));
@@ -230,7 +235,7 @@
         self.rows.retain(|_, row| !row.is_empty());
     }
 
-    /// Number of counters.
+    /// Returns the number of cells of all origins.
     pub fn len(&self) -> usize {
         self.rows.values().map(BTreeMap::len).sum()
     }
--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -1,15 +1,15 @@
-//! Buffer of bills that are not in the store yet: a VM's own, and copies of those of other VMs.
+//! Buffer of bills that are not in the store yet: a VM's own bills, and copies of other VMs' bills.
 
 use std::collections::BTreeMap;
 
 use super::Entry;
 use crate::evidence::Origin;
 
-/// Maximum number of bills held, own and copies: beyond it new work is refused before a bill could
-/// be lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
+/// Maximum number of bills held, own ones and copies. At the maximum new work is refused, so that
+/// no bill is lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
 const MAX_ENTRIES: usize = 200_000;
 
-/// The unflushed bills that one VM holds.
+/// The bills that one VM holds and that are not in the store yet, as far as the VM knows.
 #[derive(Clone, Debug)]
 pub struct Buffer {
     own_origin: Origin,
@@ -25,7 +25,7 @@
         Buffer { own_origin, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
     }
 
-    /// Assigns the next number to an entry of this VM and inserts it.
+    /// Assigns the next number to a bill of this VM, inserts the bill and returns it.
     pub fn insert_own(&mut self, mut entry: Entry) -> Entry {
         entry.number = self.next_number;
         self.next_number += 1;
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Inserts copies of another VM's entries, and removes those up to `flushed`, which are in the
-    /// store.
+    /// Inserts copies of another VM's bills, and removes copies up to the number `flushed`, which
+    /// are in the store.
     pub fn insert_copies(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
         for entry in entries {
             if entry.number > flushed {
@@ -51,7 +51,7 @@
         self.remove_up_to(&origin, flushed);
     }
 
-    /// Removes the entries of an origin up to a number, because they are in the store.
+    /// Removes the bills of an origin up to a number, because they are in the store.
     pub fn remove_up_to(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Removes one entry that is in the store.
+    /// Removes one bill that is in the store.
     pub fn remove(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -77,24 +77,25 @@
         }
     }
 
-    /// Records the last number of this VM's chain in the store.
+    /// Records the number of the last bill in this VM's chain in the store.
     pub fn record_chain_end(&mut self, number: u64) {
         self.chain_end = self.chain_end.max(number);
     }
 
-    /// Returns the last number of the chain in the store if all of these entries come after it.
+    /// Returns the number of the last bill in this VM's chain in the store if all of `entries` have
+    /// higher numbers, else none. The chain then needs no read before a flush.
     pub fn chain_end_before(&self, entries: &[Entry]) -> Option<u64> {
         let follows = entries.first().is_some_and(|entry| entry.number > self.chain_end);
         follows.then_some(self.chain_end)
     }
 
-    /// Returns the entries of an origin that are held here.
+    /// Returns the bills of an origin that this VM holds.
     pub fn entries_of(&self, origin: &Origin) -> Vec<Entry> {
         let entries = self.entries.get(origin);
         entries.map(|entries| entries.values().cloned().collect()).unwrap_or_default()
     }
 
-    /// Returns the origins whose entries are held here, except this VM.
+    /// Returns the origins, other than this VM, of which this VM holds bills.
     pub fn other_origins(&self) -> Vec<Origin> {
         self.entries.keys().filter(|origin| **origin != self.own_origin).cloned().collect()
     }
@@ -104,18 +105,18 @@
         &self.own_origin
     }
 
-    /// Returns the highest number up to which all entries of this VM are in the store.
+    /// Returns the highest number up to which all bills of this VM are in the store.
     pub fn flushed_up_to(&self) -> u64 {
         let first = self.entries.get(&self.own_origin).and_then(|entries| entries.keys().next());
         first.map_or(self.next_number, |first| *first) - 1
     }
 
-    /// Returns the number of entries held.
+    /// Returns the number of bills held.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Returns true if there is room for another entry.
+    /// Returns true if there is room for another bill.
     pub fn has_room(&self) -> bool {
         self.count < MAX_ENTRIES
     }
--- a/src/ledger/entry.rs
+++ b/src/ledger/entry.rs
@@ -8,34 +8,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reason {
-    /// Its answer was sent to the caller.
+    /// The answer of the part was sent to the caller.
     Answer,
-    /// Its answer came from a cheaper rung of a cascade, which then escalated.
+    /// The answer of the part came from the cheap rung (model) of a cascade, which then escalated
+    /// to the strong one.
     Rung,
-    /// It broke off; the known part is billed.
+    /// The generation broke off; the tokens received until then are billed.
     Broken,
-    /// It was a call of a plain service.
+    /// The part was a call of a plain service.
     Call,
 }
 
-/// A part of a request that ran.
+/// One generation of a model or one call of a service that a request caused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// Reason why it is billed.
+    /// Reason why the part is billed.
     #[serde(rename = "why")]
     pub reason: Reason,
     /// The version that ran; none for a call of a plain service.
     pub target: Option<Target>,
     /// Number of tokens generated.
     pub tokens: u32,
-    /// Its cost.
+    /// Cost of the part.
     pub cost: Cost,
 }
 
 /// The bill of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Sequence number among the bills of one incarnation of a VM, from 1.
+    /// Sequence number of the bill among those of one incarnation of a VM, from 1.
     pub number: u64,
     /// The billed request.
     pub request: RequestId,
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -1,7 +1,8 @@
-//! Writes bills to the store: a chain of objects for each origin, each created once.
+//! Writes bills to the store: a chain of objects (chunks) for each origin (one incarnation of a
+//! VM), each created once.
 //!
-//! The key of a chunk is the number after the last one of the chunk before. So the VM itself and a
-//! peer that flushes for it write the same key, and only one of them succeeds. Entries that the
+//! The key of a chunk has the number after the last bill of the chunk before. So a VM and a peer
+//! that holds copies of its bills write the same key, and only one of them succeeds. Bills that the
 //! successful chunk lacks are written under keys of their own by the VM that holds them.
 
 use super::Entry;
@@ -14,17 +15,17 @@
 /// accepts.
 const MAX_WRITES_PER_SECOND: f64 = 8.0;
 
-/// Shortest time between two flushes of one VM.
+/// Minimum time between two writes of one VM's bills to the store.
 const MIN_FLUSH_INTERVAL: Span = Span::millis(500);
 
-/// Maximum number of entries in a chunk, which keeps it well below 1 MB.
+/// Maximum number of bills in a chunk, which keeps the object well below the store's limit of 1 MB.
 const MAX_CHUNK_ENTRIES: usize = 2000;
 
-/// Maximum number of chunk writes in one flush. If other VMs keep writing the same chain, the rest
-/// waits for the next flush.
+/// Maximum number of chunk writes in one flush. If other VMs keep writing the same chain, the
+/// remaining bills wait for the next flush.
 const MAX_ATTEMPTS: usize = 16;
 
-/// Returns the time between two flushes of one VM in a fleet of `vms`.
+/// Returns the time between two writes of one VM's bills to the store, in a fleet of `vms` VMs.
 pub fn flush_interval(vms: usize) -> Span {
     let stretched = Span((vms as f64 / MAX_WRITES_PER_SECOND * 1e6) as u64);
     stretched.max(MIN_FLUSH_INTERVAL)
@@ -38,16 +39,18 @@
     format!("{}{first:012}", chain_prefix(origin))
 }
 
+/// Returns the key of a bill that the chunks of its chain lack.
 fn late_key(origin: &Origin, number: u64) -> String {
     format!("ledger-late/{}.{}/{number:012}", origin.vm, origin.incarnation)
 }
 
-/// Writes all of `entries` to the store, each exactly once, and returns the last number of the
-/// chain. `known_end` is a number that the chain is known to have reached, if any.
+/// Writes the bills `entries` of an origin to the store, each exactly once, and returns the number
+/// of the last bill in the origin's chain. `known_end` is that number, if known, before the call
+/// and then less than all in `entries`.
 ///
 /// # Errors
-/// If the platform does not answer; a later call with the same entries is safe and bills none
-/// twice.
+/// If the platform does not answer; a later call with the same bills is safe and writes none of
+/// them twice.
 pub async fn flush(
     store: &Store,
     origin: &Origin,
@@ -75,7 +78,8 @@
                 let chunk = read_chunk(store, &key).await?;
                 chain_end = write_missing(store, origin, entries, &chunk).await?;
             }
-            // The write may have taken effect although its response was lost; compare the object.
+            // The write may have taken effect although its response was lost, so the object in the
+            // store is compared.
             Err(error) => match store.get(&key).await? {
                 Some(object) if object.body == body => chain_end = last.number,
                 _ => return Err(error),
@@ -85,6 +89,7 @@
     Ok(chain_end)
 }
 
+/// Returns the last chunk of an origin's chain; none if the chain is empty.
 async fn last_chunk(store: &Store, origin: &Origin) -> Result<Option<Vec<Entry>>, Error> {
     let keys = store.list(&chain_prefix(origin)).await?;
     match keys.last() {
@@ -99,8 +104,8 @@
     serde_json::from_slice(&body).map_err(|error| Error::Store(error.to_string()))
 }
 
-/// Writes the entries that the chain lacks up to the end of `chunk`, its last one, under keys of
-/// their own. Returns the last number of `chunk`.
+/// Writes bills of `entries` that the chain lacks under keys of their own, up to the last number of
+/// `chunk`, the last one of the chain. Returns that number.
 async fn write_missing(
     store: &Store,
     origin: &Origin,
@@ -123,7 +128,7 @@
     Ok(last)
 }
 
-/// Returns true if a chunk of the chain holds an entry with this number.
+/// Returns true if a chunk of the origin's chain has a bill with this number.
 async fn chain_contains(store: &Store, origin: &Origin, number: u64) -> Result<bool, Error> {
     let keys = store.list(&chain_prefix(origin)).await?;
     let wanted = chunk_key(origin, number);
--- a/src/once/claim.rs
+++ b/src/once/claim.rs
@@ -5,7 +5,8 @@
 use crate::evidence::Origin;
 use crate::unit::{Date, Digest, RequestId, Workspace};
 
-/// Number of shards of keys. Few, so that many claims share a write.
+/// Number of shards that keys are divided into. Few, so that many claims share a write to the
+/// store.
 pub const SHARDS: u64 = 4;
 
 /// Returns the shard of a key.
@@ -18,17 +19,19 @@
 pub struct Claim {
     /// Digest of workspace, service and the client's key.
     pub key: Digest,
-    /// Digest of method, path and body.
+    /// Digest of method, path and body of the call, to refuse a key that is reused for another
+    /// call.
     pub body: Digest,
     /// Request that claims the key.
     pub request: RequestId,
     /// Workspace of the request, for people who read the store.
     pub workspace: Workspace,
-    /// VM that runs the call.
+    /// Incarnation of the VM that runs the call, or that reserved the key.
     pub holder: Origin,
     /// When the key was claimed.
     pub date: Date,
-    /// True if the claim reserves the key for a later call, which its holder decides on.
+    /// True if the claim reserves the key for a later call. The holder then decides which call may
+    /// use the key.
     pub reserved: bool,
 }
 
@@ -42,7 +45,7 @@
         /// Content type of the response.
         #[serde(rename = "kind")]
         content_type: String,
-        /// Response body, if it was small enough to store.
+        /// Body of the response, if it was small enough to store.
         body: Option<Vec<u8>>,
     },
     /// The call certainly did not run; the key is free again.
@@ -51,14 +54,14 @@
     InDoubt,
 }
 
-/// Outcome of the call of a claim, reported by the claim's holder.
+/// Outcome of a claimed call, reported by the VM that holds the claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// Key of the claim.
+    /// Digest of the claimed key.
     pub key: Digest,
     /// Request that held the key.
     pub request: RequestId,
-    /// Digest of the call's body, which the claim of a reserved key does not know yet.
+    /// Digest of method, path and body of the call, which are not known yet when a key is reserved.
     pub body: Digest,
     /// Outcome of the call.
     pub outcome: Outcome,
@@ -71,7 +74,7 @@
     Granted,
     /// Another request holds the key and has not ended.
     Running(Origin),
-    /// The key is reserved; only its holder decides which call may run.
+    /// The key is reserved; only the VM that reserved it decides which call may run.
     Reserved(Origin),
     /// An earlier call with the key ended.
     Ended(Outcome),
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -1,4 +1,5 @@
-//! Owner of the shards: batches claims and outcomes into links of their chains.
+//! Owner of the shards of idempotency keys: writes claims and outcomes in batches to the store,
+//! each batch as the next link of the shard's chain.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +12,8 @@
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
 
-/// Sustained rate of links per shard; the four shards together make 20 writes per second.
+/// Sustained rate of links that a shard may write; the four shards together make 20 writes per
+/// second.
 const LINKS_PER_SECOND: f64 = 5.0;
 
 /// Links that a shard may write in a burst when it has been idle.
@@ -30,23 +32,24 @@
 /// Maximum size of a segment, below the platform's limit of 1 MB.
 const MAX_SEGMENT_BYTES: usize = 900_000;
 
-/// Attempts to write a batch before its claims are answered as unavailable.
+/// Attempts to write a batch before the claims in it are answered as unavailable.
 const MAX_WRITE_ATTEMPTS: usize = 3;
 
-/// Command to the task of a shard.
+/// Command to the task of one shard.
 enum Command {
     Claim(Claim, oneshot::Sender<Answer>),
     Settle(Settlement),
 }
 
-/// Handle to the shard tasks of a VM.
+/// Handle to the tasks with which a VM acts as owner of shards of keys.
 #[derive(Clone)]
 pub struct ShardOwner {
     shards: Vec<mpsc::UnboundedSender<Command>>,
 }
 
 impl ShardOwner {
-    /// Starts one task per shard. Each reads its chain when it gets its first command.
+    /// Starts one task per shard. Each task reads the chain of its shard when it gets the first
+    /// command.
     pub fn start(store: &Store, clock: Clock) -> ShardOwner {
         let start = |number| {
             let (sender, receiver) = mpsc::unbounded_channel();
@@ -71,12 +74,15 @@
     }
 }
 
+/// Task that owns one shard.
 struct ShardTask {
     number: u64,
     store: Store,
     clock: Clock,
     shard: Shard,
+    /// Links that this task wrote since the last segment, if it wrote all of them.
     own_links: Vec<Vec<Record>>,
+    /// Tokens of the bucket that limits writes; negative while a write waits.
     write_tokens: f64,
     refilled_at: Moment,
 }
@@ -94,7 +100,8 @@
         }
     }
 
-    /// Batches commands into links until the owner is dropped.
+    /// Writes commands in batches until the [`ShardOwner`] is dropped. Outcomes wait for a claim to
+    /// share a link with, up to `MAX_SETTLE_DELAY`.
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let mut settled = Vec::new();
         loop {
@@ -125,8 +132,8 @@
         }
     }
 
-    /// Waits for the token bucket of the shard, so that the fleet keeps below its share of store
-    /// writes.
+    /// Waits for a token of the shard's token bucket, so that the fleet stays below its share of
+    /// writes to the store.
     async fn wait_for_write_token(&mut self) {
         let now = self.clock.now();
         let gained = now.since(self.refilled_at).as_secs() * LINKS_PER_SECOND;
@@ -138,7 +145,8 @@
         }
     }
 
-    /// Writes a batch of claims and outcomes and answers the claims.
+    /// Writes a batch of claims and outcomes as a link and answers the claims. Outcomes that could
+    /// not be written stay in `settled`.
     async fn write_batch(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
@@ -167,8 +175,8 @@
         }
     }
 
-    /// Reads new links if a claimed key seems to be in use: meanwhile, another VM may have owned
-    /// the shard and written the outcome of the call.
+    /// Reads new links of the chain if a claimed key seems to be in use: another VM may have owned
+    /// the shard in the meantime and written the outcome of the call.
     async fn refresh_if_in_use(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
         let is_in_use = |claim: &Claim| {
             matches!(self.shard.answer(claim), Some(Answer::Running(_) | Answer::Reserved(_)))
@@ -182,7 +190,8 @@
         }
     }
 
-    /// Answers claims that the known state decides and returns the others, at most one per key.
+    /// Answers the claims that the links read so far decide, and returns the others, at most one
+    /// per key.
     fn answer_decided(
         &self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
@@ -206,8 +215,8 @@
         pending
     }
 
-    /// Tries to create the next link and returns true if it succeeded. If another writer created it
-    /// first, reads the new links.
+    /// Tries to create the next link with these records and returns true if that succeeded. If
+    /// another writer created the link first, reads the new links and returns false.
     async fn try_append(
         &mut self,
         pending: &[(Claim, oneshot::Sender<Answer>)],
@@ -249,16 +258,18 @@
         }
     }
 
+    /// Returns the key of a link in the store.
     fn key(&self, link: u64) -> String {
         format!("once/{}/{link:012}", self.number)
     }
 
+    /// Returns the key of a segment in the store.
     fn segment_key(&self, segment: u64) -> String {
         format!("once-segment/{}/{segment:012}", self.number)
     }
 
-    /// Reads the rest of the chain, whole segments first, then single links. Returns the number of
-    /// links read.
+    /// Reads the links of the chain that this task has not read, first from whole segments, then
+    /// one by one. Returns the number of links read.
     async fn read_new_links(&mut self) -> Result<u64, Error> {
         let before = self.shard.next_link();
         while self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
@@ -283,7 +294,7 @@
         Ok(self.shard.next_link() - before)
     }
 
-    /// Writes the links that this task has just read or written as a segment.
+    /// Writes a segment with the links that this task has just read or written.
     ///
     /// Links never change, so all writers of a segment write the same content. If a write fails,
     /// the next reader repeats it.
@@ -295,7 +306,8 @@
         }
     }
 
-    /// Applies a link that this task wrote, and writes a segment when it is full.
+    /// Applies a link that this task wrote, and writes a segment once it wrote all links of the
+    /// segment.
     async fn append_own(&mut self, records: Vec<Record>) {
         self.own_links.push(records.clone());
         self.shard.apply_link(records);
@@ -314,7 +326,8 @@
     serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))
 }
 
-/// Replaces a `Running` answer if the outcome of the call is known but not written yet.
+/// Replaces the answer `Running` by the outcome of the call if this task knows the outcome but has
+/// not written it yet.
 fn with_pending_outcome(answer: Answer, claim: &Claim, settled: &[Settlement]) -> Answer {
     let outcome = settled.iter().find(|s| s.key == claim.key).map(|s| &s.outcome);
     match (answer, outcome) {
--- a/src/once/reserved.rs
+++ b/src/once/reserved.rs
@@ -1,8 +1,9 @@
-//! Keys reserved beforehand, so that calls can run while the store is unavailable.
+//! Idempotency keys reserved before their calls, so that the calls can run while the store is
+//! unavailable.
 //!
-//! The store already holds the claim of a reserved key, with this incarnation of this VM as holder.
-//! So this VM alone decides, from memory, which one call may use the key. If the VM dies, no call
-//! may.
+//! The store already has the claim of a reserved key, with this process of this VM as holder. So
+//! this VM alone decides, from memory, which one call may use the key. If the VM dies, no call may
+//! use the key.
 
 use std::collections::HashMap;
 
@@ -14,7 +15,7 @@
 /// Maximum number of keys reserved on one VM; at 200 bytes each they take 2 MB.
 const MAX_RESERVED_KEYS: usize = 10_000;
 
-/// Decision of the holder of a reserved key on a call.
+/// Decision of the VM that reserved a key on a call that wants to use the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeyGrant {
     /// The call may run under the request id of the reservation.
@@ -25,14 +26,18 @@
     BodyMismatch,
 }
 
-/// A reserved key is granted for this long after its reservation. This is half of the time that the
-/// chain retains the claim, so the key can't be granted alongside a later claim.
+/// Time after the reservation in which a reserved key may be granted to a call. This is half of the
+/// time that the chain in the store retains the claim, so the key can't be granted alongside a
+/// later claim.
 const GRANT_WINDOW: Span = Span::secs(12 * 3600);
 
+/// One reserved key.
 #[derive(Clone, Debug)]
 struct ReservedKey {
     reserved_at: Moment,
+    /// Id of the request that reserved the key, under which the call runs.
     reservation: RequestId,
+    /// The call that uses the key and the digest of its body, once there is one.
     used_by: Option<(RequestId, Digest)>,
 }
 
@@ -43,7 +48,8 @@
 }
 
 impl ReservedKeys {
-    /// Returns true if one more key may be reserved; removes those whose grant window has passed.
+    /// Returns true if one more key may be reserved; first removes the keys whose grant window has
+    /// passed.
     pub fn has_room(&mut self, now: Moment) -> bool {
         self.slots.retain(|_, slot| now.since(slot.reserved_at) < GRANT_WINDOW);
         self.slots.len() < MAX_RESERVED_KEYS
@@ -64,8 +70,9 @@
         unused.map(|(key, slot)| (key, slot.reservation)).collect()
     }
 
-    /// Decides if a call may use a key, or returns `None` if the key is not reserved here. The
-    /// first call gets the key; asking again for the same call gives the same decision.
+    /// Decides if a call, the request `user`, may use a key, or returns `None` if the key is not
+    /// reserved on this VM. The first call gets the key; asking again for the same call gives the
+    /// same decision.
     pub fn try_use(
         &mut self,
         key: Digest,
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -1,4 +1,5 @@
-//! State of one shard of keys, built from a chain of links that are created once in the store.
+//! State of one shard of idempotency keys, built from a chain of objects (links) in the store that
+//! are created once and never changed.
 //!
 //! A writer creates link n only after it has read all links before it. A paused writer that still
 //! believes to own the shard finds link n taken and reads the new links. So consistency depends
@@ -11,50 +12,55 @@
 use super::{Answer, Claim, Digest, Outcome, Settlement};
 use crate::unit::{Date, RequestId, Span};
 
-/// How long a key is retained. Clients retry within this time.
+/// Time for which a key is retained after its claim. Clients retry within this time.
 const RETENTION: Span = Span::secs(24 * 3600);
 
-/// How long the outcome of a call is retained with its response; after that, only its digest and
-/// status are.
+/// Time for which the response of a call is retained after the claim of its key; later only the
+/// digest of the call and the status are.
 const OUTCOME_RETENTION: Span = Span::secs(3600);
 
-/// The map of recent keys is shrunk if its capacity exceeds its length by this factor.
+/// Ratio of capacity to length from which the map of recent keys is shrunk.
 const SHRINK_FACTOR: usize = 8;
 
 /// Maximum number of retained requests that gave up before their claim was written.
 const MAX_ABANDONED_REQUESTS: usize = 500;
 
-/// Record of the chain.
+/// Record of the chain: a link is a list of records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// Granted claim.
+    /// Claim of a key. It is granted if it is the first one of a free key in the chain.
     Claim(Claim),
     /// Outcome of a claimed call.
     Settled(Settlement),
 }
 
+/// Key whose claim was granted, with the outcome of the call once that is known.
 #[derive(Clone, Debug)]
 struct HeldKey {
     claim: Claim,
     outcome: Option<Outcome>,
 }
 
-/// Compact entry of a call that ended long ago. It suffices to refuse the key and takes a tenth of
-/// the memory of a `HeldKey`.
+/// Compact entry of a key whose call ended more than `OUTCOME_RETENTION` ago. It suffices to refuse
+/// the key and takes a tenth of the memory of a `HeldKey`.
 #[derive(Clone, Copy, Debug)]
 struct EndedKey {
     body: Digest,
     date: Date,
-    /// Status of the response; 0 if it is unknown whether the call ran.
+    /// HTTP status of the response; 0 if it is unknown if the call ran.
     status: u16,
 }
 
-/// State of the keys of a shard after the links read so far.
+/// State of the keys of a shard, from the links read so far.
 #[derive(Clone, Debug, Default)]
 pub struct Shard {
+    /// Number of links read so far, which is the number of the next link.
     next_link: u64,
+    /// Keys of calls that have not ended, or recently.
     recent_keys: HashMap<Digest, HeldKey>,
+    /// Keys of calls that ended long ago.
     old_keys: HashMap<Digest, EndedKey>,
+    /// Requests that gave up before their claim was in the chain.
     abandoned_requests: VecDeque<RequestId>,
 }
 
@@ -74,7 +80,7 @@
         self.len() == 0
     }
 
-    /// Applies the next link of the chain.
+    /// Applies the records of the next link of the chain.
     pub fn apply_link(&mut self, records: Vec<Record>) {
         self.next_link += 1;
         for record in records {
@@ -84,7 +90,7 @@
 
     fn apply(&mut self, record: Record) {
         match record {
-            // The first claim wins; a later one of the same key was never granted.
+            // The first claim of a key is granted; a later one was never granted.
             Record::Claim(claim) if self.old_keys.contains_key(&claim.key) => {}
             // The request gave up before a slow owner wrote its claim, so no outcome would follow
             // and the key would stay blocked.
@@ -110,7 +116,8 @@
         }
     }
 
-    /// Records a request that gave up a key that it does not hold, or not yet.
+    /// Records a request that gave up a key of which it has no granted claim, maybe since its claim
+    /// is not written yet.
     fn record_abandoned(&mut self, settled: Settlement) {
         if settled.outcome != Outcome::NotRun {
             return;
@@ -121,7 +128,8 @@
         self.abandoned_requests.push_back(settled.request);
     }
 
-    /// Returns the answer to a claim, or `None` if the key is free as far as the chain was read.
+    /// Returns the answer to a claim from the links read so far, or `None` if they leave the key
+    /// free.
     pub fn answer(&self, claim: &Claim) -> Option<Answer> {
         if let Some(old) = self.old_keys.get(&claim.key) {
             return Some(old.answer(claim));
@@ -162,7 +170,7 @@
             }
             false
         });
-        // A map keeps the capacity of its busiest hour unless it is shrunk.
+        // A map keeps its largest capacity unless it is shrunk.
         if recent.capacity() > SHRINK_FACTOR * recent.len().max(SHRINK_FACTOR) {
             recent.shrink_to_fit();
         }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,7 @@
-//! Operations on the configuration in the store: reading it, and confirming a plan.
+//! Operations on the configuration in the store: reading it, and applying a plan that an operator
+//! confirmed. The configuration has a *root*, one object with the revision and the list of
+//! *pieces*, which are objects named by their digest. A *plan* is a list of changes to one
+//! revision.
 
 use crate::config::{Change, Plan, Root, Snapshot, apply_plan};
 use crate::error::Error;
@@ -6,19 +9,20 @@
 use crate::unit::{Date, Revision};
 use crate::vm::{ROOT_KEY, fetch_snapshot, piece_key};
 
-/// Attempts to confirm a plan whose response was lost.
+/// Maximum number of attempts to apply a plan if the store does not answer.
 const MAX_ATTEMPTS: usize = 5;
 
-/// How the confirmation of a plan ended.
+/// How the confirmation of a plan ended, if it succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It took effect now, as this revision.
+    /// The plan took effect now, as this revision.
     Applied(Revision),
-    /// It had taken effect before, as this revision.
+    /// The plan had taken effect before, as this revision.
     AlreadyApplied(Revision),
 }
 
-/// Reads the root in the store, and the object that holds it; none if the store has no root yet.
+/// Reads the root of the configuration, and the object that holds the root. Without an object in
+/// the store, returns the empty root and none.
 ///
 /// # Errors
 /// If the platform does not answer, or the root is invalid.
@@ -34,7 +38,7 @@
     }
 }
 
-/// Reads the configuration in the store, with all its pieces.
+/// Reads the whole configuration from the store: the root and all of its pieces.
 ///
 /// # Errors
 /// If the platform does not answer, or the root or a piece is invalid.
@@ -64,6 +68,7 @@
     Err(last)
 }
 
+/// Applies a plan with a conditional write of the root, unless it was applied before.
 async fn try_confirm(
     store: &Store,
     plan: &Plan,
@@ -71,7 +76,8 @@
     date: Date,
 ) -> Result<Confirmation, Error> {
     let (current, object) = read_root(store).await?;
-    // The record of a plan shows that it was applied, even if the response was lost.
+    // The record of a plan in the root shows that the plan was applied, even if the response was
+    // lost.
     if let Some(record) = current.log.iter().find(|record| record.plan == plan.id) {
         return Ok(Confirmation::AlreadyApplied(record.revision));
     }
@@ -102,7 +108,7 @@
     Ok(Confirmation::Applied(next.revision))
 }
 
-/// Describes the changes after a revision, for the error message.
+/// Describes the changes of the configuration after a revision, for the error message.
 fn changes_since(root: &Root, base: Revision) -> String {
     let later = root.log.iter().filter(|record| record.revision > base);
     let changes: Vec<String> = later
