--- a/src/vm/bills.rs
+++ b/src/vm/bills.rs
@@ -1,4 +1,5 @@
-//! Replicates bills to other VMs at once, and writes them to the store later.
+//! Makes bills durable: copies each bill to other VMs at once, and writes (flushes) bills to the
+//! store later.
 
 use tokio::sync::{mpsc, oneshot};
 
@@ -11,16 +12,17 @@
 /// Number of other VMs that hold a copy of each bill.
 const COPIES: usize = 2;
 
-/// Attempts to make a batch durable before its callers are told that it is not.
+/// Attempts to make a batch of bills durable before the requests in it fail as unbilled.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Delay between two attempts.
+/// Delay between two attempts to make a batch of bills durable.
 const RETRY_DELAY: Span = Span::millis(150);
 
 /// Maximum number of bills in one batch.
 const MAX_BATCH: usize = 256;
 
-/// Once a VM has been gone for this long, the holders of copies write its bills to the store.
+/// Time after which a VM that left or died counts as gone, so that the holders of copies write its
+/// bills to the store.
 const ORPHAN_DELAY: Span = Span::secs(1);
 
 /// Time between two scans for bills of VMs that are gone.
@@ -29,7 +31,7 @@
 /// A bill, and the channel that reports whether it was made durable.
 type PendingBill = (Entry, oneshot::Sender<bool>);
 
-/// Receives bills and makes them durable in batches, many bills to a message.
+/// Receives bills and makes them durable in batches, so that one message carries many bills.
 pub async fn replicate_bills(control: Control, mut bills: mpsc::UnboundedReceiver<PendingBill>) {
     while let Some(first) = bills.recv().await {
         let mut batch = vec![first];
@@ -55,8 +57,8 @@
     }
 }
 
-/// Returns the VMs that may hold copies, in order of preference: those of other data centres come
-/// first.
+/// Returns the VMs that may hold copies of this VM's bills, in order of preference: VMs in other
+/// data centres come first.
 fn copy_holders(control: &Control) -> Vec<Member> {
     let others = control.other_vms();
     let duty = format!("bills/{}", control.vm.settings.vm);
@@ -67,12 +69,12 @@
     members
 }
 
-/// Copies bills to other VMs, or flushes them to the store if that fails or there is no other VM.
+/// Copies bills to other VMs, or writes them to the store if copying fails or there is no other VM.
 ///
 /// Returns true if the bills are durable.
 async fn make_durable(control: &Control, entries: &[Entry]) -> bool {
     let mut holders = Vec::new();
-    // A VM that failed to store its copy is retried only after those that were not tried yet.
+    // A VM that failed to store its copy is retried only after the VMs that were not tried yet.
     let mut failed: Vec<Vm> = Vec::new();
     for _ in 0..MAX_ATTEMPTS {
         let mut all = copy_holders(control);
@@ -97,6 +99,8 @@
     flush_own(control).await
 }
 
+/// Sends copies of bills to a VM, with the number up to which this VM's bills are in the store.
+/// Returns true if the VM stored them.
 async fn send_copy(control: &Control, to: &Member, entries: &[Entry]) -> bool {
     let flushed = control.unflushed.borrow().flushed_up_to();
     let call = Call::CopyBills {
@@ -108,7 +112,8 @@
     control.call(to.address, call).await == Some(Reply::Done)
 }
 
-/// Writes this VM's own bills to the store. Returns true if all recorded bills are there.
+/// Writes this VM's own bills to the store. Returns true if all bills that were recorded before the
+/// call are in the store.
 pub async fn flush_own(control: &Control) -> bool {
     let own = control.vm.origin();
     let entries = control.unflushed.borrow().entries_of(&own);
@@ -132,8 +137,8 @@
     }
 }
 
-/// Flushes this VM's bills at the interval for the size of the fleet, and sends copies of the
-/// unflushed ones to VMs that have become holders.
+/// Writes this VM's bills to the store at the interval for the size of the fleet, and sends copies
+/// of the bills that are not in the store yet to VMs that have become holders of copies.
 pub async fn flush_periodically(control: Control) {
     let mut previous_holders: Vec<Vm> = Vec::new();
     loop {
@@ -156,7 +161,7 @@
     }
 }
 
-/// Writes the bills of VMs that are gone to the store, from the copies held here.
+/// Writes the bills of VMs that are gone to the store, from the copies that this VM holds.
 pub async fn flush_orphaned(control: Control) {
     loop {
         tokio::time::sleep(ORPHAN_SCAN_INTERVAL.duration()).await;
--- a/src/vm/claims.rs
+++ b/src/vm/claims.rs
@@ -1,5 +1,6 @@
-//! Sends claims of idempotency keys to the owner of their shard; any VM may own a shard if the
-//! others do not answer.
+//! Sends claims of idempotency keys to the owner of their shard: the VM that writes the shard's
+//! records to the store. The owner is the first VM in rank order that answers; if none does, this
+//! VM acts as the owner.
 
 use super::KeyUse;
 use super::control::Control;
@@ -11,13 +12,13 @@
 /// Number of other VMs tried before this one acts as the owner of the shard.
 const MAX_OWNER_ATTEMPTS: usize = 2;
 
-/// Returns the candidates for owner of a shard in rank order, including this VM.
+/// Returns all VMs, this one included, in the order in which they own a shard.
 fn ranked_owners(control: &Control, shard: u64) -> Vec<Member> {
     let present: Vec<Member> = control.with_gossip(|g| g.present().cloned().collect());
     Control::ranked_members(&format!("once/{shard}"), &present)
 }
 
-/// Claims a key at the owner of its shard.
+/// Claims a key at the owner of the key's shard and returns the owner's answer.
 pub async fn claim(control: &Control, claim: Claim) -> Answer {
     let own_vm = &control.vm.settings.vm;
     for member in ranked_owners(control, shard_of(claim.key)).into_iter().take(MAX_OWNER_ATTEMPTS) {
@@ -33,7 +34,7 @@
     control.owner.claim(claim).await
 }
 
-/// Records at the owner of the shard how a claimed call ended.
+/// Sends the outcome of a claimed call to the owner of the key's shard.
 pub async fn settle(control: &Control, settled: Settlement) {
     let own_vm = &control.vm.settings.vm;
     let owners = ranked_owners(control, shard_of(settled.key));
@@ -46,8 +47,8 @@
     control.owner.settle(settled);
 }
 
-/// Releases the keys reserved here that no call has used: only this incarnation could grant them,
-/// so they would stay unusable after it ends.
+/// Releases the keys reserved on this VM that no call has used: only this process could grant them,
+/// so they would stay unusable after its end.
 pub async fn release_unused_keys(control: &Control) {
     let unused = control.vm.reserved.lock().expect("no panic while held").take_unused();
     if unused.is_empty() {
@@ -57,12 +58,13 @@
         let (body, outcome) = (Digest::default(), Outcome::NotRun);
         settle(control, Settlement { key, request, body, outcome }).await;
     }
-    // The owner delays outcomes by up to this time to write them together with a claim.
+    // The owner of a shard delays outcomes by up to `MAX_SETTLE_DELAY` to write them together with
+    // a claim.
     tokio::time::sleep(crate::once::MAX_SETTLE_DELAY * 2).await;
 }
 
-/// Requests the use of a reserved key: from this VM, then from its holder, or from all other VMs if
-/// the holder is not known.
+/// Asks for the use of a reserved key: first this VM, then the VM that reserved the key (`holder`),
+/// or all other VMs if the holder is not known.
 ///
 /// Returns none if no VM that answered holds a reservation.
 pub async fn use_reserved_key(
--- a/src/vm/clock.rs
+++ b/src/vm/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process; only its I/O code reads them and passes the time on.
+//! The clocks of a process. Only I/O code reads them; decisions get the time as an argument.
 //!
 //! A VM may be suspended for seconds. `CLOCK_MONOTONIC`, which `std::time::Instant` uses, stands
 //! still meanwhile, so that state would look as fresh after a resume as before it: a key that was
@@ -12,10 +12,10 @@
 
 use crate::unit::{Date, Moment, Span};
 
-/// The first moment, in microseconds; not 0, because `Moment(0)` means "never".
+/// Moment, in microseconds, at which a clock starts; not 0, because `Moment(0)` means "never".
 const FIRST_MOMENT_US: u64 = 1_000_000;
 
-/// One reading of both clocks of a machine.
+/// One reading of the two clocks of a machine that count time since boot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reading {
     /// `CLOCK_MONOTONIC`: time since boot without suspended time.
@@ -25,13 +25,14 @@
 }
 
 impl Reading {
-    /// Reads this machine's clocks.
+    /// Reads both clocks of this machine.
     pub fn current() -> Reading {
         let read = |clock| clock_gettime(clock).ok().map(Duration::from);
         let monotonic = read(ClockId::CLOCK_MONOTONIC).unwrap_or_default();
         Reading { monotonic, boottime: read(ClockId::CLOCK_BOOTTIME) }
     }
 
+    /// Returns the time since boot, with suspended time if a clock counts it.
     fn elapsed(self) -> Duration {
         self.boottime.unwrap_or(self.monotonic)
     }
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -1,5 +1,7 @@
-//! Reads the configuration from the store: a few VMs per data centre watch it, the others get it
-//! from their peers.
+//! Reads the configuration from the store. A few VMs per data centre, the *watchers*, watch the
+//! store; the others get the configuration from their peers. The configuration consists of
+//! *pieces*, objects named by their digest, and the *root*, an object that lists the pieces and has
+//! the revision.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,24 +13,25 @@
 use crate::peer::rendezvous_order;
 use crate::unit::Span;
 
-/// VMs of each data centre that watch the store.
+/// Number of VMs of each data centre that watch the store.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
 /// Longest time that the platform holds a watch open without a change.
 const WATCH_TIMEOUT: Span = Span::secs(2);
 
-/// Age of the configuration from which a VM reads the store itself, so that a change is in force
-/// within 15 s even if none of the watchers receives it.
+/// Time since the last contact with the store, direct or through peers, from which a VM reads the
+/// store itself, so that a change is in force within 15 s even if no watcher receives it.
 const MAX_STALENESS: Span = Span::secs(12);
 
-/// Time between two plain reads of the root by a watcher: a watch without events does not prove
-/// that nothing changed.
+/// Time between two plain reads of the root by a watcher, since a watch may miss a change without
+/// an error.
 const READ_INTERVAL: Span = Span::secs(5);
 
-/// Delay after a failed call, and between two checks whether this VM is a watcher.
+/// Delay after a failed call of the store, and between two checks if this VM is a watcher.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between two reads of the list of VMs, on the VMs that collect adoptions.
+/// Time between two reads of the platform's list of VMs, on the VMs that collect which VMs have
+/// adopted a revision.
 const LIST_INTERVAL: Span = Span::secs(3);
 
 /// Key of the root of the configuration in the store.
@@ -39,7 +42,8 @@
     format!("config/piece/{digest}")
 }
 
-/// Watches the root while this VM is a watcher, or while its configuration is stale.
+/// Watches the root of the configuration while this VM is a watcher, or while its configuration is
+/// older than [`MAX_STALENESS`].
 pub async fn watch_root(control: Control) {
     let mut position = None;
     let mut last_listed = control.vm.clock.now();
@@ -101,6 +105,8 @@
     })
 }
 
+/// Reads the platform's list of VMs and passes it to the gossip state, which waits for their
+/// adoptions.
 async fn read_vm_list(control: &Control) {
     if let Ok(list) = control.store.vms().await
         && !list.is_empty()
@@ -110,7 +116,7 @@
     }
 }
 
-/// Reads the root once and applies it.
+/// Reads the root of the configuration once and applies it.
 ///
 /// # Errors
 /// If the platform does not answer, or the root or one of its pieces is invalid.
@@ -122,8 +128,8 @@
     Ok(())
 }
 
-/// Applies a root read from the store if it is newer, after fetching the pieces that are missing
-/// here.
+/// Applies a root read from the store if its revision is newer, after fetching the pieces that this
+/// VM lacks.
 async fn apply_root(control: &Control, body: &[u8]) -> Result<(), Error> {
     let root: Root =
         serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))?;
@@ -136,7 +142,8 @@
     Ok(())
 }
 
-/// Resolves a root with the pieces of `cached`, and reads the remaining ones from the store.
+/// Builds the configuration of a root from the pieces of `cached`, and reads the other pieces from
+/// the store.
 ///
 /// # Errors
 /// If the platform does not answer, or a piece is missing or invalid.
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -27,16 +27,16 @@
 /// Time between two attempts to join through the seeds while no other VM is known.
 const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// State shared by the tasks of the control thread.
+/// Handle to the state that the tasks of the control thread share; cheap to clone.
 #[derive(Clone)]
 pub struct Control {
     /// State shared with the threads that serve callers.
     pub vm: Arc<super::Vm>,
-    /// Transport to other VMs.
+    /// Connections to other VMs.
     pub links: Links,
     /// The platform's store.
     pub store: Store,
-    /// Bills that are not in the store yet, own and copies.
+    /// Bills that are not in the store yet: this VM's own, and copies of other VMs' bills.
     pub unflushed: Rc<RefCell<Buffer>>,
     /// Handle to the tasks of this VM that own shards of idempotency keys.
     pub owner: ShardOwner,
@@ -66,6 +66,7 @@
         drop(ticker);
     }
 
+    /// Advances the gossip protocol, sends its frames, and publishes its configuration.
     fn tick(&self) {
         let now = self.vm.clock.now();
         let out = self.with_gossip(|gossip| gossip.tick(now));
@@ -73,13 +74,13 @@
         self.publish_snapshot();
     }
 
-    /// Calls `change` with the gossip state locked.
+    /// Calls `change` with the gossip state, whose lock is held meanwhile, and returns the result.
     pub fn with_gossip<T>(&self, change: impl FnOnce(&mut crate::peer::Gossip) -> T) -> T {
         change(&mut self.vm.gossip.lock().expect("no panic while held"))
     }
 
-    /// Publishes the configuration and the permit of the gossip state to the threads that serve
-    /// callers.
+    /// Publishes the configuration of the gossip state, and the start lease (the time until which
+    /// new work may start), to the threads that serve callers.
     pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
         let (snapshot, start_lease, accepted) =
@@ -101,7 +102,7 @@
             .expect("no panic while held")
             .apply_snapshot(&snapshot, &self.vm.settings.data_centre);
         *self.vm.snapshot.write().expect("no panic while held") = snapshot;
-        // The permit is set last: renewed earlier, it would let work start under the old revision.
+        // The lease is set last: renewed earlier, it would let work start under the old revision.
         self.vm.set_start_lease_until(start_lease);
         self.vm.metrics.revision.set(revision.0 as i64);
         log::info!(
@@ -116,7 +117,7 @@
         });
     }
 
-    /// Sends frames concurrently, each in a task of its own.
+    /// Sends frames to VMs concurrently, each in a task of its own.
     pub fn send_all(&self, out: Vec<(Member, Frame)>) {
         for (to, frame) in out {
             self.send(to.address, frame);
@@ -130,7 +131,7 @@
         actix_web::rt::spawn(async move { links.send(to, bytes).await });
     }
 
-    /// Sends a call and waits for its reply; none if it does not arrive or does not decode.
+    /// Sends a call to a VM and waits for the reply; none if no valid reply arrives.
     pub async fn call(&self, to: SocketAddr, call: Call) -> Option<Reply> {
         let bytes = encode(&Envelope { from: self.vm.settings.vm.clone(), body: call });
         decode(&self.links.call(to, bytes).await?)
@@ -254,7 +255,8 @@
         replies.into_iter().filter_map(text).collect()
     }
 
-    /// Orders members by their rank for a duty; the first one is responsible for it.
+    /// Orders members by their rank for a duty (a task that one VM does for all); the first one is
+    /// responsible for it.
     pub fn ranked_members(duty: &str, members: &[Member]) -> Vec<Member> {
         let order = rendezvous_order(duty, members.iter().map(|member| &member.vm));
         let find = |vm: &Vm| members.iter().find(|member| member.vm == *vm).cloned();
@@ -268,8 +270,8 @@
         self.with_gossip(|g| g.present().filter(|member| member.vm != *own_vm).cloned().collect())
     }
 
-    /// Asks the other VMs for a revision that a session token names, then reads the store if none
-    /// had it within a second.
+    /// Asks the other VMs for a configuration revision that a session token names, then reads the
+    /// store if no VM sent it within a second.
     async fn catch_up(&self, revision: Revision) {
         let want = self.with_gossip(|g| g.config_request());
         for member in self.other_vms() {
@@ -284,7 +286,8 @@
         let _ = super::config_watch::read_root(self).await;
     }
 
-    /// Sends join messages to the seeds whenever no other VM is known.
+    /// Sends join messages to the seeds (configured addresses of VMs) whenever no other VM is
+    /// known.
     pub async fn join(self) {
         loop {
             if self.other_vms().is_empty() {
@@ -299,7 +302,8 @@
         }
     }
 
-    /// Releases unused keys, flushes bills and announces to the other VMs that this one leaves.
+    /// Releases unused idempotency keys, writes bills to the store and announces to the other VMs
+    /// that this VM leaves.
     pub async fn leave(&self) {
         claims::release_unused_keys(self).await;
         bills::flush_own(self).await;
@@ -312,7 +316,7 @@
     }
 }
 
-/// Actor that ticks the gossip protocol.
+/// Actor that advances the gossip protocol at each [`GOSSIP_INTERVAL`].
 struct Ticker(Control);
 
 impl Actor for Ticker {
@@ -323,7 +327,7 @@
     }
 }
 
-/// Returns the value of the metric label `kind` for a frame.
+/// Returns the value of the metric label `kind` for a frame. Dashboards use these values.
 fn frame_label(frame: &Frame) -> &'static str {
     match frame {
         Frame::Probe { .. } => "probe",
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -1,4 +1,6 @@
-//! Background duties: probing servers, stepping rollouts, updating policies from evidence.
+//! Background duties of a VM: probing servers, stepping roll-outs, monitoring versions, updating
+//! policies from evidence. Some are done by one VM for the whole fleet: the first VM in a ranking
+//! by hash of the duty's name.
 
 mod monitor;
 mod policy;
@@ -22,10 +24,11 @@
 /// Time between two checks of rollouts and of versions in service.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of earlier windows of a version in service that serve as its baseline.
+/// Number of earlier time windows in which the ratings of a version in service are its baseline.
 const BASELINE_WINDOWS: u64 = 12;
 
-/// Returns true if this VM may start work and is first in rank for the rollouts of a model.
+/// Returns true if this VM may start work and is the one that steps and monitors the roll-outs of a
+/// model for the fleet.
 fn is_responsible(control: &Control, model: &Model) -> bool {
     let now = control.vm.clock.now();
     let own_vm = &control.vm.settings.vm;
@@ -37,6 +40,7 @@
         })
 }
 
+/// Converts evidence counts to one arm of the comparison of two versions.
 fn arm_counts(counts: Counts) -> Arm {
     Arm {
         errors: Count::of(counts.ended, counts.failed),
--- a/src/vm/duty/monitor.rs
+++ b/src/vm/duty/monitor.rs
@@ -10,8 +10,9 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Compares the current window of each version in service with the windows before, and withdraws
-/// the version if its ratings became worse and there is a previous version to return to.
+/// Compares the ratings of each version in service in the current time window with those in the
+/// windows before. Withdraws the version if its ratings became worse and there is a previous
+/// version to return to.
 pub async fn monitor_versions(control: Control) {
     loop {
         tokio::time::sleep(STEP_INTERVAL).await;
@@ -27,8 +28,8 @@
                 let previous = Target { model: model.name.clone(), version: version.clone() };
                 !snapshot.root.withdrawn.contains(&previous)
             });
-            // Without a previous version to return to, the burn report shows the fault to
-            // operators.
+            // Without a previous version to return to, only the error budget report shows the fault
+            // to operators.
             if !usable || snapshot.rollout(&model.name).is_some() {
                 continue;
             }
@@ -46,8 +47,8 @@
             let policy = &control.vm.settings.rollout;
             let limit = rate + 2.0 * spread + policy.tolerance;
             let evidence = sequential::evidence(arm_counts(now).poor, limit);
-            // There are many windows a day, so each may err a hundred times less often than a
-            // rollout.
+            // There are many windows a day, so the test of each may err a hundred times less often
+            // than that of a roll-out.
             if evidence >= (100.0 / policy.alpha).ln() {
                 withdraw(&control, &snapshot, &target, now).await;
             }
@@ -55,7 +56,8 @@
     }
 }
 
-/// Returns the ratings of a version in the current window, and in the windows before it.
+/// Returns the ratings of a version in the time window that starts at `window`, and in the baseline
+/// windows before.
 fn ratings_by_window(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
     control.with_gossip(|g| {
         let oldest = window.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -13,7 +13,7 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Time between two updates.
+/// Time between two updates of the policies.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Updates the policies of this VM at each interval until the process ends.
@@ -30,7 +30,8 @@
     }
 }
 
-/// Cascade state of one workspace: the sums read last, and the beliefs derived from all of them.
+/// State of the cascades of one workspace: the sums of evidence read last, and the decayed
+/// observations made from the growth of these sums.
 #[derive(Default)]
 struct CascadeState {
     last_sums: BTreeMap<Key, Counts>,
@@ -38,6 +39,7 @@
     detectors: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
+/// Updates the rules of the cascades of all workspaces from the evidence.
 fn update_cascade_rules(
     control: &Control,
     snapshot: &Snapshot,
@@ -61,10 +63,10 @@
     }
 }
 
-/// Returns the cost and quality of the first and last rung of a cascade, for an answer of 1000
-/// tokens.
+/// Returns the cost and quality of the first and the last rung (model) of a cascade, for an answer
+/// of 1000 tokens.
 ///
-/// Returns none if one of them has no version in service.
+/// Returns none if one of the two models has no version in service.
 pub fn cascade_rungs(snapshot: &Snapshot, models: &[Model]) -> Option<Rungs> {
     let entry = |model: &Model| -> Option<VersionEntry> {
         let version = snapshot.serving(model)?;
@@ -80,7 +82,8 @@
     })
 }
 
-/// Adds the growth of the evidence to the beliefs, in which older ratings decay.
+/// Adds the growth of the evidence since the last call to the observations of each kind of work, in
+/// which older ratings decay.
 fn update_observations(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
     let of_workspace = |key: &Key| match key {
         Key::Cheap { workspace: w, .. } | Key::Strong { workspace: w, .. } => w == workspace,
@@ -127,6 +130,9 @@
     state.last_sums = sums;
 }
 
+/// Updates this VM's share of each workspace's rate limit from the demand at this VM and at all
+/// VMs. `demand` holds per workspace: the requests counted at the last call, at this VM and at all
+/// VMs, and the decayed sums of both.
 fn update_rate_shares(
     control: &Control,
     snapshot: &Snapshot,
@@ -152,6 +158,8 @@
     }
 }
 
+/// Updates the probabilities with which answers of the new and of other versions are rated during a
+/// roll-out.
 fn update_sampling_rates(control: &Control, snapshot: &Snapshot) {
     let usual = control.vm.settings.rated_share;
     let rollout = snapshot.root.rollouts.iter().max_by_key(|rollout| rollout.share);
@@ -166,7 +174,7 @@
     *control.vm.sampling_rates.write().expect("no panic while held") = rates;
 }
 
-/// Removes the evidence of trials that no decision uses any more.
+/// Removes the evidence of trials (roll-outs and time windows) that no decision uses any more.
 fn remove_old_trials(control: &Control, snapshot: &Snapshot) {
     let date = control.vm.clock.date();
     let oldest = date.0.saturating_sub((BASELINE_WINDOWS + 1) * TRIAL_WINDOW_US);
--- a/src/vm/duty/probe.rs
+++ b/src/vm/duty/probe.rs
@@ -11,7 +11,7 @@
 /// Time between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Probes the load of one server and records the result.
+/// Requests the load of one server and records the result; no answer counts as a failure.
 pub async fn probe_server(control: &Control, server: &Server) {
     let address = control.vm.fleet.lock().expect("no panic while held").address(server);
     let Some(address) = address else { return };
@@ -26,9 +26,9 @@
 
 /// Returns how many of `servers` a VM probes in one round.
 ///
-/// Few servers are all probed. With many servers the number falls: each response and refusal
-/// reports the load too, and the total of probes must not grow with the number of servers times
-/// VMs.
+/// Up to `MAX_PROBES` servers are all probed. With more servers the number falls: responses and
+/// refusals report the load too, and the total of probes must not grow with the number of servers
+/// times VMs.
 fn probes_per_round(servers: usize) -> usize {
     (MAX_PROBES * MAX_PROBES / servers.max(1)).clamp(1, MAX_PROBES)
 }
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -1,4 +1,5 @@
-//! Steps the rollouts that this VM is responsible for.
+//! Steps the roll-outs that this VM is responsible for: has servers load the new version, then
+//! changes its share of traffic as [`crate::decide::rollout`] decides.
 
 use std::collections::HashMap;
 
@@ -17,17 +18,23 @@
 /// Weight of the latest request rate in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// State kept between two steps of a rollout; a VM that takes the rollout over starts without it.
+/// State kept between two steps of a roll-out; a VM that becomes responsible for a roll-out starts
+/// without it.
 #[derive(Default)]
 struct StepState {
+    /// Number of ratings of both versions.
     rated: u64,
+    /// When the number of ratings last grew.
     rated_at: Date,
+    /// Number of ended requests of both versions at the last step.
     ended: u64,
+    /// Time of the last step.
     ended_at: Date,
+    /// Requests per second of both versions, as a moving average.
     request_rate: f64,
 }
 
-/// Steps the rollouts that this VM is responsible for, until the process ends.
+/// Steps the roll-outs that this VM is responsible for at each interval, until the process ends.
 pub async fn step_rollouts(control: Control) {
     let mut states: HashMap<Target, StepState> = HashMap::new();
     loop {
@@ -44,6 +51,7 @@
     }
 }
 
+/// Performs the next step of one roll-out, if it is due.
 async fn step(control: &Control, snapshot: &Snapshot, rollout: &Rollout, state: &mut StepState) {
     if rollout.state == "loading" {
         if load_on_servers(control, snapshot, rollout).await {
@@ -118,7 +126,8 @@
         if loaded {
             continue;
         }
-        // A server that does not check the fence of orders gets one only from the responsible VM.
+        // A server that does not check the fence (revision) of orders gets an order only from the
+        // responsible VM.
         if !server.checks_orders && !is_responsible(control, &rollout.to.model) {
             return false;
         }
@@ -131,6 +140,7 @@
     true
 }
 
+/// Returns the inputs of the decision, from the evidence of all VMs, and updates `state`.
 fn collect_inputs(
     control: &Control,
     snapshot: &Snapshot,
@@ -168,14 +178,14 @@
         is_held: rollout.state == "held",
         time_at_share: date.since(rollout.since),
         request_rate: state.request_rate,
-        // Evidence and the step itself take time to reach all VMs.
+        // The ratings and the step itself take time to reach all VMs.
         rating_lag: Span(lag.0 + Span::millis(1500).0),
         time_since_rating: date.since(state.rated_at),
         declared_bad_share: 1.0 - declared,
     }
 }
 
-/// Returns the ratings of a version in the windows before a rollout began.
+/// Returns the ratings of a version in the time windows before a roll-out began.
 fn ratings_before(control: &Control, from: &Target, rollout_start: u64) -> Count {
     let oldest = rollout_start.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
     let earlier = |key: &Key| match key {
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -1,4 +1,5 @@
-//! State of the backend servers as this VM knows it, and the choice of a server for a request.
+//! State of the backend servers of the configuration as this VM knows it, and the choice of a
+//! server for a request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,8 +38,9 @@
     state_machine: Machine,
     load: Load,
     reported_at: Moment,
-    /// Requests of this VM that are open at the server.
+    /// Number of this VM's requests that are open at the server.
     in_flight: f64,
+    /// Number of this VM's requests that were open at the server at its last load report.
     in_flight_at_report: f64,
     failed_at: Option<Moment>,
     latency: Span,
@@ -56,8 +58,8 @@
 }
 
 impl Fleet {
-    /// Updates the servers to the configuration. The state of servers that remain is kept; servers
-    /// of drained data centres are in no group.
+    /// Updates the servers to a configuration. Servers that remain keep their state; servers of
+    /// drained data centres are in no group, so they get no requests.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot, own_data_centre: &DataCentre) {
         if self.revision == Some(snapshot.revision()) {
             return;
@@ -94,7 +96,8 @@
 
     /// Selects a server of a group and counts the request as in flight there.
     ///
-    /// `point` is a random number that spreads the choice. Returns none if no server can take it.
+    /// `prefix` is a hash of the start of the prompt, for servers that have it cached, and `point`
+    /// a random number that spreads the choice. Returns none if no server can take the request.
     pub fn select_server(
         &mut self,
         group: &Group,
@@ -112,7 +115,7 @@
         Some(SelectedServer { server, address })
     }
 
-    /// Records that a request at a server ended.
+    /// Records that a request of this VM at a server ended.
     pub fn on_request_end(&mut self, server: &Server) {
         if let Some(state) = self.servers.get_mut(server) {
             state.in_flight = (state.in_flight - 1.0).max(0.0);
@@ -136,7 +139,7 @@
         self.update_replicas(server);
     }
 
-    /// Records the running and waiting requests that a server sent with a response.
+    /// Records the numbers of running and waiting requests that a server sent with a response.
     pub fn on_load_hint(&mut self, server: &Server, running: u32, waiting: u32, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -148,7 +151,8 @@
         self.update_replicas(server);
     }
 
-    /// Records that a server did not accept a request, or failed in the middle of one.
+    /// Records that a server did not accept a request or failed while it ran one; for a while the
+    /// server gets no requests.
     pub fn on_failure(&mut self, server: &Server, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -187,8 +191,8 @@
         self.groups.get(group).map_or(0, |(replicas, _)| replicas.len())
     }
 
-    /// Describes for each server of a group why a request can or cannot go there, for decision
-    /// records.
+    /// Describes for each server of a group if a request can be sent to it, and why not, for
+    /// decision records.
     pub fn describe_candidates(&self, group: &Group, now: Moment) -> Vec<String> {
         let Some((replicas, names)) = self.groups.get(group) else {
             return Vec::new();
@@ -211,7 +215,8 @@
         replicas.iter().zip(names).map(describe).collect()
     }
 
-    /// Rebuilds the replicas of a server in its groups after its state changed.
+    /// Copies the changed state of a server to its replica in each of its groups, from which
+    /// servers are selected.
     fn update_replicas(&mut self, server: &Server) {
         let Some(state) = self.servers.get(server) else {
             return;
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -1,4 +1,8 @@
-//! One entry VM: its shared state and its background tasks.
+//! One entry VM, a router process: its shared state and its background tasks.
+//!
+//! Worker threads serve callers. A single *control thread* does the rest: gossip with other VMs,
+//! reads and writes of the platform's store, bills, and the duties of the VM. Workers send it
+//! [`Command`]s. *Evidence* are the counters of requests and ratings that VMs merge by gossip.
 
 mod bills;
 mod claims;
--- a/src/vm/poison.rs
+++ b/src/vm/poison.rs
@@ -1,5 +1,6 @@
-//! Contents that crash backend servers: checks for crashes and exchanges findings with other VMs.
-//! The decisions are in [`crate::decide::poison`].
+//! Request contents (digests of what requests ask for) that crash backend servers: checks if
+//! servers crashed, and exchanges the results with other VMs. The decisions are in
+//! [`crate::decide::poison`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,25 +18,27 @@
 use crate::peer::{Member, rendezvous_order};
 use crate::unit::{Date, Digest, Server, Span};
 
-/// Up to this number of other VMs, each VM sends what it observes of a content to all of them.
+/// Number of other VMs up to which each VM sends what it observes of a content to all of them.
 const FULL_MESH_LIMIT: usize = 12;
 
-/// With more VMs, the number of VMs that aggregate the observations of one content.
+/// Number of VMs that collect the observations of one content in a fleet beyond
+/// [`FULL_MESH_LIMIT`].
 const AGGREGATORS: usize = 3;
 
-/// Length of a window in which crashes of a server count as one. A declared server does not report
-/// its incarnation; VMs observe a crash some milliseconds apart, and a server needs seconds to
-/// restart.
+/// Length of the time windows in which crashes of a server count as one. A server does not report
+/// its incarnation (process lifetime); VMs observe a crash some milliseconds apart, and a server
+/// needs seconds to restart.
 const INCARNATION_WINDOW: Span = Span::secs(4);
 
-/// Time between two reminders of the quarantined contents.
+/// Time between two reminders of the quarantined contents that a VM sends to others.
 const REMINDER_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Number of random VMs that each VM sends a reminder to. With 2 a second, a VM that has just
 /// started receives none in three seconds once in 400 times.
 const REMINDER_FANOUT: usize = 2;
 
-/// Returns the incarnation of a server that was observed to have crashed at a date.
+/// Returns an identifier of the incarnation of a server that crashed at a date, alike on all VMs
+/// that observe the crash.
 fn incarnation_at(server: &Server, date: Date) -> ServerIncarnation {
     ServerIncarnation::new(server.as_str(), Some(date.0 / INCARNATION_WINDOW.0))
 }
@@ -46,8 +49,8 @@
     poison.quarantine_crashes(content, vm.clock.now()).is_some()
 }
 
-/// Checks, after a response broke off, whether its server has crashed; if so, records the crash for
-/// the content of the request.
+/// Checks, after a response ended early, if the process of the server has crashed, and then records
+/// the crash for the content of the request.
 pub fn on_broken_response(
     vm: &Arc<Vm>,
     server: &Server,
@@ -73,14 +76,14 @@
     });
 }
 
-/// Records that a request with a content succeeded.
+/// Records that a request with this content completed, which clears the content of suspicion.
 pub fn on_success(vm: &Vm, content: Digest) {
     let now = vm.clock.now();
     let effects = vm.poison.lock().expect("no panic while held").on_success(content, now);
     apply_effects(vm, effects);
 }
 
-/// Handles a message of another VM.
+/// Handles a message of another VM about contents that crash servers.
 pub fn on_message(vm: &Vm, message: &Message) {
     let now = vm.clock.now();
     let effects =
@@ -88,6 +91,7 @@
     apply_effects(vm, effects);
 }
 
+/// Logs the start and end of quarantines, and queues the messages for other VMs.
 fn apply_effects(vm: &Vm, effects: Effects) {
     for transition in effects.transitions {
         match transition {
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -1,4 +1,4 @@
-//! Sends samples to the rating service and adds the ratings to the evidence.
+//! Sends samples (answers to be rated) to the rating service, and adds the ratings to the evidence.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -12,16 +12,16 @@
 /// Time between two exchanges with the rating service.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Maximum number of samples that wait for a rating; beyond it the oldest is dropped.
+/// Maximum number of samples that wait for a rating; beyond the maximum the oldest is dropped.
 const MAX_PENDING_SAMPLES: usize = 20_000;
 
-/// Weight of the latest rating in the moving average of the lag.
+/// Weight of the latest rating in the moving average of the time from an answer to its rating.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// The counters that the rating of a sample is added to.
+/// A sample that waits for its rating: where the rating will be counted.
 #[derive(Clone, Debug)]
 pub struct PendingSample {
-    /// Counters to add to.
+    /// Evidence keys under which the rating is counted.
     pub keys: Vec<Key>,
     /// Time at which the answer was sent.
     pub answered_at: Date,
@@ -32,7 +32,7 @@
     static OUTBOX: RefCell<Vec<Sample>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Samples that wait for a rating, and the average lag of ratings.
+/// Samples that wait for a rating, and the mean time from an answer to its rating.
 #[derive(Debug, Default)]
 pub struct PendingSamples {
     samples: HashMap<RequestId, PendingSample>,
@@ -41,7 +41,7 @@
 }
 
 impl PendingSamples {
-    /// Inserts a sample with the counters that its rating will be added to.
+    /// Inserts the sample of a request.
     pub fn insert(&mut self, request: RequestId, pending: PendingSample) {
         if self.order.len() >= MAX_PENDING_SAMPLES
             && let Some(oldest) = self.order.pop_front()
@@ -63,7 +63,8 @@
         Some(pending)
     }
 
-    /// Returns the average time from an answer to its rating.
+    /// Returns the moving average of the time from an answer to its rating; zero before the first
+    /// rating.
     pub fn mean_lag(&self) -> Span {
         Span((self.mean_lag * 1e6) as u64)
     }
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -27,20 +27,20 @@
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
 
-/// Maximum number of connections of one worker.
+/// Maximum number of connections of callers per worker thread.
 const MAX_WORKER_CONNECTIONS: usize = 20_000;
 
 /// Time within which a caller must send the head of a request. It is longer than any suspension
 /// that a VM resumes from, since the HTTP library counts suspended time as the caller's.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two checks during a stop whether all requests have ended.
+/// Time between two checks, during a planned stop, if all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time that open connections get after a planned stop, in seconds.
 const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
-/// A VM that runs on this thread.
+/// Handle to a VM whose control thread is this thread.
 pub struct Handle {
     /// The VM.
     pub vm: Arc<Vm>,
@@ -127,7 +127,8 @@
 }
 
 impl Handle {
-    /// Stops as planned: refuses new work, waits for running requests, hands over state and leaves.
+    /// Stops the VM as planned: refuses new work, waits for running requests, writes bills and
+    /// releases keys, and leaves the fleet.
     ///
     /// Returns the number of requests that were still running when the time limit was reached.
     pub async fn stop(self) -> usize {
@@ -146,7 +147,7 @@
         cut
     }
 
-    /// Stops at once, as in a crash: nothing is handed over.
+    /// Stops the VM at once, as in a crash: nothing is written or announced.
     pub fn kill(self) {
         self.vm.history.record(|| Event::Killed { vm: self.vm.settings.vm.clone() });
         self.vm.set_start_lease_until(Moment(0));
--- a/src/vm/settings.rs
+++ b/src/vm/settings.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Keys of session tokens by name: the first one signs, all are accepted, so that they can be
-/// rotated.
+/// Keys that sign session tokens, by name: the first one signs, all are accepted, so that keys can
+/// be rotated.
 #[derive(Clone, Debug)]
 pub struct SessionKeys(pub Vec<(String, Secret)>);
 
@@ -62,7 +62,7 @@
 pub struct Settings {
     /// The VM's name.
     pub vm: Vm,
-    /// Its data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
     /// The address on which it serves callers.
     pub listen: SocketAddr,
@@ -72,7 +72,7 @@
     pub platform: SocketAddr,
     /// The address of the rating service, if there is one.
     pub rating_service: Option<SocketAddr>,
-    /// Addresses of other VMs through which it joins the fleet.
+    /// Addresses of other VMs through which the VM joins the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Number of threads that serve callers.
     pub workers: usize,
@@ -86,7 +86,7 @@
     pub rollout: Policy,
     /// The key shared by the VMs of one fleet, which authenticates their messages.
     pub fleet_key: Secret,
-    /// Keys of session tokens.
+    /// Keys that sign session tokens.
     pub session_keys: SessionKeys,
     /// The key of operators; without one, only requests from the same machine are accepted.
     pub operator_key: Option<Secret>,
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -25,11 +25,12 @@
 pub struct Vm {
     /// Settings of the process.
     pub settings: Settings,
-    /// This lifetime of the process.
+    /// Identifier of this process lifetime of the VM: its start in microseconds.
     pub incarnation: Incarnation,
     /// Clocks of the process.
     pub clock: Clock,
-    /// The configuration in force on this VM, for the hot path.
+    /// The configuration in force on this VM, outside of the gossip lock since each request reads
+    /// it.
     pub snapshot: RwLock<Arc<Snapshot>>,
     /// Gossip state: members, evidence and configuration.
     pub gossip: Mutex<Gossip>,
@@ -37,7 +38,7 @@
     pub fleet: Mutex<Fleet>,
     /// Decision records of recent requests.
     pub traces: Mutex<TraceLog>,
-    /// Burn rates of the objectives.
+    /// Counts of answers that met or missed the objectives of workspaces (error budgets).
     pub burn: Mutex<BurnTracker>,
     /// Metrics of this VM.
     pub metrics: Metrics,
@@ -49,25 +50,26 @@
     pub in_flight: AtomicUsize,
     /// True while the buffer of unflushed bills has room.
     pub has_bill_room: AtomicBool,
-    /// Samples that wait for a rating.
+    /// Answers submitted for rating whose rating has not arrived.
     pub pending_samples: Mutex<PendingSamples>,
     /// Rules of cascades, by workspace and kind of request.
     pub cascade_rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
-    /// Probability that an answer is rated: of the version being rolled out, and of any other.
+    /// Probabilities that an answer is rated during a roll-out: an answer of the new version, and
+    /// of any other version.
     pub sampling_rates: RwLock<(f64, f64)>,
-    /// This VM's shares of the rate limits of workspaces.
+    /// This VM's shares of the rate limits of workspaces, updated from the demand at all VMs.
     pub rate_shares: RwLock<HashMap<Workspace, Rate>>,
-    /// Contents that crash servers.
+    /// Evidence about request contents that crash servers.
     pub poison: Mutex<Exchange>,
     /// Idempotency keys reserved on this VM.
     pub reserved: Mutex<ReservedKeys>,
     admission_controllers: Mutex<HashMap<Model, AdmissionController>>,
-    /// Number of open dispatches by the revision that they follow.
+    /// Number of open [`DispatchGuard`]s, by the revision that their work follows.
     open_dispatches: Mutex<BTreeMap<Revision, usize>>,
     rate_buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
     rating_credit: Mutex<RatingBudget>,
-    /// Moment until which new work may start, in microseconds; 0 if none may.
+    /// Moment until which new work may start, in microseconds; 0 if no work may start.
     start_lease_until: AtomicU64,
     next_request_number: AtomicU64,
     commands: mpsc::UnboundedSender<Command>,
@@ -118,28 +120,31 @@
         self.snapshot.read().expect("no panic while held").clone()
     }
 
-    /// Returns the configuration in force on this VM with a guard: until the guard is dropped, this
-    /// VM does not report to other VMs that all its work follows a later revision.
+    /// Returns the configuration in force on this VM, and a guard for work that is decided with it.
+    /// Until the guard is dropped, this VM does not report to other VMs that all its work follows a
+    /// later revision.
     pub fn begin_dispatch(&self) -> (Arc<Snapshot>, DispatchGuard<'_>) {
         loop {
             let snapshot = self.config();
             let dispatch = DispatchGuard::new(self, snapshot.revision());
-            // A later revision applied before the guard existed may have been reported already.
+            // A later revision that was applied before the guard existed may have been reported
+            // already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
             }
         }
     }
 
-    /// Returns the revision that all work which this VM sends from now on follows, or a later one:
-    /// the revision in force, or that of the oldest open dispatch.
+    /// Returns a revision such that all work which this VM sends from now on follows this or a
+    /// later one: the revision in force, or the oldest one of an open [`DispatchGuard`].
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.open_dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
     }
 
-    /// Returns true if new work may start now.
+    /// Returns true if new work may start now: the VM was in contact with the store or other VMs
+    /// recently enough.
     pub fn may_start(&self, now: Moment) -> bool {
         now.0 < self.start_lease_until.load(Ordering::Relaxed)
     }
@@ -171,7 +176,7 @@
         let _ = self.commands.send(command);
     }
 
-    /// Adds counts to the evidence that this VM collects itself.
+    /// Adds counts to this VM's own row of the evidence.
     pub fn record_evidence(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
@@ -224,8 +229,8 @@
         self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
-    /// Returns true if an answer is to be rated. `worth` is the value of its rating, `point` a
-    /// random number from 0 to 1.
+    /// Returns true if an answer is to be rated, and spends the budget of ratings. `worth` says how
+    /// informative the rating is, `point` is a random number from 0 to 1.
     pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
         self.rating_credit.lock().expect("no panic while held").spend(worth, point)
     }
@@ -246,7 +251,8 @@
     }
 }
 
-/// Guard of a piece of work between the decision on it and its receipt by a backend server.
+/// Guard of a piece of work from the decision with a configuration until a backend server has
+/// received the work.
 pub struct DispatchGuard<'a> {
     vm: &'a Vm,
     revision: Revision,
@@ -272,5 +278,6 @@
     }
 }
 
-/// Length of the windows in which a version in service is compared, in microseconds.
+/// Length, in microseconds, of the time windows in which the ratings of a version in service are
+/// compared with earlier ones.
 pub const TRIAL_WINDOW_US: u64 = 600_000_000;
