--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -134,6 +134,8 @@
         self.concurrency.limit()
     }
 
+    /// Updates the moving averages, the concurrency limit and the fair shares, at most once per
+    /// [`UPDATE_INTERVAL`].
     fn update(&mut self, now: Moment) {
         let elapsed = now.since(self.updated_at);
         if elapsed < UPDATE_INTERVAL {
--- a/src/decide/availability.rs
+++ b/src/decide/availability.rs
@@ -165,6 +165,7 @@
         self.draining_since().is_some()
     }
 
+    /// Returns when the server or its entry first announced that the server is draining.
     fn draining_since(&self) -> Option<Moment> {
         let announced = [self.signalled_draining_since, self.entry_draining_since];
         announced.into_iter().flatten().min()
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -72,6 +72,7 @@
         self.spend_fraction(1.0 - RESERVED_FRACTION, now)
     }
 
+    /// Spends one repeated send if at most `fraction` of the budget of the window is spent then.
     fn spend_fraction(&mut self, fraction: f64, now: Moment) -> bool {
         self.bucket(now);
         let firsts: u32 = self.buckets.iter().map(|bucket| bucket.firsts).sum();
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -55,11 +55,11 @@
 /// 1.1, one of 91 VMs doubted a good version.
 const DOUBT_EVIDENCE: f64 = 3.0;
 
-/// Evidence per answer seen, at or below which evidence does not prevent a promotion. A version
-/// that fails half of the answers on one of three routes has ten times this after as many answers,
-/// so little evidence from many answers is chance, given sixteen tests. Of twelve good versions one
-/// was rolled back at 4.2 of 119 answers, and one on a calm day at 3.2 of 558; of 48 bad ones one
-/// was found by this limit, at 4.2 of 53 answers.
+/// Evidence per answer seen up to which a version is still promoted. A version that fails half of
+/// the answers on one of three routes has ten times this after as many answers, so little evidence
+/// from many answers is chance, given sixteen tests. Of twelve good versions one was rolled back at
+/// 4.2 of 119 answers, and one on a calm day at 3.2 of 558; of 48 bad ones one was found by this
+/// limit, at 4.2 of 53 answers.
 const DOUBT_EVIDENCE_PER_ANSWER: f64 = 0.04;
 
 /// Evidence at which a version is rolled back: the log of the inverse of the false positive rate, a
@@ -115,6 +115,8 @@
         self.evidence_beyond(MIN_SLOWNESS_HARM)
     }
 
+    /// Returns the evidence that the new version is worse, or zero if it has few bad answers or its
+    /// share of them exceeds the old version's by less than `min_harm`.
     fn evidence_beyond(&self, min_harm: f64) -> f64 {
         let old = self.old.rate(BASELINE_BAD_SHARE);
         let harm = self.new.rate(BASELINE_BAD_SHARE) - old;
@@ -162,7 +164,10 @@
     pub evidence: f64,
 }
 
-/// Returns the next step of a roll-out, from what this VM knows of it.
+/// Returns the next step of a roll-out, from what this VM knows of it. The first share begins once
+/// servers are ready and all VMs know the order. Near the end of the time limit all sessions move,
+/// and at the end the roll-out completes, each unless the evidence against the version is too
+/// strong. A version that is found bad is rolled back at any time.
 pub fn next_step(inputs: &Inputs) -> Step {
     let completion_margin = (inputs.time_limit.0 as f64 * COMPLETION_MARGIN_FRACTION)
         .max(MIN_COMPLETION_MARGIN.0 as f64);
--- a/src/decide/cascade/estimate.rs
+++ b/src/decide/cascade/estimate.rs
@@ -36,10 +36,10 @@
 
 /// Returns the sum of all ratings of strong answers, escalated and direct ones, over all kinds.
 fn strong_ratings_of(observations: &[Observations]) -> Ratings {
-    let cells = observations.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
-    cells.fold(Ratings::default(), |sum, cell| Ratings {
-        all: sum.all + cell.all,
-        pass: sum.pass + cell.pass,
+    let ratings_by_bin = observations.iter().flat_map(|b| b.strong.iter().chain([&b.direct]));
+    ratings_by_bin.fold(Ratings::default(), |sum, ratings| Ratings {
+        all: sum.all + ratings.all,
+        pass: sum.pass + ratings.pass,
     })
 }
 
@@ -53,17 +53,17 @@
     let mut pooled = [0.0; CONFIDENCE_BINS];
     let mut weights = [0.0; CONFIDENCE_BINS];
     for (i, share) in pooled.iter_mut().enumerate() {
-        let mut cell = Ratings::default();
+        let mut ratings = Ratings::default();
         for observed in observations {
-            cell.all += observed.cheap[i].all;
-            cell.pass += observed.cheap[i].pass;
+            ratings.all += observed.cheap[i].all;
+            ratings.pass += observed.cheap[i].pass;
         }
         // The prior weighs the confidence itself by half, so that confidence is trusted a little
         // before any rating.
         let middle = (i as f64 + 0.5) / CONFIDENCE_BINS as f64;
         let prior = (rungs.cheap_quality * 0.5 + middle * 0.5).min(rungs.cheap_quality);
-        *share = cell.smoothed_rate(prior);
-        weights[i] = cell.all + PRIOR_RATINGS;
+        *share = ratings.smoothed_rate(prior);
+        weights[i] = ratings.all + PRIOR_RATINGS;
     }
     fit_monotone(&mut pooled, &weights);
     smooth(&pooled)
@@ -90,7 +90,7 @@
 /// kind's own ratings best.
 fn shift_to_level(
     pooled: &[f64; CONFIDENCE_BINS],
-    cells: &[Ratings; CONFIDENCE_BINS],
+    ratings_by_bin: &[Ratings; CONFIDENCE_BINS],
 ) -> [f64; CONFIDENCE_BINS] {
     let log_odds = pooled.map(|p| {
         let p = p.clamp(0.01, 0.99);
@@ -100,16 +100,19 @@
     for _ in 0..NEWTON_STEPS {
         let mut gradient = -shift * LEVEL_PRIOR_RATINGS * 0.25;
         let mut curvature = LEVEL_PRIOR_RATINGS * 0.25;
-        for (log_odds, cell) in log_odds.iter().zip(cells) {
+        for (log_odds, ratings) in log_odds.iter().zip(ratings_by_bin) {
             let p = 1.0 / (1.0 + (-(log_odds + shift)).exp());
-            gradient += cell.pass - cell.all * p;
-            curvature += cell.all * p * (1.0 - p);
+            gradient += ratings.pass - ratings.all * p;
+            curvature += ratings.all * p * (1.0 - p);
         }
         shift += (gradient / curvature).clamp(-1.0, 1.0);
     }
     log_odds.map(|log_odds| 1.0 / (1.0 + (-(log_odds + shift)).exp()))
 }
 
+/// Returns the estimates of one kind of work. `pooled` are the cheap rung's pass rates over all
+/// kinds, `all_strong_ratings` the ratings of the strong rung over all kinds, and `total` is the
+/// number of requests of all kinds.
 fn estimate_kind(
     observed: &Observations,
     pooled: &[f64; CONFIDENCE_BINS],
@@ -141,7 +144,10 @@
         strong_error[i] = overall_error;
     }
     fit_monotone(&mut cheap_pass_rate, &weights);
-    fit_monotone(&mut strong_pass_rate, &observed.strong.map(|cell| cell.all + PRIOR_RATINGS));
+    fit_monotone(
+        &mut strong_pass_rate,
+        &observed.strong.map(|ratings| ratings.all + PRIOR_RATINGS),
+    );
     let mut cheap_error = [0.0; CONFIDENCE_BINS];
     for i in 0..CONFIDENCE_BINS {
         let p = cheap_pass_rate[i].clamp(0.02, 0.98);
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -94,16 +94,16 @@
     pub fn decay(&mut self, kept: f64) {
         self.requests *= kept;
         self.confidence_counts.iter_mut().for_each(|seen| *seen *= kept);
-        self.cheap.iter_mut().for_each(|cell| cell.decay(kept));
-        self.strong.iter_mut().for_each(|cell| cell.decay(kept));
+        self.cheap.iter_mut().for_each(|ratings| ratings.decay(kept));
+        self.strong.iter_mut().for_each(|ratings| ratings.decay(kept));
         self.direct.decay(kept);
     }
 
-    /// Discounts the ratings to [`KEPT_AFTER_ALARM`]. Called after an alarm of the
-    /// [`DriftDetector`], when recent ratings no longer agree with older ones.
+    /// Discounts the ratings to `KEPT_AFTER_ALARM`. Called after an alarm of the [`DriftDetector`],
+    /// when recent ratings no longer agree with older ones.
     pub fn discount(&mut self) {
-        self.cheap.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
-        self.strong.iter_mut().for_each(|cell| cell.decay(KEPT_AFTER_ALARM));
+        self.cheap.iter_mut().for_each(|ratings| ratings.decay(KEPT_AFTER_ALARM));
+        self.strong.iter_mut().for_each(|ratings| ratings.decay(KEPT_AFTER_ALARM));
         self.direct.decay(KEPT_AFTER_ALARM);
     }
 }
@@ -157,7 +157,9 @@
 }
 
 /// Returns a rule for each kind of work, in the order of `observations`. Weighted by their
-/// requests, the rules together meet the quality `target` at least cost.
+/// requests, the rules together meet the quality `target` at least cost. A bisection finds the
+/// price of quality just below and just above which the target is missed and met; the rules at both
+/// prices are then mixed.
 pub fn solve_rules(observations: &[Observations], rungs: &Rungs, target: f64) -> Vec<Rule> {
     let estimates = estimate(observations, rungs);
     let meets = |price: f64| {
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -18,7 +18,7 @@
 /// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
 /// caller still gets the strong answer, so exploration costs money and never quality.
 pub(super) fn explore_probability(observed: &Observations) -> f64 {
-    let known: f64 = observed.cheap.iter().map(|cell| cell.all).sum();
+    let known: f64 = observed.cheap.iter().map(|ratings| ratings.all).sum();
     if known < KNOWN_FROM_RATINGS { EXPLORE_UNKNOWN } else { EXPLORE_KNOWN }
 }
 
@@ -93,7 +93,7 @@
 
 impl DriftDetector {
     /// Records a rating of an answer that was expected to pass with probability `expected`. Returns
-    /// true and resets the detector if the ratings prove, up to [`ALARM_CHANCE`], that answers have
+    /// true and resets the detector if the ratings prove, up to `ALARM_CHANCE`, that answers have
     /// become worse.
     pub fn record(&mut self, expected: f64, pass: bool) -> bool {
         let kept = 1.0 - 1.0 / WINDOW_RATINGS;
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -47,12 +47,12 @@
     Rate(limit.0 * (floor + share * (1.0 - MIN_SHARE_OF_EVEN)))
 }
 
-/// Fraction of a limit on open items that is divided among the known VMs; the rest is a reserve for
+/// Fraction of a limit that [`even_share`] divides among the known VMs; the rest is a reserve for
 /// VMs that are not known yet.
 const ALLOCATED_FRACTION: f64 = 0.85;
 
-/// Returns the share of one of `vms` VMs in a limit on concurrently open items (such as
-/// connections), at least one.
+/// Returns the share of one of `vms` VMs in a limit on a number of things (such as connections or
+/// extra retries), at least one.
 pub fn even_share(limit: u32, vms: u32) -> u32 {
     ((f64::from(limit) * ALLOCATED_FRACTION / f64::from(vms.max(1))) as u32).max(1)
 }
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -116,18 +116,21 @@
         self.refusals == REFUSAL_THRESHOLD
     }
 
+    /// Ends all runs of consecutive failures and refusals, after a complete response.
     fn reset_streaks(&mut self) {
         self.refusals = 0;
         self.unreachable = 0;
         self.broken = 0;
     }
 
+    /// Adds a response to the failure rate: 1 for a failure, 0 for a success.
     fn add_sample(&mut self, failed: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = SMOOTHING_FACTOR.max(1.0 / f64::from(self.samples));
         self.failure_rate += weight * (failed - self.failure_rate);
     }
 
+    /// Ejects the server for twice as long as the last time.
     fn eject(&mut self, now: Moment) {
         let doubled = BASE_EJECTION.0.saturating_mul(1 << self.ejections.min(10));
         self.ejected_until = Some(now + Span(doubled.min(MAX_EJECTION.0)));
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -32,6 +32,7 @@
 }
 
 impl Candidate {
+    /// Returns the load of the server as a fraction of its slots.
     fn utilization(&self) -> f64 {
         self.load / self.slots.max(1.0)
     }
--- a/src/decide/poison/evidence.rs
+++ b/src/decide/poison/evidence.rs
@@ -112,6 +112,8 @@
         self.crashes.iter().map(|crash| crash.weight).sum()
     }
 
+    /// Returns the quarantine of the content, from the crashes that this VM knows and from reports
+    /// of other VMs; none if the content is only a suspect.
     fn quarantine(&self) -> Option<Quarantine> {
         let found = self
             .crashes
@@ -295,7 +297,7 @@
         self.suspects.is_empty()
     }
 
-    /// Drops evidence older than [`SUSPICION_TTL`].
+    /// Drops evidence older than `SUSPICION_TTL`.
     pub fn expire(&mut self, now: Moment) {
         self.suspects.retain(|_, suspect| suspect.forget_until(expiry_cutoff(now)));
     }
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -207,6 +207,7 @@
         effects
     }
 
+    /// Handles another VM's message that a request with a suspected content completed.
     fn on_success_report(
         &mut self,
         content: Digest,
--- a/src/decide/pressure.rs
+++ b/src/decide/pressure.rs
@@ -40,6 +40,7 @@
         self.decayed_wait * decay / (self.decayed_responses * decay + PRIOR_WEIGHT)
     }
 
+    /// Returns the factor by which weights decayed since the last record.
     fn decay(&self, now: Moment) -> f64 {
         (-(now.since(self.at).0 as f64) / DECAY_TIME.0 as f64).exp()
     }
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -2,8 +2,7 @@
 //!
 //! A *reader* is a VM that reads the store for others, a *follower* one that polls another VM, its
 //! *source*. *Server data* are the entries of backend servers in the store; their age is the time
-//! since a reader read them. A *group* is a set of VMs that are close to each other: those of one
-//! data centre.
+//! since a reader read them. A *group* are the VMs of one data centre.
 //!
 //! VMs are ranked by CPU, largest first, then by name. A VM polls higher-ranked VMs of its group;
 //! the first VM of a group polls the first VMs of other groups that rank higher. In the normal case
@@ -134,6 +133,7 @@
     StoreLost,
 }
 
+/// Why and until when a source is not polled.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     reason: BackoffReason,
@@ -211,6 +211,7 @@
         self.backoffs.insert(vm.clone(), Backoff { reason, until });
     }
 
+    /// Returns why a source is not polled now; none if it may be polled.
     fn backoff_reason(&self, vm: &Vm, now: Moment) -> Option<BackoffReason> {
         let backoff = self.backoffs.get(vm).filter(|backoff| now < backoff.until);
         backoff.map(|backoff| backoff.reason)
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -63,7 +63,7 @@
     pub poor: Count,
 }
 
-/// What is known of a roll-out: the inputs of [`decide`].
+/// What is known of a roll-out: the inputs of [`next_step`].
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
     /// Counts of the new version.
@@ -182,7 +182,9 @@
     )
 }
 
-/// Decides the next step of a roll-out.
+/// Decides the next step of a roll-out: withdraws the version if harm is proved, reduces its share
+/// if harm is likely, holds the roll-out while ratings are missing, and otherwise lets the share
+/// grow as far as the evidence allows.
 pub fn next_step(policy: &Policy, inputs: &Inputs) -> Action {
     let proof = (3.0 / policy.alpha).ln();
     let harm_signals = harm_signals(policy, inputs);
@@ -207,14 +209,14 @@
     if is_silent && !inputs.is_held {
         return Action::Hold(
             inputs.share.min(first),
-            format!("no rating came for {}", inputs.time_since_rating),
+            format!("no rating arrived for {}", inputs.time_since_rating),
         );
     }
     if inputs.is_held {
         return if is_silent {
             Action::Stay
         } else {
-            Action::Resume("ratings are back".to_owned())
+            Action::Resume("ratings arrive again".to_owned())
         };
     }
     growth_step(policy, inputs, first)
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -235,6 +235,7 @@
         forwards
     }
 
+    /// Replaces the known limit. Returns true if the rate in force changes.
     fn apply(&mut self, update: Update, now: Moment) -> bool {
         let previous = self.rate(now);
         self.known = Some(update);
@@ -252,6 +253,7 @@
         Some((self.known?, recipients))
     }
 
+    /// Records that the known limit was announced now, to all VMs or to some.
     fn record_announcement(&mut self, all: bool, now: Moment) {
         let rate = self.known.and_then(|known| known.rate);
         let previous = self.announced.filter(|_| !all);
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -331,8 +331,9 @@
     })
 }
 
-/// Sends a call to one server after another until one responds or no retry is allowed. Sets
-/// `may_have_run` if an attempt failed after it was sent.
+/// Sends a call to one server after another until one responds or no retry is allowed. Before each
+/// attempt, checks again that the configuration allows the call and that its content is not
+/// quarantined. Sets `may_have_run` if an attempt failed after it was sent.
 async fn try_servers(
     vm: &Data<Vm>,
     engines: &EngineClient,
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -115,6 +115,7 @@
     pub cells: Vec<Cell>,
 }
 
+/// Counts of one cell, with the change that they come from.
 #[derive(Clone, Debug)]
 struct Entry {
     counts: Counts,
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -35,6 +35,7 @@
     format!("ledger/{}.{}/", origin.vm, origin.incarnation)
 }
 
+/// Returns the key of the chunk whose first bill has the number `first`.
 fn chunk_key(origin: &Origin, first: u64) -> String {
     format!("{}{first:012}", chain_prefix(origin))
 }
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -80,7 +80,8 @@
     store: Store,
     clock: Clock,
     shard: Shard,
-    /// Links that this task wrote since the last segment, if it wrote all of them.
+    /// Links that this task wrote since it last completed a segment or read a link of another
+    /// writer.
     own_links: Vec<Vec<Record>>,
     /// Tokens of the bucket that limits writes; negative while a write waits.
     write_tokens: f64,
@@ -145,8 +146,10 @@
         }
     }
 
-    /// Writes a batch of claims and outcomes as a link and answers the claims. Outcomes that could
-    /// not be written stay in `settled`.
+    /// Writes a batch of claims and outcomes as a link and answers the claims. Claims that the
+    /// links read so far decide are answered without a write; if another owner wrote the next link
+    /// first, its records are applied and the rest is tried again. Outcomes that could not be
+    /// written stay in `settled`.
     async fn write_batch(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
--- a/src/once/shard.rs
+++ b/src/once/shard.rs
@@ -88,6 +88,8 @@
         }
     }
 
+    /// Applies one record of the chain: a claim takes a free key, and an outcome ends the call that
+    /// holds its key.
     fn apply(&mut self, record: Record) {
         match record {
             // The first claim of a key is granted; a later one was never granted.
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -43,7 +43,8 @@
 }
 
 /// Watches the root of the configuration while this VM is a watcher, or while its configuration is
-/// older than [`MAX_STALENESS`].
+/// older than `MAX_STALENESS`. Each round reads the root if a read is due, or else waits for a
+/// change, and applies a newer root. A VM that need not read the store only sleeps.
 pub async fn watch_root(control: Control) {
     let mut position = None;
     let mut last_listed = control.vm.clock.now();
@@ -86,7 +87,7 @@
             }
             Err(error) => {
                 control.vm.metrics.store_failures.inc();
-                log::debug!("{error}");
+                log::debug!("reading the configuration failed, will retry: {error}");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -137,6 +137,8 @@
         decode(&self.links.call(to, bytes).await?)
     }
 
+    /// Handles a message from another VM: passes a frame to the gossip protocol, or answers a call
+    /// in a task of its own. Invalid messages are ignored.
     fn on_incoming(&self, message: Incoming) {
         match message {
             Incoming::Frame(bytes) => {
@@ -161,6 +163,7 @@
         }
     }
 
+    /// Carries out a call of another VM and returns the reply.
     async fn on_call(&self, call: Call) -> Reply {
         match call {
             Call::CopyBills { origin, incarnation, entries, flushed } => {
@@ -193,6 +196,8 @@
         }
     }
 
+    /// Carries out a command of a thread that serves callers, in a task of its own if that takes
+    /// time.
     fn on_command(&self, command: Command) {
         let control = self.clone();
         match command {
--- a/src/vm/duty/monitor.rs
+++ b/src/vm/duty/monitor.rs
@@ -78,8 +78,11 @@
     })
 }
 
+/// Withdraws a version through a change of the configuration in the store, with its ratings of the
+/// current window as the reason.
 async fn withdraw(control: &Control, snapshot: &Snapshot, target: &Target, now: Counts) {
-    let reason = format!("it turned bad in service: {} of {} rated poor", now.poor, now.rated);
+    let reason =
+        format!("its ratings became worse in service: {} of {} are poor", now.poor, now.rated);
     let descriptions = vec![format!("withdraw {target}: {reason}")];
     let change = Change::Withdraw { target: target.clone(), reason };
     let plan = Plan::new(snapshot.revision(), vec![change], descriptions.clone(), Vec::new());
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -99,7 +99,7 @@
         let bin = usize::from(*bin).min(cascade::CONFIDENCE_BINS);
         let observed = state.observations.entry(kind.clone()).or_default();
         observed.decay(cascade::RATING_DECAY.powf(rated as f64));
-        let cell = match key {
+        let ratings = match key {
             Key::Cheap { .. } => {
                 observed.requests += ended;
                 observed.confidence_counts[bin.min(cascade::CONFIDENCE_BINS - 1)] += ended;
@@ -111,8 +111,9 @@
                 &mut observed.direct
             }
         };
+        // Of the new ratings, `poor` count as not passed, in any order.
         for i in 0..rated {
-            cell.add(i >= poor);
+            ratings.add(i >= poor);
         }
         if !matches!(key, Key::Cheap { .. }) || state.last_sums.is_empty() {
             continue;
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -31,6 +31,7 @@
     pub address: SocketAddr,
 }
 
+/// What this VM knows of one server.
 #[derive(Clone, Debug)]
 struct ServerState {
     address: SocketAddr,
@@ -253,11 +254,13 @@
     }
 }
 
+/// Returns the groups of a server: one per version that it runs, and its service.
 fn groups_of(entry: &ServerEntry) -> Vec<Group> {
     let versions = entry.versions.iter().cloned().map(Group::Version);
     versions.chain(entry.service.iter().cloned().map(Group::Service)).collect()
 }
 
+/// Returns the inputs of the choice of a server for one server.
 fn to_replica(state: &ServerState) -> Replica {
     Replica {
         id: state.replica_id,
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -52,6 +52,7 @@
         self.samples.insert(request, pending);
     }
 
+    /// Removes the sample of a request whose rating arrived, and adds the rating to the mean lag.
     fn remove(&mut self, request: &RequestId, now: Date) -> Option<PendingSample> {
         let pending = self.samples.remove(request)?;
         let lag = now.since(pending.answered_at).as_secs();
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -68,7 +68,7 @@
     open_dispatches: Mutex<BTreeMap<Revision, usize>>,
     rate_buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
-    rating_credit: Mutex<RatingBudget>,
+    rating_budget: Mutex<RatingBudget>,
     /// Moment until which new work may start, in microseconds; 0 if no work may start.
     start_lease_until: AtomicU64,
     next_request_number: AtomicU64,
@@ -108,7 +108,7 @@
             open_dispatches: Mutex::default(),
             rate_buckets: Mutex::default(),
             retry_budget: Mutex::default(),
-            rating_credit: Mutex::default(),
+            rating_budget: Mutex::default(),
             start_lease_until: AtomicU64::new(0),
             next_request_number: AtomicU64::new(0),
             commands,
@@ -136,7 +136,7 @@
     }
 
     /// Returns a revision such that all work which this VM sends from now on follows this or a
-    /// later one: the revision in force, or the oldest one of an open [`DispatchGuard`].
+    /// later one: the revision in force, or the oldest one of an open `DispatchGuard`.
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.open_dispatches.lock().expect("no panic while held");
@@ -226,13 +226,13 @@
     /// Records a first attempt, which adds to the budgets of retries and ratings.
     pub fn record_first_attempt(&self) {
         self.retry_budget.lock().expect("no panic while held").deposit();
-        self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
+        self.rating_budget.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
     /// Returns true if an answer is to be rated, and spends the budget of ratings. `worth` says how
     /// informative the rating is, `point` is a random number from 0 to 1.
     pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
-        self.rating_credit.lock().expect("no panic while held").spend(worth, point)
+        self.rating_budget.lock().expect("no panic while held").spend(worth, point)
     }
 
     /// Spends one retry of the budget. Returns false if none is left.
