--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -97,7 +97,7 @@
         demand.weight = weight;
         demand.offered += 1.0;
         let fair = !crowded || demand.running < demand.share.max(MIN_FAIR_SHARE);
-        // A workspace within its share is admitted even if others have filled the limit.
+        // A workspace below its fair share is admitted even if others have used up the limit.
         let within_share = demand.running + 1.0 <= demand.share.max(MIN_FAIR_SHARE);
         let has_room = self.concurrency.admits(self.running);
         if !fair || !(has_room || within_share) {
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -17,6 +17,7 @@
 /// of requests that a bad version may get). With a smaller share a short trial gets too few answers
 /// of each kind of request.
 const FIRST_SHARE_PER_EXPOSURE: f64 = 0.4;
+
 /// Maximum share of sessions that try the new version first.
 const MAX_FIRST_SHARE: f64 = 0.1;
 
@@ -28,6 +29,7 @@
 /// Time reserved at the end of a roll-out for writing its completion, as a fraction of the time
 /// limit. VMs check a few times a second, and a write may be lost once.
 const COMPLETION_MARGIN_FRACTION: f64 = 0.04;
+
 /// Minimum time reserved for writing the completion of a roll-out.
 const MIN_COMPLETION_MARGIN: Span = Span::millis(700);
 
@@ -36,6 +38,7 @@
 /// after the last. The completion is written earlier by this delay; without it a roll-out of 24 s
 /// that was seen 0.97 s late completed 0.21 s after its limit.
 const MAX_ORDER_DELAY: Span = Span::secs(1);
+
 /// Maximum of the assumed delay, as a fraction of the time in which all sessions use the new
 /// version.
 const MAX_ORDER_DELAY_FRACTION: f64 = 0.6;
@@ -43,6 +46,7 @@
 /// Delay of the first sessions on the new version after the order. VMs see an order within 0.8 s
 /// and then send each other the sessions that are pinned to the old version.
 const FIRST_SESSIONS_DELAY: Span = Span::millis(1200);
+
 /// Maximum of [`FIRST_SESSIONS_DELAY`], as a fraction of the time limit of the roll-out.
 const MAX_FIRST_SESSIONS_DELAY_FRACTION: f64 = 0.06;
 
@@ -74,6 +78,7 @@
 /// have no prompts cached at first. In 944 answers of a good version that 295 VMs had seen
 /// together, the evidence against the version was 2.8, close to the 3.0 at which it is rolled back.
 const MIN_HARM: f64 = 0.05;
+
 /// [`MIN_HARM`] relative to the old version's share of bad answers; the larger of both applies.
 const MIN_HARM_FRACTION: f64 = 0.25;
 
--- a/src/decide/escalate.rs
+++ b/src/decide/escalate.rs
@@ -20,8 +20,8 @@
 /// to the latency goal; proportionally less for a shorter prefill.
 const PREFILL_PENALTY: f64 = 0.5;
 
-/// Confidence below which an answer is escalated even if the second answer will miss the latency
-/// goal: a late answer is worth this fraction of one in time.
+/// Maximum of the confidence threshold if the second answer would miss the latency goal, since a
+/// late answer is worth this fraction of one in time.
 const LATE_ANSWER_WORTH: f64 = 0.3;
 
 /// Inputs of the decision, taken when the small model's answer is complete.
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -8,8 +8,8 @@
 pub enum AttemptOutcome {
     /// No connection was established, or no byte was sent.
     NotSent,
-    /// The attempt was withheld before any byte was sent, because the server became unavailable
-    /// after it was chosen.
+    /// The attempt was withheld before any byte was sent, because of what became known about the
+    /// server after it was chosen: it became unavailable, or this VM has no send slot there.
     Withheld,
     /// The server stated that it did not run the request.
     NotRun,
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -6,12 +6,14 @@
 
 /// Consecutive failures to connect after which a server is ejected.
 const UNREACHABLE_THRESHOLD: u32 = 1;
+
 /// Consecutive broken or late responses after which a server is ejected.
 const BROKEN_THRESHOLD: u32 = 3;
 
 /// Consecutive refusals ("not run") after which a server is ejected for [`REFUSAL_EJECTION`]. A
 /// server that refuses everything runs nothing and so looks the least loaded.
 const REFUSAL_THRESHOLD: u32 = 3;
+
 /// Duration of an ejection after consecutive refusals.
 const REFUSAL_EJECTION: Span = Span::millis(300);
 
@@ -28,6 +30,7 @@
 /// Duration of the first ejection of a server; each further one is twice as long, up to
 /// [`MAX_EJECTION`].
 const BASE_EJECTION: Span = Span::millis(600);
+
 /// Maximum duration of an ejection after failures.
 const MAX_EJECTION: Span = Span::secs(6);
 
@@ -88,7 +91,7 @@
                 self.unreachable = 0;
                 return self.on_refusal(now);
             }
-            // The server never saw the attempt.
+            // Nothing was sent to the server.
             AttemptOutcome::Withheld => return false,
         }
         let worse = self.samples >= MIN_SAMPLES
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -85,7 +85,7 @@
 /// How messages reach all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topology {
-    /// Full mesh: each VM sends to each other.
+    /// Full mesh: each VM sends its messages to every other VM.
     Direct,
     /// Each VM sends to its neighbours only, and forwards what is new to it.
     Gossip,
--- a/src/decide/priority.rs
+++ b/src/decide/priority.rs
@@ -14,6 +14,7 @@
 
 /// Fraction of the time left to the latency goal up to which a prefill counts as short.
 const SHORT_FRACTION: f64 = 0.05;
+
 /// Fraction of the time left to the latency goal up to which a prefill counts as medium.
 const MEDIUM_FRACTION: f64 = 0.2;
 
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -43,6 +43,7 @@
 /// Backoff after a source did not answer a poll. It doubles with each consecutive timeout, up to
 /// [`MAX_SILENT_BACKOFF`].
 const SILENT_BACKOFF: Span = Span::secs(2);
+
 /// Maximum backoff after a source did not answer several polls in a row.
 const MAX_SILENT_BACKOFF: Span = Span::secs(30);
 
@@ -328,7 +329,7 @@
     match state.group_position {
         GroupPosition::First => true,
         GroupPosition::Next => state.has_snapshot || !state.is_starting,
-        // One of its sources will have an update soon.
+        // One of the VM's sources will have an update soon.
         GroupPosition::Behind => !state.has_snapshot && !state.is_starting,
     }
 }
--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -17,6 +17,7 @@
 
 /// Cost per unit of load beyond [`QUEUEING_THRESHOLD`]: queueing delays a request much.
 const QUEUEING_COST: f64 = 6.0;
+
 /// Cost per unit of load: a request that shares a batch with others is delayed a little.
 const BATCHING_COST: f64 = 0.25;
 
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -43,6 +43,7 @@
 /// decrease is announced at once, since other VMs may be sending too much; an increase waits until
 /// [`MIN_INCREASE_INTERVAL`] after the last announcement.
 const MIN_CHANGE: f64 = 0.1;
+
 /// Minimum time between two announcements of which the second increases the rate.
 const MIN_INCREASE_INTERVAL: Span = Span::millis(500);
 
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -12,7 +12,7 @@
 /// Response body that streams the items of a channel.
 pub struct ChannelBody {
     from: Receiver<Result<Bytes, std::io::Error>>,
-    // Dropped with the body, which is after its last byte was written.
+    // The guard is dropped with the body, after the last byte of the body was written.
     _in_flight: Option<InFlightGuard>,
 }
 
--- a/src/ledger/writer.rs
+++ b/src/ledger/writer.rs
@@ -46,8 +46,8 @@
 }
 
 /// Writes the bills `entries` of an origin to the store, each exactly once, and returns the number
-/// of the last bill in the origin's chain. `known_end` is that number, if known, before the call
-/// and then less than all in `entries`.
+/// of the last bill in the origin's chain. `known_end` is a number that the chain is known to have
+/// reached, if any; all numbers in `entries` are higher.
 ///
 /// # Errors
 /// If the platform does not answer; a later call with the same bills is safe and writes none of
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -187,7 +187,7 @@
         if !claims.iter().any(|(claim, _)| is_in_use(claim)) {
             return;
         }
-        // If the store is unavailable, the known state is used.
+        // If the store is unavailable, claims are answered from the links read so far.
         if self.read_new_links().await.is_ok_and(|read| read > 0) {
             self.own_links.clear();
         }
--- a/src/vm/duty/mod.rs
+++ b/src/vm/duty/mod.rs
@@ -21,7 +21,7 @@
 pub use probe::{probe_server, probe_servers};
 pub use rollout::step_rollouts;
 
-/// Time between two checks of rollouts and of versions in service.
+/// Time between two checks of roll-outs and of versions in service.
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Number of earlier time windows in which the ratings of a version in service are its baseline.
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -147,8 +147,7 @@
             (g.evidence.own_counts(&origin, &key).ended, g.evidence.sum(&key).ended)
         });
         let known = demand.entry(workspace.name.clone()).or_default();
-        // Requests counted last (own, of all VMs), then decayed sums of both. The decay makes
-        // recent demand count: a VM that was busy an hour ago needs no share now.
+        // The decay makes recent demand count: a VM that was busy an hour ago needs no share now.
         known.2 = known.2 * 0.9 + own.saturating_sub(known.0) as f64;
         known.3 = known.3 * 0.9 + all.saturating_sub(known.1) as f64;
         known.0 = own;
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -149,7 +149,7 @@
         now.0 < self.start_lease_until.load(Ordering::Relaxed)
     }
 
-    /// Sets the moment until which new work may start.
+    /// Sets the start lease: the moment until which new work may start.
     pub fn set_start_lease_until(&self, until: Moment) {
         self.start_lease_until.store(until.0, Ordering::Relaxed);
     }
