--- a/src/decide/cascade/estimate.rs
+++ b/src/decide/cascade/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates the pass rates of both rungs of a cascade for each kind of work, with their standard
+//! Estimates the pass rates of both models of a cascade for each kind of work, with their standard
 //! errors. Kinds with few ratings borrow from the others.
 
 use super::rating::explore_probability;
@@ -43,11 +43,11 @@
     })
 }
 
-/// Maximum weight, in ratings, of all kinds together in a kind's estimate of the strong rung, whose
-/// pass rate differs little between kinds.
+/// Maximum weight, in ratings, of all kinds together in a kind's estimate of the strong model,
+/// whose pass rate differs little between kinds.
 const MAX_POOLED_RATINGS: f64 = 80.0;
 
-/// Returns the cheap rung's pass rate in each confidence bin over all kinds of work. It is the
+/// Returns the cheap model's pass rate in each confidence bin over all kinds of work. It is the
 /// prior of a kind with few ratings.
 fn pooled_pass_rates(observations: &[Observations], rungs: &Rungs) -> [f64; CONFIDENCE_BINS] {
     let mut pooled = [0.0; CONFIDENCE_BINS];
@@ -110,8 +110,8 @@
     log_odds.map(|log_odds| 1.0 / (1.0 + (-(log_odds + shift)).exp()))
 }
 
-/// Returns the estimates of one kind of work. `pooled` are the cheap rung's pass rates over all
-/// kinds, `all_strong_ratings` the ratings of the strong rung over all kinds, and `total` is the
+/// Returns the estimates of one kind of work. `pooled` are the cheap model's pass rates over all
+/// kinds, `all_strong_ratings` the ratings of the strong model over all kinds, and `total` is the
 /// number of requests of all kinds.
 fn estimate_kind(
     observed: &Observations,
--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -2,8 +2,8 @@
 //! is least at the quality target.
 //!
 //! A cascade has *rungs*: a cheap model that answers first, and a strong one that answers instead
-//! if the cheap answer is discarded (*escalated*). *Direct* requests begin with the strong rung. An
-//! engine states a *confidence* from 0 to 1 with each answer, which is counted in
+//! if the cheap answer is discarded (*escalated*). *Direct* requests begin with the strong model.
+//! An engine states a *confidence* from 0 to 1 with each answer, which is counted in
 //! [`CONFIDENCE_BINS`] bins. Some answers are *rated* by an external service: they pass or don't
 //! pass, and the *quality* is the share that passes. A *kind* of work is a class of requests that
 //! the client names.
@@ -78,14 +78,14 @@
 pub struct Observations {
     /// Number of requests of the kind of work.
     pub requests: f64,
-    /// Number of answers of the cheap rung, by bin of their confidence.
+    /// Number of answers of the cheap model, by bin of their confidence.
     pub confidence_counts: [f64; CONFIDENCE_BINS],
-    /// Ratings of answers of the cheap rung, by bin of their confidence.
+    /// Ratings of answers of the cheap model, by bin of their confidence.
     pub cheap: [Ratings; CONFIDENCE_BINS],
-    /// Ratings of answers of the strong rung after an escalation, by the confidence bin of the
+    /// Ratings of answers of the strong model after an escalation, by the confidence bin of the
     /// cheap answer before.
     pub strong: [Ratings; CONFIDENCE_BINS],
-    /// Ratings of answers of the strong rung to requests that began with it.
+    /// Ratings of answers of the strong model to requests that began with it.
     pub direct: Ratings,
 }
 
@@ -115,35 +115,35 @@
 /// at once.
 const KEPT_AFTER_ALARM: f64 = 0.08;
 
-/// Cost and declared quality of the two rungs of a cascade.
+/// Cost and declared quality of the two rungs (models) of a cascade.
 #[derive(Clone, Copy, Debug)]
 pub struct Rungs {
-    /// Cost of an answer of the cheap rung, in any unit of money that both costs share.
+    /// Cost of an answer of the cheap model, in any unit of money that both costs share.
     pub cheap_cost: f64,
-    /// Cost of an answer of the strong rung.
+    /// Cost of an answer of the strong model.
     pub strong_cost: f64,
-    /// Share of the cheap rung's answers that pass, as operators declared it.
+    /// Share of the cheap model's answers that pass, as operators declared it.
     pub cheap_quality: f64,
-    /// Share of the strong rung's answers that pass, as operators declared it.
+    /// Share of the strong model's answers that pass, as operators declared it.
     pub strong_quality: f64,
 }
 
 /// Rule of a cascade for requests of one kind of work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Probability of beginning with the strong rung.
+    /// Probability of beginning with the strong model.
     pub direct_probability: f64,
     /// Probability of keeping a cheap answer instead of escalating, by bin of its confidence.
     pub keep_probability: [f64; CONFIDENCE_BINS],
     /// Expected share of answers that pass under this rule.
     pub expected_pass_rate: f64,
-    /// Probability of trying the cheap rung though the rule begins with the strong one.
+    /// Probability of trying the cheap model though the rule begins with the strong one.
     pub explore_probability: f64,
     /// Expected share of cheap answers that pass, by bin of confidence.
     pub cheap_pass_rate: [f64; CONFIDENCE_BINS],
 }
 
-/// The rule of a kind of work without any observations: every request begins with the strong rung.
+/// The rule of a kind of work without any observations: every request begins with the strong model.
 impl Default for Rule {
     fn default() -> Rule {
         Rule {
@@ -205,7 +205,7 @@
 }
 
 impl Rule {
-    /// Returns true if the request begins with the strong rung. `point` is a random number of the
+    /// Returns true if the request begins with the strong model. `point` is a random number of the
     /// request, uniform from 0 to 1.
     pub fn begins_strong(&self, point: f64) -> bool {
         point < self.direct_probability
@@ -235,8 +235,8 @@
 }
 
 /// Returns the rule of a kind of work that costs least if quality is worth `price`: keeps a cheap
-/// answer if escalating does not gain enough quality for its cost, and begins with the strong rung
-/// if that costs less than the cheap rung with its escalations.
+/// answer if escalating does not gain enough quality for its cost, and begins with the strong model
+/// if that costs less than the cheap model with its escalations.
 fn rule_at_price(kind: &Estimate, rungs: &Rungs, price: f64) -> Rule {
     let mut keep = [0.0; CONFIDENCE_BINS];
     let mut cheap_first_cost = rungs.cheap_cost;
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -7,29 +7,29 @@
 /// Number of ratings of cheap answers from which the pass rates of a kind of work count as known.
 const KNOWN_FROM_RATINGS: f64 = 120.0;
 
-/// Share of requests of a kind of work that try the cheap rung against the rule, until
+/// Share of requests of a kind of work that try the cheap model against the rule, until
 /// [`KNOWN_FROM_RATINGS`].
 pub(super) const EXPLORE_UNKNOWN: f64 = 0.4;
 
-/// Share of requests of a kind of work that try the cheap rung against the rule, from
+/// Share of requests of a kind of work that try the cheap model against the rule, from
 /// [`KNOWN_FROM_RATINGS`] on.
 const EXPLORE_KNOWN: f64 = 0.02;
 
-/// Returns the probability of trying the cheap rung though the rule begins with the strong one. The
-/// caller still gets the strong answer, so exploration costs money and never quality.
+/// Returns the probability of trying the cheap model though the rule begins with the strong one.
+/// The caller still gets the strong answer, so exploration costs money and never quality.
 pub(super) fn explore_probability(observed: &Observations) -> f64 {
     let known: f64 = observed.cheap.iter().map(|ratings| ratings.all).sum();
     if known < KNOWN_FROM_RATINGS { EXPLORE_UNKNOWN } else { EXPLORE_KNOWN }
 }
 
-/// An answer of a cascade that may be rated, by the rung that gave it.
+/// An answer of a cascade that may be rated, by the model that gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// An answer of the cheap rung in this confidence bin.
+    /// An answer of the cheap model in this confidence bin.
     Cheap(usize),
-    /// An answer of the strong rung after a cheap answer was discarded.
+    /// An answer of the strong model after a cheap answer was discarded.
     Escalated,
-    /// An answer of the strong rung, with which the cascade began.
+    /// An answer of the strong model, with which the cascade began.
     Direct,
 }
 
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -31,29 +31,30 @@
         /// When the trial began, in microseconds since 1970.
         since: u64,
     },
-    /// Ratings of answers of a cascade's cheap rung, by confidence.
+    /// Answers of a cascade's cheap model and their ratings, by confidence.
     Cheap {
-        /// The workspace.
+        /// Workspace of the requests.
         workspace: Workspace,
-        /// The kind of work.
+        /// Kind of work of the requests, as their client named it.
         kind: Kind,
         /// Bin of the answer's confidence.
         bin: u8,
     },
-    /// Ratings of answers of a cascade's strong rung, by the confidence of the cheap answer before.
+    /// Answers of a cascade's strong model and their ratings, by the confidence of the cheap answer
+    /// before.
     Strong {
-        /// The workspace.
+        /// Workspace of the requests.
         workspace: Workspace,
-        /// The kind of work.
+        /// Kind of work of the requests, as their client named it.
         kind: Kind,
         /// Bin of the cheap answer's confidence; one past the last bin if the request began with
-        /// the strong rung.
+        /// the strong model.
         bin: u8,
     },
     /// Requests from the callers of a workspace, admitted or not, as its demand for shares of its
     /// rate limit.
     Demand {
-        /// The workspace.
+        /// Workspace of the requests.
         workspace: Workspace,
     },
 }
