--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -75,7 +75,9 @@
 pub struct ConcurrencyLimit {
     limit: f64,
     max: f64,
+    /// Responses in time since the last adjustment.
     good: f64,
+    /// Late responses and refusals since the last adjustment.
     bad: f64,
     /// True if a request did not fit since the last adjustment.
     was_reached: bool,
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -9,8 +9,10 @@
 /// Number of requests that a server reported, and what this VM had open there at that moment.
 #[derive(Clone, Copy, Debug)]
 struct Report {
+    /// Number of requests that the server reported.
     requests: u32,
     open: u32,
+    /// When the report was received.
     at: Moment,
 }
 
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -57,8 +57,8 @@
         self.failure_rate
     }
 
-    /// Returns the end of the last ejection, which may be past; none if the server was never
-    /// ejected.
+    /// Returns the end of the last ejection, which may be past; none if the server was not ejected,
+    /// or has responded well for a while since.
     pub fn ejected_until(&self) -> Option<Moment> {
         self.ejected_until
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -26,6 +26,7 @@
 /// Retry budget: a fraction of first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
+    /// Number of retries that may be spent.
     level: f64,
 }
 
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -109,12 +109,14 @@
 pub struct Reservation {
     /// Time at which the request may be sent.
     pub send_at: Moment,
+    /// Last slot before the reserved one.
     previous: Option<Moment>,
 }
 
 /// Send slots of one VM at one rate-limited server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pacer {
+    /// Time of the last slot in which a request was or will be sent.
     last: Option<Moment>,
 }
 
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -106,11 +106,13 @@
     trace_steps: Vec<String>,
     /// Generations that ran so far, to be billed at the end.
     bill_parts: Vec<Part>,
+    /// Number of attempts so far, at any version.
     attempts: u32,
     /// True once the client got the version that answers.
     head_sent: bool,
     /// True if a failed attempt may have run without returning a token.
     may_have_run: bool,
+    /// When the first token was sent to the client.
     first_token: Option<Moment>,
 }
 
--- a/src/evidence/table.rs
+++ b/src/evidence/table.rs
@@ -28,7 +28,7 @@
     Trial {
         /// The version that gave the answers.
         target: Target,
-        /// When the trial began, in microseconds since 1970.
+        /// Start of the trial, in microseconds since 1970.
         since: u64,
     },
     /// Answers of a cascade's cheap model and their ratings, by confidence.
@@ -130,6 +130,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: BTreeMap<Origin, BTreeMap<Key, Entry>>,
+    /// Number of the latest change of the table.
     last_change: u64,
 }
 
--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -13,9 +13,12 @@
 #[derive(Clone, Debug)]
 pub struct Buffer {
     own_origin: Origin,
+    /// Number of the next bill of this VM.
     next_number: u64,
+    /// Number of the last bill in this VM's chain in the store.
     chain_end: u64,
     entries: BTreeMap<Origin, BTreeMap<u64, Entry>>,
+    /// Number of bills of all origins.
     count: usize,
 }
 
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -55,6 +55,7 @@
 pub struct Fleet {
     revision: Option<Revision>,
     servers: HashMap<Server, ServerState>,
+    /// Replicas and names of the servers of each group, in the same order.
     groups: HashMap<Group, (Vec<Replica>, Vec<Server>)>,
 }
 
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -36,7 +36,9 @@
 #[derive(Debug, Default)]
 pub struct PendingSamples {
     samples: HashMap<RequestId, PendingSample>,
+    /// Requests of the samples, the oldest first.
     order: VecDeque<RequestId>,
+    /// Mean time from an answer to its rating, in seconds; zero before the first rating.
     mean_lag: f64,
 }
 
