--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -15,7 +15,7 @@
 /// response must not leave a failed request without the retry that would save it.
 const RESERVED_FRACTION: f64 = 0.25;
 
-/// Sends of one slice of the window.
+/// Numbers of first and repeated sends in one slice of the sliding window.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     /// Time since the epoch of `Moment`, in bucket lengths.
--- a/src/decide/canary.rs
+++ b/src/decide/canary.rs
@@ -82,11 +82,13 @@
 /// [`MIN_HARM`] relative to the old version's share of bad answers; the larger of both applies.
 const MIN_HARM_FRACTION: f64 = 0.25;
 
-/// [`MIN_HARM`] for slow answers. The few servers of a version under trial have longer queues than
-/// the many of the old one, among which a prompt finds an idle server: on a calm day of 84 VMs with
-/// 6 of 140 servers in the trial, 24 in 100 answers of a good version exceeded the first latency
-/// threshold and 14 in 100 of the old one, and the good version was rejected (evidence 7.3 of 256
-/// answers). Of a version that is slow for half of its requests, 50 in 100 answers are slow.
+/// Minimum excess of the new version's share of slow answers over the old version's that counts as
+/// harm. It is larger than [`MIN_HARM`], since the few servers of a version under trial have longer
+/// queues than the many of the old one, among which a prompt finds an idle server: on a calm day of
+/// 84 VMs with 6 of 140 servers in the trial, 24 in 100 answers of a good version exceeded the
+/// first latency threshold and 14 in 100 of the old one, and the good version was rejected
+/// (evidence 7.3 of 256 answers). Of a version that is slow for half of its requests, 50 in 100
+/// answers are slow.
 const MIN_SLOWNESS_HARM: f64 = 0.15;
 
 /// Number of bad answers of a version below which there is no evidence against it.
--- a/src/decide/cascade/estimate.rs
+++ b/src/decide/cascade/estimate.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Estimate {
     pub(super) explore_probability: f64,
-    /// Share of the kind in all requests.
+    /// Share of all requests that are of this kind.
     pub(super) weight: f64,
-    /// Share of cheap answers in each bin.
+    /// Share of the kind's cheap answers in each confidence bin.
     pub(super) confidence_shares: [f64; CONFIDENCE_BINS],
     pub(super) cheap_pass_rate: [f64; CONFIDENCE_BINS],
     /// Standard error of `cheap_pass_rate`.
--- a/src/decide/escalate.rs
+++ b/src/decide/escalate.rs
@@ -24,7 +24,7 @@
 /// late answer is worth this fraction of one in time.
 const LATE_ANSWER_WORTH: f64 = 0.3;
 
-/// Inputs of the decision, taken when the small model's answer is complete.
+/// Inputs of [`should_escalate`], taken when the small model's answer is complete.
 #[derive(Clone, Copy, Debug)]
 pub struct Inputs {
     /// Confidence of the small model, from 0 to 1.
@@ -41,12 +41,13 @@
     pub time_left: Span,
 }
 
-/// Returns true if the answer is discarded and the request is sent to the larger model.
+/// Returns true if the small model's answer is discarded and the request is sent to the larger
+/// model.
 pub fn should_escalate(inputs: &Inputs) -> bool {
     inputs.confidence < threshold(inputs)
 }
 
-/// Returns the confidence below which an answer is escalated.
+/// Returns the confidence below which the small model's answer is discarded.
 fn threshold(inputs: &Inputs) -> f64 {
     let time_left = inputs.time_left.0.max(1) as f64;
     let prefill_share = inputs.prefill_time.0 as f64 / time_left;
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -9,7 +9,7 @@
 /// that move to another VM would be refused there until all VMs know of the new demand.
 const MIN_SHARE_OF_EVEN: f64 = 0.2;
 
-/// Token bucket of one workspace on one VM.
+/// Token bucket that enforces one VM's share of a workspace's rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     /// Number of tokens at `updated_at`.
--- a/src/decide/outlier.rs
+++ b/src/decide/outlier.rs
@@ -91,7 +91,7 @@
                 self.unreachable = 0;
                 return self.on_refusal(now);
             }
-            // Nothing was sent to the server.
+            // Nothing was sent, so the outcome says nothing about the server.
             AttemptOutcome::Withheld => return false,
         }
         let worse = self.samples >= MIN_SAMPLES
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -49,7 +49,7 @@
     Aggregators(Digest),
 }
 
-/// A message to be sent.
+/// A message to send, with its recipients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
     /// The VMs that the message is sent to.
--- a/src/decide/server_limit.rs
+++ b/src/decide/server_limit.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// The rate limit in the headers of one response.
+/// The rate limit that a server advertises in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitHeader {
     /// The response has no limit header.
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Reports that a server ended an answer early, which may mean that the content crashed it.
-    /// `first` is when the first token arrived, if any did.
+    /// Reports that a server ended an answer early, which may mean that the content of the request
+    /// crashed the server. `first` is when the first token arrived, if any did.
     fn report_broken(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
         let now = self.vm.clock.now();
         let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -23,7 +23,7 @@
     UnknownModel,
     /// The workspace may not use the model, version or service.
     NotAllowed,
-    /// The version was withdrawn.
+    /// The requested version was withdrawn.
     Withdrawn,
     /// The session token is forged, expired or of another workspace.
     BadSession,
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -27,7 +27,7 @@
 pub struct SelectedServer {
     /// Name of the server.
     pub server: Server,
-    /// Address on which it accepts requests.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
 }
 
@@ -261,7 +261,7 @@
     versions.chain(entry.service.iter().cloned().map(Group::Service)).collect()
 }
 
-/// Returns the inputs of the choice of a server for one server.
+/// Returns the state of a server in the form that [`select_replica`] needs.
 fn to_replica(state: &ServerState) -> Replica {
     Replica {
         id: state.replica_id,
