--- a/src/decide/replica.rs
+++ b/src/decide/replica.rs
@@ -1,54 +1,58 @@
-//! Choice of the replica for a request, from delayed load reports and the requests that this VM
-//! sent itself.
+//! Choice of the replica (one of several equal backend servers) for a request, from delayed load
+//! reports and the requests that this VM sent itself. A prompt *prefix* may be cached on some
+//! replicas, its *affine* ones.
 
 use crate::unit::hash::mix;
 use crate::unit::{Moment, Span};
 
-/// Half-life of a report's weight: other VMs have acted on the report in the meantime.
+/// Half-life of the weight of a replica's load report: other VMs have acted on the report in the
+/// meantime, so the reported load is out of date.
 const REPORT_HALF_LIFE: Span = Span::millis(400);
 
-/// Bonus of a replica that has the prefix cached, in the unit of `cost`.
+/// Reduction of the cost of a replica that has the prompt's prefix cached, in the unit of [`cost`].
 const AFFINITY_BONUS: f64 = 0.6;
 
-/// Load, as a fraction of the slots, from which a request may have to queue.
+/// Load of a replica, as a fraction of its slots, from which a request may have to queue.
 const QUEUEING_THRESHOLD: f64 = 0.94;
 
-/// Cost per unit of load: queueing beyond the threshold costs much, sharing a batch little.
+/// Cost per unit of load beyond [`QUEUEING_THRESHOLD`]: queueing delays a request much.
 const QUEUEING_COST: f64 = 6.0;
+
+/// Cost per unit of load: a request that shares a batch with others is delayed a little.
 const BATCHING_COST: f64 = 0.25;
 
-/// Number of replicas that a prefix may be cached on. Beyond them, all replicas are equal for it.
+/// Number of replicas on which a prefix is expected to be cached.
 const AFFINE_REPLICAS: usize = 3;
 
-/// Bonus of each further affine replica relative to the one before.
+/// Factor on [`AFFINITY_BONUS`] for each further affine replica of a prefix.
 const AFFINITY_DECAY: f64 = 0.7;
 
 /// Number of random candidates compared with the affine replicas of a prefix.
 const RANDOM_CANDIDATES: usize = 3;
 
-/// A failing replica gets no requests for this long.
+/// Time for which a replica gets no requests after a request failed there.
 const FAILURE_BACKOFF: Span = Span::millis(1500);
 
-/// State of one replica as known to one VM.
+/// State of one replica, as known to one VM: the inputs of [`select_replica`].
 #[derive(Clone, Copy, Debug)]
 pub struct Replica {
-    /// Stable number, used for the rendezvous hashing of prefixes.
+    /// Stable number of the replica, used for the rendezvous hashing of prefixes.
     pub id: u64,
-    /// Number of requests that it runs concurrently.
+    /// Number of requests that the replica runs concurrently.
     pub slots: f64,
-    /// Requests running and waiting according to its last report.
+    /// Requests running and waiting at the replica, by its last report.
     pub reported: f64,
-    /// When the report was made.
+    /// When the last report was received.
     pub reported_at: Moment,
-    /// This VM's own open requests there now.
-    pub own: f64,
-    /// This VM's own open requests there when the report was made.
-    pub own_at_report: f64,
-    /// True if it accepts new requests.
+    /// This VM's open requests at the replica now.
+    pub own_open: f64,
+    /// This VM's open requests at the replica when the last report was received.
+    pub own_open_at_report: f64,
+    /// True if the replica accepts new requests.
     pub accepting: bool,
-    /// When a request last failed there without having run.
+    /// When a request last failed at the replica without having run.
     pub failed_at: Option<Moment>,
-    /// One-way network latency to it.
+    /// One-way network latency from this VM to the replica.
     pub latency: Span,
 }
 
@@ -60,30 +64,31 @@
             slots,
             reported: 0.0,
             reported_at: Moment(0),
-            own: 0.0,
-            own_at_report: 0.0,
+            own_open: 0.0,
+            own_open_at_report: 0.0,
             accepting: true,
             failed_at: None,
             latency: Span(0),
         }
     }
 
-    /// Returns true if new requests may be sent there now.
-    pub fn usable(&self, now: Moment) -> bool {
+    /// Returns true if new requests may be sent to the replica now.
+    pub fn is_usable(&self, now: Moment) -> bool {
         self.accepting && self.failed_at.is_none_or(|at| now.since(at) >= FAILURE_BACKOFF)
     }
 
-    /// Estimates its load as a fraction of its slots; `mean` is the mean load of all replicas.
+    /// Estimates the load of the replica as a fraction of its slots; `mean` is the mean load of all
+    /// replicas.
     fn load(&self, mean: f64, now: Moment) -> f64 {
         let age = now.since(self.reported_at).as_secs() / REPORT_HALF_LIFE.as_secs();
         let weight = 0.5f64.powf(age);
-        let sent_since = (self.own - self.own_at_report).max(0.0);
+        let sent_since = (self.own_open - self.own_open_at_report).max(0.0);
         let estimate = weight * self.reported / self.slots + (1.0 - weight) * mean;
-        estimate.max(self.own / self.slots) + sent_since / self.slots
+        estimate.max(self.own_open / self.slots) + sent_since / self.slots
     }
 }
 
-/// Returns the cost of adding a request at this load.
+/// Returns the cost of sending a request to a replica with this load, a fraction of its slots.
 fn cost(load: f64) -> f64 {
     load * BATCHING_COST + (load - QUEUEING_THRESHOLD).max(0.0) * QUEUEING_COST
 }
@@ -97,7 +102,7 @@
 ) -> [Option<usize>; AFFINE_REPLICAS] {
     let mut best = [(0, None); AFFINE_REPLICAS];
     for (i, replica) in replicas.iter().enumerate() {
-        if !replica.usable(now) {
+        if !replica.is_usable(now) {
             continue;
         }
         let mut entry = (mix(prefix, replica.id), Some(i));
@@ -110,10 +115,16 @@
     best.map(|place| place.1)
 }
 
-/// Chooses the replica for a request; `prefix` is a digest of the beginning of its prompt, if it
-/// has one, and `point` a random number of its own.
-pub fn choose(replicas: &[Replica], prefix: Option<u64>, point: u64, now: Moment) -> Option<usize> {
-    let mean = mean(replicas);
+/// Returns the index of the replica for a request; none if no replica is usable. `prefix` is a
+/// digest of the beginning of the prompt, if there is one, and `point` a random number of the
+/// request.
+pub fn select_replica(
+    replicas: &[Replica],
+    prefix: Option<u64>,
+    point: u64,
+    now: Moment,
+) -> Option<usize> {
+    let mean = mean_load(replicas);
     let mut best: Option<(f64, usize)> = None;
     let mut consider = |i: usize, bonus: f64| {
         let replica = &replicas[i];
@@ -138,7 +149,7 @@
     for _ in 0..RANDOM_CANDIDATES * 8 {
         state = mix(state, 1);
         let i = (state % replicas.len().max(1) as u64) as usize;
-        if replicas.get(i).is_some_and(|replica| replica.usable(now)) {
+        if replicas.get(i).is_some_and(|replica| replica.is_usable(now)) {
             consider(i, 0.0);
             candidates += 1;
         }
@@ -146,10 +157,11 @@
             break;
         }
     }
-    best.map(|(_, i)| i).or_else(|| replicas.iter().position(|replica| replica.usable(now)))
+    best.map(|(_, i)| i).or_else(|| replicas.iter().position(|replica| replica.is_usable(now)))
 }
 
-fn mean(replicas: &[Replica]) -> f64 {
+/// Returns the mean reported load of the accepting replicas, as a fraction of their slots.
+fn mean_load(replicas: &[Replica]) -> f64 {
     let (load, slots) = replicas
         .iter()
         .filter(|replica| replica.accepting)
@@ -173,22 +185,23 @@
             replica.accepting = false;
         }
         for point in 0..200 {
-            assert_eq!(choose(&replicas, Some(point), point, now), Some(9));
+            assert_eq!(select_replica(&replicas, Some(point), point, now), Some(9));
         }
         replicas[9].failed_at = Some(now);
-        assert_eq!(choose(&replicas, None, 1, now), None);
-        assert_eq!(choose(&[], Some(1), 1, now), None);
+        assert_eq!(select_replica(&replicas, None, 1, now), None);
+        assert_eq!(select_replica(&[], Some(1), 1, now), None);
     }
 
     #[test]
     fn a_prefix_stays_home_until_home_is_busy() {
         let now = Moment(1_000_000);
         let mut replicas: Vec<Replica> = (0..50).map(idle).collect();
-        let home = choose(&replicas, Some(42), 1, now).unwrap();
-        let again = (0..100).filter(|p| choose(&replicas, Some(42), *p, now) == Some(home)).count();
+        let home = select_replica(&replicas, Some(42), 1, now).unwrap();
+        let again =
+            (0..100).filter(|p| select_replica(&replicas, Some(42), *p, now) == Some(home)).count();
         assert!(again >= 95, "{again}");
         replicas[home].reported = 30.0;
-        assert_ne!(choose(&replicas, Some(42), 1, now), Some(home));
+        assert_ne!(select_replica(&replicas, Some(42), 1, now), Some(home));
     }
 
     #[test]
@@ -196,7 +209,7 @@
         let now = Moment(1_000_000);
         let mut replicas: Vec<Replica> = (0..2).map(idle).collect();
         replicas[0].reported = 16.0;
-        let busy = (0..100).filter(|p| choose(&replicas, None, *p, now) == Some(0)).count();
+        let busy = (0..100).filter(|p| select_replica(&replicas, None, *p, now) == Some(0)).count();
         assert!(busy <= 30, "{busy}");
     }
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,17 +1,18 @@
-//! Conditions under which a request may be retried, and the budget that limits retries.
+//! Conditions under which a request may be retried, and a token-bucket budget of retries. The
+//! budget over a sliding window is [`super::budget`].
 
 use crate::unit::{Moment, Span};
 
-/// Retries allowed per first attempt.
+/// Retries that each first attempt adds to the budget.
 const RETRY_RATIO: f64 = 0.1;
 
-/// Maximum number of unused retries that are saved up.
+/// Maximum number of unused retries that the budget saves up.
 const MAX_SAVED: f64 = 20.0;
 
-/// Maximum number of attempts of one request.
+/// Maximum number of attempts of one request, the first one included.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// How an attempt failed that returned no complete response.
+/// How an attempt failed that got no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection was never established, so nothing was sent.
@@ -25,6 +26,7 @@
 /// Retry budget: a fraction of first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
+    /// Number of retries that may be spent.
     level: f64,
 }
 
@@ -40,7 +42,7 @@
         self.level = (self.level + RETRY_RATIO).min(MAX_SAVED);
     }
 
-    /// Takes a retry from the budget and returns true, or returns false if none is left.
+    /// Spends one retry of the budget. Returns false if none is left.
     pub fn try_spend(&mut self) -> bool {
         if self.level < 1.0 {
             return false;
@@ -50,10 +52,10 @@
     }
 }
 
-/// Returns true if another attempt may follow, apart from the budget. An attempt that may have run
-/// is only followed by another if the request is `repeatable`; `min_time` is the least time left to
-/// the deadline for a retry to make sense.
-pub fn is_allowed(
+/// Returns true if a request may be retried after `attempts` attempts, of which the last failed
+/// with `failure`; the caller checks the budget. After a `Broken` attempt, which may have run, only
+/// a `repeatable` request is retried. `min_time` is the time that must be left until the deadline.
+pub fn is_retry_allowed(
     failure: Failure,
     repeatable: bool,
     attempts: u32,
@@ -71,7 +73,7 @@
 
     #[test]
     fn what_may_not_be_repeated_is_tried_again_only_if_it_did_not_run() {
-        let allowed = |failure| is_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
+        let allowed = |failure| is_retry_allowed(failure, false, 1, Moment(0), Moment(10), Span(1));
         assert!(allowed(Failure::NotSent));
         assert!(allowed(Failure::NotRun));
         assert!(!allowed(Failure::Broken));
@@ -90,6 +92,6 @@
 
     #[test]
     fn no_retry_starts_past_the_deadline() {
-        assert!(!is_allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
+        assert!(!is_retry_allowed(Failure::NotRun, true, 1, Moment(9), Moment(10), Span(1)));
     }
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one engine.
+//! One attempt of a request at one engine (a backend server that runs models).
 //!
 //! Yields each frame of the request once and in order, and drops duplicates and frames of other
 //! requests.
@@ -13,20 +13,23 @@
 use crate::unit::{Moment, RequestId, Revision, Server, Span, Target};
 use crate::vm::{Command, Group, SelectedServer, Vm};
 
-/// Longest wait for the next frame before the attempt counts as broken.
+/// Maximum wait for the next frame of an answer before the attempt counts as broken.
 const FRAME_TIMEOUT: Span = Span::secs(3);
 
-/// Decision traces list every candidate server of groups up to this size. Of larger groups, only a
-/// share of the requests (`TRACED_SHARE`) lists them.
+/// Size of a group of servers up to which each decision trace lists every candidate server. For
+/// larger groups, only a share of the requests ([`TRACED_SHARE`]) lists them.
 const MAX_TRACED_CANDIDATES: usize = 32;
+/// Share of the requests whose traces list the candidates of a large group.
 const TRACED_SHARE: f64 = 0.01;
 
-/// An attempt that the engine accepted. Dropping it before its end cancels it.
+/// An attempt that the engine accepted. Dropping the value before the end of the answer cancels the
+/// attempt at the engine.
 pub struct Attempt<'a> {
     vm: &'a Vm,
     work: Generate,
-    picked: SelectedServer,
+    selected: SelectedServer,
     frames: Frames,
+    /// Index of the next token to yield.
     next_offset: u32,
     is_complete: bool,
 }
@@ -39,11 +42,11 @@
     End(End),
 }
 
-/// Picks a server and starts the generation on it.
+/// Selects a server and starts the generation there.
 ///
 /// # Errors
-/// Returns the fault if no server can take the request (then without a server) or if the picked
-/// server refused it or failed.
+/// The cause, with the server that was selected, if that server refused the request or failed;
+/// without a server if none can take the request.
 pub async fn start<'a>(
     vm: &'a Vm,
     engines: &EngineClient,
@@ -54,7 +57,7 @@
 ) -> Result<Attempt<'a>, (Option<SelectedServer>, AttemptError)> {
     let now = vm.clock.now();
     let group = Group::Version(work.target.clone());
-    let picked = {
+    let selected = {
         let mut fleet = vm.fleet.lock().expect("no panic while held");
         if fleet.server_count(&group) <= MAX_TRACED_CANDIDATES
             || rand::random::<f64>() < TRACED_SHARE
@@ -63,76 +66,76 @@
         }
         fleet.select_server(&group, Some(prefix), rand::random(), now)
     };
-    let Some(picked) = picked else {
-        let words = format!("no server of {} can take it", work.target);
-        return Err((
-            None,
-            AttemptError { failure: Failure::NotRun, not_run: None, reason: words },
-        ));
+    let Some(selected) = selected else {
+        let reason = format!("no server of {} can take it", work.target);
+        return Err((None, AttemptError { failure: Failure::NotRun, not_run: None, reason }));
     };
     vm.history.record(|| Event::Started {
         vm: vm.settings.vm.clone(),
         request: work.request.clone(),
         revision,
         target: Some(work.target.clone()),
-        server: picked.server.clone(),
+        server: selected.server.clone(),
     });
-    let outcome = engines.generate(picked.address, &work).await;
+    let outcome = engines.generate(selected.address, &work).await;
     let now = vm.clock.now();
     match outcome {
         Ok(frames) => {
             if let Some((running, waiting)) = frames.load {
                 let mut fleet = vm.fleet.lock().expect("no panic while held");
-                fleet.on_load_hint(&picked.server, running, waiting, now);
+                fleet.on_load_hint(&selected.server, running, waiting, now);
             }
             steps.push(format!(
                 "{} started on {}, the cheapest of the sampled servers",
-                work.target, picked.server
+                work.target, selected.server
             ));
             let next_offset = work.offset;
-            Ok(Attempt { vm, work, picked, frames, next_offset, is_complete: false })
+            Ok(Attempt { vm, work, selected, frames, next_offset, is_complete: false })
         }
-        Err(fault) => {
-            record_fault(vm, &picked, &fault, now);
-            steps.push(format!("{} on {}: {}", work.target, picked.server, fault.reason));
+        Err(error) => {
+            record_failed_start(vm, &selected, &error, now);
+            steps.push(format!("{} on {}: {}", work.target, selected.server, error.reason));
             count_attempt(vm, &work.target, "refused");
-            Err((Some(picked), fault))
+            Err((Some(selected), error))
         }
     }
 }
 
-fn record_fault(vm: &Vm, picked: &SelectedServer, fault: &AttemptError, now: Moment) {
+/// Records at the fleet state that an engine did not start an attempt, and asks for a probe of its
+/// load unless it was just full.
+fn record_failed_start(vm: &Vm, selected: &SelectedServer, error: &AttemptError, now: Moment) {
     let mut fleet = vm.fleet.lock().expect("no panic while held");
-    fleet.on_request_end(&picked.server);
-    match &fault.not_run {
-        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&picked.server),
-        // A full server has not failed. Its reported load steers other requests away from it.
+    fleet.on_request_end(&selected.server);
+    match &error.not_run {
+        Some(NotRun { reason: Reason::Leaving, .. }) => fleet.on_drain(&selected.server),
+        // A full server has not failed. The load that it reports steers other requests away.
         Some(NotRun { reason: Reason::Full, load }) => {
-            fleet.on_load_hint(&picked.server, load.0, load.1, now);
+            fleet.on_load_hint(&selected.server, load.0, load.1, now);
             return;
         }
-        _ => fleet.on_failure(&picked.server, now),
+        _ => fleet.on_failure(&selected.server, now),
     }
     drop(fleet);
-    vm.send_command(Command::ProbeServer(picked.server.clone()));
+    vm.send_command(Command::ProbeServer(selected.server.clone()));
 }
 
+/// Counts an attempt in the metrics, by version and outcome.
 fn count_attempt(vm: &Vm, target: &Target, outcome: &str) {
     vm.metrics.attempts.with_label_values(&[target.to_string().as_str(), outcome]).inc();
 }
 
 impl Attempt<'_> {
-    /// Returns the address of the server.
+    /// Returns the address of the server that runs the attempt.
     pub fn address(&self) -> SocketAddr {
-        self.picked.address
+        self.selected.address
     }
 
-    /// Returns the server that the attempt runs on.
+    /// Returns the name of the server that runs the attempt.
     pub fn server(&self) -> &Server {
-        &self.picked.server
+        &self.selected.server
     }
 
-    /// Returns the next token or the end.
+    /// Returns the next token of the answer, or its end.
     ///
     /// # Errors
     /// Returns the reason if the stream ends early, skips a token, or sends no frame within
@@ -179,12 +182,13 @@
 impl Drop for Attempt<'_> {
     /// Cancels the attempt at the engine unless it is complete.
     fn drop(&mut self) {
-        self.vm.fleet.lock().expect("no panic while held").on_request_end(&self.picked.server);
+        self.vm.fleet.lock().expect("no panic while held").on_request_end(&self.selected.server);
         if !self.is_complete {
             count_attempt(self.vm, &self.work.target, "cut");
             let (request, attempt): (RequestId, u32) =
                 (self.work.request.clone(), self.work.attempt);
-            self.vm.send_command(Command::Cancel(self.picked.address, Cancel { request, attempt }));
+            self.vm
+                .send_command(Command::Cancel(self.selected.address, Cancel { request, attempt }));
         }
     }
 }
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -1,5 +1,5 @@
 //! Attempts of a request with one version. After a failure, another server continues the answer at
-//! the token where it stopped, so the client receives each token once.
+//! the token where the failed server stopped, so the client receives each token once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +16,10 @@
 use crate::unit::{Moment, Server, Span, Target};
 use crate::vm::poison;
 
-/// Minimum time until the deadline for a retry.
+/// Minimum time until the deadline at which a retry is still made.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
-/// After this many refusals by full engines, the request waits in the queue of the next one.
+/// Number of refusals by full engines after which the request asks the next engine to queue it.
 const MAX_FULL_REFUSALS: u32 = 3;
 
 /// Reason why the stream of an attempt ended early.
@@ -32,7 +32,7 @@
     /// Generates an answer with one version and records the outcome for admission, roll-out
     /// evidence, error budget and bill. Tokens are collected in `received` and, with `to_client`,
     /// also sent.
-    pub(super) async fn stream(
+    pub(super) async fn generate(
         &mut self,
         target: &Target,
         received: &mut Vec<String>,
@@ -59,14 +59,14 @@
         outcome
     }
 
-    /// Asks the admission controller of the model's pool, so that a request that could not be
-    /// served is refused before it runs.
+    /// Asks the admission controller of the model's pool for admission, so that a request that
+    /// could not be served in time is refused before it runs.
     fn admit(&mut self, target: &Target, now: Moment) -> Result<(), Abort> {
         let workspace = &self.job.workspace;
         let deadline = self.job.deadline;
-        let (in_time, is_admitted) = self.vm.with_admission(&target.model, |gate| {
-            let in_time = gate.can_meet_deadline(now, deadline);
-            (in_time, in_time && gate.try_admit(&workspace.name, workspace.limit.0, now))
+        let (in_time, is_admitted) = self.vm.with_admission(&target.model, |controller| {
+            let in_time = controller.can_meet_deadline(now, deadline);
+            (in_time, in_time && controller.try_admit(&workspace.name, workspace.limit.0, now))
         });
         let refuse = |kind, reason| Err(Abort::Refused(Refusal::with_detail(kind, reason)));
         match (in_time, is_admitted) {
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Reports the end of an admitted request to the admission controller, which adapts its limit.
     fn record_admission_end(&self, target: &Target, outcome: &Result<End, Abort>, late: bool) {
         let admission_outcome = match outcome {
             Ok(_) if late => Outcome::Bad,
@@ -89,11 +90,13 @@
         };
         let now = self.vm.clock.now();
         let workspace = &self.job.workspace.name;
-        self.vm
-            .with_admission(&target.model, |gate| gate.on_end(workspace, admission_outcome, now));
+        self.vm.with_admission(&target.model, |controller| {
+            controller.on_end(workspace, admission_outcome, now)
+        });
     }
 
-    /// Tries servers until one completes the answer or no retry is allowed.
+    /// Attempts the generation at one server after another until one completes the answer or no
+    /// retry is allowed.
     async fn try_servers(
         &mut self,
         target: &Target,
@@ -105,8 +108,8 @@
         let mut full_refusals = 0;
         loop {
             let vm = self.vm.clone();
-            // Held until the engine accepted or certainly refused the work: until then, this VM
-            // does not report a later revision as in force.
+            // The guard is held until the engine accepted or certainly refused the work: until
+            // then, this VM does not report a later revision as in force.
             let (snapshot, dispatch_guard) = vm.begin_dispatch();
             self.check_still_allowed(target, snapshot)?;
             self.record_event("choose");
@@ -129,7 +132,7 @@
             )
             .await;
             drop(dispatch_guard);
-            self.steps.append(&mut steps);
+            self.trace_steps.append(&mut steps);
             let (failure, reason) = match started {
                 Ok(mut attempt) => {
                     self.record_event("send");
@@ -158,40 +161,48 @@
                                 .lock()
                                 .expect("no panic while held")
                                 .on_failure(&server, now);
-                            self.steps.push(format!("{server} ended the stream early: {reason}"));
+                            self.trace_steps
+                                .push(format!("{server} ended the stream early: {reason}"));
                             (Failure::Broken, reason)
                         }
                     }
                 }
-                Err((_, fault)) if fault.is_full() && full_refusals < MAX_FULL_REFUSALS => {
-                    // Nothing ran and little time was lost, so it does not use the retry budget.
+                Err((_, error)) if error.is_full() && full_refusals < MAX_FULL_REFUSALS => {
+                    // Nothing ran and little time was lost, so the next attempt does not use the
+                    // retry budget.
                     full_refusals += 1;
                     attempts -= 1;
                     self.record_event("fail");
                     continue;
                 }
-                Err((picked, fault)) => {
-                    if let Some(picked) = picked.filter(|_| fault.failure == Failure::Broken) {
-                        self.report_broken(&picked.server, picked.address, None);
+                Err((selected, error)) => {
+                    if let Some(selected) = selected.filter(|_| error.failure == Failure::Broken) {
+                        self.report_broken(&selected.server, selected.address, None);
                     }
-                    (fault.failure, fault.reason)
+                    (error.failure, error.reason)
                 }
             };
             self.record_event("fail");
             self.may_have_run |= failure == Failure::Broken;
             let now = self.vm.clock.now();
             // An answer can be resumed at its offset, so every model request is repeatable.
-            let can_retry =
-                retry::is_allowed(failure, true, attempts, now, self.job.deadline, MIN_RETRY_TIME);
+            let can_retry = retry::is_retry_allowed(
+                failure,
+                true,
+                attempts,
+                now,
+                self.job.deadline,
+                MIN_RETRY_TIME,
+            );
             if !can_retry || !self.vm.try_spend_retry() {
                 return Err(Abort::Refused(self.final_refusal(failure, &reason, now)));
             }
-            self.steps.push("retrying on another server".to_owned());
+            self.trace_steps.push("retrying on another server".to_owned());
         }
     }
 
-    /// Reports that a server ended an answer early, which may mean that the content crashed it.
-    /// `first` is when the first token arrived, if any did.
+    /// Reports that a server ended an answer early, which may mean that the content of the request
+    /// crashed the server. `first` is when the first token arrived, if any did.
     fn report_broken(&self, server: &Server, address: SocketAddr, first: Option<Moment>) {
         let now = self.vm.clock.now();
         let ran = first.is_some_and(|first| now.since(first) >= STABLE_AFTER);
@@ -199,9 +210,9 @@
         poison::on_broken_response(&self.vm, server, address, request);
     }
 
-    /// Returns the refusal for a request that may not be retried.
+    /// Returns the refusal for a request whose last attempt failed and that may not be retried.
     fn final_refusal(&self, failure: Failure, reason: &str, now: Moment) -> Refusal {
-        if failure == Failure::Broken || !self.parts.is_empty() {
+        if failure == Failure::Broken || !self.bill_parts.is_empty() {
             return Refusal::with_detail(Refused::Broken, reason);
         }
         let kind = if now >= self.job.deadline { Refused::Late } else { Refused::NoServer };
@@ -241,6 +252,8 @@
         }
     }
 
+    /// Builds the request to an engine for the tokens from `offset` on. With `wait`, a full engine
+    /// queues the request instead of refusing.
     fn generate_request(&self, target: &Target, offset: u32, wait: bool) -> Generate {
         Generate {
             request: self.job.request.clone(),
@@ -255,7 +268,8 @@
         }
     }
 
-    /// Reads the stream of an attempt to its end, or until the client disconnects.
+    /// Reads the stream of an attempt until its end or until the client disconnects; with
+    /// `to_client`, sends each token on.
     async fn relay_stream(
         &mut self,
         attempt: &mut Attempt<'_>,
--- a/src/entry/models.rs
+++ b/src/entry/models.rs
@@ -21,7 +21,7 @@
 use crate::unit::{self, Digest, Kind, Model, RequestId, Span, Target};
 use crate::vm::{Command, Vm};
 
-/// Tokens buffered for a slow client before generation waits for it.
+/// Number of tokens buffered for a slow client before generation waits.
 const CHANNEL_CAPACITY: usize = 16;
 
 /// Maximum answer length if the client sets none, in tokens.
@@ -33,11 +33,12 @@
 /// Time until the deadline if the client sets none.
 const DEFAULT_TIMEOUT: Span = Span::secs(60);
 
-/// Characters at the start of a prompt that are hashed to find servers that have it cached.
+/// Number of characters at the start of a prompt that are hashed, to find servers that have this
+/// prefix cached.
 const PREFIX_CHARS: usize = 256;
 
 #[derive(Deserialize)]
-struct Chat {
+struct ChatRequest {
     model: String,
     messages: Vec<Message>,
     #[serde(default)]
@@ -106,7 +107,7 @@
     let mut received = Vec::new();
     while let Some(chunk) = payload.next().await {
         let chunk =
-            chunk.map_err(|fault| Refusal::with_detail(Refused::Malformed, fault.to_string()))?;
+            chunk.map_err(|error| Refusal::with_detail(Refused::Malformed, error.to_string()))?;
         if received.len() + chunk.len() > limit {
             return Err(Refusal::new(Refused::TooLarge));
         }
@@ -127,7 +128,7 @@
     let prepared = async {
         let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        prepare(&vm, &request, caller, &bytes, id.clone()).await
+        prepare_job(&vm, &request, caller, &bytes, id.clone()).await
     };
     let (job, stream, new_session) = match prepared.await {
         Ok(prepared) => prepared,
@@ -229,9 +230,9 @@
     }
 }
 
-/// Parses a chat request and resolves its session and route. Returns the job, if the answer is to
-/// be streamed, and the session of which the client gets a token.
-async fn prepare(
+/// Parses a chat request and resolves its session and route. Returns the job, true if the answer is
+/// to be streamed, and the session for which the client gets a token, if any.
+async fn prepare_job(
     vm: &Data<Vm>,
     request: &HttpRequest,
     caller: Caller,
@@ -239,8 +240,9 @@
     id: RequestId,
 ) -> Result<(Job, bool, Option<Session>), Refusal> {
     let malformed = |detail: String| Refusal::with_detail(Refused::Malformed, detail);
-    let text = std::str::from_utf8(bytes).map_err(|fault| malformed(fault.to_string()))?;
-    let chat: Chat = serde_json::from_str(text).map_err(|fault| malformed(fault.to_string()))?;
+    let text = std::str::from_utf8(bytes).map_err(|error| malformed(error.to_string()))?;
+    let chat: ChatRequest =
+        serde_json::from_str(text).map_err(|error| malformed(error.to_string()))?;
     if chat.messages.is_empty() {
         return Err(malformed("`messages` is empty".to_owned()));
     }
@@ -299,13 +301,14 @@
         max_tokens: chat.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).clamp(1, MAX_TOKENS_LIMIT),
         kind: caller.kind,
         priority: caller.priority,
-        arrived: now,
+        arrived_at: now,
         deadline: now + caller.timeout,
     };
     Ok((job, chat.stream, new_session))
 }
 
-/// Waits until this VM has fetched the revision of a session that a newer VM created.
+/// Returns the configuration once it has the revision of a session, which another VM created under
+/// a later revision than this VM's.
 async fn fetch_revision(vm: &Data<Vm>, session: &Session) -> Result<Arc<Snapshot>, Refusal> {
     let (sender, done) = tokio::sync::oneshot::channel();
     vm.send_command(Command::CatchUp(session.revision, sender));
@@ -318,7 +321,8 @@
 }
 
 /// Resolves `name`, which is a cascade, a MODEL@VERSION or a model, to the versions that may
-/// answer. `point` is the random point of the request that a roll-out's share is compared with.
+/// answer. `point`, a random number of the request from 0 to 1, is compared with the share of a
+/// roll-out.
 fn resolve_route(
     snapshot: &Snapshot,
     workspace: &WorkspaceEntry,
@@ -390,14 +394,15 @@
     prompt
 }
 
-/// Derives a point from 0 to 1 from the request id, uniform over requests.
+/// Derives a number from 0 to 1 from the request id, uniform over requests, that decides if a
+/// roll-out's new version is used.
 fn rollout_point(id: &RequestId) -> f64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     (hasher.finish() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Hashes the workspace and the start of the prompt.
+/// Hashes the workspace and the start of the prompt, to find servers that have it cached.
 fn prefix_hash(workspace: &WorkspaceEntry, prompt: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     workspace.name.hash(&mut hasher);
@@ -406,7 +411,8 @@
     hasher.finish()
 }
 
-/// Digests the workspace, the model as the client named it, and the whole prompt.
+/// Returns the digest of the workspace, the model as the client named it, and the whole prompt, to
+/// recognise requests that crash servers.
 fn content_digest(workspace: &WorkspaceEntry, model: &str, prompt: &str) -> Digest {
     unit::digest(&[workspace.name.as_str().as_bytes(), model.as_bytes(), prompt.as_bytes()])
 }
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -1,5 +1,5 @@
-//! Calls of plain services. Calls that are not idempotent need an idempotency key and run at most
-//! once.
+//! Calls of plain services (backend servers without models). Calls that are not idempotent need an
+//! idempotency key and run at most once.
 
 use std::time::Duration;
 
@@ -30,15 +30,17 @@
 /// Maximum size of a service's response body.
 const MAX_RESPONSE_BYTES: usize = 4_000_000;
 
-/// Larger response bodies are not stored with the key, so that the links of the chain stay small.
+/// Maximum size of a response body that is stored with the idempotency key. Larger ones are not
+/// stored, so that the objects with the keys in the store stay small.
 const MAX_STORED_BODY_BYTES: usize = 2_000;
 
-/// Longer idempotency keys are ignored.
+/// Maximum length of an idempotency key; a longer one counts as missing.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Minimum time until the deadline for a retry.
+/// Minimum time until the deadline at which a retry is still made.
 const MIN_RETRY_TIME: Span = Span::millis(20);
 
+/// A validated call of a service.
 struct Call {
     request: RequestId,
     service: Service,
@@ -51,14 +53,15 @@
     deadline: Moment,
 }
 
+/// Response of a service, or a stored one.
 struct Response {
     status: u16,
     content_type: String,
     body: Bytes,
 }
 
-/// `/v1/services/NAME/...`: forwards a call to a service, once only if it carries an idempotency
-/// key.
+/// `/v1/services/NAME/...`: forwards a call to a service; a call with an idempotency key runs at
+/// most once.
 pub async fn call(
     vm: Data<Vm>,
     engines: Data<EngineClient>,
@@ -70,11 +73,11 @@
     let outcome = async {
         let bytes = read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        let call = prepare(&vm, &request, &caller, bytes, id.clone())?;
+        let call = prepare_call(&vm, &request, &caller, bytes, id.clone())?;
         if call.is_retryable {
-            run(&vm, &engines, &caller, &call).await
+            run_call(&vm, &engines, &caller, &call).await
         } else {
-            run_once(&vm, &engines, &caller, &call).await
+            run_call_once(&vm, &engines, &caller, &call).await
         }
     };
     let answer = match outcome.await {
@@ -97,7 +100,7 @@
 }
 
 /// Checks that the workspace may call the service and that a call that is not idempotent has a key.
-fn prepare(
+fn prepare_call(
     vm: &Data<Vm>,
     request: &HttpRequest,
     caller: &Caller,
@@ -142,14 +145,15 @@
     })
 }
 
-/// Returns true unless the path is configured as `once` and the method changes state.
+/// Returns true unless the path has a prefix that is configured as `once` and the method changes
+/// state.
 fn is_idempotent(entry: &ServiceEntry, path: &str, method: &Method) -> bool {
     let once = entry.once.iter().any(|prefix| path.starts_with(prefix.as_str()));
     !(once && *method != Method::GET && *method != Method::HEAD)
 }
 
-/// Builds the claim of the call's key. Keys are scoped to workspace and service.
-fn claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
+/// Builds the claim of a call's idempotency key. Keys are scoped to workspace and service.
+fn build_claim(vm: &Data<Vm>, caller: &Caller, call: &Call, reserved: bool) -> Claim {
     let key = call.key.as_deref().unwrap_or_default();
     Claim {
         key: digest(&[
@@ -166,15 +170,17 @@
     }
 }
 
-/// State of an idempotency key that lets a call go on.
+/// State of an idempotency key that decides how its call goes on.
 enum KeyState {
-    /// The call holds the key under this request id and may run.
+    /// The call holds the key under this request id, that of the call or of the earlier
+    /// reservation, and may run.
     Acquired(RequestId),
-    /// An earlier call with the key ended; its outcome is replayed.
+    /// An earlier call with the key ended; its outcome is the answer.
     Ended(Outcome),
 }
 
-/// Acquires the key of a call through the store, or from the VM that reserved the key beforehand.
+/// Acquires the idempotency key of a call through the store, or from the VM that reserved the key
+/// beforehand.
 ///
 /// If the store is unavailable, all VMs are asked for a reservation of the key.
 async fn acquire_key(vm: &Data<Vm>, claim: &Claim) -> Result<KeyState, Refusal> {
@@ -188,7 +194,7 @@
         Answer::Reserved(holder) => Some(holder),
         Answer::Unavailable => None,
     };
-    let key_use = KeyUse { key: claim.key, user: claim.request.clone(), body: claim.body };
+    let key_use = KeyUse { key: claim.key, request: claim.request.clone(), body: claim.body };
     let (sender, answered) = oneshot::channel();
     vm.send_command(Command::UseKey(key_use, holder.clone().map(|holder| holder.vm), sender));
     match (answered.await.ok().flatten(), holder) {
@@ -200,8 +206,8 @@
     }
 }
 
-/// Releases a claim that was not confirmed. It may still have reached the store, where it would
-/// block the key.
+/// Releases a claim without an answer, since it may have reached the store, where it would block
+/// the key. Returns the refusal of the call.
 fn release_claim(vm: &Data<Vm>, claim: &Claim) -> Refusal {
     let Claim { key, request, body, .. } = claim.clone();
     let outcome = Outcome::NotRun;
@@ -209,17 +215,17 @@
     Refusal::new(Refused::StoreAway)
 }
 
-/// Acquires the key, runs the call at most once, and records its outcome.
-async fn run_once(
+/// Acquires the idempotency key of a call, runs the call at most once, and records its outcome.
+async fn run_call_once(
     vm: &Data<Vm>,
     engines: &EngineClient,
     caller: &Caller,
     call: &Call,
 ) -> Result<Response, Refusal> {
-    let claim = claim(vm, caller, call, false);
+    let claim = build_claim(vm, caller, call, false);
     let request = match acquire_key(vm, &claim).await? {
         KeyState::Acquired(request) => request,
-        KeyState::Ended(outcome) => return replay(outcome),
+        KeyState::Ended(outcome) => return replay_outcome(outcome),
     };
     let settle = |outcome| {
         let (key, body) = (claim.key, claim.body);
@@ -230,7 +236,7 @@
             outcome,
         }));
     };
-    let outcome = run(vm, engines, caller, call).await;
+    let outcome = run_call(vm, engines, caller, call).await;
     match &outcome {
         Ok(response) => settle(Outcome::Ran {
             status: response.status,
@@ -252,14 +258,14 @@
     let outcome = async {
         read_body(&vm, payload).await?;
         let caller = admit(&vm, &request)?;
-        let call = prepare(&vm, &request, &caller, Bytes::new(), id.clone())?;
+        let call = prepare_call(&vm, &request, &caller, Bytes::new(), id.clone())?;
         if call.key.is_none() {
             return Err(Refusal::new(Refused::KeyMissing));
         }
         if !vm.reserved.lock().expect("no panic while held").has_room(vm.clock.now()) {
             return Err(Refusal::new(Refused::Limited));
         }
-        let claim = claim(&vm, &caller, &call, true);
+        let claim = build_claim(&vm, &caller, &call, true);
         let (sender, answered) = oneshot::channel();
         vm.send_command(Command::Claim(claim.clone(), sender));
         match answered.await.unwrap_or(Answer::Unavailable) {
@@ -282,8 +288,8 @@
     }
 }
 
-/// Refuses a call whose key another call holds. If the VM of that call is gone, its outcome stays
-/// unknown.
+/// Returns the refusal of a call whose key another call holds. If the VM that runs the other call
+/// (`holder`) is gone, the outcome of that call stays unknown.
 fn refuse_held_key(vm: &Data<Vm>, holder: &crate::evidence::Origin) -> Refusal {
     let gossip = vm.gossip.lock().expect("no panic while held");
     let is_alive = gossip.member(&holder.vm).is_some_and(|member| {
@@ -293,7 +299,7 @@
 }
 
 /// Returns the stored response of an earlier call with the same key.
-fn replay(outcome: Outcome) -> Result<Response, Refusal> {
+fn replay_outcome(outcome: Outcome) -> Result<Response, Refusal> {
     match outcome {
         Outcome::Ran { status, content_type, body: Some(body) } => {
             Ok(Response { status, content_type, body: body.into() })
@@ -309,7 +315,7 @@
 }
 
 /// Runs a call, with retries on other servers where that is safe, and bills it.
-async fn run(
+async fn run_call(
     vm: &Data<Vm>,
     engines: &EngineClient,
     caller: &Caller,
@@ -325,8 +331,9 @@
     })
 }
 
-/// Tries servers until one responds or no retry is allowed. Sets `may_have_run` if an attempt
-/// failed after it was sent.
+/// Sends a call to one server after another until one responds or no retry is allowed. Before each
+/// attempt, checks again that the configuration allows the call and that its content is not
+/// quarantined. Sets `may_have_run` if an attempt failed after it was sent.
 async fn try_servers(
     vm: &Data<Vm>,
     engines: &EngineClient,
@@ -350,13 +357,13 @@
         if !allowed.is_some_and(|workspace| workspace.services.contains(&call.service)) {
             return Err(Refusal::new(Refused::NotAllowed));
         }
-        let picked = vm.fleet.lock().expect("no panic while held").select_server(
+        let selected = vm.fleet.lock().expect("no panic while held").select_server(
             &group,
             None,
             rand::random(),
             now,
         );
-        let Some(picked) = picked else {
+        let Some(selected) = selected else {
             return Err(Refusal::new(Refused::NoServer));
         };
         attempts += 1;
@@ -365,23 +372,23 @@
             request: call.request.clone(),
             revision: snapshot.revision(),
             target: None,
-            server: picked.server.clone(),
+            server: selected.server.clone(),
         });
         // A service responds only when the call is done, so the guard is released before sending.
         drop(dispatch_guard);
-        let result = send(engines, picked.address, call, now).await;
+        let result = send(engines, selected.address, call, now).await;
         let now = vm.clock.now();
         {
             let mut fleet = vm.fleet.lock().expect("no panic while held");
-            fleet.on_request_end(&picked.server);
+            fleet.on_request_end(&selected.server);
             if result.is_err() {
-                fleet.on_failure(&picked.server, now);
+                fleet.on_failure(&selected.server, now);
             }
         }
         let failure = match result {
             Ok(response) => {
                 poison::on_success(vm, content);
-                bill(vm, caller, call).await?;
+                record_bill(vm, caller, call).await?;
                 return Ok(response);
             }
             Err(failure) => failure,
@@ -389,9 +396,9 @@
         if failure == Failure::Broken {
             *may_have_run = true;
             let request = OpenRequest { content, was_stable: false };
-            poison::on_broken_response(vm, &picked.server, picked.address, request);
+            poison::on_broken_response(vm, &selected.server, selected.address, request);
         }
-        let can_retry = retry::is_allowed(
+        let can_retry = retry::is_retry_allowed(
             failure,
             call.is_retryable,
             attempts,
@@ -406,7 +413,8 @@
     }
 }
 
-/// Digests workspace, service, method, path and body of a call, regardless of its key.
+/// Returns the digest of workspace, service, method, path and body of a call, whatever its
+/// idempotency key, to recognise calls that crash servers.
 fn content_digest(caller: &Caller, call: &Call) -> Digest {
     let texts = [
         caller.workspace.name.as_str(),
@@ -452,7 +460,7 @@
 }
 
 /// Bills a call and waits until other VMs or the store hold the bill.
-async fn bill(vm: &Data<Vm>, caller: &Caller, call: &Call) -> Result<(), Refusal> {
+async fn record_bill(vm: &Data<Vm>, caller: &Caller, call: &Call) -> Result<(), Refusal> {
     let entry = Entry {
         number: 0,
         request: call.request.clone(),
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -11,8 +11,8 @@
 use super::options::Options;
 use super::table::{Row, Table, quantile};
 use crate::decide::cascade::{
-    Answer, BINS, Belief, Credit, DriftDetector, RATING_DECAY, Rule, Rungs, bin, rating_value,
-    solve,
+    Answer, CONFIDENCE_BINS, DriftDetector, Observations, RATING_DECAY, RatingBudget, Rule, Rungs,
+    confidence_bin, rating_value, solve_rules,
 };
 
 /// Costs of a cheap and a strong answer.
@@ -270,19 +270,19 @@
 }
 
 struct CascadePolicy {
-    beliefs: Vec<Belief>,
+    beliefs: Vec<Observations>,
     drift_detectors: Vec<DriftDetector>,
     rules: Vec<Rule>,
     rungs: Rungs,
     ratings: VecDeque<PendingRating>,
-    credit: Credit,
+    credit: RatingBudget,
     rated: usize,
 }
 
 impl CascadePolicy {
     fn new(options: &Options) -> CascadePolicy {
         CascadePolicy {
-            beliefs: vec![Belief::default(); options.kinds],
+            beliefs: vec![Observations::default(); options.kinds],
             drift_detectors: vec![DriftDetector::default(); options.kinds],
             rules: vec![Rule::default(); options.kinds],
             rungs: Rungs {
@@ -292,7 +292,7 @@
                 strong_quality: 0.95,
             },
             ratings: VecDeque::new(),
-            credit: Credit::default(),
+            credit: RatingBudget::default(),
             rated: 0,
         }
     }
@@ -303,7 +303,7 @@
         for (i, request) in requests.iter().enumerate() {
             self.apply_ratings(i);
             if i % SOLVE_EVERY == 0 {
-                self.rules = solve(&self.beliefs, &self.rungs, TARGET);
+                self.rules = solve_rules(&self.beliefs, &self.rungs, TARGET);
             }
             self.decide(i + lag, request, options.rated_share, &mut outcomes);
         }
@@ -315,12 +315,12 @@
         self.beliefs[request.kind].requests += 1.0;
         let rule = self.rules[request.kind];
         let strong = rule.begins_strong(request.point);
-        if strong && request.explore >= rule.explore {
+        if strong && request.explore >= rule.explore_probability {
             outcomes.direct(request);
-            self.rate(due, request, Answer::Direct, BINS, request.rated);
+            self.rate(due, request, Answer::Direct, CONFIDENCE_BINS, request.rated);
             return;
         }
-        let bin = bin(request.confidence);
+        let bin = confidence_bin(request.confidence);
         self.beliefs[request.kind].confidence_counts[bin] += 1.0;
         self.rate(due, request, Answer::Cheap(bin), bin, request.rated);
         if rule.keeps(bin, request.point) && !strong {
@@ -328,7 +328,7 @@
             return;
         }
         outcomes.escalate(request);
-        self.rate(due, request, Answer::Climbed, bin, request.which);
+        self.rate(due, request, Answer::Escalated, bin, request.which);
     }
 
     fn rate(&mut self, due: usize, request: &Request, answer: Answer, bin: usize, point: f64) {
@@ -337,7 +337,7 @@
             return;
         }
         let cheap = matches!(answer, Answer::Cheap(_));
-        let expected = if cheap { rule.cheap[bin] } else { self.rungs.strong_quality };
+        let expected = if cheap { rule.cheap_pass_rate[bin] } else { self.rungs.strong_quality };
         let pass = if cheap { request.cheap_passes } else { request.strong_passes };
         self.ratings.push_back(PendingRating {
             due,
@@ -357,7 +357,7 @@
             belief.decay(RATING_DECAY);
             let cell = match rated.answer {
                 Answer::Cheap(bin) => &mut belief.cheap[bin],
-                Answer::Climbed => &mut belief.strong[rated.bin],
+                Answer::Escalated => &mut belief.strong[rated.bin],
                 Answer::Direct => &mut belief.direct,
             };
             cell.add(rated.pass);
--- a/src/experiment/reading/simulation.rs
+++ b/src/experiment/reading/simulation.rs
@@ -8,10 +8,10 @@
 
 use super::node::{DATA_CENTRES, Node, Role};
 use super::snapshot::snapshot_bytes;
-
 use crate::decide::reader::{
-    ANSWER_TIMEOUT, FAST_POLL_INTERVAL, FIRST_ANSWER_TIMEOUT, FollowerState, POLL_INTERVAL, Place,
-    Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, answer_timeout, may_accept, should_read_store,
+    FAST_POLL_INTERVAL, FIRST_POLL_TIMEOUT, FollowerState, GroupPosition, POLL_INTERVAL,
+    POLL_TIMEOUT, Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, may_accept_update, poll_timeout,
+    should_read_store,
 };
 use crate::unit::{Moment, Span, Vm as Name};
 
@@ -213,24 +213,24 @@
         others.filter_map(first).collect()
     }
 
-    fn place(&self, at: usize) -> Place {
+    fn place(&self, at: usize) -> GroupPosition {
         let node = &self.nodes[at];
-        node.sources.place(&node.rank, self.group(at), self.now)
+        node.sources.group_position(&node.rank, self.group(at), self.now)
     }
 
     fn next_source(&self, at: usize) -> Option<usize> {
         let node = &self.nodes[at];
         let next = match (self.place(at), self.strategy) {
-            (Place::First, Strategy::Direct) => None,
-            (Place::First, Strategy::Relayed) if node.store_lost => {
+            (GroupPosition::First, Strategy::Direct) => None,
+            (GroupPosition::First, Strategy::Relayed) if node.store_lost => {
                 node.sources.any_source(self.first_per_data_centre(at).into_iter(), self.now)
             }
-            (Place::First, Strategy::Relayed) => node.sources.next_source(
+            (GroupPosition::First, Strategy::Relayed) => node.sources.next_source(
                 &node.rank,
                 self.first_per_data_centre(at).into_iter(),
                 self.now,
             ),
-            (Place::Next | Place::Behind, _) => {
+            (GroupPosition::Next | GroupPosition::Behind, _) => {
                 node.sources.next_source(&node.rank, self.group(at), self.now)
             }
         };
@@ -251,8 +251,8 @@
         let is_settled = updated || self.on_no_update(at, outcomes.contains(&Some(false)));
         let waited = match (answered, self.nodes[at].synced_at) {
             (true, _) => ROUND_TRIP,
-            (false, None) => FIRST_ANSWER_TIMEOUT,
-            (false, Some(_)) => ANSWER_TIMEOUT,
+            (false, None) => FIRST_POLL_TIMEOUT,
+            (false, Some(_)) => POLL_TIMEOUT,
         };
         let pause = if is_settled { POLL_INTERVAL } else { FAST_POLL_INTERVAL };
         let incarnation = self.nodes[at].incarnation;
@@ -283,7 +283,9 @@
             node.sources.on_not_ready(&name, now);
             return None;
         };
-        if !may_accept(&reader_name, hops, &node.rank.vm) || (lost && node.role == Role::Reader) {
+        if !may_accept_update(&reader_name, hops, &node.rank.vm)
+            || (lost && node.role == Role::Reader)
+        {
             node.sources.on_declined(&name, now);
             return None;
         }
@@ -320,7 +322,7 @@
             return true;
         }
         let without = FollowerState {
-            place: self.place(at),
+            group_position: self.place(at),
             has_other_groups: self.strategy == Strategy::Relayed,
             has_source: self.next_source(at).is_some(),
             is_store_lost: node.sources.is_store_reported_lost(
@@ -330,7 +332,7 @@
             ),
             has_snapshot: node.synced_at.is_some(),
             is_starting: self.now.since(node.started_at) < STARTUP_WAIT,
-            is_overdue: answer_timeout(node.synced_at, DRAIN_WINDOW, self.now).is_none(),
+            is_overdue: poll_timeout(node.synced_at, DRAIN_WINDOW, self.now).is_none(),
         };
         let itself = match self.strategy {
             Strategy::Relayed => should_read_store(&without),
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -8,7 +8,7 @@
 
 use super::options::Options;
 use super::table::{Row, Table, quantile};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::unit::Moment;
 
 /// Requests that a replica runs at once.
@@ -174,11 +174,11 @@
                 for (replica, load) in view.iter_mut().zip(&loads) {
                     replica.reported = *load;
                     replica.reported_at = Moment(at);
-                    replica.own_at_report = replica.own;
+                    replica.own_open_at_report = replica.own_open;
                 }
                 for (sent_at, server) in &self.sent[vm] {
                     if *sent_at > at {
-                        view[*server].own_at_report -= 1.0;
+                        view[*server].own_open_at_report -= 1.0;
                     }
                 }
             }
@@ -188,7 +188,7 @@
     fn expire(&mut self, ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>, now: u64) {
         while ends.peek().is_some_and(|Reverse((end, ..))| *end <= now) {
             let Reverse((_, vm, server)) = ends.pop().expect("there is one");
-            self.views[vm][server].own -= 1.0;
+            self.views[vm][server].own_open -= 1.0;
         }
         let lag = self.lag * 2;
         for sent in &mut self.sent {
@@ -210,7 +210,7 @@
             let view = &mut self.views[request.vm][server];
             view.reported = load;
             view.reported_at = Moment(now);
-            view.own_at_report = view.own;
+            view.own_open_at_report = view.own_open;
             if load < SLOTS as f64 {
                 break;
             }
@@ -246,7 +246,7 @@
                 }
             }
             Policy::Kitepulley => {
-                choose(view, request.prefix, request.random, Moment(now)).unwrap_or(a)
+                select_replica(view, request.prefix, request.random, Moment(now)).unwrap_or(a)
             }
             Policy::Oracle => self.soonest_replica(request, now),
         }
@@ -291,7 +291,7 @@
         let (server, now) = run.dispatch(request, now);
         let (first, end, hit) =
             run.servers[server].accept(now, request.prefix, request.response_seconds);
-        run.views[request.vm][server].own += 1.0;
+        run.views[request.vm][server].own_open += 1.0;
         run.sent[request.vm].push_back((now, server));
         ends.push(Reverse((end, request.vm, server)));
         if i >= warm {
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -185,22 +185,22 @@
         Inputs {
             new: Arm { poor: self.new, ..Arm::default() },
             old: Arm { poor: self.old, ..Arm::default() },
-            earlier: self.baseline,
+            earlier_ratings: self.baseline,
             share: self.share,
-            held: self.is_held,
-            at_share: Span::secs(now - self.share_since),
-            rate: REQUESTS_PER_SECOND,
-            lag: Span(self.options.rating_lag.0 + Span::secs(self.gossip_delay).0),
-            since_rating: Span::secs(now - self.last_rating_at),
-            prior: BASELINE_POOR_SHARE,
+            is_held: self.is_held,
+            time_at_share: Span::secs(now - self.share_since),
+            request_rate: REQUESTS_PER_SECOND,
+            rating_lag: Span(self.options.rating_lag.0 + Span::secs(self.gossip_delay).0),
+            time_since_rating: Span::secs(now - self.last_rating_at),
+            declared_bad_share: BASELINE_POOR_SHARE,
         }
     }
 
     fn decide_kitepulley(&mut self, now: u64, outcome: &mut Outcome) {
         let policy = Policy::default();
         let inputs = self.inputs(now);
-        self.takes_sessions = rollout::takes_sessions(&policy, &inputs);
-        let share = match rollout::decide(&policy, &inputs) {
+        self.takes_sessions = rollout::admits_sessions(&policy, &inputs);
+        let share = match rollout::next_step(&policy, &inputs) {
             Action::Stay => return,
             Action::Withdraw(_) => {
                 outcome.withdrawn = Some(now);
--- a/src/experiment/shed/simulation.rs
+++ b/src/experiment/shed/simulation.rs
@@ -9,7 +9,7 @@
 use super::Strategy;
 use crate::decide::availability::{self, Availability, Signal, Unavailable};
 use crate::decide::load::Load;
-use crate::decide::placement::{Candidate, least_loaded};
+use crate::decide::placement::{Candidate, select_least_loaded};
 use crate::unit::{Moment, Span};
 
 /// Servers for each VM, as on the users' large site; and the fewest.
@@ -289,7 +289,7 @@
             }
         };
         let candidates: Vec<Candidate> = available.iter().map(candidate).collect();
-        let least = least_loaded(&candidates, self.rng.random());
+        let least = select_least_loaded(&candidates, self.rng.random());
         let avoids_full = self.strategy == Strategy::AvoidFull
             && self.now + RECHECK_INTERVAL <= request.arrived_at + START_GOAL;
         match least {
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -12,7 +12,7 @@
 use super::probe::allocated_bytes;
 use super::table::{Row, Table};
 use crate::config::{self, Declarations, Root, Snapshot, digest};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::entry::session::{self, Session};
 use crate::error::Error;
 use crate::evidence::{Counts, Key, Origin, Table as Evidence};
@@ -145,7 +145,7 @@
 fn ledger_buffer(entries: usize) -> Buffer {
     let mut buffer = Buffer::new(origin());
     (0..entries).for_each(|i| {
-        buffer.record(entry(i as u64));
+        buffer.insert_own(entry(i as u64));
     });
     buffer
 }
@@ -235,7 +235,7 @@
                 outcome: Outcome::Ran { status: 200, content_type: String::new(), body: None },
             };
             shard.apply_link((0..n).map(|i| Record::Settled(ended(i))).collect());
-            shard.evict(Date(claim(0).date.0 + Span::secs(7200).0));
+            shard.evict_expired(Date(claim(0).date.0 + Span::secs(7200).0));
             shard
         }),
         measure_memory("memory_per_claim", [20_000, 40_000, 60_000, 80_000], shard),
@@ -259,7 +259,7 @@
             let mut point = 0u64;
             call_micros(|| {
                 point = point.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                black_box(choose(&all, Some(point), point, Moment(1_200_000)));
+                black_box(select_replica(&all, Some(point), point, Moment(1_200_000)));
             })
         }),
         measure_time("time_per_token_check", [1, 2, 3, 4], |n| {
@@ -309,7 +309,7 @@
             let mut buffer = Buffer::new(origin());
             call_micros(|| {
                 for _ in 0..n {
-                    let value = buffer.record(entry(0));
+                    let value = buffer.insert_own(entry(0));
                     black_box(encode(&value));
                     buffer.remove(&origin(), value.number);
                 }
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -12,7 +12,7 @@
 use super::selection::{self, Placement};
 use crate::config::RetryPolicy;
 use crate::decide::escalate;
-use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, Next};
+use crate::decide::outcome::{self, AttemptOutcome, FinalResponse, NextAction};
 use crate::entry::refusal::{Kind, Refusal};
 use crate::unit::{Model, Moment, Span};
 
@@ -110,13 +110,15 @@
             progress.unsent_attempts_of_model = 0;
             continue;
         }
-        match outcome::next(outcome.end, job.route.retry) {
-            Next::Deliver => return deliver(job, placement.replica, model, outcome, progress),
-            Next::Unknown if !may_retry_timeout(job, &outcome) => {
+        match outcome::next_action(outcome.end, job.route.retry) {
+            NextAction::Deliver => {
+                return deliver(job, placement.replica, model, outcome, progress);
+            }
+            NextAction::Unknown if !may_retry_timeout(job, &outcome) => {
                 progress.may_have_run = true;
                 return give_up(job, progress, outcome.end);
             }
-            Next::Unknown | Next::Retry => {}
+            NextAction::Unknown | NextAction::Retry => {}
         }
         let end = outcome.end;
         let unsent = u32::from(end.is_unsent());
@@ -325,7 +327,7 @@
         FinalResponse::Refused if late => refuse(job, Refusal::new(Kind::Busy)),
         FinalResponse::Refused => {
             let delay = selection::retry_after(&job.vm, &job.criteria(None, &[]), job.vm.now());
-            refuse(job, Refusal { delay, ..Refusal::new(Kind::NoServer) })
+            refuse(job, Refusal { retry_delay: delay, ..Refusal::new(Kind::NoServer) })
         }
         FinalResponse::Unknown | FinalResponse::Delivered if !progress.may_have_run => {
             refuse(job, Refusal::new(Kind::Busy))
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -235,7 +235,7 @@
     let fleet = vm.fleet.borrow();
     let is_eligible =
         |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
-    let is_limited = |one: &Server| one.availability.limit.rate(now).is_some();
+    let is_limited = |one: &Server| one.availability.rate_limit.rate(now).is_some();
     let mut backing_off = fleet.backing_off(criteria.service, now);
     let mut serving = fleet.eligible(criteria.service, now);
     backing_off.any(|(one, _)| is_eligible(one))
@@ -302,8 +302,8 @@
     let candidates: Vec<Candidate> =
         servers.iter().map(|server| candidate(vm, criteria, &prompt, server, now)).collect();
     let at = match criteria.call.prompt.is_empty() {
-        true => placement::least_loaded(&candidates, rand::random()),
-        false => placement::soonest(&candidates, criteria.body_bytes),
+        true => placement::select_least_loaded(&candidates, rand::random()),
+        false => placement::select_soonest(&candidates, criteria.body_bytes),
     };
     at.map(|at| {
         let skipped = Skipped::count(&fleet, &access, criteria.service, now);
@@ -356,8 +356,11 @@
     let Some(server) = fleet.incarnation_mut(replica) else { return Estimate::default() };
     let (load, unavailable) =
         (server.load.estimate(now), server.availability.unavailable_reason(now));
-    let reported_limit =
-        server.availability.limit.rate(now).zip(server.availability.limit.age(now));
+    let reported_limit = server
+        .availability
+        .rate_limit
+        .rate(now)
+        .zip(server.availability.rate_limit.limited_for(now));
     server.availability.on_send(now);
     if call.prompt.is_empty() {
         return Estimate { load, unavailable, reported_limit, ..Estimate::default() };
@@ -367,7 +370,7 @@
     let prompt_tokens = prompt.tokens();
     let prefill_time = vm.prefill_time(model, uncached_tokens);
     let queue_time = server.backlog.remaining(now);
-    let expected_time = Some(Span(server.backlog.expected(now).0 + prefill_time.0));
+    let expected_time = Some(Span(server.backlog.expected_remaining(now).0 + prefill_time.0));
     server.backlog.add(prefill_time, now);
     prompt.hashes().for_each(|part| server.record_prefix(part, now));
     drop(fleet);
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -408,7 +408,7 @@
 
     /// Returns the recent mean wait at the servers of a service, as a fraction of the latency goal.
     pub fn pressure(&self, service: &Service, now: Moment) -> f64 {
-        self.pressures.borrow().get(service).map_or(0.0, |pressure| pressure.level(now))
+        self.pressures.borrow().get(service).map_or(0.0, |pressure| pressure.mean_wait(now))
     }
 
     /// Counts the first attempt of a request at a service, which earns retry budget.
@@ -434,7 +434,7 @@
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(bounds.retry_window, bounds.retry_share));
         let vms = self.peers.borrow().count_live(self.now()) as u32;
-        budget.set_extra(limit::even_share(bounds.retry_extra as u32, vms));
+        budget.set_extra_retries(limit::even_share(bounds.retry_extra as u32, vms));
         act(budget)
     }
 }
--- a/src/ledger/buffer.rs
+++ b/src/ledger/buffer.rs
@@ -1,35 +1,38 @@
-//! Buffer of bills that are not in the store yet: a VM's own, and copies of those of other VMs.
+//! Buffer of bills that are not in the store yet: a VM's own bills, and copies of other VMs' bills.
 
 use std::collections::BTreeMap;
 
 use super::Entry;
 use crate::evidence::Origin;
 
-/// Maximum number of bills held, own and copies: beyond it new work is refused before a bill could
-/// be lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
+/// Maximum number of bills held, own ones and copies. At the maximum new work is refused, so that
+/// no bill is lost. At 300 bytes each this is 60 MB of the 128 MB that the control thread may use.
 const MAX_ENTRIES: usize = 200_000;
 
-/// The unflushed bills that one VM holds.
+/// The bills that one VM holds and that are not in the store yet, as far as the VM knows.
 #[derive(Clone, Debug)]
 pub struct Buffer {
-    own: Origin,
+    own_origin: Origin,
+    /// Number of the next bill of this VM.
     next_number: u64,
+    /// Number of the last bill in this VM's chain in the store.
     chain_end: u64,
     entries: BTreeMap<Origin, BTreeMap<u64, Entry>>,
+    /// Number of bills of all origins.
     count: usize,
 }
 
 impl Buffer {
     /// Creates an empty buffer for one incarnation of a VM.
-    pub fn new(own: Origin) -> Buffer {
-        Buffer { own, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
+    pub fn new(own_origin: Origin) -> Buffer {
+        Buffer { own_origin, next_number: 1, chain_end: 0, entries: BTreeMap::new(), count: 0 }
     }
 
-    /// Assigns the next number to an entry of this VM and inserts it.
-    pub fn record(&mut self, mut entry: Entry) -> Entry {
+    /// Assigns the next number to a bill of this VM, inserts the bill and returns it.
+    pub fn insert_own(&mut self, mut entry: Entry) -> Entry {
         entry.number = self.next_number;
         self.next_number += 1;
-        self.insert(self.own.clone(), entry.clone());
+        self.insert(self.own_origin.clone(), entry.clone());
         entry
     }
 
@@ -40,8 +43,8 @@
         }
     }
 
-    /// Inserts copies of another VM's entries, and removes those up to `flushed`, which are in the
-    /// store.
+    /// Inserts copies of another VM's bills, and removes copies up to the number `flushed`, which
+    /// are in the store.
     pub fn insert_copies(&mut self, origin: Origin, entries: Vec<Entry>, flushed: u64) {
         for entry in entries {
             if entry.number > flushed {
@@ -51,7 +54,7 @@
         self.remove_up_to(&origin, flushed);
     }
 
-    /// Removes the entries of an origin up to a number, because they are in the store.
+    /// Removes the bills of an origin up to a number, because they are in the store.
     pub fn remove_up_to(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Removes one entry that is in the store.
+    /// Removes one bill that is in the store.
     pub fn remove(&mut self, origin: &Origin, number: u64) {
         let Some(entries) = self.entries.get_mut(origin) else {
             return;
@@ -77,45 +80,46 @@
         }
     }
 
-    /// Records the last number of this VM's chain in the store.
+    /// Records the number of the last bill in this VM's chain in the store.
     pub fn record_chain_end(&mut self, number: u64) {
         self.chain_end = self.chain_end.max(number);
     }
 
-    /// Returns the last number of the chain in the store if all of these entries come after it.
+    /// Returns the number of the last bill in this VM's chain in the store if all of `entries` have
+    /// higher numbers, else none. The chain then needs no read before a flush.
     pub fn chain_end_before(&self, entries: &[Entry]) -> Option<u64> {
         let follows = entries.first().is_some_and(|entry| entry.number > self.chain_end);
         follows.then_some(self.chain_end)
     }
 
-    /// Returns the entries of an origin that are held here.
+    /// Returns the bills of an origin that this VM holds.
     pub fn entries_of(&self, origin: &Origin) -> Vec<Entry> {
         let entries = self.entries.get(origin);
         entries.map(|entries| entries.values().cloned().collect()).unwrap_or_default()
     }
 
-    /// Returns the origins whose entries are held here, except this VM.
+    /// Returns the origins, other than this VM, of which this VM holds bills.
     pub fn other_origins(&self) -> Vec<Origin> {
-        self.entries.keys().filter(|origin| **origin != self.own).cloned().collect()
+        self.entries.keys().filter(|origin| **origin != self.own_origin).cloned().collect()
     }
 
     /// Returns the name and incarnation of this VM.
     pub fn own_origin(&self) -> &Origin {
-        &self.own
+        &self.own_origin
     }
 
-    /// Returns the highest number up to which all entries of this VM are in the store.
+    /// Returns the highest number up to which all bills of this VM are in the store.
     pub fn flushed_up_to(&self) -> u64 {
-        let first = self.entries.get(&self.own).and_then(|entries| entries.keys().next());
+        let first = self.entries.get(&self.own_origin).and_then(|entries| entries.keys().next());
         first.map_or(self.next_number, |first| *first) - 1
     }
 
-    /// Returns the number of entries held.
+    /// Returns the number of bills held.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Returns true if there is room for another entry.
+    /// Returns true if there is room for another bill.
     pub fn has_room(&self) -> bool {
         self.count < MAX_ENTRIES
     }
@@ -144,7 +148,7 @@
     fn numbers_rise_and_flushed_ones_are_dropped() {
         let mut buffer = Buffer::new(origin());
         for id in ["r1", "r2", "r3"] {
-            buffer.record(entry(id));
+            buffer.insert_own(entry(id));
         }
         assert_eq!(buffer.flushed_up_to(), 0);
         buffer.remove_up_to(&origin(), 2);
--- a/src/once/owner.rs
+++ b/src/once/owner.rs
@@ -1,4 +1,5 @@
-//! Owner of the shards: batches claims and outcomes into links of their chains.
+//! Owner of the shards of idempotency keys: writes claims and outcomes in batches to the store,
+//! each batch as the next link of the shard's chain.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,7 +12,8 @@
 use crate::unit::{Moment, Span};
 use crate::vm::Clock;
 
-/// Sustained rate of links per shard; the four shards together make 20 writes per second.
+/// Sustained rate of links that a shard may write; the four shards together make 20 writes per
+/// second.
 const LINKS_PER_SECOND: f64 = 5.0;
 
 /// Links that a shard may write in a burst when it has been idle.
@@ -30,31 +32,32 @@
 /// Maximum size of a segment, below the platform's limit of 1 MB.
 const MAX_SEGMENT_BYTES: usize = 900_000;
 
-/// Attempts to write a batch before its claims are answered as unavailable.
+/// Attempts to write a batch before the claims in it are answered as unavailable.
 const MAX_WRITE_ATTEMPTS: usize = 3;
 
-/// Command to the task of a shard.
+/// Command to the task of one shard.
 enum Command {
     Claim(Claim, oneshot::Sender<Answer>),
     Settle(Settlement),
 }
 
-/// Handle to the shard tasks of a VM.
+/// Handle to the tasks with which a VM acts as owner of shards of keys.
 #[derive(Clone)]
-pub struct Owner {
+pub struct ShardOwner {
     shards: Vec<mpsc::UnboundedSender<Command>>,
 }
 
-impl Owner {
-    /// Starts one task per shard. Each reads its chain when it gets its first command.
-    pub fn start(store: &Store, clock: Clock) -> Owner {
+impl ShardOwner {
+    /// Starts one task per shard. Each task reads the chain of its shard when it gets the first
+    /// command.
+    pub fn start(store: &Store, clock: Clock) -> ShardOwner {
         let start = |number| {
             let (sender, receiver) = mpsc::unbounded_channel();
-            let task = Task::new(number, store, clock);
+            let task = ShardTask::new(number, store, clock);
             actix_web::rt::spawn(task.run(receiver));
             sender
         };
-        Owner { shards: (0..SHARDS).map(start).collect() }
+        ShardOwner { shards: (0..SHARDS).map(start).collect() }
     }
 
     /// Claims a key and returns the answer once the claim is decided.
@@ -71,19 +74,23 @@
     }
 }
 
-struct Task {
+/// Task that owns one shard.
+struct ShardTask {
     number: u64,
     store: Store,
     clock: Clock,
     shard: Shard,
+    /// Links that this task wrote since it last completed a segment or read a link of another
+    /// writer.
     own_links: Vec<Vec<Record>>,
+    /// Tokens of the bucket that limits writes; negative while a write waits.
     write_tokens: f64,
     refilled_at: Moment,
 }
 
-impl Task {
-    fn new(number: u64, store: &Store, clock: Clock) -> Task {
-        Task {
+impl ShardTask {
+    fn new(number: u64, store: &Store, clock: Clock) -> ShardTask {
+        ShardTask {
             number,
             store: store.clone(),
             clock,
@@ -94,7 +101,8 @@
         }
     }
 
-    /// Batches commands into links until the owner is dropped.
+    /// Writes commands in batches until the [`ShardOwner`] is dropped. Outcomes wait for a claim to
+    /// share a link with, up to `MAX_SETTLE_DELAY`.
     async fn run(mut self, mut commands: mpsc::UnboundedReceiver<Command>) {
         let mut settled = Vec::new();
         loop {
@@ -104,7 +112,7 @@
                 match tokio::time::timeout(MAX_SETTLE_DELAY, commands.recv()).await {
                     Ok(command) => command,
                     Err(_) => {
-                        self.write(Vec::new(), &mut settled).await;
+                        self.write_batch(Vec::new(), &mut settled).await;
                         continue;
                     }
                 }
@@ -120,13 +128,13 @@
                 enqueue(command, &mut claims, &mut settled);
             }
             if !claims.is_empty() || settled.len() >= MAX_RECORDS_PER_LINK {
-                self.write(claims, &mut settled).await;
+                self.write_batch(claims, &mut settled).await;
             }
         }
     }
 
-    /// Waits for the token bucket of the shard, so that the fleet keeps below its share of store
-    /// writes.
+    /// Waits for a token of the shard's token bucket, so that the fleet stays below its share of
+    /// writes to the store.
     async fn wait_for_write_token(&mut self) {
         let now = self.clock.now();
         let gained = now.since(self.refilled_at).as_secs() * LINKS_PER_SECOND;
@@ -138,15 +146,18 @@
         }
     }
 
-    /// Writes a batch of claims and outcomes and answers the claims.
-    async fn write(
+    /// Writes a batch of claims and outcomes as a link and answers the claims. Claims that the
+    /// links read so far decide are answered without a write; if another owner wrote the next link
+    /// first, its records are applied and the rest is tried again. Outcomes that could not be
+    /// written stay in `settled`.
+    async fn write_batch(
         &mut self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &mut Vec<Settlement>,
     ) {
-        self.shard.evict(self.clock.date());
-        self.refresh(&claims).await;
-        let mut pending = self.answer_known(claims, settled);
+        self.shard.evict_expired(self.clock.date());
+        self.refresh_if_in_use(&claims).await;
+        let mut pending = self.answer_decided(claims, settled);
         for _ in 0..MAX_WRITE_ATTEMPTS {
             if pending.is_empty() && settled.is_empty() {
                 return;
@@ -156,7 +167,7 @@
                 Ok(false) => {}
                 Err(_) => continue,
             }
-            pending = self.answer_known(pending, settled);
+            pending = self.answer_decided(pending, settled);
         }
         for (_, reply) in pending {
             let _ = reply.send(Answer::Unavailable);
@@ -167,23 +178,24 @@
         }
     }
 
-    /// Reads new links if a claimed key seems to be in use: meanwhile, another VM may have owned
-    /// the shard and written the outcome of the call.
-    async fn refresh(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
+    /// Reads new links of the chain if a claimed key seems to be in use: another VM may have owned
+    /// the shard in the meantime and written the outcome of the call.
+    async fn refresh_if_in_use(&mut self, claims: &[(Claim, oneshot::Sender<Answer>)]) {
         let is_in_use = |claim: &Claim| {
             matches!(self.shard.answer(claim), Some(Answer::Running(_) | Answer::Reserved(_)))
         };
         if !claims.iter().any(|(claim, _)| is_in_use(claim)) {
             return;
         }
-        // If the store is unavailable, the known state is used.
+        // If the store is unavailable, claims are answered from the links read so far.
         if self.read_new_links().await.is_ok_and(|read| read > 0) {
             self.own_links.clear();
         }
     }
 
-    /// Answers claims that the known state decides and returns the others, at most one per key.
-    fn answer_known(
+    /// Answers the claims that the links read so far decide, and returns the others, at most one
+    /// per key.
+    fn answer_decided(
         &self,
         claims: Vec<(Claim, oneshot::Sender<Answer>)>,
         settled: &[Settlement],
@@ -206,8 +218,8 @@
         pending
     }
 
-    /// Tries to create the next link and returns true if it succeeded. If another writer created it
-    /// first, reads the new links.
+    /// Tries to create the next link with these records and returns true if that succeeded. If
+    /// another writer created the link first, reads the new links and returns false.
     async fn try_append(
         &mut self,
         pending: &[(Claim, oneshot::Sender<Answer>)],
@@ -249,16 +261,18 @@
         }
     }
 
+    /// Returns the key of a link in the store.
     fn key(&self, link: u64) -> String {
         format!("once/{}/{link:012}", self.number)
     }
 
+    /// Returns the key of a segment in the store.
     fn segment_key(&self, segment: u64) -> String {
         format!("once-segment/{}/{segment:012}", self.number)
     }
 
-    /// Reads the rest of the chain, whole segments first, then single links. Returns the number of
-    /// links read.
+    /// Reads the links of the chain that this task has not read, first from whole segments, then
+    /// one by one. Returns the number of links read.
     async fn read_new_links(&mut self) -> Result<u64, Error> {
         let before = self.shard.next_link();
         while self.shard.next_link().is_multiple_of(LINKS_PER_SEGMENT) {
@@ -283,7 +297,7 @@
         Ok(self.shard.next_link() - before)
     }
 
-    /// Writes the links that this task has just read or written as a segment.
+    /// Writes a segment with the links that this task has just read or written.
     ///
     /// Links never change, so all writers of a segment write the same content. If a write fails,
     /// the next reader repeats it.
@@ -295,7 +309,8 @@
         }
     }
 
-    /// Applies a link that this task wrote, and writes a segment when it is full.
+    /// Applies a link that this task wrote, and writes a segment once it wrote all links of the
+    /// segment.
     async fn append_own(&mut self, records: Vec<Record>) {
         self.own_links.push(records.clone());
         self.shard.apply_link(records);
@@ -314,7 +329,8 @@
     serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))
 }
 
-/// Replaces a `Running` answer if the outcome of the call is known but not written yet.
+/// Replaces the answer `Running` by the outcome of the call if this task knows the outcome but has
+/// not written it yet.
 fn with_pending_outcome(answer: Answer, claim: &Claim, settled: &[Settlement]) -> Answer {
     let outcome = settled.iter().find(|s| s.key == claim.key).map(|s| &s.outcome);
     match (answer, outcome) {
@@ -343,8 +359,8 @@
     use crate::standin::platform::{Platform, Rates};
     use crate::unit::{Date, Incarnation};
 
-    fn task(store: &Store) -> Task {
-        Task::new(0, store, Clock::default())
+    fn task(store: &Store) -> ShardTask {
+        ShardTask::new(0, store, Clock::default())
     }
 
     fn claim(i: u64, date: Date) -> Claim {
@@ -369,16 +385,16 @@
             let date = first.clock.date();
             let held = claim(1, date);
             let (sender, receiver) = oneshot::channel();
-            first.write(vec![(held.clone(), sender)], &mut Vec::new()).await;
+            first.write_batch(vec![(held.clone(), sender)], &mut Vec::new()).await;
             assert_eq!(receiver.await.unwrap(), Answer::Granted);
             second.read_new_links().await.unwrap();
             let outcome = Outcome::Ran { status: 200, content_type: String::new(), body: None };
             let Claim { key, request, body, .. } = held.clone();
             let settled = Settlement { key, request, body, outcome: outcome.clone() };
-            first.write(Vec::new(), &mut vec![settled]).await;
+            first.write_batch(Vec::new(), &mut vec![settled]).await;
             let again = Claim { request: "another".parse().unwrap(), ..held };
             let (sender, receiver) = oneshot::channel();
-            second.write(vec![(again, sender)], &mut Vec::new()).await;
+            second.write_batch(vec![(again, sender)], &mut Vec::new()).await;
             assert_eq!(receiver.await.unwrap(), Answer::Ended(outcome));
         });
         running.kill();
@@ -395,7 +411,7 @@
             let date = first.clock.date();
             for i in 0..LINKS {
                 let (sender, receiver) = oneshot::channel();
-                first.write(vec![(claim(i, date), sender)], &mut Vec::new()).await;
+                first.write_batch(vec![(claim(i, date), sender)], &mut Vec::new()).await;
                 assert_eq!(receiver.await.unwrap(), Answer::Granted);
             }
             let before = platform.calls().reads;
--- a/src/once/reserved.rs
+++ b/src/once/reserved.rs
@@ -1,8 +1,9 @@
-//! Keys reserved beforehand, so that calls can run while the store is unavailable.
+//! Idempotency keys reserved before their calls, so that the calls can run while the store is
+//! unavailable.
 //!
-//! The store already holds the claim of a reserved key, with this incarnation of this VM as holder.
-//! So this VM alone decides, from memory, which one call may use the key. If the VM dies, no call
-//! may.
+//! The store already has the claim of a reserved key, with this process of this VM as holder. So
+//! this VM alone decides, from memory, which one call may use the key. If the VM dies, no call may
+//! use the key.
 
 use std::collections::HashMap;
 
@@ -14,7 +15,7 @@
 /// Maximum number of keys reserved on one VM; at 200 bytes each they take 2 MB.
 const MAX_RESERVED_KEYS: usize = 10_000;
 
-/// Decision of the holder of a reserved key on a call.
+/// Decision of the VM that reserved a key on a call that wants to use the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeyGrant {
     /// The call may run under the request id of the reservation.
@@ -25,25 +26,30 @@
     BodyMismatch,
 }
 
-/// A reserved key is granted for this long after its reservation. This is half of the time that the
-/// chain retains the claim, so the key can't be granted alongside a later claim.
+/// Time after the reservation in which a reserved key may be granted to a call. This is half of the
+/// time that the chain in the store retains the claim, so the key can't be granted alongside a
+/// later claim.
 const GRANT_WINDOW: Span = Span::secs(12 * 3600);
 
+/// One reserved key.
 #[derive(Clone, Debug)]
-struct Slot {
+struct ReservedKey {
     reserved_at: Moment,
+    /// Id of the request that reserved the key, under which the call runs.
     reservation: RequestId,
-    user: Option<(RequestId, Digest)>,
+    /// The call that uses the key and the digest of its body, once there is one.
+    used_by: Option<(RequestId, Digest)>,
 }
 
 /// Keys reserved on this VM.
 #[derive(Clone, Debug, Default)]
-pub struct Reserved {
-    slots: HashMap<Digest, Slot>,
+pub struct ReservedKeys {
+    slots: HashMap<Digest, ReservedKey>,
 }
 
-impl Reserved {
-    /// Returns true if one more key may be reserved; removes those whose grant window has passed.
+impl ReservedKeys {
+    /// Returns true if one more key may be reserved; first removes the keys whose grant window has
+    /// passed.
     pub fn has_room(&mut self, now: Moment) -> bool {
         self.slots.retain(|_, slot| now.since(slot.reserved_at) < GRANT_WINDOW);
         self.slots.len() < MAX_RESERVED_KEYS
@@ -51,17 +57,22 @@
 
     /// Adds a key whose claim is in the store.
     pub fn add(&mut self, key: Digest, reservation: RequestId, now: Moment) {
-        self.slots.entry(key).or_insert(Slot { reserved_at: now, reservation, user: None });
+        self.slots.entry(key).or_insert(ReservedKey {
+            reserved_at: now,
+            reservation,
+            used_by: None,
+        });
     }
 
     /// Removes and returns the keys that no call has used, to be released before this VM stops.
     pub fn take_unused(&mut self) -> Vec<(Digest, RequestId)> {
-        let unused = self.slots.extract_if(|_, slot| slot.user.is_none());
+        let unused = self.slots.extract_if(|_, slot| slot.used_by.is_none());
         unused.map(|(key, slot)| (key, slot.reservation)).collect()
     }
 
-    /// Decides if a call may use a key, or returns `None` if the key is not reserved here. The
-    /// first call gets the key; asking again for the same call gives the same decision.
+    /// Decides if a call, the request `user`, may use a key, or returns `None` if the key is not
+    /// reserved on this VM. The first call gets the key; asking again for the same call gives the
+    /// same decision.
     pub fn try_use(
         &mut self,
         key: Digest,
@@ -73,7 +84,7 @@
         if now.since(slot.reserved_at) >= GRANT_WINDOW {
             return None;
         }
-        let (first, first_body) = slot.user.get_or_insert_with(|| (user.clone(), body));
+        let (first, first_body) = slot.used_by.get_or_insert_with(|| (user.clone(), body));
         if first == user {
             return Some(KeyGrant::Granted(slot.reservation.clone()));
         }
@@ -88,7 +99,7 @@
 
     #[test]
     fn a_key_set_aside_is_given_to_one_call_only() {
-        let mut reserved = Reserved::default();
+        let mut reserved = ReservedKeys::default();
         let (key, body) = (digest(&[b"k"]), digest(&[b"b"]));
         let (one, two): (RequestId, RequestId) = ("r1".parse().unwrap(), "r2".parse().unwrap());
         let now = Moment(1);
@@ -103,7 +114,7 @@
 
     #[test]
     fn a_key_is_not_given_out_near_the_end_of_the_chains_memory() {
-        let mut reserved = Reserved::default();
+        let mut reserved = ReservedKeys::default();
         let (key, one) = (digest(&[b"k"]), "r1".parse().unwrap());
         reserved.add(key, "r0".parse().unwrap(), Moment(1));
         assert_eq!(reserved.try_use(key, &one, key, Moment(1) + GRANT_WINDOW), None);
--- a/src/vm/duty/monitor.rs
+++ b/src/vm/duty/monitor.rs
@@ -1,6 +1,6 @@
 //! Withdraws versions whose quality falls while they are in service.
 
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm_counts, is_responsible};
 use crate::config::{Change, Plan, Snapshot};
 use crate::decide::sequential;
 use crate::evidence::{Counts, Key};
@@ -10,8 +10,9 @@
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Compares the current window of each version in service with the windows before, and withdraws
-/// the version if its ratings became worse and there is a previous version to return to.
+/// Compares the ratings of each version in service in the current time window with those in the
+/// windows before. Withdraws the version if its ratings became worse and there is a previous
+/// version to return to.
 pub async fn monitor_versions(control: Control) {
     loop {
         tokio::time::sleep(STEP_INTERVAL).await;
@@ -27,8 +28,8 @@
                 let previous = Target { model: model.name.clone(), version: version.clone() };
                 !snapshot.root.withdrawn.contains(&previous)
             });
-            // Without a previous version to return to, the burn report shows the fault to
-            // operators.
+            // Without a previous version to return to, only the error budget report shows the fault
+            // to operators.
             if !usable || snapshot.rollout(&model.name).is_some() {
                 continue;
             }
@@ -37,7 +38,7 @@
             }
             let window = date.0 / TRIAL_WINDOW_US * TRIAL_WINDOW_US;
             let (now, before) = ratings_by_window(&control, &target, window);
-            let usual = arm(before).poor;
+            let usual = arm_counts(before).poor;
             if usual.all < 50.0 {
                 continue;
             }
@@ -45,9 +46,9 @@
             let spread = (rate * (1.0 - rate) / usual.all).sqrt();
             let policy = &control.vm.settings.rollout;
             let limit = rate + 2.0 * spread + policy.tolerance;
-            let evidence = sequential::evidence(arm(now).poor, limit);
-            // There are many windows a day, so each may err a hundred times less often than a
-            // rollout.
+            let evidence = sequential::evidence(arm_counts(now).poor, limit);
+            // There are many windows a day, so the test of each may err a hundred times less often
+            // than that of a roll-out.
             if evidence >= (100.0 / policy.alpha).ln() {
                 withdraw(&control, &snapshot, &target, now).await;
             }
@@ -55,7 +56,8 @@
     }
 }
 
-/// Returns the ratings of a version in the current window, and in the windows before it.
+/// Returns the ratings of a version in the time window that starts at `window`, and in the baseline
+/// windows before.
 fn ratings_by_window(control: &Control, target: &Target, window: u64) -> (Counts, Counts) {
     control.with_gossip(|g| {
         let oldest = window.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
@@ -76,8 +78,11 @@
     })
 }
 
+/// Withdraws a version through a change of the configuration in the store, with its ratings of the
+/// current window as the reason.
 async fn withdraw(control: &Control, snapshot: &Snapshot, target: &Target, now: Counts) {
-    let reason = format!("it turned bad in service: {} of {} rated poor", now.poor, now.rated);
+    let reason =
+        format!("its ratings became worse in service: {} of {} are poor", now.poor, now.rated);
     let descriptions = vec![format!("withdraw {target}: {reason}")];
     let change = Change::Withdraw { target: target.clone(), reason };
     let plan = Plan::new(snapshot.revision(), vec![change], descriptions.clone(), Vec::new());
--- a/src/vm/duty/policy.rs
+++ b/src/vm/duty/policy.rs
@@ -6,14 +6,14 @@
 
 use super::BASELINE_WINDOWS;
 use crate::config::{Snapshot, VersionEntry};
-use crate::decide::cascade::{self, Belief, Rungs};
+use crate::decide::cascade::{self, Observations, Rungs};
 use crate::decide::{limit, rollout};
 use crate::evidence::{Counts, Key};
 use crate::unit::{Kind, Model, Rate, Target, Workspace};
 use crate::vm::control::Control;
 use crate::vm::state::TRIAL_WINDOW_US;
 
-/// Time between two updates.
+/// Time between two updates of the policies.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Updates the policies of this VM at each interval until the process ends.
@@ -30,14 +30,16 @@
     }
 }
 
-/// Cascade state of one workspace: the sums read last, and the beliefs derived from all of them.
+/// State of the cascades of one workspace: the sums of evidence read last, and the decayed
+/// observations made from the growth of these sums.
 #[derive(Default)]
 struct CascadeState {
     last_sums: BTreeMap<Key, Counts>,
-    beliefs: BTreeMap<Kind, Belief>,
+    observations: BTreeMap<Kind, Observations>,
     detectors: BTreeMap<Kind, cascade::DriftDetector>,
 }
 
+/// Updates the rules of the cascades of all workspaces from the evidence.
 fn update_cascade_rules(
     control: &Control,
     snapshot: &Snapshot,
@@ -48,23 +50,23 @@
             continue;
         }
         let state = cascades.entry(workspace.name.clone()).or_default();
-        update_beliefs(control, &workspace.name, state);
+        update_observations(control, &workspace.name, state);
         for declared in &workspace.cascades {
             let Some(rungs) = cascade_rungs(snapshot, &declared.rungs) else { continue };
-            let beliefs: Vec<Belief> = state.beliefs.values().cloned().collect();
-            let rules = cascade::solve(&beliefs, &rungs, declared.target);
+            let observations: Vec<Observations> = state.observations.values().cloned().collect();
+            let rules = cascade::solve_rules(&observations, &rungs, declared.target);
             let mut installed = control.vm.cascade_rules.write().expect("no panic while held");
-            for (kind, rule) in state.beliefs.keys().zip(rules) {
+            for (kind, rule) in state.observations.keys().zip(rules) {
                 installed.insert((workspace.name.clone(), kind.clone()), rule);
             }
         }
     }
 }
 
-/// Returns the cost and quality of the first and last rung of a cascade, for an answer of 1000
-/// tokens.
+/// Returns the cost and quality of the first and the last rung (model) of a cascade, for an answer
+/// of 1000 tokens.
 ///
-/// Returns none if one of them has no version in service.
+/// Returns none if one of the two models has no version in service.
 pub fn cascade_rungs(snapshot: &Snapshot, models: &[Model]) -> Option<Rungs> {
     let entry = |model: &Model| -> Option<VersionEntry> {
         let version = snapshot.serving(model)?;
@@ -80,8 +82,9 @@
     })
 }
 
-/// Adds the growth of the evidence to the beliefs, in which older ratings decay.
-fn update_beliefs(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
+/// Adds the growth of the evidence since the last call to the observations of each kind of work, in
+/// which older ratings decay.
+fn update_observations(control: &Control, workspace: &Workspace, state: &mut CascadeState) {
     let of_workspace = |key: &Key| match key {
         Key::Cheap { workspace: w, .. } | Key::Strong { workspace: w, .. } => w == workspace,
         _ => false,
@@ -93,39 +96,44 @@
         let rated = sum.rated.saturating_sub(before.rated);
         let poor = sum.poor.saturating_sub(before.poor);
         let (Key::Cheap { kind, bin, .. } | Key::Strong { kind, bin, .. }) = key else { continue };
-        let bin = usize::from(*bin).min(cascade::BINS);
-        let belief = state.beliefs.entry(kind.clone()).or_default();
-        belief.decay(cascade::RATING_DECAY.powf(rated as f64));
-        let cell = match key {
+        let bin = usize::from(*bin).min(cascade::CONFIDENCE_BINS);
+        let observed = state.observations.entry(kind.clone()).or_default();
+        observed.decay(cascade::RATING_DECAY.powf(rated as f64));
+        let ratings = match key {
             Key::Cheap { .. } => {
-                belief.requests += ended;
-                belief.confidence_counts[bin.min(cascade::BINS - 1)] += ended;
-                &mut belief.cheap[bin.min(cascade::BINS - 1)]
+                observed.requests += ended;
+                observed.confidence_counts[bin.min(cascade::CONFIDENCE_BINS - 1)] += ended;
+                &mut observed.cheap[bin.min(cascade::CONFIDENCE_BINS - 1)]
             }
-            _ if bin < cascade::BINS => &mut belief.strong[bin],
+            _ if bin < cascade::CONFIDENCE_BINS => &mut observed.strong[bin],
             _ => {
-                belief.requests += ended;
-                &mut belief.direct
+                observed.requests += ended;
+                &mut observed.direct
             }
         };
+        // Of the new ratings, `poor` count as not passed, in any order.
         for i in 0..rated {
-            cell.add(i >= poor);
+            ratings.add(i >= poor);
         }
         if !matches!(key, Key::Cheap { .. }) || state.last_sums.is_empty() {
             continue;
         }
         let rules = control.vm.cascade_rules.read().expect("no panic while held");
         let rule = rules.get(&(workspace.clone(), kind.clone()));
-        let expected = rule.map_or(0.0, |rule| rule.cheap[bin.min(cascade::BINS - 1)]);
+        let expected =
+            rule.map_or(0.0, |rule| rule.cheap_pass_rate[bin.min(cascade::CONFIDENCE_BINS - 1)]);
         let detector = state.detectors.entry(kind.clone()).or_default();
         let alarms = (0..rated).filter(|i| expected > 0.0 && detector.record(expected, *i >= poor));
         if alarms.count() > 0 {
-            belief.discount();
+            observed.discount();
         }
     }
     state.last_sums = sums;
 }
 
+/// Updates this VM's share of each workspace's rate limit from the demand at this VM and at all
+/// VMs. `demand` holds per workspace: the requests counted at the last call, at this VM and at all
+/// VMs, and the decayed sums of both.
 fn update_rate_shares(
     control: &Control,
     snapshot: &Snapshot,
@@ -135,11 +143,11 @@
     let vms = control.other_vms().len() + 1;
     for workspace in &snapshot.declared.workspaces {
         let key = Key::Demand { workspace: workspace.name.clone() };
-        let (own, all) = control
-            .with_gossip(|g| (g.evidence.own(&origin, &key).ended, g.evidence.sum(&key).ended));
+        let (own, all) = control.with_gossip(|g| {
+            (g.evidence.own_counts(&origin, &key).ended, g.evidence.sum(&key).ended)
+        });
         let known = demand.entry(workspace.name.clone()).or_default();
-        // Requests counted last (own, of all VMs), then decayed sums of both. The decay makes
-        // recent demand count: a VM that was busy an hour ago needs no share now.
+        // The decay makes recent demand count: a VM that was busy an hour ago needs no share now.
         known.2 = known.2 * 0.9 + own.saturating_sub(known.0) as f64;
         known.3 = known.3 * 0.9 + all.saturating_sub(known.1) as f64;
         known.0 = own;
@@ -150,6 +158,8 @@
     }
 }
 
+/// Updates the probabilities with which answers of the new and of other versions are rated during a
+/// roll-out.
 fn update_sampling_rates(control: &Control, snapshot: &Snapshot) {
     let usual = control.vm.settings.rated_share;
     let rollout = snapshot.root.rollouts.iter().max_by_key(|rollout| rollout.share);
@@ -164,7 +174,7 @@
     *control.vm.sampling_rates.write().expect("no panic while held") = rates;
 }
 
-/// Removes the evidence of trials that no decision uses any more.
+/// Removes the evidence of trials (roll-outs and time windows) that no decision uses any more.
 fn remove_old_trials(control: &Control, snapshot: &Snapshot) {
     let date = control.vm.clock.date();
     let oldest = date.0.saturating_sub((BASELINE_WINDOWS + 1) * TRIAL_WINDOW_US);
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -1,8 +1,9 @@
-//! Steps the rollouts that this VM is responsible for.
+//! Steps the roll-outs that this VM is responsible for: has servers load the new version, then
+//! changes its share of traffic as [`crate::decide::rollout`] decides.
 
 use std::collections::HashMap;
 
-use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm, is_responsible};
+use super::{BASELINE_WINDOWS, STEP_INTERVAL, arm_counts, is_responsible};
 use crate::config::{Change, Plan, Rollout, Snapshot};
 use crate::decide::rollout::{self, Action, Inputs};
 use crate::decide::sequential::Count;
@@ -17,17 +18,23 @@
 /// Weight of the latest request rate in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.2;
 
-/// State kept between two steps of a rollout; a VM that takes the rollout over starts without it.
+/// State kept between two steps of a roll-out; a VM that becomes responsible for a roll-out starts
+/// without it.
 #[derive(Default)]
 struct StepState {
+    /// Number of ratings of both versions.
     rated: u64,
+    /// When the number of ratings last grew.
     rated_at: Date,
+    /// Number of ended requests of both versions at the last step.
     ended: u64,
+    /// Time of the last step.
     ended_at: Date,
-    rate: f64,
+    /// Requests per second of both versions, as a moving average.
+    request_rate: f64,
 }
 
-/// Steps the rollouts that this VM is responsible for, until the process ends.
+/// Steps the roll-outs that this VM is responsible for at each interval, until the process ends.
 pub async fn step_rollouts(control: Control) {
     let mut states: HashMap<Target, StepState> = HashMap::new();
     loop {
@@ -44,9 +51,10 @@
     }
 }
 
+/// Performs the next step of one roll-out, if it is due.
 async fn step(control: &Control, snapshot: &Snapshot, rollout: &Rollout, state: &mut StepState) {
     if rollout.state == "loading" {
-        if preload(control, snapshot, rollout).await {
+        if load_on_servers(control, snapshot, rollout).await {
             let no_share = (TrafficShare(0), false);
             write_step(control, snapshot, rollout, "loaded", no_share, "all its servers have it")
                 .await;
@@ -55,9 +63,9 @@
     }
     let inputs = collect_inputs(control, snapshot, rollout, state);
     let policy = &control.vm.settings.rollout;
-    let (event, share, reason) = match rollout::decide(policy, &inputs) {
+    let (event, share, reason) = match rollout::next_step(policy, &inputs) {
         // Sessions may be admitted or excluded without a change of share.
-        Action::Stay if rollout.sessions != rollout::takes_sessions(policy, &inputs) => {
+        Action::Stay if rollout.sessions != rollout::admits_sessions(policy, &inputs) => {
             ("grow", rollout.share, "sessions".to_owned())
         }
         Action::Stay => return,
@@ -71,7 +79,7 @@
     if rollout.state == "held" && event == "grow" {
         return;
     }
-    let sessions = rollout::takes_sessions(policy, &inputs);
+    let sessions = rollout::admits_sessions(policy, &inputs);
     write_step(control, snapshot, rollout, event, (share, sessions), &reason).await;
 }
 
@@ -109,7 +117,7 @@
 /// Orders servers to load the version, one at a time to limit the load on the weight store.
 ///
 /// Returns true once all servers have loaded it.
-async fn preload(control: &Control, snapshot: &Snapshot, rollout: &Rollout) -> bool {
+async fn load_on_servers(control: &Control, snapshot: &Snapshot, rollout: &Rollout) -> bool {
     for server in snapshot.servers_of(&rollout.to) {
         let loaded = {
             let fleet = control.vm.fleet.lock().expect("no panic while held");
@@ -118,7 +126,8 @@
         if loaded {
             continue;
         }
-        // A server that does not check the fence of orders gets one only from the responsible VM.
+        // A server that does not check the fence (revision) of orders gets an order only from the
+        // responsible VM.
         if !server.checks_orders && !is_responsible(control, &rollout.to.model) {
             return false;
         }
@@ -131,6 +140,7 @@
     true
 }
 
+/// Returns the inputs of the decision, from the evidence of all VMs, and updates `state`.
 fn collect_inputs(
     control: &Control,
     snapshot: &Snapshot,
@@ -151,31 +161,31 @@
     let since = date.since(state.ended_at).as_secs();
     if state.ended_at == Date(0) {
         let age = date.since(rollout.begun).as_secs().max(1.0);
-        state.rate = ended as f64 / age;
+        state.request_rate = ended as f64 / age;
     } else if since > 0.0 {
         let recent = ended.saturating_sub(state.ended) as f64 / since;
-        state.rate += SMOOTHING_FACTOR * (recent - state.rate);
+        state.request_rate += SMOOTHING_FACTOR * (recent - state.request_rate);
     }
     state.ended = ended;
     state.ended_at = date;
-    let lag = control.vm.pending_samples.lock().expect("no panic while held").lag();
+    let lag = control.vm.pending_samples.lock().expect("no panic while held").mean_lag();
     let declared = snapshot.version(&from).map_or(0.9, |version| version.quality);
     Inputs {
-        new: arm(new),
-        old: arm(old),
-        earlier: ratings_before(control, &from, rollout.begun.0),
+        new: arm_counts(new),
+        old: arm_counts(old),
+        earlier_ratings: ratings_before(control, &from, rollout.begun.0),
         share: rollout.share,
-        held: rollout.state == "held",
-        at_share: date.since(rollout.since),
-        rate: state.rate,
-        // Evidence and the step itself take time to reach all VMs.
-        lag: Span(lag.0 + Span::millis(1500).0),
-        since_rating: date.since(state.rated_at),
-        prior: 1.0 - declared,
+        is_held: rollout.state == "held",
+        time_at_share: date.since(rollout.since),
+        request_rate: state.request_rate,
+        // The ratings and the step itself take time to reach all VMs.
+        rating_lag: Span(lag.0 + Span::millis(1500).0),
+        time_since_rating: date.since(state.rated_at),
+        declared_bad_share: 1.0 - declared,
     }
 }
 
-/// Returns the ratings of a version in the windows before a rollout began.
+/// Returns the ratings of a version in the time windows before a roll-out began.
 fn ratings_before(control: &Control, from: &Target, rollout_start: u64) -> Count {
     let oldest = rollout_start.saturating_sub(BASELINE_WINDOWS * TRIAL_WINDOW_US);
     let earlier = |key: &Key| match key {
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -1,11 +1,12 @@
-//! State of the backend servers as this VM knows it, and the choice of a server for a request.
+//! State of the backend servers of the configuration as this VM knows it, and the choice of a
+//! server for a request.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use crate::chart::{self, Machine};
 use crate::config::{ServerEntry, Snapshot};
-use crate::decide::replica::{Replica, choose};
+use crate::decide::replica::{Replica, select_replica};
 use crate::engine::wire::Load;
 use crate::unit::{DataCentre, Moment, Revision, Server, Service, Span, Target};
 
@@ -26,10 +27,11 @@
 pub struct SelectedServer {
     /// Name of the server.
     pub server: Server,
-    /// Address on which it accepts requests.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
 }
 
+/// What this VM knows of one server.
 #[derive(Clone, Debug)]
 struct ServerState {
     address: SocketAddr,
@@ -37,14 +39,15 @@
     state_machine: Machine,
     load: Load,
     reported_at: Moment,
-    /// Requests of this VM that are open at the server.
+    /// Number of this VM's requests that are open at the server.
     in_flight: f64,
+    /// Number of this VM's requests that were open at the server at its last load report.
     in_flight_at_report: f64,
     failed_at: Option<Moment>,
     latency: Span,
     replica_id: u64,
     /// Groups of the server, with the index of its replica in each.
-    positions: Vec<(Group, usize)>,
+    group_indices: Vec<(Group, usize)>,
 }
 
 /// All backend servers of the configuration.
@@ -52,12 +55,13 @@
 pub struct Fleet {
     revision: Option<Revision>,
     servers: HashMap<Server, ServerState>,
+    /// Replicas and names of the servers of each group, in the same order.
     groups: HashMap<Group, (Vec<Replica>, Vec<Server>)>,
 }
 
 impl Fleet {
-    /// Updates the servers to the configuration. The state of servers that remain is kept; servers
-    /// of drained data centres are in no group.
+    /// Updates the servers to a configuration. Servers that remain keep their state; servers of
+    /// drained data centres are in no group, so they get no requests.
     pub fn apply_snapshot(&mut self, snapshot: &Snapshot, own_data_centre: &DataCentre) {
         if self.revision == Some(snapshot.revision()) {
             return;
@@ -75,12 +79,12 @@
             } else {
                 CROSS_DATA_CENTRE_LATENCY
             };
-            state.positions.clear();
+            state.group_indices.clear();
             if !snapshot.root.drained.contains(&entry.data_centre) {
                 for group in groups_of(entry) {
                     let (replicas, names) = self.groups.entry(group.clone()).or_default();
-                    state.positions.push((group, replicas.len()));
-                    replicas.push(replica(&state));
+                    state.group_indices.push((group, replicas.len()));
+                    replicas.push(to_replica(&state));
                     names.push(entry.name.clone());
                 }
             }
@@ -88,13 +92,14 @@
         }
         let names: Vec<Server> = self.servers.keys().cloned().collect();
         for name in names {
-            self.refresh(&name);
+            self.update_replicas(&name);
         }
     }
 
     /// Selects a server of a group and counts the request as in flight there.
     ///
-    /// `point` is a random number that spreads the choice. Returns none if no server can take it.
+    /// `prefix` is a hash of the start of the prompt, for servers that have it cached, and `point`
+    /// a random number that spreads the choice. Returns none if no server can take the request.
     pub fn select_server(
         &mut self,
         group: &Group,
@@ -103,20 +108,20 @@
         now: Moment,
     ) -> Option<SelectedServer> {
         let (replicas, names) = self.groups.get(group)?;
-        let at = choose(replicas, prefix, point, now)?;
+        let at = select_replica(replicas, prefix, point, now)?;
         let server = names[at].clone();
         let state = self.servers.get_mut(&server)?;
         state.in_flight += 1.0;
         let address = state.address;
-        self.refresh(&server);
+        self.update_replicas(&server);
         Some(SelectedServer { server, address })
     }
 
-    /// Records that a request at a server ended.
+    /// Records that a request of this VM at a server ended.
     pub fn on_request_end(&mut self, server: &Server) {
         if let Some(state) = self.servers.get_mut(server) {
             state.in_flight = (state.in_flight - 1.0).max(0.0);
-            self.refresh(server);
+            self.update_replicas(server);
         }
     }
 
@@ -133,10 +138,10 @@
         if !state.load.leaving {
             state.failed_at = None;
         }
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
-    /// Records the running and waiting requests that a server sent with a response.
+    /// Records the numbers of running and waiting requests that a server sent with a response.
     pub fn on_load_hint(&mut self, server: &Server, running: u32, waiting: u32, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
@@ -145,17 +150,18 @@
         state.load.waiting = waiting;
         state.reported_at = now;
         state.in_flight_at_report = state.in_flight;
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
-    /// Records that a server did not accept a request, or failed in the middle of one.
+    /// Records that a server did not accept a request or failed while it ran one; for a while the
+    /// server gets no requests.
     pub fn on_failure(&mut self, server: &Server, now: Moment) {
         let Some(state) = self.servers.get_mut(server) else {
             return;
         };
         let _ = state.state_machine.apply("fail");
         state.failed_at = Some(now);
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Records that a server announced that it is draining.
@@ -164,7 +170,7 @@
             return;
         };
         let _ = state.state_machine.apply("leave");
-        self.refresh(server);
+        self.update_replicas(server);
     }
 
     /// Returns the name and address of each server.
@@ -187,8 +193,8 @@
         self.groups.get(group).map_or(0, |(replicas, _)| replicas.len())
     }
 
-    /// Describes for each server of a group why a request can or cannot go there, for decision
-    /// records.
+    /// Describes for each server of a group if a request can be sent to it, and why not, for
+    /// decision records.
     pub fn describe_candidates(&self, group: &Group, now: Moment) -> Vec<String> {
         let Some((replicas, names)) = self.groups.get(group) else {
             return Vec::new();
@@ -198,26 +204,30 @@
                 self.servers.get(name).map_or("unknown", |server| server.state_machine.state());
             let verdict = if !replica.accepting {
                 format!("ruled out: {state} or not loaded")
-            } else if !replica.usable(now) {
+            } else if !replica.is_usable(now) {
                 "ruled out: failed recently".to_owned()
             } else {
-                format!("load {:.0}, in flight from this VM {:.0}", replica.reported, replica.own)
+                format!(
+                    "load {:.0}, in flight from this VM {:.0}",
+                    replica.reported, replica.own_open
+                )
             };
             format!("{name}: {verdict}")
         };
         replicas.iter().zip(names).map(describe).collect()
     }
 
-    /// Rebuilds the replicas of a server in its groups after its state changed.
-    fn refresh(&mut self, server: &Server) {
+    /// Copies the changed state of a server to its replica in each of its groups, from which
+    /// servers are selected.
+    fn update_replicas(&mut self, server: &Server) {
         let Some(state) = self.servers.get(server) else {
             return;
         };
-        for (group, at) in &state.positions {
+        for (group, at) in &state.group_indices {
             let Some((replicas, _)) = self.groups.get_mut(group) else {
                 continue;
             };
-            let mut updated = replica(state);
+            let mut updated = to_replica(state);
             if let Group::Version(target) = group
                 && state.reported_at > Moment(0)
                 && !state.load.loaded.is_empty()
@@ -241,23 +251,25 @@
         failed_at: None,
         latency: Span(0),
         replica_id: 0,
-        positions: Vec::new(),
+        group_indices: Vec::new(),
     }
 }
 
+/// Returns the groups of a server: one per version that it runs, and its service.
 fn groups_of(entry: &ServerEntry) -> Vec<Group> {
     let versions = entry.versions.iter().cloned().map(Group::Version);
     versions.chain(entry.service.iter().cloned().map(Group::Service)).collect()
 }
 
-fn replica(state: &ServerState) -> Replica {
+/// Returns the state of a server in the form that [`select_replica`] needs.
+fn to_replica(state: &ServerState) -> Replica {
     Replica {
         id: state.replica_id,
         slots: state.slots,
         reported: f64::from(state.load.running + state.load.waiting),
         reported_at: state.reported_at,
-        own: state.in_flight,
-        own_at_report: state.in_flight_at_report,
+        own_open: state.in_flight,
+        own_open_at_report: state.in_flight_at_report,
         accepting: !matches!(state.state_machine.state(), "leaving" | "gone"),
         failed_at: state.failed_at,
         latency: state.latency,
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -1,4 +1,4 @@
-//! Sends samples to the rating service and adds the ratings to the evidence.
+//! Sends samples (answers to be rated) to the rating service, and adds the ratings to the evidence.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -12,19 +12,19 @@
 /// Time between two exchanges with the rating service.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Maximum number of samples that wait for a rating; beyond it the oldest is dropped.
+/// Maximum number of samples that wait for a rating; beyond the maximum the oldest is dropped.
 const MAX_PENDING_SAMPLES: usize = 20_000;
 
-/// Weight of the latest rating in the moving average of the lag.
+/// Weight of the latest rating in the moving average of the time from an answer to its rating.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// The counters that the rating of a sample is added to.
+/// A sample that waits for its rating: where the rating will be counted.
 #[derive(Clone, Debug)]
-pub struct Subject {
-    /// Counters to add to.
+pub struct PendingSample {
+    /// Evidence keys under which the rating is counted.
     pub keys: Vec<Key>,
     /// Time at which the answer was sent.
-    pub date: Date,
+    pub answered_at: Date,
 }
 
 thread_local! {
@@ -32,37 +32,44 @@
     static OUTBOX: RefCell<Vec<Sample>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Samples that wait for a rating, and the average lag of ratings.
+/// Samples that wait for a rating, and the mean time from an answer to its rating.
 #[derive(Debug, Default)]
 pub struct PendingSamples {
-    subjects: HashMap<RequestId, Subject>,
+    samples: HashMap<RequestId, PendingSample>,
+    /// Requests of the samples, the oldest first.
     order: VecDeque<RequestId>,
-    lag: f64,
+    /// Mean time from an answer to its rating, in seconds; zero before the first rating.
+    mean_lag: f64,
 }
 
 impl PendingSamples {
-    /// Inserts a sample with the counters that its rating will be added to.
-    pub fn insert(&mut self, request: RequestId, subject: Subject) {
+    /// Inserts the sample of a request.
+    pub fn insert(&mut self, request: RequestId, pending: PendingSample) {
         if self.order.len() >= MAX_PENDING_SAMPLES
             && let Some(oldest) = self.order.pop_front()
         {
-            self.subjects.remove(&oldest);
+            self.samples.remove(&oldest);
         }
         self.order.push_back(request.clone());
-        self.subjects.insert(request, subject);
+        self.samples.insert(request, pending);
     }
 
-    fn remove(&mut self, request: &RequestId, now: Date) -> Option<Subject> {
-        let subject = self.subjects.remove(request)?;
-        let lag = now.since(subject.date).as_secs();
-        self.lag =
-            if self.lag == 0.0 { lag } else { self.lag + SMOOTHING_FACTOR * (lag - self.lag) };
-        Some(subject)
+    /// Removes the sample of a request whose rating arrived, and adds the rating to the mean lag.
+    fn remove(&mut self, request: &RequestId, now: Date) -> Option<PendingSample> {
+        let pending = self.samples.remove(request)?;
+        let lag = now.since(pending.answered_at).as_secs();
+        self.mean_lag = if self.mean_lag == 0.0 {
+            lag
+        } else {
+            self.mean_lag + SMOOTHING_FACTOR * (lag - self.mean_lag)
+        };
+        Some(pending)
     }
 
-    /// Returns the average time from an answer to its rating.
-    pub fn lag(&self) -> Span {
-        Span((self.lag * 1e6) as u64)
+    /// Returns the moving average of the time from an answer to its rating; zero before the first
+    /// rating.
+    pub fn mean_lag(&self) -> Span {
+        Span((self.mean_lag * 1e6) as u64)
     }
 }
 
@@ -86,15 +93,15 @@
         }
         let date = control.vm.clock.date();
         for rating in ratings.fetch(&control.vm.settings.vm).await {
-            let subject = control
+            let pending = control
                 .vm
                 .pending_samples
                 .lock()
                 .expect("no panic while held")
                 .remove(&rating.request, date);
-            let Some(subject) = subject else { continue };
+            let Some(pending) = pending else { continue };
             let more = Counts { rated: 1, poor: u64::from(!rating.pass), ..Counts::default() };
-            for key in subject.keys {
+            for key in pending.keys {
                 control.vm.record_evidence(key, more);
             }
         }
--- a/src/vm/run.rs
+++ b/src/vm/run.rs
@@ -19,7 +19,7 @@
 use crate::error::Error;
 use crate::history::{Event, Sink};
 use crate::ledger::Buffer;
-use crate::once::Owner;
+use crate::once::ShardOwner;
 use crate::peer::{Gossip, Links, Member, State};
 use crate::platform::{RatingClient, Store};
 use crate::unit::{Incarnation, Moment};
@@ -27,20 +27,20 @@
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 4096;
 
-/// Maximum number of connections of one worker.
+/// Maximum number of connections of callers per worker thread.
 const MAX_WORKER_CONNECTIONS: usize = 20_000;
 
 /// Time within which a caller must send the head of a request. It is longer than any suspension
 /// that a VM resumes from, since the HTTP library counts suspended time as the caller's.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two checks during a stop whether all requests have ended.
+/// Time between two checks, during a planned stop, if all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time that open connections get after a planned stop, in seconds.
 const SHUTDOWN_TIMEOUT_SECS: u64 = 1;
 
-/// A VM that runs on this thread.
+/// Handle to a VM whose control thread is this thread.
 pub struct Handle {
     /// The VM.
     pub vm: Arc<Vm>,
@@ -61,7 +61,7 @@
     let address = listener.local_addr().map_err(bind_error)?;
     let (to_control, incoming) = mpsc::unbounded_channel();
     let links = Links::bind(settings.peer, settings.fleet_key.bytes(), to_control)?;
-    let me = Member {
+    let own_member = Member {
         vm: settings.vm.clone(),
         address: links.address().unwrap_or(settings.peer),
         data_centre: settings.data_centre.clone(),
@@ -70,14 +70,14 @@
         state: State::Alive,
     };
     let (command_sender, commands) = mpsc::unbounded_channel();
-    let gossip = Gossip::new(me, clock.now());
+    let gossip = Gossip::new(own_member, clock.now());
     let vm = Arc::new(Vm::new(settings, clock, gossip, history, command_sender));
     let store = Store::new(vm.settings.platform);
     let (bill_queue, bills) = mpsc::unbounded_channel();
     let control = Control {
         vm: vm.clone(),
         links,
-        owner: Owner::start(&store, clock),
+        owner: ShardOwner::start(&store, clock),
         store,
         unflushed: Rc::new(RefCell::new(Buffer::new(vm.origin()))),
         bill_queue,
@@ -127,7 +127,8 @@
 }
 
 impl Handle {
-    /// Stops as planned: refuses new work, waits for running requests, hands over state and leaves.
+    /// Stops the VM as planned: refuses new work, waits for running requests, writes bills and
+    /// releases keys, and leaves the fleet.
     ///
     /// Returns the number of requests that were still running when the time limit was reached.
     pub async fn stop(self) -> usize {
@@ -136,20 +137,20 @@
         log::info!("{} {} planned stop started", vm.settings.vm, vm.incarnation);
         vm.stopping.store(true, Ordering::SeqCst);
         let until = vm.clock.now() + vm.settings.stop_within;
-        while vm.running.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
+        while vm.in_flight.load(Ordering::SeqCst) > 0 && vm.clock.now() < until {
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
-        let cut = vm.running.load(Ordering::SeqCst);
+        let cut = vm.in_flight.load(Ordering::SeqCst);
         self.control.leave().await;
         self.server.stop(true).await;
         self.control.links.close();
         cut
     }
 
-    /// Stops at once, as in a crash: nothing is handed over.
+    /// Stops the VM at once, as in a crash: nothing is written or announced.
     pub fn kill(self) {
         self.vm.history.record(|| Event::Killed { vm: self.vm.settings.vm.clone() });
-        self.vm.set_permit(Moment(0));
+        self.vm.set_start_lease_until(Moment(0));
         drop(self.server.stop(false));
         self.control.links.close();
     }
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -10,13 +10,13 @@
 use super::{Clock, Command, Fleet, Settings};
 use crate::config::Snapshot;
 use crate::decide::admission::AdmissionController;
-use crate::decide::cascade::{Credit, Rule};
+use crate::decide::cascade::{RatingBudget, Rule};
 use crate::decide::limit::TokenBucket;
 use crate::decide::poison::Exchange;
 use crate::decide::retry::Budget;
 use crate::evidence::{Counts, Key, Origin};
 use crate::history::Sink;
-use crate::once::Reserved;
+use crate::once::ReservedKeys;
 use crate::peer::Gossip;
 use crate::unit::{Date, Incarnation, Kind, Model, Moment, Rate, RequestId, Revision, Workspace};
 use crate::watch::{BurnTracker, Metrics, TraceLog};
@@ -25,11 +25,12 @@
 pub struct Vm {
     /// Settings of the process.
     pub settings: Settings,
-    /// This lifetime of the process.
+    /// Identifier of this process lifetime of the VM: its start in microseconds.
     pub incarnation: Incarnation,
     /// Clocks of the process.
     pub clock: Clock,
-    /// The configuration in force on this VM, for the hot path.
+    /// The configuration in force on this VM, outside of the gossip lock since each request reads
+    /// it.
     pub snapshot: RwLock<Arc<Snapshot>>,
     /// Gossip state: members, evidence and configuration.
     pub gossip: Mutex<Gossip>,
@@ -37,7 +38,7 @@
     pub fleet: Mutex<Fleet>,
     /// Decision records of recent requests.
     pub traces: Mutex<TraceLog>,
-    /// Burn rates of the objectives.
+    /// Counts of answers that met or missed the objectives of workspaces (error budgets).
     pub burn: Mutex<BurnTracker>,
     /// Metrics of this VM.
     pub metrics: Metrics,
@@ -46,29 +47,30 @@
     /// True once a planned stop has begun.
     pub stopping: AtomicBool,
     /// Number of requests in flight.
-    pub running: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// True while the buffer of unflushed bills has room.
     pub has_bill_room: AtomicBool,
-    /// Samples that wait for a rating.
+    /// Answers submitted for rating whose rating has not arrived.
     pub pending_samples: Mutex<PendingSamples>,
     /// Rules of cascades, by workspace and kind of request.
     pub cascade_rules: RwLock<HashMap<(Workspace, Kind), Rule>>,
-    /// Probability that an answer is rated: of the version being rolled out, and of any other.
+    /// Probabilities that an answer is rated during a roll-out: an answer of the new version, and
+    /// of any other version.
     pub sampling_rates: RwLock<(f64, f64)>,
-    /// This VM's shares of the rate limits of workspaces.
+    /// This VM's shares of the rate limits of workspaces, updated from the demand at all VMs.
     pub rate_shares: RwLock<HashMap<Workspace, Rate>>,
-    /// Contents that crash servers.
+    /// Evidence about request contents that crash servers.
     pub poison: Mutex<Exchange>,
     /// Idempotency keys reserved on this VM.
-    pub reserved: Mutex<Reserved>,
-    admission: Mutex<HashMap<Model, AdmissionController>>,
-    /// Number of open dispatches by the revision that they follow.
-    dispatches: Mutex<BTreeMap<Revision, usize>>,
-    buckets: Mutex<HashMap<Workspace, TokenBucket>>,
+    pub reserved: Mutex<ReservedKeys>,
+    admission_controllers: Mutex<HashMap<Model, AdmissionController>>,
+    /// Number of open [`DispatchGuard`]s, by the revision that their work follows.
+    open_dispatches: Mutex<BTreeMap<Revision, usize>>,
+    rate_buckets: Mutex<HashMap<Workspace, TokenBucket>>,
     retry_budget: Mutex<Budget>,
-    rating_credit: Mutex<Credit>,
-    /// Moment until which new work may start, in microseconds; 0 if none may.
-    permit_until: AtomicU64,
+    rating_budget: Mutex<RatingBudget>,
+    /// Moment until which new work may start, in microseconds; 0 if no work may start.
+    start_lease_until: AtomicU64,
     next_request_number: AtomicU64,
     commands: mpsc::UnboundedSender<Command>,
 }
@@ -94,7 +96,7 @@
             metrics: Metrics::new(),
             history,
             stopping: AtomicBool::new(false),
-            running: AtomicUsize::new(0),
+            in_flight: AtomicUsize::new(0),
             has_bill_room: AtomicBool::new(true),
             pending_samples: Mutex::default(),
             cascade_rules: RwLock::default(),
@@ -102,12 +104,12 @@
             rate_shares: RwLock::default(),
             poison: Mutex::default(),
             reserved: Mutex::default(),
-            admission: Mutex::default(),
-            dispatches: Mutex::default(),
-            buckets: Mutex::default(),
+            admission_controllers: Mutex::default(),
+            open_dispatches: Mutex::default(),
+            rate_buckets: Mutex::default(),
             retry_budget: Mutex::default(),
-            rating_credit: Mutex::default(),
-            permit_until: AtomicU64::new(0),
+            rating_budget: Mutex::default(),
+            start_lease_until: AtomicU64::new(0),
             next_request_number: AtomicU64::new(0),
             commands,
         }
@@ -118,35 +120,38 @@
         self.snapshot.read().expect("no panic while held").clone()
     }
 
-    /// Returns the configuration in force on this VM with a guard: until the guard is dropped, this
-    /// VM does not report to other VMs that all its work follows a later revision.
-    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, Dispatch<'_>) {
+    /// Returns the configuration in force on this VM, and a guard for work that is decided with it.
+    /// Until the guard is dropped, this VM does not report to other VMs that all its work follows a
+    /// later revision.
+    pub fn begin_dispatch(&self) -> (Arc<Snapshot>, DispatchGuard<'_>) {
         loop {
             let snapshot = self.config();
-            let dispatch = Dispatch::new(self, snapshot.revision());
-            // A later revision applied before the guard existed may have been reported already.
+            let dispatch = DispatchGuard::new(self, snapshot.revision());
+            // A later revision that was applied before the guard existed may have been reported
+            // already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
             }
         }
     }
 
-    /// Returns the revision that all work which this VM sends from now on follows, or a later one:
-    /// the revision in force, or that of the oldest open dispatch.
+    /// Returns a revision such that all work which this VM sends from now on follows this or a
+    /// later one: the revision in force, or the oldest one of an open `DispatchGuard`.
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
-        let dispatches = self.dispatches.lock().expect("no panic while held");
+        let dispatches = self.open_dispatches.lock().expect("no panic while held");
         dispatches.keys().next().map_or(present, |oldest| present.min(*oldest))
     }
 
-    /// Returns true if new work may start now.
+    /// Returns true if new work may start now: the VM was in contact with the store or other VMs
+    /// recently enough.
     pub fn may_start(&self, now: Moment) -> bool {
-        now.0 < self.permit_until.load(Ordering::Relaxed)
+        now.0 < self.start_lease_until.load(Ordering::Relaxed)
     }
 
-    /// Sets the moment until which new work may start.
-    pub fn set_permit(&self, until: Moment) {
-        self.permit_until.store(until.0, Ordering::Relaxed);
+    /// Sets the start lease: the moment until which new work may start.
+    pub fn set_start_lease_until(&self, until: Moment) {
+        self.start_lease_until.store(until.0, Ordering::Relaxed);
     }
 
     /// Returns true once a planned stop has begun.
@@ -171,7 +176,7 @@
         let _ = self.commands.send(command);
     }
 
-    /// Adds counts to the evidence that this VM collects itself.
+    /// Adds counts to this VM's own row of the evidence.
     pub fn record_evidence(&self, key: Key, more: Counts) {
         let own = self.origin();
         self.gossip.lock().expect("no panic while held").evidence.add(&own, key, more);
@@ -189,10 +194,10 @@
     ) -> Result<(), crate::unit::Span> {
         let share = self.rate_shares.read().expect("no panic while held").get(workspace).copied();
         let rate = share.unwrap_or(limit);
-        let mut buckets = self.buckets.lock().expect("no panic while held");
+        let mut buckets = self.rate_buckets.lock().expect("no panic while held");
         let bucket =
             buckets.entry(workspace.clone()).or_insert_with(|| TokenBucket::new(rate, now));
-        bucket.take(rate, now)
+        bucket.try_take(rate, now)
     }
 
     /// Calls `f` with the admission controller of the pool of a model.
@@ -201,7 +206,7 @@
         model: &Model,
         f: impl FnOnce(&mut AdmissionController) -> T,
     ) -> T {
-        let mut controllers = self.admission.lock().expect("no panic while held");
+        let mut controllers = self.admission_controllers.lock().expect("no panic while held");
         match controllers.get_mut(model) {
             Some(controller) => f(controller),
             None => f(controllers
@@ -221,13 +226,13 @@
     /// Records a first attempt, which adds to the budgets of retries and ratings.
     pub fn record_first_attempt(&self) {
         self.retry_budget.lock().expect("no panic while held").deposit();
-        self.rating_credit.lock().expect("no panic while held").earn(self.settings.rated_share);
+        self.rating_budget.lock().expect("no panic while held").earn(self.settings.rated_share);
     }
 
-    /// Returns true if an answer is to be rated. `worth` is the value of its rating, `point` a
-    /// random number from 0 to 1.
+    /// Returns true if an answer is to be rated, and spends the budget of ratings. `worth` says how
+    /// informative the rating is, `point` is a random number from 0 to 1.
     pub fn try_spend_rating(&self, worth: f64, point: f64) -> bool {
-        self.rating_credit.lock().expect("no panic while held").spend(worth, point)
+        self.rating_budget.lock().expect("no panic while held").spend(worth, point)
     }
 
     /// Spends one retry of the budget. Returns false if none is left.
@@ -246,23 +251,24 @@
     }
 }
 
-/// Guard of a piece of work between the decision on it and its receipt by a backend server.
-pub struct Dispatch<'a> {
+/// Guard of a piece of work from the decision with a configuration until a backend server has
+/// received the work.
+pub struct DispatchGuard<'a> {
     vm: &'a Vm,
     revision: Revision,
 }
 
-impl<'a> Dispatch<'a> {
-    fn new(vm: &'a Vm, revision: Revision) -> Dispatch<'a> {
-        let mut dispatches = vm.dispatches.lock().expect("no panic while held");
+impl<'a> DispatchGuard<'a> {
+    fn new(vm: &'a Vm, revision: Revision) -> DispatchGuard<'a> {
+        let mut dispatches = vm.open_dispatches.lock().expect("no panic while held");
         *dispatches.entry(revision).or_default() += 1;
-        Dispatch { vm, revision }
+        DispatchGuard { vm, revision }
     }
 }
 
-impl Drop for Dispatch<'_> {
+impl Drop for DispatchGuard<'_> {
     fn drop(&mut self) {
-        let mut dispatches = self.vm.dispatches.lock().expect("no panic while held");
+        let mut dispatches = self.vm.open_dispatches.lock().expect("no panic while held");
         if let Some(count) = dispatches.get_mut(&self.revision) {
             *count -= 1;
             if *count == 0 {
@@ -272,5 +278,6 @@
     }
 }
 
-/// Length of the windows in which a version in service is compared, in microseconds.
+/// Length, in microseconds, of the time windows in which the ratings of a version in service are
+/// compared with earlier ones.
 pub const TRIAL_WINDOW_US: u64 = 600_000_000;
