--- a/src/experiment/bound/mod.rs
+++ b/src/experiment/bound/mod.rs
@@ -1,7 +1,9 @@
-//! Servers that name limits before many VMs: ways to part what a server takes from all of them, in virtual time.
+//! Servers with rate limits behind many VMs: strategies to divide the rate that a server accepts
+//! among the VMs, in virtual time.
 //!
-//! All servers of a service name limits, which change every three seconds; callers send a third more than these allow. Callers that are refused
-//! come back once. Beside the ways stands a dispatcher that knows everything at once.
+//! All servers of a service announce rate limits, which change every three seconds, and callers
+//! send a third more than these allow. Refused callers retry once. The strategies are compared
+//! with a central dispatcher that knows everything at once.
 
 mod simulation;
 
@@ -12,36 +14,39 @@
 use super::table::{Row, Table, quantile};
 use simulation::{RUN_LENGTH, Simulation};
 
-/// Numbers of VMs that are played if none are given: the users' sites.
+/// Fleet sizes by default: those of the users' sites.
 const DEFAULT_VMS: [usize; 3] = [23, 84, 295];
 
-/// Shares of VMs that nothing reaches, though callers and servers do.
+/// Fractions of VMs that are partitioned from the other VMs but still reach callers and servers.
 const PARTITIONED_SHARES: [f64; 2] = [0.0, 0.1];
 
-/// Seeds if none are given, by the number of VMs.
+/// Number of seeds by default, and the smaller number for large fleets.
 const DEFAULT_SEEDS: u64 = 50;
 const SEEDS_FOR_MANY_VMS: u64 = 10;
+
+/// Fleet size from which the smaller number of seeds is used.
 const MANY_VMS: usize = 200;
 
-/// The default of the option for seeds, which other experiments share.
+/// Default of the option `runs`, which this experiment takes as unset.
 const SHARED_DEFAULT_SEEDS: u64 = 1000;
 
-/// How a limit is parted.
+/// How a server's rate limit is divided among VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Nobody heeds it.
+    /// VMs ignore it.
     Unlimited,
-    /// Each VM keeps it for itself.
+    /// Each VM applies the whole limit to its own requests.
     PerVm,
-    /// An even part for each VM, in turns.
+    /// All VMs have equal shares, each with its own send slots.
     EvenShares,
-    /// One VM for each server, by rendezvous hash.
+    /// One VM sends to each server, chosen by rendezvous hash.
     OneSender,
-    /// A few VMs for each server, by rendezvous hash, in turns: the way of the server.
+    /// A few VMs send to each server, chosen by rendezvous hash, each with its own send slots: the
+    /// strategy of the router.
     FewSenders,
-    /// The first VM for each server grants turns to those that ask it.
+    /// The first VM for each server grants send slots to the VMs that request them.
     Leases,
-    /// One dispatcher that knows all at once.
+    /// A central dispatcher knows all requests and limits at once.
     Dispatcher,
 }
 
@@ -68,7 +73,7 @@
         }
     }
 
-    /// Whether VMs tell one another of limits.
+    /// Returns true if VMs send each other the limits.
     fn exchanges_limits(self) -> bool {
         matches!(
             self,
@@ -77,12 +82,12 @@
     }
 }
 
-/// Where callers are.
+/// Distribution of callers over the VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerSpread {
-    /// At all VMs alike.
+    /// Uniform over all VMs.
     AllVms,
-    /// At a quarter of the VMs: one data centre.
+    /// Uniform over a quarter of the VMs, as if in one data centre.
     Quarter,
 }
 
@@ -139,7 +144,7 @@
         .number("bytes/s a VM", mean(bytes), 0)
 }
 
-/// Runs it.
+/// Simulates all strategies for each fleet size, distribution of callers and partition.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { DEFAULT_VMS.to_vec() } else { options.vms.clone() };
     let mut rows = Vec::new();
@@ -156,10 +161,12 @@
         }
     }
     let notes = vec![
-        "Beyond: the most requests in 4 s at one server beyond its limit, from VMs that had heard of it 50 ms before. Of rule: the same in parts of what \
-         users allow, half as much again as the limit and five."
+        "Beyond: the most requests above its limit that a server received in 4 s from VMs that had \
+         known the limit for 50 ms. Of rule: these requests as a fraction of what users allow, 1.5 \
+         times the limit plus five."
             .to_owned(),
-        "Used: requests in parts of what all limits allow. In time: requests that left within 1.5 s, of all that callers sent."
+        "Used: requests as a fraction of what all limits allow. In time: fraction of the callers' \
+         requests that were sent to a server within 1.5 s."
             .to_owned(),
     ];
     Table { rows, notes }
--- a/src/experiment/bound/simulation.rs
+++ b/src/experiment/bound/simulation.rs
@@ -1,4 +1,4 @@
-//! VMs, servers that name limits and callers in virtual time.
+//! Discrete-event simulation of VMs, servers with rate limits, and callers.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -14,57 +14,60 @@
 use crate::peer::neighbours;
 use crate::unit::{Moment, Rate, Span, Vm as Name, hash};
 
-/// A server for so many VMs, and at least this many.
+/// VMs per server, and the smallest number of servers.
 const VMS_PER_SERVER: usize = 2;
 const MIN_SERVERS: usize = 8;
 
-/// Limits that servers name, and how often they name another.
+/// Range of the limits that servers announce, in requests per second, and how often they change.
 const LIMIT_RANGE: std::ops::Range<f64> = 0.5..4.0;
 const LIMIT_CHANGE_INTERVAL: Span = Span::secs(3);
 
-/// Length of a run, and the part of it that counts for what is used: VMs have heard of the limits.
+/// Length of a run.
 pub const RUN_LENGTH: Span = Span::secs(20);
+
+/// Time from which the used rate is measured; by then VMs know the limits.
 const MEASURED_FROM: Span = Span::secs(2);
 
-/// Requests that callers send, in parts of what all servers name.
+/// Rate of the callers' requests as a multiple of the mean limit of all servers.
 const DEMAND: f64 = 1.3;
 
-/// Time that a request may wait for its turn.
+/// Longest time for which a request may wait for a send slot.
 const MAX_WAIT: Span = Span::millis(1500);
 
-/// Callers that are refused come back once, after this.
+/// Shortest delay before a refused caller retries, which it does once.
 const CALLER_RETRY_DELAY: Span = Span::millis(1000);
 
-/// One way between two processes, at most.
+/// Longest one-way delay between two processes.
 const MAX_ONE_WAY_DELAY: Span = Span::millis(2);
 
-/// A server of which no limit is known yet.
+/// Share for a server whose limit is not known yet.
 const UNLIMITED: Share = Share { senders: 1, interval: Span(0) };
 
-/// Bytes of one word between VMs.
+/// Bytes of a message between VMs.
 const MESSAGE_BYTES: u64 = 120;
 
-/// Up to this number every VM tells every other.
+/// Largest fleet in which each VM sends to all others.
 const MAX_FULL_MESH: usize = 12;
 
-/// A VM's word binds it from so soon after it was heard.
+/// Time after a VM learns a limit from which its requests count against the limit.
 const REACTION_TIME: Span = Span::millis(50);
 
-/// What a run brought.
+/// Results of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Requests of callers, those that came back not counted anew.
+    /// Requests of callers, without retries.
     pub requests: u64,
-    /// Requests that reached a server in time.
+    /// Requests that were sent to a server in time.
     pub in_time: u64,
-    /// Requests that reached a server, while use is counted.
+    /// Requests that reached a server from [`MEASURED_FROM`] on.
     pub reached: u64,
-    /// Requests that the servers' limits allow meanwhile.
+    /// Requests that the servers' limits allow in the same time.
     pub allowed: f64,
-    /// The most requests beyond a limit in a window of four seconds, from VMs that had heard of it, and the most in parts of what users allow.
+    /// Most requests above a limit in a window of four seconds, from VMs that knew the limit.
     pub excess: f64,
+    /// Most requests in such a window as a fraction of what users allow.
     pub rule_ratio: f64,
-    /// Bytes that VMs sent one another.
+    /// Bytes sent between VMs.
     pub bytes: u64,
 }
 
@@ -76,18 +79,19 @@
 
 enum Event {
     Arrival(Request),
-    /// Its turn has come.
+    /// The send slot of a request at a server begins.
     Send(Request, usize),
-    /// It reaches the server, which says its limit.
+    /// A request that was sent at a time reaches a server.
     ServerReceives(Request, usize, Moment),
-    /// The head of the answer is there.
+    /// The response headers of a server, with its limit and the request's send time, reach a VM.
     ResponseReceived(usize, usize, Rate, Moment),
-    /// A word of another VM.
+    /// A VM receives a server's limit from another VM.
     LimitReceived(usize, usize, Update),
-    /// A server names another limit.
+    /// A server changes its limit.
     LimitChange(usize),
 }
 
+/// State of one server at one VM.
 #[derive(Clone, Copy, Default)]
 struct View {
     limit: Limit,
@@ -97,15 +101,17 @@
 
 struct Server {
     rate: Rate,
-    /// Limits that it named, with the moment at which each ended, and arrivals from VMs that had heard of them; those of the last window.
+    /// Earlier limits of the last window, with the time at which each ended.
     previous_limits: VecDeque<(Moment, Rate)>,
+    /// Arrivals in the last window from VMs that knew the limit.
     arrivals: VecDeque<Moment>,
-    /// The dispatcher's turns.
+    /// Send slots of the dispatcher, or of the VM that grants leases.
     pacer: Pacer,
+    /// Hash of the server's id, for the rendezvous order.
     hash: u64,
 }
 
-/// One run.
+/// One run of the simulation.
 pub struct Simulation {
     strategy: Strategy,
     rng: SmallRng,
@@ -113,17 +119,19 @@
     sequence: u64,
     queue: BinaryHeap<Reverse<(Moment, u64)>>,
     events: HashMap<u64, Event>,
+    /// Hashes of the names of the VMs.
     names: Vec<u64>,
     partitioned: Vec<bool>,
     neighbours: Vec<Vec<usize>>,
     views: Vec<Vec<View>>,
     servers: Vec<Server>,
-    /// What it brought.
+    /// Results so far.
     pub counts: Counts,
 }
 
 impl Simulation {
-    /// Before the run.
+    /// Creates a run with its arrivals and limit changes scheduled. The first `cut` (0 to 1) of the
+    /// VMs are partitioned.
     pub fn new(
         vms: usize,
         strategy: Strategy,
@@ -189,7 +197,7 @@
         self.events.insert(self.sequence, event);
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(&mut self) {
         let mut before = Moment(0);
         while let Some(Reverse((at, number))) = self.queue.pop() {
@@ -223,7 +231,8 @@
         self.schedule(self.now + LIMIT_CHANGE_INTERVAL, Event::LimitChange(at));
     }
 
-    /// A VM's part of the limit of a server by its way; none if it has no part. `Err` if it knows of no limit.
+    /// Returns the share of a VM in the limit of a server, or none if it may not send there.
+    /// Returns `Err` if the VM knows no limit of the server or ignores limits.
     fn share(&self, vm: usize, server: usize) -> Result<Option<Share>, ()> {
         let rate = self.views[vm][server].limit.rate(self.now).ok_or(())?;
         let vms = self.names.len();
@@ -249,7 +258,7 @@
         is_sender(&share, server_hash, self.names[vm], &others).then_some(share)
     }
 
-    /// When a request may leave for a server, if it may.
+    /// Returns the next send slot of a VM at a server, or none if it may not send there.
     fn next_send(&self, vm: usize, server: usize) -> Option<Moment> {
         let (now, at) = (self.now, &self.servers[server]);
         match self.strategy {
@@ -265,7 +274,8 @@
         }
     }
 
-    /// What the first VM for a server, which alone counts its turns, grants another; a VM that does not reach it gets none.
+    /// Returns the share that the first VM for a server, which alone counts its send slots, grants
+    /// to another VM, or none if that VM cannot reach it.
     fn leased_share(&self, vm: usize, server: usize) -> Option<Share> {
         let server_hash = self.servers[server].hash;
         let weight = |at: &usize| hash::mix(server_hash, self.names[*at]);
@@ -291,7 +301,7 @@
         }
     }
 
-    /// Finds the server whose turn comes first, by chance among equals.
+    /// Reserves the earliest send slot of all servers, random among equals, or refuses the request.
     fn dispatch(&mut self, request: Request) {
         let offset = self.rng.random_range(0..self.servers.len());
         let order = (0..self.servers.len()).map(|at| (at + offset) % self.servers.len());
@@ -311,10 +321,10 @@
             return;
         }
         let callers = request.vm;
-        // The balancer takes a caller that comes back to another VM of its data centre.
+        // The load balancer directs a retry to another VM of the caller's data centre.
         request.vm = (callers + self.rng.random_range(0..=callers)) % self.names.len();
-        let apart = Span(self.rng.random_range(0..CALLER_RETRY_DELAY.0));
-        self.schedule(self.now + CALLER_RETRY_DELAY + apart, Event::Arrival(request));
+        let jitter = Span(self.rng.random_range(0..CALLER_RETRY_DELAY.0));
+        self.schedule(self.now + CALLER_RETRY_DELAY + jitter, Event::Arrival(request));
     }
 
     fn send(&mut self, request: Request, server: usize) {
@@ -335,7 +345,7 @@
         self.schedule(now + delay, Event::ResponseReceived(request.vm, at, rate, sent_at));
     }
 
-    /// Notes an arrival from a VM that had heard of the limit.
+    /// Records an arrival from a VM that knew the limit, and updates the maximum excess.
     fn measure_excess(&mut self, at: usize) {
         let now = self.now;
         let server = &mut self.servers[at];
@@ -351,7 +361,7 @@
             server.previous_limits.pop_front();
         }
         let got = server.arrivals.len() as f64;
-        // A window in which the limit changed is judged by the greatest that was named.
+        // In a window in which the limit changed, the highest announced limit applies.
         let named =
             server.previous_limits.iter().map(|(_, rate)| rate.0).fold(server.rate.0, f64::max);
         let allowed = named * LIMIT_WINDOW.as_secs();
@@ -407,7 +417,7 @@
     }
 }
 
-/// All of a limit, for one that sends for all.
+/// Returns the share of a sole sender: the whole limit.
 fn full_share(rate: Rate) -> Share {
     Share { senders: 1, interval: Span((1e6 / rate.0) as u64) }
 }
--- a/src/experiment/mod.rs
+++ b/src/experiment/mod.rs
@@ -1,4 +1,5 @@
-//! Measured comparisons. The decisions are those of `decide`, called by the server too.
+//! Experiments that compare policies and measure costs. They call the decision code of `decide`
+//! that the router runs in production.
 
 mod bound;
 mod cascade;
@@ -21,14 +22,14 @@
 
 use crate::error::Error;
 
-/// The experiments by name.
+/// Names of all experiments, as listed in the error for an unknown name.
 pub const NAMES: &str =
     "cascade, rollout, replica, overload, spread, reading, poison, shed, bound, path, once, slopes";
 
-/// Runs an experiment.
+/// Runs the named experiment.
 ///
 /// # Errors
-/// If there is none of that name, or it cannot be run.
+/// If no experiment has that name, or if its local servers cannot be started.
 pub fn run(name: &str, options: &Options) -> Result<Table, Error> {
     match name {
         "cascade" => Ok(cascade::run(options)),
--- a/src/experiment/once.rs
+++ b/src/experiment/once.rs
@@ -1,4 +1,5 @@
-//! What the guarantees cost: keyed calls and bills over real sockets, with a store of 5 ms.
+//! Cost of the delivery guarantees: calls with idempotency keys and bills over real sockets, with
+//! a store that takes 5 ms per call.
 
 use std::time::{Duration, Instant};
 
@@ -14,26 +15,30 @@
 use crate::standin::platform::Switches;
 use crate::unit::Vm;
 
-/// Time of a call to the store, in milliseconds.
+/// Latency of a call to the store.
 const STORE_CALL_MS: u64 = 5;
 
-/// Calls one after the other.
+/// Number of sequential calls for the latencies of an idle system.
 const IDLE_CALLS: usize = 120;
 
-/// Rates for the writes, and seconds of each.
+/// Calls per second for the count of store writes, and duration of each rate.
 const CALL_RATES: [usize; 3] = [10, 100, 1000];
 const SECONDS_PER_RATE: usize = 4;
 
-/// Share of calls that have a key, in the runs at a rate.
+/// One in this many calls has an idempotency key, in the runs at a rate.
 const KEYED_EVERY: usize = 5;
 
 #[derive(Clone, Copy, PartialEq)]
 enum CallKind {
+    /// To the service itself, without kitepulley.
     Direct,
+    /// Through a VM, which bills the call.
     Billed,
+    /// Through a VM with an idempotency key, and billed.
     Keyed,
 }
 
+/// Sends a call and returns its latency in milliseconds, or none if it failed.
 async fn call(
     http: &awc::Client,
     cluster: &Cluster,
@@ -75,7 +80,7 @@
         for number in 0..IDLE_CALLS {
             let vm = vms[number % vms.len()];
             times.extend(call(&http, cluster, kind, vm, number).await);
-            // Idle means that no other call shares its write.
+            // The pause keeps calls from sharing a store write, as they would under load.
             tokio::time::sleep(Duration::from_millis(60)).await;
         }
         times
@@ -83,9 +88,13 @@
 }
 
 struct RateResult {
+    /// Number of successful calls.
     done: usize,
+    /// Latencies of the successful calls with a key, in milliseconds.
     keyed: Vec<f64>,
+    /// Store writes per second.
     writes: f64,
+    /// Bytes sent between VMs for each successful call.
     bytes: f64,
 }
 
@@ -121,10 +130,10 @@
     }
 }
 
-/// Runs all ways and rates.
+/// Measures the added latency of each kind of call and the store writes at each rate.
 ///
 /// # Errors
-/// If something cannot be started.
+/// If a VM or a stand-in server cannot be started.
 pub fn run(_options: &Options) -> Result<Table, Error> {
     let cluster = Cluster::start(&Shape { vms: 5, engines: 3, ..Shape::default() })?;
     cluster.platform.set_switches(Switches { slow_ms: STORE_CALL_MS, ..Switches::default() });
@@ -162,8 +171,9 @@
     let vms = 330;
     let flushes = f64::from(vms) / ledger::flush_interval(vms as usize).as_secs();
     table.notes.push(format!(
-        "A store of {STORE_CALL_MS} ms, 5 VMs. At {vms} VMs bills take {flushes:.1} writes a second by \
-         their interval, and keys at most 20 by their shards' pace."
+        "The store takes {STORE_CALL_MS} ms per call; 5 VMs. With {vms} VMs, bills need \
+         {flushes:.1} writes per second, given by their flush interval, and keys at most 20, given \
+         by the write rate of their shards."
     ));
     Ok(table)
 }
--- a/src/experiment/options.rs
+++ b/src/experiment/options.rs
@@ -1,48 +1,48 @@
-//! The checked options of experiments.
+//! Options that all experiments share, parsed from the flags.
 
 use crate::cli;
 use crate::error::Error;
 use crate::options::{list, optional, with_default};
 use crate::unit::{Span, TrafficShare};
 
-/// What an experiment is run with.
+/// Parsed options of an experiment. Each experiment reads only those that it uses.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Seed.
+    /// First seed of the random number generator.
     pub seed: u64,
-    /// Seeds to run, for `rollout`.
+    /// Number of consecutive seeds, for the experiments that repeat a run.
     pub runs: u64,
-    /// Requests, if set.
+    /// Number of requests; none for the experiment's own default.
     pub requests: Option<usize>,
-    /// Numbers of VMs.
+    /// Fleet sizes to simulate; empty for the experiment's own default.
     pub vms: Vec<usize>,
-    /// Cheap answers that pass.
+    /// Fraction of cheap answers that pass, from 0 to 1.
     pub cheap_pass: f64,
-    /// Answers that are rated.
+    /// Fraction of answers that are rated, from 0 to 1.
     pub rated_share: f64,
-    /// Lag of ratings.
+    /// Time from an answer to its rating.
     pub rating_lag: Span,
-    /// Kinds of work.
+    /// Number of kinds of work.
     pub kinds: usize,
-    /// Sudden changes on the way.
+    /// Number of sudden changes in quality during a run.
     pub drift: usize,
-    /// Bad answers more.
+    /// Additional fraction of poor answers of the harmful version, from 0 to 1.
     pub harm: f64,
-    /// Only a version that does no harm.
+    /// True if only the harmless version is rolled out.
     pub good: bool,
-    /// Lag of load reports.
+    /// Interval of load reports, and their delay.
     pub report_lag: Span,
-    /// Replicas, if set.
+    /// Number of replicas; none for the experiment's own default.
     pub replicas: Option<usize>,
-    /// Offered load in shares of the capacity, if set.
+    /// Offered load as a fraction of the capacity; none for the experiment's own default.
     pub load: Option<f64>,
 }
 
 impl Options {
-    /// Checks the flags.
+    /// Parses the flags and fills in the defaults.
     ///
     /// # Errors
-    /// The first flag that does not read.
+    /// If a flag does not parse or is out of range; only the first one is reported.
     pub fn check(flags: &cli::Experiment) -> Result<Options, Error> {
         let share = |flag: &str, given: Option<&String>, default: f64| -> Result<f64, Error> {
             Ok(with_default(flag, given, TrafficShare::from_fraction(default))?.fraction())
--- a/src/experiment/path.rs
+++ b/src/experiment/path.rs
@@ -1,4 +1,4 @@
-//! What the way through kitepulley adds: the same requests to an engine directly and through a VM.
+//! Overhead of the proxy path: sends the same requests to an engine directly and through a VM.
 
 use std::time::{Duration, Instant};
 
@@ -9,18 +9,21 @@
 use crate::demo::{Cluster, Shape, workspace_key};
 use crate::error::Error;
 
-/// Requests one after the other, and tokens of each.
+/// Number of sequential requests for the latencies, by default.
 const REQUESTS: usize = 2000;
+
+/// Tokens of each response.
 const TOKENS: u32 = 32;
 
-/// Callers at once and requests of each, for the throughput.
+/// Concurrent callers and requests of each, for the throughput.
 const CALLERS: usize = 32;
 const REQUESTS_PER_CALLER: usize = 150;
 
-/// Streams open at once, for the memory.
+/// Concurrent streams, for the memory per stream.
 const OPEN_STREAMS: usize = 1000;
 
-/// Time of a token while streams are held open, in microseconds.
+/// Time of a token while the streams are held open; slow enough that none ends while they are
+/// measured.
 const SLOW_TOKEN_US: u64 = 400_000;
 
 struct Measured {
@@ -41,7 +44,8 @@
     (Target::Engine(engine), Target::Vm(node.address, workspace_key("nestwise")))
 }
 
-/// Both ways in turn, so that a slow moment of the machine meets both.
+/// Measures both paths alternately, so that a slow moment of the machine affects both alike.
+/// Returns the times to the first token and between tokens, each direct and through the VM.
 fn latencies(cluster: &Cluster, requests: usize) -> ([Vec<f64>; 2], [Vec<f64>; 2]) {
     let (direct, through) = targets(cluster);
     block_on(async {
@@ -59,6 +63,7 @@
     })
 }
 
+/// Returns requests per second and CPU microseconds per request.
 fn throughput(target: &Target) -> (f64, f64) {
     block_on(async {
         let http = client();
@@ -82,7 +87,8 @@
     })
 }
 
-/// Memory of the whole process for each stream held open: caller, engine and what lies between.
+/// Returns the memory per open stream of the whole process: caller, engine and, if it is on the
+/// path, the VM.
 fn stream_bytes(target: &Target) -> f64 {
     block_on(async {
         let http = client();
@@ -98,10 +104,10 @@
     })
 }
 
-/// Runs both ways.
+/// Measures both paths and their difference.
 ///
 /// # Errors
-/// If something cannot be started.
+/// If a VM or a stand-in server cannot be started.
 pub fn run(options: &Options) -> Result<Table, Error> {
     let requests = options.requests.unwrap_or(REQUESTS);
     let fast = start_cluster(0, 64)?;
@@ -143,12 +149,12 @@
     }
     table.rows.push(row("added", &added));
     table.notes.push(format!(
-        "{requests} requests of {TOKENS} tokens in turn; {CALLERS} callers at once for the rate; \
-         {OPEN_STREAMS} streams held open for the memory."
+        "Latencies: {requests} sequential requests of {TOKENS} tokens. Rate: {CALLERS} concurrent \
+         callers. Memory: {OPEN_STREAMS} open streams."
     ));
     table.notes.push(
-        "Caller, engine and VMs share this process: processor time and memory are of all three, \
-         so the row `added` is what the VM costs, with its bill copied to two other VMs."
+        "Caller, engine and VMs share this process, so CPU time and memory include all three. The \
+         row `added` is the cost of the VM, including the copies of its bill to two other VMs."
             .to_owned(),
     );
     Ok(table)
--- a/src/experiment/poison/fleet.rs
+++ b/src/experiment/poison/fleet.rs
@@ -1,4 +1,4 @@
-//! The VMs of a fleet: what they do about such contents, and who tells whom.
+//! The VMs of a fleet: how they handle crashing contents, and which VMs exchange messages.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -7,29 +7,33 @@
 use crate::peer::neighbours;
 use crate::unit::{Digest, Vm, hash};
 
-/// More VMs than this tell their neighbours only, and gatherers what they see of a content.
+/// Largest fleet in which each VM sends to all others. In larger ones VMs send to their neighbours,
+/// and reports of a content to its aggregators.
 const MAX_FULL_MESH: usize = 13;
+
+/// VMs that collect the reports of a content.
 const AGGREGATORS: usize = 3;
 
-/// What VMs do about such contents.
+/// How VMs handle crashing contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Nothing.
+    /// They do not quarantine them.
     Unprotected,
-    /// Each goes by what it saw itself.
+    /// Each VM uses only the crashes that it saw itself.
     PerVm,
-    /// They tell one another: the way of the server.
+    /// VMs share their reports of crashes: the strategy of the router.
     Shared,
-    /// Beside that all are told of suspects, and one VM, the same for all, lets each suspect run one at a time.
+    /// As `Shared`, and all VMs learn of suspects, and one VM per content allows them to run one at
+    /// a time.
     OneAtATime,
 }
 
 impl Strategy {
-    /// All of them.
+    /// All strategies in the order of the table.
     pub const ALL: [Strategy; 4] =
         [Strategy::Unprotected, Strategy::PerVm, Strategy::Shared, Strategy::OneAtATime];
 
-    /// Its name in the table.
+    /// Returns the name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Strategy::Unprotected => "nothing",
@@ -40,14 +44,14 @@
     }
 }
 
-/// Who tells whom.
+/// Topology of the messages between VMs.
 pub struct Fleet {
     neighbours: Vec<Vec<usize>>,
     hashes: Vec<u64>,
 }
 
 impl Fleet {
-    /// A fleet of so many VMs.
+    /// Creates a fleet of `vms` VMs.
     pub fn new(vms: usize) -> Fleet {
         let name = |at: usize| format!("vm{at:04}").parse().expect("a name");
         let names: Vec<Vm> = (0..vms).map(name).collect();
@@ -61,22 +65,22 @@
         Fleet { neighbours, hashes }
     }
 
-    /// How many VMs it has.
+    /// Returns the number of VMs.
     pub fn vms(&self) -> usize {
         self.hashes.len()
     }
 
-    /// How news go round.
+    /// Returns how messages reach all VMs.
     pub fn topology(&self) -> Topology {
         if self.vms() <= MAX_FULL_MESH { Topology::Direct } else { Topology::Gossip }
     }
 
-    /// The VMs that one tells what all are to know.
+    /// Returns the VMs to which a VM sends a message for all.
     pub fn neighbours(&self, vm: usize) -> Vec<usize> {
         self.neighbours[vm].clone()
     }
 
-    /// The VMs that gather what is known of a content, the first first.
+    /// Returns the VMs that collect the reports of a content, in the order of their precedence.
     pub fn aggregators(&self, content: Digest) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.vms()).collect();
         order.sort_by_key(|at| Reverse(hash::mix(content.0, self.hashes[*at])));
--- a/src/experiment/poison/mod.rs
+++ b/src/experiment/poison/mod.rs
@@ -1,8 +1,11 @@
-//! Requests that crash the servers that run them, at many VMs: the server's decisions in virtual time.
+//! Requests that crash the servers that run them, with many VMs: the router's decisions in virtual
+//! time.
 //!
-//! In each run three such contents come one after the other, each fifty times within a second and then three times a second, each time to a VM
-//! drawn anew; innocent requests run beside them, three in ten of them with one and the same content; and once a quarter of all
-//! servers crash for no request's sake. The way of the server, in which VMs tell one another, runs beside three others.
+//! Each run has three crashing contents, one after the other: each arrives fifty times within a
+//! second and then three times a second, every time at a random VM. Innocent requests run
+//! meanwhile, three in ten of them with the same content, and a quarter of all servers crash once
+//! without being caused by a request. The router's strategy, in which VMs share reports of
+//! crashes, is compared with three others.
 
 mod fleet;
 mod simulation;
@@ -15,16 +18,16 @@
 use fleet::{Fleet, Strategy};
 use simulation::{CONTENTS, Simulation};
 
-/// Numbers of VMs that are played if none are given: the users' sites.
+/// Fleet sizes by default: those of the users' sites.
 const DEFAULT_VMS: [usize; 3] = [23, 84, 295];
 
-/// Shares of VMs that nothing reaches, though callers and servers do.
+/// Fractions of VMs that are partitioned from the other VMs but still reach callers and servers.
 const PARTITIONED_SHARES: [f64; 2] = [0.0, 0.1];
 
-/// Seeds if none are given.
+/// Number of seeds by default.
 const DEFAULT_SEEDS: u64 = 100;
 
-/// The default of the option for seeds, which other experiments share.
+/// Default of the option `runs`, which this experiment takes as unset.
 const SHARED_DEFAULT_SEEDS: u64 = 1000;
 
 fn row(fleet: &Fleet, strategy: Strategy, cut: f64, seeds: std::ops::Range<u64>) -> Row {
@@ -55,7 +58,7 @@
         .number("bytes/s a VM", quantile(&mut bytes, 0.5), 1)
 }
 
-/// Runs it.
+/// Simulates all strategies for each fleet size, without and with partitioned VMs.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { DEFAULT_VMS.to_vec() } else { options.vms.clone() };
     let seeds = if options.runs == SHARED_DEFAULT_SEEDS { DEFAULT_SEEDS } else { options.runs };
@@ -67,11 +70,13 @@
         }
     }
     let notes = vec![
-        "Lost: servers that crash under one such content. Late retries: arrivals later than 3 s after the third crash, sent by VMs that \
-         are not cut off."
+        "Lost: servers crashed by one content. Late retries: attempts that VMs which are not cut \
+         off start later than 3 s after the third crash."
+            .to_owned(),
+        "Waits: time until suspected innocent requests were allowed to run; others are not counted."
+            .to_owned(),
+        "Updates through the store's readers, which repeat the same reports, are not simulated."
             .to_owned(),
-        "Waits: of innocent requests that were suspected, until they were let run; of those alone.".to_owned(),
-        "The news of the reading order, which tell the same once more, are not played.".to_owned(),
     ];
     Table { rows, notes }
 }
--- a/src/experiment/poison/simulation.rs
+++ b/src/experiment/poison/simulation.rs
@@ -1,4 +1,4 @@
-//! VMs, servers and callers in virtual time.
+//! Discrete-event simulation of VMs, servers and callers with crashing contents.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -14,61 +14,78 @@
 use crate::peer::wire::encode;
 use crate::unit::{Digest, Moment, Span, digest};
 
-/// Contents that crash servers, one after the other.
+/// Number of contents that crash servers, one after the other.
 pub const CONTENTS: usize = 3;
 
-/// Time from one such content to the next, repeats of it within the first second, and after that in a second, for so long.
+/// Time from the first request of one crashing content to that of the next.
 const CONTENT_INTERVAL: Span = Span::secs(15);
+
+/// Requests with a crashing content in its first second.
 const BURST_REQUESTS: usize = 50;
+
+/// Requests per second with a crashing content after that, and their duration.
 const REPEATS_PER_SECOND: usize = 3;
 const REPEAT_SECONDS: u64 = 10;
 
-/// When a quarter of the servers crash for no request's sake, within so long, and when a run ends.
+/// Time at which a quarter of the servers crash without being caused by a request, and the
+/// interval over which these crashes are spread.
 const MASS_CRASH_AT: Span = Span::secs(50);
 const MASS_CRASH_SPREAD: Span = Span::secs(2);
+
+/// Length of a run.
 const END: Span = Span::secs(60);
 
-/// VMs without trouble know after this what others know.
+/// Time within which VMs that are not partitioned know what the others know.
 const PROPAGATION_LIMIT: Span = Span::secs(3);
 
-/// Servers for each VM, as on the users' large site; and the fewest.
+/// Servers per VM, as on the users' large site, and the smallest number of servers.
 const SERVERS_PER_VM: f64 = 0.56;
 const MIN_SERVERS: usize = 12;
 
-/// Innocent requests that come to a VM in a second, and the share of them that ask the same.
+/// Innocent requests per VM and second.
 const INNOCENT_PER_SECOND: f64 = 2.0;
+
+/// Fraction of the innocent requests that have the same content.
 const SAME_CONTENT_SHARE: f64 = 0.3;
 
-/// Attempts of a request, and servers that may refuse a connection beside them.
+/// Attempts of a request.
 const MAX_ATTEMPTS: u32 = 3;
+
+/// Servers that may refuse the connection of an attempt; one more, and the request is dropped.
 const MAX_REFUSED_CONNECTIONS: u32 = 4;
 
-/// A server is back after this.
+/// Time from the crash of a server to its restart.
 const RESTART_DELAY: Span = Span::secs(3);
 
-/// Bytes of a packet beside its content.
+/// Bytes of a packet's headers.
 const PACKET_OVERHEAD: usize = 60;
 
-/// One request on its way.
+/// A request that a VM handles.
 #[derive(Clone)]
 struct Request {
     content: Digest,
-    /// Which of the contents that crash servers, if it has one.
+    /// Index of the crashing content, or none for an innocent request.
     poison: Option<usize>,
     vm: usize,
+    /// Time for which it runs at a server.
     duration: Span,
     attempts: u32,
+    /// Number of times that the caller has sent it again.
     caller_retries: u32,
+    /// Time of its arrival, or of its latest retry by the VM.
     arrived_at: Moment,
 }
 
 enum Event {
     Arrival(Request),
+    /// The run with this number ends at its server.
     Completion(u64),
+    /// A server crashes if it still has this incarnation; `u64::MAX` for any.
     Crash(usize, u64),
     Restart(usize),
+    /// A message reaches a VM.
     Delivery(usize, Message),
-    /// A suspect may run now, by the word of the VM that lets it.
+    /// A queued suspect is allowed to run.
     Permitted(Request),
 }
 
@@ -78,6 +95,7 @@
     open: HashSet<u64>,
 }
 
+/// A request that runs at a server.
 struct Run {
     request: Request,
     server: usize,
@@ -97,24 +115,29 @@
     partitioned: Vec<bool>,
     servers: Vec<Server>,
     runs: HashMap<u64, Run>,
-    /// Suspects that run by the word of the VM that lets them, and those that wait for it.
+    /// Suspected contents of which a request is allowed to run now.
     running: HashMap<Digest, u64>,
+    /// Suspected requests that wait for permission.
     queued: HashMap<Digest, Vec<Request>>,
+    /// Time at which each content was first suspected.
     suspected_since: HashMap<Digest, Moment>,
+    /// Time of the third crash by each crashing content.
     third_crash: [Option<Moment>; CONTENTS],
-    /// Servers lost by each content that crashes them, and retries too late.
+    /// Servers crashed by each crashing content.
     pub crashes: [u32; CONTENTS],
+    /// Attempts with each crashing content later than [`PROPAGATION_LIMIT`] after its third crash.
     pub late_retries: [u32; CONTENTS],
-    /// Innocent tries, and those of them that were refused.
+    /// Innocent requests.
     pub innocent: u64,
+    /// Innocent requests that were refused.
     pub refused: u64,
-    /// How long suspected innocent requests waited.
+    /// Times that suspected innocent requests waited for permission.
     pub waits: Vec<Span>,
     bytes: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// A run before its start, with a share of the VMs cut off from the others.
+    /// Creates a run with its arrivals scheduled; each VM is partitioned with probability `cut`.
     pub fn new(
         fleet: &'a Fleet,
         strategy: Strategy,
@@ -152,7 +175,7 @@
         simulation
     }
 
-    /// Bytes that a VM sent in a second.
+    /// Returns the bytes sent per VM and second.
     pub fn bytes_per_vm_second(&self) -> f64 {
         self.bytes as f64 / self.fleet.vms() as f64 / END.as_secs()
     }
@@ -188,7 +211,7 @@
         for at in 0..self.servers.len() / 4 {
             let when =
                 Moment(0) + MASS_CRASH_AT + Span(self.rng.random_range(0..MASS_CRASH_SPREAD.0));
-            // The first quarter is as good as any: requests draw their servers.
+            // Requests choose servers at random, so any quarter of the servers will do.
             self.schedule(when, Event::Crash(at, u64::MAX));
         }
     }
@@ -208,7 +231,7 @@
         self.schedule(at, Event::Arrival(request));
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(&mut self) {
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > Moment(0) + END {
@@ -243,7 +266,8 @@
         self.strategy != Strategy::Unprotected && held.is_some()
     }
 
-    /// Sends a request to a server, or refuses it, or lets it wait for its turn.
+    /// Sends a request to a server, refuses it if its content is quarantined, or queues it if it is
+    /// suspected and must wait.
     fn send(&mut self, request: Request) {
         if self.is_quarantined(&request) {
             self.refused += u64::from(request.poison.is_none());
@@ -256,7 +280,8 @@
         self.start(request, false);
     }
 
-    /// Whether a suspect waits since another of the same content runs. One that is cut off asks nobody.
+    /// Returns true if a suspected request must wait because another with the same content runs.
+    /// A partitioned VM cannot ask for permission and does not wait.
     fn must_wait(&mut self, request: &Request) -> bool {
         if self.strategy != Strategy::OneAtATime || self.partitioned[request.vm] {
             return false;
@@ -321,7 +346,7 @@
         self.start_next(request.content);
     }
 
-    /// The next suspect of a content may run, if any waits.
+    /// Allows the next queued request of a suspected content to run, if any.
     fn start_next(&mut self, content: Digest) {
         self.running.remove(&content);
         let Some(next) = self.queued.get_mut(&content).and_then(Vec::pop) else { return };
@@ -330,7 +355,8 @@
         self.schedule(self.now + delay, Event::Permitted(next));
     }
 
-    /// A server crashes: under a content that came to this life of it, or by itself.
+    /// Crashes a server, either by a content that reached this incarnation of it or, with
+    /// `u64::MAX`, without a cause.
     fn on_crash(&mut self, server: usize, incarnation: u64) {
         let is_unprovoked = incarnation == u64::MAX;
         if !self.servers[server].is_up
@@ -377,7 +403,7 @@
         }
     }
 
-    /// A request goes elsewhere, or its caller sends it once more.
+    /// Retries a request at another server, or lets its caller send it again once.
     fn retry(&mut self, mut request: Request) {
         if request.attempts < MAX_ATTEMPTS {
             let at = self.now + Span::millis(3);
@@ -391,7 +417,7 @@
 
     fn schedule_attempt(&mut self, at: Moment, mut request: Request) {
         request.arrived_at = at;
-        // A further attempt is no further try of its caller.
+        // Another attempt of the VM is not another request of the caller.
         self.innocent -= u64::from(request.poison.is_none());
         self.schedule(at, Event::Arrival(request));
     }
--- a/src/experiment/probe.rs
+++ b/src/experiment/probe.rs
@@ -1,4 +1,5 @@
-//! What the experiments over real sockets share: a caller that times, and readings of the process.
+//! Helpers of the experiments over real sockets: a client that times streamed responses, and
+//! CPU and memory figures of this process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,13 +7,13 @@
 use futures_util::StreamExt;
 use serde_json::json;
 
-/// Clock ticks a second of the kernel's accounting.
+/// Unit of the CPU times in `/proc/self/stat`.
 const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
-/// Bytes of a page of memory.
+/// Unit of the sizes in `/proc/self/statm`.
 const PAGE_BYTES: f64 = 4096.0;
 
-/// Processor seconds that this process has used.
+/// Returns the CPU time of this process in user and kernel mode, in seconds.
 pub fn cpu_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
@@ -20,14 +21,14 @@
     (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_SECOND
 }
 
-/// Bytes of memory that this process holds.
+/// Returns the resident set size of this process in bytes.
 pub fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|field| field.parse::<f64>().ok());
     pages.unwrap_or_default() * PAGE_BYTES
 }
 
-/// Bytes that the allocator has handed out on the main thread and not got back.
+/// Returns the bytes that are allocated in the main arena of the allocator or mapped directly.
 #[cfg(all(target_os = "linux", target_env = "gnu"))]
 pub fn allocated_bytes() -> f64 {
     // SAFETY: the call reads the allocator's own counters and takes no arguments.
@@ -35,32 +36,33 @@
     (info.uordblks + info.hblkhd) as f64
 }
 
-/// Elsewhere, what the process holds stands in for it.
+/// Returns the resident set size: allocator statistics are only read with glibc.
 #[cfg(not(all(target_os = "linux", target_env = "gnu")))]
 pub fn allocated_bytes() -> f64 {
     resident_bytes()
 }
 
-/// The times of one streamed answer.
+/// Timing of one streamed response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamTiming {
-    /// Until the first token, in milliseconds.
+    /// Time from the request to the first bytes of the body, in milliseconds.
     pub first_ms: f64,
-    /// Between two tokens, in milliseconds.
+    /// Mean time between two tokens, in milliseconds.
     pub token_ms: f64,
 }
 
-/// Where a streamed answer is asked for.
+/// Server that a streamed response is requested from.
 #[derive(Clone)]
 pub enum Target {
-    /// An engine itself.
+    /// An engine, without kitepulley in between.
     Engine(SocketAddr),
-    /// A VM, with a workspace's key.
+    /// A VM of kitepulley, with the API key of a workspace.
     Vm(SocketAddr, String),
 }
 
 impl Target {
-    /// Sends a request for so many tokens and returns the answer's body.
+    /// Sends a request for `tokens` tokens and returns the response body, or none if the request
+    /// failed or was refused. `number` makes the request unique.
     pub async fn open_stream(
         &self,
         http: &awc::Client,
@@ -91,7 +93,7 @@
         sent.ok().filter(|answer| answer.status().is_success())
     }
 
-    /// Times an answer from the request to its end.
+    /// Sends a request, reads the response to its end and returns its timing, or none if it failed.
     pub async fn time_stream(
         &self,
         http: &awc::Client,
@@ -101,7 +103,7 @@
         let started_at = Instant::now();
         let mut body = self.open_stream(http, number, tokens).await?;
         let first = loop {
-            // Nothing is a token until its bytes are there.
+            // An empty chunk carries no token.
             if !body.next().await?.ok()?.is_empty() {
                 break Instant::now();
             }
@@ -120,7 +122,7 @@
     }
 }
 
-/// A client that waits as long as it must.
+/// Creates an HTTP client without a response timeout and without a connection limit.
 pub fn client() -> awc::Client {
     awc::Client::builder()
         .connector(awc::Connector::new().limit(0).timeout(Duration::from_secs(5)))
--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -1,9 +1,10 @@
-//! The control path at many VMs: calls to the platform's store and bytes between VMs, the server's decisions in virtual
-//! time.
+//! Load of the control path with many VMs: calls to the platform's store and bytes between VMs,
+//! with the router's decisions in virtual time.
 //!
-//! A run has a start of all, a calm time, a store that is away for eight seconds, the fall of the VM that reads, and the
-//! death and start of all. Beside the way of the server runs the one before it, in which a VM without news reads for
-//! itself at once. Both are worked out from times of calls and questions; packets are counted, not sent.
+//! A run covers the start of all VMs, a calm period, a store outage of eight seconds, a crash of
+//! the VM that reads the store, and a crash and restart of all VMs. The router's strategy is
+//! compared with its predecessor, in which a VM without updates reads the store itself at once.
+//! Both are computed from the times of calls and polls; packets are counted, not sent.
 
 mod node;
 mod simulation;
@@ -21,7 +22,7 @@
     Simulation, Strategy,
 };
 
-/// The calm time that is counted.
+/// Time before the outage and after it in which calls are counted.
 const CALM_DURATION: Span = Span::secs(10);
 
 fn row(strategy: Strategy, vms: usize, seed: u64) -> Row {
@@ -53,18 +54,20 @@
         .number("bytes/s largest", largest as f64 / seconds, 0)
 }
 
-/// Numbers of VMs that are played if none are given.
+/// Fleet sizes by default.
 const VMS: [usize; 5] = [10, 23, 60, 300, 1000];
 
-/// Runs it.
+/// Simulates both strategies for each fleet size.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
     let ways = [Strategy::Relayed, Strategy::Direct];
     let rows = vms.iter().flat_map(|vms| ways.map(|strategy| row(strategy, *vms, options.seed)));
     let rows: Vec<Row> = rows.collect();
     let notes = vec![
-        "Calls by their price: a read that may be some seconds old costs a tenth.".to_owned(),
-        "Bytes are those that a VM sends and hears for control, over the whole run.".to_owned(),
+        "Calls are weighted by price: a read that may be some seconds stale costs a tenth."
+            .to_owned(),
+        "Bytes are the control traffic that a VM sends and receives, over the whole run."
+            .to_owned(),
     ];
     Table { rows, notes }
 }
--- a/src/experiment/reading/node.rs
+++ b/src/experiment/reading/node.rs
@@ -1,59 +1,61 @@
-//! One VM of the emulation.
+//! State of one simulated VM.
 
 use std::collections::HashMap;
 
 use crate::decide::reader::{Rank, SourceHistory};
 use crate::unit::{Millicores, Moment};
 
-/// Data centres, and the large VMs of each, as on the users' largest site.
+/// Number of data centres, as on the users' largest site.
 pub const DATA_CENTRES: usize = 6;
+
+/// Number of VMs with a large CPU share in each data centre, as on the same site.
 const LARGE_VMS_PER_DATA_CENTRE: usize = 3;
 
-/// Who reads the store for a VM.
+/// How a VM gets the contents of the store.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Role {
-    /// Nobody yet.
+    /// It does not get them yet.
     Starting,
-    /// Itself.
+    /// It reads the store itself.
     Reader,
-    /// The VM of that number.
+    /// It polls the VM with this index.
     Follower(usize),
 }
 
-/// One VM.
+/// A simulated VM.
 pub struct Node {
-    /// Its place in the order of VMs.
+    /// Position in the order in which VMs become readers.
     pub rank: Rank,
-    /// Whether it runs.
+    /// True while it runs.
     pub up: bool,
-    /// How often it has died.
+    /// Number of its crashes so far.
     pub incarnation: u32,
-    /// When it began this life.
+    /// Start of this incarnation.
     pub started_at: Moment,
-    /// Who reads for it.
+    /// How it gets the contents of the store.
     pub role: Role,
-    /// What it remembers of those that it asked.
+    /// Results of its polls of other VMs.
     pub sources: SourceHistory,
-    /// Of when what it knows is.
+    /// Time at which its data was read from the store.
     pub synced_at: Option<Moment>,
-    /// Who read that, and by how many VMs it was passed on.
+    /// Index of the VM that read the data, and number of VMs that relayed it.
     pub origin: (usize, u8),
-    /// Whether it believes that the store is lost.
+    /// True if it believes that the store is lost.
     pub store_lost: bool,
-    /// Since when those that answer say that the store is lost.
+    /// Time since which its sources report that the store is lost.
     pub store_lost_since: Option<Moment>,
-    /// When it knew that the store was back.
+    /// Time at which it learned that the store had recovered.
     pub recovered_at: Option<Moment>,
-    /// When it first knew all in this life.
+    /// Time at which this incarnation first had complete data.
     pub ready_at: Option<Moment>,
-    /// VMs that told it everything, and in which of their lives.
+    /// VMs that have sent it a full snapshot, with their incarnation at that time.
     pub snapshots_from: HashMap<usize, u32>,
-    /// Bytes that it sent and heard.
+    /// Bytes sent and received.
     pub bytes: u64,
 }
 
 impl Node {
-    /// The VM of that number, before its start.
+    /// Creates the VM with index `at`, not started yet.
     pub fn new(at: usize) -> Node {
         let share = if at / DATA_CENTRES < LARGE_VMS_PER_DATA_CENTRE { 500 } else { 120 };
         Node {
--- a/src/experiment/reading/simulation.rs
+++ b/src/experiment/reading/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet of VMs in virtual time.
+//! Discrete-event simulation of a fleet of VMs that read a shared store.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -15,10 +15,10 @@
 };
 use crate::unit::{Moment, Span, Vm as Name};
 
-/// Time that a leaving server may still get work, on that site.
+/// Time for which a draining server may still receive work, on the users' largest site.
 const DRAIN_WINDOW: Span = Span::secs(4);
 
-/// Times of a run: the store is away, the reader falls, all die and start again, the end.
+/// Times of the events of a run.
 pub const STORE_LOST_AT: Span = Span::secs(20);
 pub const STORE_RECOVERED_AT: Span = Span::secs(28);
 pub const READER_CRASH_AT: Span = Span::secs(40);
@@ -26,41 +26,47 @@
 pub const ALL_RESTART_AT: Span = Span::secs(51);
 pub const RUN_END: Span = Span::secs(60);
 
-/// All start within this.
+/// Interval over which the starts of all VMs are spread.
 const START_SPREAD: Span = Span::millis(300);
 
-/// A question between data centres and back.
+/// Duration of a poll between data centres.
 const ROUND_TRIP: Span = Span::millis(4);
 
-/// Calls of a VM that reads: servers every 1.2 s, proofs every 1.66 s, roll-outs every 2 s, two more every 6 s.
+/// Mean interval of the store calls of a reader: servers every 1.2 s, proofs every 1.66 s,
+/// roll-outs every 2 s, and two others every 6 s.
 const CALL_INTERVAL: Span = Span::millis(440);
 
-/// Calls as it begins to read, and a try while the store is away: a mean pause of many.
+/// Price of the calls with which a VM becomes a reader.
 const FIRST_READ_CALLS: f64 = 4.0;
+
+/// Mean interval of the retries of a reader while the store is lost.
 const RETRY_INTERVAL: Span = Span::millis(450);
 
-/// Price of a try: a read that may be old.
+/// Price of a retry: a read that may be stale.
 const RETRY_PRICE: f64 = 0.1;
 
-/// A start: the key and the names, which may be old; and the first time the key and the entry are written.
+/// Price of a restart (the key and the names, read stale) and of a first start, which also writes
+/// the key and the VM's entry.
 const RESTART_PRICE: f64 = 0.2;
 const FIRST_START_PRICE: f64 = 2.2;
 
-/// The same in the way before: key, entry, names, four lists, and a watch of the names or two.
+/// Price of a start in the earlier strategy: key, entry, names, four lists, and one or two watches
+/// of the names.
 const DIRECT_START_PRICE: f64 = 9.0;
 
-/// A try in the way before, at the price of a call.
+/// Price of a retry in the earlier strategy: a full call.
 const DIRECT_RETRY_PRICE: f64 = 1.0;
 
-/// Bytes of a question and an answer without changes, their packets and acknowledgements with them.
+/// Bytes of a poll and its response without changes, including packet overhead and
+/// acknowledgements.
 const POLL_BYTES: u64 = 420;
 
-/// Which way is played.
+/// How VMs without updates get the contents of the store.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Strategy {
-    /// That of the server.
+    /// VMs relay what a reader has read: the strategy of the router.
     Relayed,
-    /// A VM without news reads for itself.
+    /// A VM without updates reads the store itself at once: the earlier strategy.
     Direct,
 }
 
@@ -72,21 +78,22 @@
     Crash(usize),
 }
 
+/// One run of the simulation.
 pub struct Simulation {
     strategy: Strategy,
-    /// The VMs.
+    /// All VMs, by index.
     pub nodes: Vec<Node>,
     queue: BinaryHeap<Reverse<(Moment, Event)>>,
     now: Moment,
     calls: Vec<(Moment, f64)>,
-    /// When VMs began to read for themselves.
+    /// Times at which VMs became readers, with their indices.
     pub reader_starts: Vec<(Moment, usize)>,
     index: HashMap<Name, usize>,
     snapshot_bytes: u64,
 }
 
 impl Simulation {
-    /// All VMs of a fleet before their start.
+    /// Creates a run with all its starts and crashes scheduled.
     pub fn new(strategy: Strategy, vms: usize, rng: &mut SmallRng) -> Simulation {
         let nodes: Vec<Node> = (0..vms).map(Node::new).collect();
         let index = nodes.iter().enumerate().map(|(at, node)| (node.rank.vm.clone(), at));
@@ -97,10 +104,10 @@
         let mut simulation =
             Simulation { strategy, nodes, queue, now, calls, reader_starts, index, snapshot_bytes };
         for at in 0..vms {
-            let apart = |rng: &mut SmallRng| Span(rng.random_range(0..START_SPREAD.0));
-            simulation.schedule(Moment(0) + apart(rng), Event::Start(at));
+            let delay = |rng: &mut SmallRng| Span(rng.random_range(0..START_SPREAD.0));
+            simulation.schedule(Moment(0) + delay(rng), Event::Start(at));
             simulation.schedule(Moment(0) + ALL_CRASH_AT, Event::Crash(at));
-            simulation.schedule(Moment(0) + ALL_RESTART_AT + apart(rng), Event::Start(at));
+            simulation.schedule(Moment(0) + ALL_RESTART_AT + delay(rng), Event::Start(at));
         }
         simulation
     }
@@ -117,7 +124,7 @@
         self.calls.push((self.now, price));
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(&mut self) {
         let mut fallen = false;
         while let Some(Reverse((at, event))) = self.queue.pop() {
@@ -164,13 +171,13 @@
         let node = &mut self.nodes[at];
         (node.up, node.started_at) = (true, self.now);
         if self.strategy == Strategy::Direct {
-            // It has listed all, and looks for a reader after that.
+            // In the earlier strategy a VM lists everything at its start and then finds a reader.
             (node.synced_at, node.ready_at) = (Some(self.now), Some(self.now));
         }
         self.schedule(self.now + ROUND_TRIP, Event::Poll(at, self.nodes[at].incarnation));
     }
 
-    /// What a VM that reads does: a call, or a try while the store is away.
+    /// Calls the store as a reader, or retries while the store is lost.
     fn read(&mut self, at: usize) {
         let incarnation = self.nodes[at].incarnation;
         if self.nodes[at].role != Role::Reader {
@@ -203,7 +210,7 @@
         (0..self.nodes.len()).filter(of_group).map(|other| &self.nodes[other].rank)
     }
 
-    /// The first of each other data centre.
+    /// Returns the first responsive VM of each other data centre.
     fn first_per_data_centre(&self, at: usize) -> Vec<&Rank> {
         let others = (0..DATA_CENTRES).filter(|other| *other != at % DATA_CENTRES);
         let of = |other: usize| (other..self.nodes.len()).step_by(DATA_CENTRES);
@@ -259,7 +266,8 @@
         self.schedule(self.now + waited + pause, Event::Poll(at, incarnation));
     }
 
-    /// Asks a VM. Whether it had news; false if it said that the store is lost.
+    /// Polls a VM. Returns true if it had updates, false if it reported the store as lost, and none
+    /// if there was no usable response.
     fn poll_source(&mut self, at: usize, other: usize) -> Option<bool> {
         let now = self.now;
         let name = self.nodes[other].rank.vm.clone();
@@ -313,7 +321,8 @@
         Some(!lost)
     }
 
-    /// What a VM without news does. Whether it has what it needs for now.
+    /// Handles a poll without updates, and becomes a reader if necessary. Returns true if the VM
+    /// may wait for the usual poll interval.
     fn on_no_update(&mut self, at: usize, store_reported_lost: bool) -> bool {
         let node = &self.nodes[at];
         if node.role == Role::Reader {
@@ -356,7 +365,7 @@
         self.schedule(self.now, Event::ReadStore(at, incarnation));
     }
 
-    /// Price of the calls between two times of the run.
+    /// Returns the price of the store calls between two times of the run.
     pub fn price_between(&self, from: Span, to: Span) -> f64 {
         let (from, to) = (Moment(0) + from, Moment(0) + to);
         let within = self.calls.iter().filter(|(at, _)| (from..to).contains(at));
--- a/src/experiment/reading/snapshot.rs
+++ b/src/experiment/reading/snapshot.rs
@@ -1,13 +1,13 @@
-//! What a VM that has just started is told.
+//! Size of the snapshot that a VM receives after its start.
 
 use crate::forward::kind::Kind;
 use crate::forward::pack::Change;
 use crate::forward::pack::Packed;
 
-/// Backend servers whose entries are passed on.
+/// Backend servers in the snapshot.
 const SERVERS: usize = 166;
 
-/// Bytes of everything that a VM which has just started is told.
+/// Returns the encoded size of a snapshot of all servers and `vms` VMs, in bytes.
 pub fn snapshot_bytes(vms: usize) -> u64 {
     let change = |kind, at: usize, text: String| Change {
         kind,
--- a/src/experiment/shed/mod.rs
+++ b/src/experiment/shed/mod.rs
@@ -1,8 +1,9 @@
-//! Servers that turn requests away and ask for rest, and servers that leave while the store is away, before many VMs: the server's decisions
-//! in virtual time.
+//! Servers that reject requests with a backoff, and servers that drain during a store outage,
+//! behind many VMs: the router's decisions in virtual time.
 //!
-//! A burst beyond the capacity fills the servers, which turn away what they have no room for; a quarter of them turns everything away for
-//! five seconds; a tenth says that it leaves, serves on for three seconds, ends, and is back under the same id. Callers that are refused come back once.
+//! A burst above the capacity fills the servers, which reject what they have no room for. A quarter
+//! of them rejects everything for five seconds. A tenth announces that it drains, serves for three
+//! more seconds, stops, and restarts under the same id. Refused callers retry once.
 
 mod simulation;
 
@@ -13,38 +14,40 @@
 use super::table::{Row, Table, quantile};
 use simulation::Simulation;
 
-/// Numbers of VMs that are played if none are given: the users' sites.
+/// Fleet sizes by default: those of the users' sites.
 const DEFAULT_VMS: [usize; 3] = [23, 84, 295];
 
-/// Shares of VMs that nothing reaches, though callers and servers do.
+/// Fractions of VMs that are partitioned from the other VMs but still reach callers and servers.
 const PARTITIONED_SHARES: [f64; 2] = [0.0, 0.1];
 
-/// Loads of the burst, in parts of the capacity; seeds take them in turn.
+/// Loads of the burst as multiples of the capacity; consecutive seeds cycle through them.
 const BURST_LOADS: [f64; 4] = [1.5, 2.0, 2.5, 3.0];
 
-/// Seeds if none are given.
+/// Number of seeds by default.
 const DEFAULT_SEEDS: u64 = 100;
 
-/// The default of the option for seeds, which other experiments share.
+/// Default of the option `runs`, which this experiment takes as unset.
 const SHARED_DEFAULT_SEEDS: u64 = 1000;
 
-/// Length of a run in seconds, for rates.
+/// Length of a run.
 const RUN_SECONDS: f64 = 18.0;
 
-/// What VMs do about what servers say of themselves.
+/// How VMs react to the backoff and drain signals of servers. Each strategy adds to the one before
+/// it unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Nothing.
+    /// They ignore them.
     Ignored,
-    /// Each keeps what it heard itself.
+    /// Each VM follows the signals that it received itself.
     PerVm,
-    /// And after a rest one request at a time tries the server.
+    /// After a backoff, one request at a time probes the server.
     Probe,
-    /// And what can still be served in time waits for the end of the first rest: the way of the server.
+    /// Requests that can still be served in time wait for the end of the first backoff: the
+    /// strategy of the router.
     Wait,
-    /// And VMs tell one another, so that a server that asked another for rest counts as full.
+    /// VMs share backoffs, and a server that asked another VM for one counts as full.
     Shared,
-    /// And, not told, what would come to a server that is thought to be full waits too.
+    /// As `Wait`, without sharing; requests that would go to a server believed to be full wait too.
     AvoidFull,
 }
 
@@ -107,7 +110,7 @@
         .number("bytes/s a VM", mean(bytes), 1)
 }
 
-/// Runs it.
+/// Simulates all strategies for each fleet size, without and with partitioned VMs.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { DEFAULT_VMS.to_vec() } else { options.vms.clone() };
     let seeds = if options.runs == SHARED_DEFAULT_SEEDS { DEFAULT_SEEDS } else { options.runs };
@@ -119,12 +122,14 @@
         }
     }
     let notes = vec![
-        "Against: sends to a server in a rest that it had asked this VM for, or after it had told this VM that it leaves, 50 ms after that was \
-         heard."
+        "Against: sends to a server that had asked this VM to back off or announced to it that it \
+         drains, 50 ms or more after the signal was received."
             .to_owned(),
-        "Turned away: part of the sends. In aim and served: requests that began to run within 1.5 s, and at all, of all that callers sent."
+        "Turned away: share of the sends that were rejected. In aim and served: share of the \
+         callers' requests that began to run within 1.5 s, and at all."
             .to_owned(),
-        "Cut: requests that ran or waited at a server when it ended as planned. No service: time in the burst in which nothing began to run."
+        "Cut: requests that ran or waited at a server when it stopped as planned. No service: time \
+         in the burst in which no request began to run."
             .to_owned(),
     ];
     Table { rows, notes }
--- a/src/experiment/shed/simulation.rs
+++ b/src/experiment/shed/simulation.rs
@@ -1,4 +1,4 @@
-//! VMs, servers and callers in virtual time.
+//! Discrete-event simulation of VMs, overloaded or draining servers, and callers.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,50 +12,67 @@
 use crate::decide::placement::{Candidate, least_loaded};
 use crate::unit::{Moment, Span};
 
-/// Servers for each VM, as on the users' large site; and the fewest.
+/// Servers per VM, as on the users' large site, and the smallest number of servers.
 const SERVERS_PER_VM: f64 = 0.56;
 const MIN_SERVERS: usize = 12;
 
-/// Requests that a server runs at once, that wait there beside them, and how long one runs in the mean.
+/// Requests that a server runs at once.
 const SLOTS: u32 = 16;
+
+/// Requests that may wait at a server.
 const QUEUE: u32 = 4;
+
+/// Mean time for which a request runs.
 const MEAN_DURATION: Span = Span::secs(1);
 
-/// When the burst begins and ends, and when a run ends; load outside of it, as a part of the capacity.
+/// Seconds of the run in which the burst takes place.
 const BURST_SECONDS: std::ops::Range<u64> = 4..10;
+
+/// Length of a run.
 const RUN_LENGTH: Span = Span::secs(18);
+
+/// Load outside the burst, as a fraction of the capacity.
 const CALM_LOAD: f64 = 0.5;
 
-/// Servers that turn all away for no load's sake, as a part of all, and when they do.
+/// Fraction of the servers that reject everything regardless of their load, and when they do.
 const FAULTY_SHARE: f64 = 0.25;
 const FAULTY_FROM: Moment = Moment(5_000_000);
 const FAULTY_DURATION: Span = Span::secs(5);
 
-/// Servers that leave while the store is away, as a part of all; when they say so, how long they serve on, and when the next life
-/// under the same id begins.
+/// Fraction of the servers that drain while the store is lost.
 const DRAINING_SHARE: f64 = 0.1;
+
+/// Time at which they announce it, and how long they serve after that.
 const DRAIN_AT: Moment = Moment(6_000_000);
 const DRAIN_DURATION: Span = Span::secs(3);
+
+/// Time from the stop of a server to its next incarnation under the same id.
 const RESTART_DELAY: Span = Span::secs(5);
 
-/// Time from a VM to a server and back at the most, and between VMs.
+/// Longest one-way delay between a VM and a server.
 const MAX_ONE_WAY_DELAY: Span = Span::millis(3);
 
-/// Time to the beginning that callers want, attempts of a request, and when a caller that was refused comes back at the latest.
+/// Time within which callers want their requests to begin to run.
 const START_GOAL: Span = Span::millis(1500);
+
+/// Attempts of a request.
 const MAX_ATTEMPTS: u32 = 3;
+
+/// Longest time that a request waits at a server; refused callers retry after a third of it at the
+/// latest.
 const MAX_CALLER_WAIT: Span = Span::secs(5);
 
-/// Time after which a caller comes back that was told nothing better.
+/// Delay before a refused caller retries if the refusal names no time.
 const DEFAULT_RETRY_DELAY: Span = Span::millis(300);
 
-/// What binds a VM that has heard it: an answer is on its way and the next choice made within this.
+/// Time after a VM receives a signal from which its sends count as against it, since requests may
+/// already be on their way.
 const REACTION_TIME: Span = Span::millis(50);
 
-/// Time until what waits for room looks again.
+/// Interval at which requests that wait for a free server check again.
 const RECHECK_INTERVAL: Span = Span::millis(20);
 
-/// Bytes of a word between VMs, with its packet.
+/// Bytes of a message between VMs, with packet headers.
 const MESSAGE_BYTES: u64 = 110;
 
 #[derive(Clone)]
@@ -63,23 +80,24 @@
     vm: usize,
     arrived_at: Moment,
     attempts: u32,
-    /// Servers that turned it away.
+    /// Servers that were tried.
     tried_servers: Vec<usize>,
     is_retry: bool,
 }
 
 enum Event {
     Arrival(Request),
-    /// Reaches a server.
+    /// A request reaches a server.
     ServerReceives(Request, usize),
-    /// A server's answer reaches the VM: what its head says, and the load that it tells.
+    /// A response reaches the VM: server, incarnation, signal, reported load, and true if the
+    /// request was accepted.
     ResponseReceived(Request, usize, u64, Signal, u32, bool),
-    /// A run ends at a life of a server.
+    /// A request of a VM ends at an incarnation of a server.
     Completion(usize, usize, u64),
     DrainStarts(usize),
     ServerStops(usize),
     ServerRestarts(usize),
-    /// A VM hears that a server wants rest until a moment, from another.
+    /// A VM learns from another VM that a server asked for a backoff until a time.
     BackoffReceived(usize, usize, Moment),
 }
 
@@ -93,46 +111,48 @@
 }
 
 impl Server {
-    /// Requests that run or wait there.
+    /// Returns the number of requests that run or wait here.
     fn open_requests(&self) -> u32 {
         self.running + self.waiting.len() as u32
     }
 }
 
-/// What one VM knows of one server.
+/// State of one server at one VM.
 #[derive(Clone, Default)]
 struct View {
     availability: Availability,
     load: Load,
     incarnation: u64,
-    /// Since when it knows that the server rests or leaves, by its own ears.
+    /// Start and end of the server's backoff or drain, as received by this VM.
     unavailable_during: Option<(Moment, Moment)>,
-    /// Until when the server rests, as others say.
+    /// End of the server's backoff as reported by other VMs.
     reported_backoff_until: Moment,
 }
 
-/// What a run measured.
+/// Results of a run.
 #[derive(Clone, Copy, Default)]
 pub struct Counts {
-    /// Requests of callers, their second tries apart.
+    /// Requests of callers, without retries.
     pub requests: u64,
-    /// Those that began to run within the aim, and at all.
+    /// Requests that began to run within [`START_GOAL`].
     pub in_goal: u64,
+    /// Requests that began to run.
     pub served: u64,
-    /// Sends, and those that were turned away.
+    /// Requests sent to servers, with retries.
     pub sends: u64,
+    /// Sends that servers rejected.
     pub rejected: u64,
-    /// Sends that reached a server in a rest, or after it had said that it leaves, that the VM had heard of by then.
+    /// Sends to a server that backed off or drained, as the VM knew by then.
     pub sent_while_unavailable: u64,
-    /// Requests that a server's planned end cut off.
+    /// Requests that ran or waited at a server when it stopped as planned.
     pub interrupted: u64,
-    /// Bytes of words between VMs.
+    /// Bytes of messages between VMs.
     pub bytes: u64,
-    /// Tenths of a second in the burst in which nothing began to run.
+    /// Tenths of a second in the burst in which no request began to run.
     pub idle_tenths: u64,
 }
 
-/// One run.
+/// One run of the simulation.
 pub struct Simulation {
     strategy: Strategy,
     backoff: Span,
@@ -144,13 +164,15 @@
     views: Vec<Vec<View>>,
     partitioned: Vec<bool>,
     servers: Vec<Server>,
+    /// True for each tenth of a second in which a request began to run.
     started: Vec<bool>,
-    /// What was measured.
+    /// Results so far.
     pub counts: Counts,
 }
 
 impl Simulation {
-    /// A run before its start: so many VMs, some cut off from the others, a burst of so many times the capacity.
+    /// Creates a run with its arrivals scheduled. Each VM is partitioned with probability `cut`;
+    /// `burst` is the load of the burst as a multiple of the capacity.
     pub fn new(
         vms: usize,
         strategy: Strategy,
@@ -218,7 +240,7 @@
         self.events.insert(self.sequence, event);
     }
 
-    /// Plays the run.
+    /// Runs the simulation to its end.
     pub fn run(&mut self) {
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > Moment(0) + RUN_LENGTH {
@@ -254,7 +276,7 @@
         self.counts.idle_tenths = burst.iter().filter(|started| !**started).count() as u64;
     }
 
-    /// Why a VM sends nothing to a server now, by its way.
+    /// Returns the reason why a VM may not send to a server now under the strategy, or none.
     fn unavailable_reason(&self, vm: usize, server: usize) -> Option<Unavailable> {
         let reason = self.views[vm][server]
             .availability
@@ -266,7 +288,7 @@
         }
     }
 
-    /// Finds a server for a request, lets it wait, or refuses it.
+    /// Sends a request to the least loaded available server, delays it, or refuses it.
     fn dispatch(&mut self, request: Request) {
         let vm = request.vm;
         let may = |server: &usize| {
@@ -310,10 +332,10 @@
             matches!(self.strategy, Strategy::Wait | Strategy::Shared | Strategy::AvoidFull);
         match first.filter(|left| waits && self.now + *left <= request.arrived_at + START_GOAL) {
             Some(left) => {
-                let apart = Span(self.rng.random_range(0..20_000));
+                let jitter = Span(self.rng.random_range(0..20_000));
                 let mut request = request;
                 request.tried_servers.clear();
-                self.schedule(self.now + left + apart, Event::Arrival(request));
+                self.schedule(self.now + left + jitter, Event::Arrival(request));
             }
             None => self.refuse(request, backoffs),
         }
@@ -373,7 +395,7 @@
         server.waiting.push_back((request, now));
     }
 
-    /// A request begins to run; its head leaves.
+    /// Starts a request and sends the response headers.
     fn start(&mut self, request: Request, at: usize) {
         let server = &self.servers[at];
         let (incarnation, is_draining, open_requests) =
@@ -419,7 +441,7 @@
         let (vm, now) = (request.vm, self.now);
         let backoff = self.backoff;
         let view = &mut self.views[vm][at];
-        // The entry of a new life has reached all by the time that it takes requests.
+        // The store's entry of a new incarnation reaches all VMs before it accepts requests.
         if view.incarnation != incarnation {
             *view = View { incarnation, load: view.load, ..View::default() };
         }
@@ -450,7 +472,8 @@
         }
     }
 
-    /// Notes what a VM heard, and tells its neighbours on the ring if it is news to it.
+    /// Records a backoff reported by another VM, and forwards it to the ring neighbours if it is
+    /// new.
     fn on_backoff_report(&mut self, vm: usize, server: usize, until: Moment) {
         let is_known = self.views[vm][server].reported_backoff_until + REACTION_TIME >= until;
         self.views[vm][server].reported_backoff_until = until;
@@ -477,7 +500,7 @@
             return;
         }
         server.running -= 1;
-        // What waits too long has left.
+        // Callers that waited too long have given up.
         while let Some((request, since)) = server.waiting.pop_front() {
             if self.now.since(since) > MAX_CALLER_WAIT {
                 continue;
--- a/src/experiment/table.rs
+++ b/src/experiment/table.rs
@@ -1,34 +1,34 @@
-//! Rows of named figures, shown as a table or as JSON.
+//! Result tables of experiments, printed as aligned text or as JSON.
 
 use std::fmt;
 
 use serde_json::{Map, Value, json};
 
-/// One row.
+/// One row of a table: fields in the order in which they were added.
 #[derive(Clone, Debug, Default)]
 pub struct Row(Map<String, Value>);
 
 impl Row {
-    /// A row that begins with a name.
+    /// Creates a row with a first field that names it.
     pub fn named(field: &str, name: impl ToString) -> Row {
         Row::default().with(field, name.to_string())
     }
 
-    /// Adds a field.
+    /// Adds a field, or replaces the value of a field that is present.
     #[must_use]
     pub fn with(mut self, field: &str, value: impl Into<Value>) -> Row {
         self.0.insert(field.to_owned(), value.into());
         self
     }
 
-    /// Adds a number, rounded to so many places.
+    /// Adds a number, rounded to `places` decimal places.
     #[must_use]
     pub fn number(self, field: &str, value: f64, places: i32) -> Row {
         let factor = 10f64.powi(places);
         self.with(field, (value * factor).round() / factor)
     }
 
-    /// A field's number.
+    /// Returns the number in a field, or none if the field is missing or no number.
     pub fn get(&self, field: &str) -> Option<f64> {
         self.0.get(field).and_then(Value::as_f64)
     }
@@ -37,14 +37,14 @@
 /// The result of an experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// Its rows.
+    /// One row for each policy or size that was measured.
     pub rows: Vec<Row>,
-    /// What the rows mean and what they rest on, a sentence each.
+    /// Explanations of the columns and of the assumptions, printed below the rows.
     pub notes: Vec<String>,
 }
 
 impl Table {
-    /// The rows and notes as JSON.
+    /// Returns the table as a JSON object with the keys `rows` and `notes`.
     pub fn to_json(&self) -> Value {
         let rows: Vec<&Map<String, Value>> = self.rows.iter().map(|row| &row.0).collect();
         json!({"rows": rows, "notes": self.notes})
@@ -89,7 +89,8 @@
     }
 }
 
-/// The value below which a share of sorted values lies.
+/// Returns the value at a quantile (0 to 1) of `values` by nearest rank, or 0 if there are none.
+/// Sorts the values in place.
 pub fn quantile(values: &mut [f64], share: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
