--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -1,7 +1,8 @@
-//! Cascades: cost at the quality target, policies compared on the same requests.
+//! Cascades from a cheap to a strong model: cost of policies at the quality target, compared on
+//! the same requests.
 //!
-//! Each request has a kind and a confidence of its cheap answer; the chance that either answer
-//! passes is a function of the two, known to the bounds and hidden from the policies.
+//! Each request has a kind and a confidence of its cheap answer. The probability that either answer
+//! passes is a function of the two; the bounds know it, the policies don't.
 
 use std::collections::VecDeque;
 
@@ -23,44 +24,52 @@
 const CHEAP_MS: f64 = 300.0;
 const STRONG_MS: f64 = 900.0;
 
-/// Share of answers that must pass.
+/// Fraction of answers that must pass.
 const TARGET: f64 = 0.9;
 
-/// Requests if no number is given, and requests a second.
+/// Number of requests by default, and their rate.
 const REQUESTS: usize = 60_000;
-const RATE: f64 = 50.0;
+const REQUESTS_PER_SECOND: f64 = 50.0;
 
-/// Share of the run that counts as learning.
+/// Fraction of the run in which policies learn; `cost_ratio_after` and the worst window exclude it.
 const WARM_UP: f64 = 0.15;
 
-/// Length of the windows in which quality is looked at, and their distance.
+/// Requests in a window of which the quality is measured, and step between windows.
 const WINDOW: usize = 1000;
 const WINDOW_STEP: usize = 100;
 
-/// Requests between two solutions of the rules.
-const SOLVE_EVERY: usize = 100;
+/// Requests between two computations of the rules.
+const SOLVE_INTERVAL: usize = 100;
 
 struct Request {
     kind: usize,
+    /// Stretch of the run between two sudden changes.
     segment: usize,
+    /// Confidence of the cheap answer, 0 to 1.
     confidence: f64,
+    /// Probabilities that the cheap and the strong answer pass.
     cheap: f64,
     strong: f64,
+    /// Outcomes drawn with these probabilities, as a rating shows them.
     cheap_passes: bool,
     strong_passes: bool,
     cheap_ms: f64,
     strong_ms: f64,
-    explore: f64,
-    point: f64,
-    rated: f64,
-    which: f64,
+    /// Random numbers for the decisions of the policy: exploration, choice at the edges of the
+    /// rule, and whether an answer and an escalated answer are rated.
+    explore_random: f64,
+    rule_random: f64,
+    rating_random: f64,
+    escalated_rating_random: f64,
 }
 
-/// The chance that a cheap answer of some kind passes, by confidence.
+/// Probability that a cheap answer of a kind passes, as a function of its confidence.
 struct Curve {
+    /// Probabilities at confidence 0 and 1.
     low: f64,
     high: f64,
     exponent: f64,
+    /// Exponent of the distribution of confidences; above 1, low confidences are more frequent.
     skew: f64,
 }
 
@@ -72,7 +81,7 @@
             exponent: rng.random_range(0.7..1.6),
             skew: 1.0,
         };
-        // Confidences crowd towards one end until the mean is met.
+        // Bisects for the skew at which the mean probability has the wanted value.
         let (mut low, mut high) = (0.02f64, 50.0f64);
         for _ in 0..60 {
             curve.skew = (low * high).sqrt();
@@ -126,16 +135,16 @@
             strong_passes: rng.random::<f64>() < strong,
             cheap_ms: CHEAP_MS * (0.5 + 0.5 * exponential(&mut rng)),
             strong_ms: STRONG_MS * (0.5 + 0.5 * exponential(&mut rng)),
-            explore: rng.random(),
-            point: rng.random(),
-            rated: rng.random(),
-            which: rng.random(),
+            explore_random: rng.random(),
+            rule_random: rng.random(),
+            rating_random: rng.random(),
+            escalated_rating_random: rng.random(),
         }
     };
     (0..requests).map(request).collect()
 }
 
-/// What a policy did with each request.
+/// Cost, quality and latency of each request under a policy.
 struct Outcomes {
     cost: Vec<f64>,
     quality: Vec<f64>,
@@ -184,7 +193,8 @@
     }
 }
 
-/// The least cost with every true chance known: one price of quality for each stretch of time.
+/// Returns the lowest cost if all probabilities are known: each segment has one price of quality,
+/// the lowest that meets the target.
 fn informed_bound(requests: &[Request]) -> Outcomes {
     let mut outcomes = Outcomes::new();
     for segment in requests.chunk_by(|a, b| a.segment == b.segment) {
@@ -204,6 +214,8 @@
     outcomes
 }
 
+/// Serves each request at the lowest cost if quality has a price, deciding for each kind whether
+/// requests go to the strong model at once.
 fn apply_price(segment: &[Request], kinds: usize, price: f64, outcomes: &mut Outcomes) {
     let mut cheap_first_excess = vec![0.0; kinds];
     for request in segment {
@@ -223,7 +235,7 @@
     }
 }
 
-/// The least cost with every outcome known beforehand.
+/// Returns the lowest cost if all outcomes are known beforehand.
 fn clairvoyant(requests: &[Request]) -> Outcomes {
     let mut outcomes = Outcomes::new();
     let passes = requests.iter().filter(|request| request.cheap_passes).count();
@@ -240,7 +252,8 @@
     outcomes
 }
 
-/// The cheapest threshold of confidence, the same for all kinds, that meets the target at last.
+/// Returns the outcomes of the lowest confidence threshold, the same for all kinds, that meets the
+/// target over the whole run.
 fn best_threshold(requests: &[Request]) -> Outcomes {
     let at = |threshold: f64| {
         let mut outcomes = Outcomes::new();
@@ -260,15 +273,19 @@
     found.unwrap_or_else(|| at(1.01))
 }
 
+/// A rating that arrives later.
 struct PendingRating {
+    /// Number of the request at which it arrives.
     due: usize,
     kind: usize,
     bin: usize,
     answer: Answer,
+    /// Probability that the answer passes, as the policy estimated it.
     expected: f64,
     pass: bool,
 }
 
+/// The router's policy: learns from the ratings of a fraction of the answers.
 struct CascadePolicy {
     beliefs: Vec<Belief>,
     drift_detectors: Vec<DriftDetector>,
@@ -276,7 +293,7 @@
     rungs: Rungs,
     ratings: VecDeque<PendingRating>,
     credit: Credit,
-    rated: usize,
+    ratings_requested: usize,
 }
 
 impl CascadePolicy {
@@ -293,16 +310,16 @@
             },
             ratings: VecDeque::new(),
             credit: Credit::default(),
-            rated: 0,
+            ratings_requested: 0,
         }
     }
 
     fn run(&mut self, requests: &[Request], options: &Options) -> Outcomes {
         let mut outcomes = Outcomes::new();
-        let lag = (options.rating_lag.as_secs() * RATE) as usize;
+        let lag = (options.rating_lag.as_secs() * REQUESTS_PER_SECOND) as usize;
         for (i, request) in requests.iter().enumerate() {
             self.apply_ratings(i);
-            if i % SOLVE_EVERY == 0 {
+            if i % SOLVE_INTERVAL == 0 {
                 self.rules = solve(&self.beliefs, &self.rungs, TARGET);
             }
             self.decide(i + lag, request, options.rated_share, &mut outcomes);
@@ -314,21 +331,21 @@
         self.credit.earn(share);
         self.beliefs[request.kind].requests += 1.0;
         let rule = self.rules[request.kind];
-        let strong = rule.begins_strong(request.point);
-        if strong && request.explore >= rule.explore {
+        let strong = rule.begins_strong(request.rule_random);
+        if strong && request.explore_random >= rule.explore {
             outcomes.direct(request);
-            self.rate(due, request, Answer::Direct, BINS, request.rated);
+            self.rate(due, request, Answer::Direct, BINS, request.rating_random);
             return;
         }
         let bin = bin(request.confidence);
         self.beliefs[request.kind].confidence_counts[bin] += 1.0;
-        self.rate(due, request, Answer::Cheap(bin), bin, request.rated);
-        if rule.keeps(bin, request.point) && !strong {
+        self.rate(due, request, Answer::Cheap(bin), bin, request.rating_random);
+        if rule.keeps(bin, request.rule_random) && !strong {
             outcomes.cheap(request);
             return;
         }
         outcomes.escalate(request);
-        self.rate(due, request, Answer::Climbed, bin, request.which);
+        self.rate(due, request, Answer::Climbed, bin, request.escalated_rating_random);
     }
 
     fn rate(&mut self, due: usize, request: &Request, answer: Answer, bin: usize, point: f64) {
@@ -347,7 +364,7 @@
             expected,
             pass,
         });
-        self.rated += 1;
+        self.ratings_requested += 1;
     }
 
     fn apply_ratings(&mut self, now: usize) {
@@ -361,15 +378,15 @@
                 Answer::Direct => &mut belief.direct,
             };
             cell.add(rated.pass);
-            let watched = matches!(rated.answer, Answer::Cheap(_)) && rated.expected > 0.0;
-            if watched && self.drift_detectors[rated.kind].record(rated.expected, rated.pass) {
+            let is_monitored = matches!(rated.answer, Answer::Cheap(_)) && rated.expected > 0.0;
+            if is_monitored && self.drift_detectors[rated.kind].record(rated.expected, rated.pass) {
                 belief.discount();
             }
         }
     }
 }
 
-/// Runs all policies on the same requests.
+/// Runs all policies and bounds on the same requests.
 pub fn run(options: &Options) -> Table {
     let requests = generate_requests(options);
     let bound = informed_bound(&requests);
@@ -394,7 +411,8 @@
     table.rows =
         rows.into_iter().map(|(name, outcomes)| outcomes.row(name, &bound, TARGET)).collect();
     table.notes.push(format!(
-        "{} requests, {} kinds, cheap pass {}, {} sudden changes, rated share {}, rating lag {}.",
+        "{} requests, {} kinds, cheap pass rate {}, {} sudden changes, rated share {}, \
+         rating lag {}.",
         requests.len(),
         options.kinds,
         options.cheap_pass,
@@ -402,11 +420,11 @@
         options.rated_share,
         options.rating_lag
     ));
-    let rated = policy.rated as f64 / requests.len() as f64;
-    table.notes.push(format!("Ours had {:.2}% of requests rated.", rated * 100.0));
+    let rated = policy.ratings_requested as f64 / requests.len() as f64;
+    table.notes.push(format!("The policy `ours` had {:.2}% of the requests rated.", rated * 100.0));
     table.notes.push(
-        "Quality is the mean true chance to pass of what was served; the threshold and the bounds \
-         are chosen in hindsight."
+        "Quality is the mean true probability that the served answers pass; the threshold and the \
+         bounds are chosen in hindsight."
             .to_owned(),
     );
     table
--- a/src/experiment/overload.rs
+++ b/src/experiment/overload.rs
@@ -1,4 +1,5 @@
-//! Overload: more work than capacity, and half of the pool lost halfway, in virtual time.
+//! Overload: more work than capacity, and the loss of half of the pool in the middle of the run, in
+//! virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,43 +12,45 @@
 use crate::decide::admission::{AdmissionController, Outcome};
 use crate::unit::{Moment, Workspace};
 
-/// Entry VMs, replicas and slots of the pool.
+/// Entry VMs, replicas of the pool, and requests that a replica runs at once.
 const VMS: usize = 9;
 const REPLICAS: usize = 20;
 const SLOTS: usize = 16;
 
-/// Mean time in a slot, in seconds.
+/// Mean time for which a request runs.
 const MEAN_SERVICE_SECONDS: f64 = 1.0;
 
-/// A caller gives up after this, in microseconds.
+/// Time after which a caller gives up.
 const DEADLINE_US: u64 = 4_000_000;
 
-/// Length of a run; half of the pool is lost in the middle.
+/// Length of a run; half of the pool is lost in the middle of it.
 const RUN_SECONDS: u64 = 120;
 
-/// A refused or late caller of a policy without `Retry-After` asks again after this, so often.
+/// Delay after which a refused or late caller retries if it received no `Retry-After`.
 const CALLER_RETRY_US: u64 = 200_000;
+
+/// Requests that a caller sends at most, including the first.
 const MAX_CALLER_ATTEMPTS: u32 = 3;
 
-/// What ours tells refused callers: when to come back.
+/// `Retry-After` that the router sends to refused callers.
 const RETRY_AFTER_US: u64 = 2_000_000;
 
-/// Large workspaces, small ones, and the share of the work that the large ones offer.
+/// Numbers of large and small workspaces, and the fraction of requests from the large ones.
 const LARGE_WORKSPACES: usize = 3;
 const SMALL_WORKSPACES: usize = 7;
 const LARGE_WORKSPACES_SHARE: f64 = 0.93;
 
-/// Requests that may wait at a replica for each slot, by policy.
+/// Requests that may wait at a replica per slot, with fixed limits and with the router.
 const FIXED_QUEUE_PER_SLOT: f64 = 1.0;
 const KITEPULLEY_QUEUE_PER_SLOT: f64 = 0.25;
 
-/// Concurrency of a VM with fixed limits, in shares of its part of the pool.
+/// Concurrency limit of a VM with fixed limits, as a multiple of its share of the pool.
 const FIXED_CONCURRENCY: f64 = 1.5;
 
-/// Loads if none is given, in shares of the capacity.
+/// Offered loads by default, as multiples of the capacity.
 const DEFAULT_LOADS: [f64; 3] = [0.9, 2.0, 5.0];
 
-/// Replicas tried before a request is refused.
+/// Replicas that the router tries before it refuses a request.
 const MAX_REPLICAS_TRIED: usize = 3;
 
 #[derive(Clone, Copy, PartialEq)]
@@ -67,13 +70,17 @@
 struct Request {
     workspace: usize,
     vm: usize,
+    /// Arrival of the caller's first request, in microseconds.
     arrived_at: u64,
+    /// Number of times that the caller has retried.
     retries: u32,
+    /// Time for which it runs.
     service_us: u64,
 }
 
 enum Event {
     Arrival(Request),
+    /// A request ends at a replica.
     Completion(usize, Request),
 }
 
@@ -91,6 +98,7 @@
     in_time: f64,
     late: f64,
     completed: f64,
+    /// Requests of each workspace, and those of them that ended in time.
     by_workspace: BTreeMap<usize, (f64, f64)>,
 }
 
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Half of the replicas are lost with what runs and waits there.
+    /// Loses half of the replicas with the requests that run or wait there.
     fn lose_half(&mut self, now: u64) {
         for at in 0..REPLICAS / 2 {
             self.replicas[at].lost = true;
@@ -195,11 +203,11 @@
         self.on_refusal(now, request);
     }
 
-    /// The less busy of two that are not known to be lost.
+    /// Returns the less loaded of two random replicas that are not known to be lost.
     fn pick_replica(&mut self) -> usize {
         let draw = |rng: &mut SmallRng, replicas: &[Replica]| loop {
             let at = rng.random_range(0..REPLICAS);
-            // A lost replica is known after its first failed connections.
+            // After the first failed connections a lost replica is rarely chosen.
             if !replicas[at].lost || rng.random::<f64>() < 0.02 {
                 return at;
             }
@@ -241,7 +249,7 @@
 
     fn start_queued(&mut self, now: u64, at: usize) {
         while let Some((_, request)) = self.replicas[at].waiting.pop_front() {
-            // Ours drops what cannot be in time; it has not run.
+            // The router drops requests that cannot meet their deadline; they have not run yet.
             let misses_deadline = now + request.service_us / 2 > request.arrived_at + DEADLINE_US;
             if self.policy == Policy::Kitepulley && misses_deadline {
                 self.on_attempt_end(now, &request, Outcome::Bad);
@@ -265,7 +273,7 @@
         self.schedule_retry(now, request, wait);
     }
 
-    /// The caller asks again, if its time is not up.
+    /// Schedules a retry of the caller, unless it has given up by then.
     fn schedule_retry(&mut self, now: u64, request: Request, wait: u64) {
         let at = now + wait + self.rng.random_range(0..wait);
         if request.retries + 1 < MAX_CALLER_ATTEMPTS && at < request.arrived_at + DEADLINE_US {
@@ -333,14 +341,14 @@
     for load in loads {
         for (policy, name) in POLICIES {
             let counts = run_policy(policy, options.seed, load);
-            // Full capacity for half of the run and half of it after the loss.
+            // The full capacity for the first half of the run, and half of it after the loss.
             let half = RUN_SECONDS as f64 / 2.0;
             let max_in_time =
                 slots.min(load * slots) * half + (slots / 2.0).min(load * slots) * half;
             let small = (LARGE_WORKSPACES..LARGE_WORKSPACES + SMALL_WORKSPACES)
                 .filter_map(|w| counts.by_workspace.get(&w));
             let (requested, got) = small.fold((0.0, 0.0), |sum, w| (sum.0 + w.0, sum.1 + w.1));
-            // Small workspaces ask for less than an even share up to a load of about 10.
+            // Up to a load of about 10, small workspaces request less than an equal share.
             let row = Row::named("policy", name)
                 .number("offered", load, 2)
                 .number("goodput_ratio", counts.in_time / max_in_time, 4)
@@ -351,9 +359,10 @@
         }
     }
     table.notes.push(format!(
-        "{VMS} VMs, {REPLICAS} replicas of {SLOTS} slots, half of them lost after {} s of {RUN_SECONDS}; \
-         {LARGE_WORKSPACES} large and {SMALL_WORKSPACES} small workspaces. goodput_ratio is against the capacity that is \
-         left; attempts are dispatches to replicas, those they refused too.",
+        "{VMS} VMs, {REPLICAS} replicas of {SLOTS} slots, half of them lost after {} s of \
+         {RUN_SECONDS}; {LARGE_WORKSPACES} large and {SMALL_WORKSPACES} small workspaces. \
+         goodput_ratio is relative to the remaining capacity; attempts are requests sent to \
+         replicas, including rejected ones.",
         RUN_SECONDS / 2
     ));
     table
--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -60,8 +60,9 @@
 /// Simulates both strategies for each fleet size.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let ways = [Strategy::Relayed, Strategy::Direct];
-    let rows = vms.iter().flat_map(|vms| ways.map(|strategy| row(strategy, *vms, options.seed)));
+    let strategies = [Strategy::Relayed, Strategy::Direct];
+    let rows =
+        vms.iter().flat_map(|vms| strategies.map(|strategy| row(strategy, *vms, options.seed)));
     let rows: Vec<Row> = rows.collect();
     let notes = vec![
         "Calls are weighted by price: a read that may be some seconds stale costs a tenth."
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -1,4 +1,4 @@
-//! Replica choice by many VMs with late load reports and prefix caches, in virtual time.
+//! Choice of a replica by many VMs with delayed load reports and prefix caches, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -14,37 +14,43 @@
 /// Requests that a replica runs at once.
 const SLOTS: usize = 16;
 
-/// Time of a request in a slot, in seconds: the prompt, cached or not, and the answer.
+/// Prefill time of a prompt whose prefix is not cached, and of one whose prefix is.
 const PROMPT_SECONDS: f64 = 0.3;
 const CACHED_PROMPT_SECONDS: f64 = 0.05;
+
+/// Mean time for generating the response.
 const RESPONSE_SECONDS: f64 = 1.2;
 
-/// Prefixes that a replica keeps.
+/// Prefixes in the cache of a replica.
 const CACHED_PREFIXES: usize = 24;
 
-/// Share of requests that have a prefix which others have too.
+/// Fraction of requests whose prefix other requests have too.
 const SHARED_PREFIX_SHARE: f64 = 0.6;
 
-/// Requests of a run for each replica.
+/// Requests per replica in a run.
 const REQUESTS_PER_REPLICA: usize = 400;
 
-/// Share of a run that counts as warm-up.
+/// Fraction of a run that is not measured.
 const WARM_UP_SHARE: f64 = 0.2;
 
-/// Full replicas that a request may meet before it waits at one, and the time each costs.
+/// Rejections by full replicas after which a request waits at a replica, and the cost of each.
 const MAX_REJECTIONS: usize = 3;
 const ROUND_TRIP_US: u64 = 3_000;
 
-/// Offered load if none is given, in shares of the capacity with every prefix met.
+/// Offered load by default, as a fraction of the capacity with every shared prefix cached.
 const DEFAULT_LOAD: f64 = 0.75;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
     Random,
     RoundRobin,
+    /// Least reported load.
     LeastReported,
+    /// Lower reported load of two random replicas.
     TwoChoices,
+    /// The router's own choice, with retries at other replicas after a rejection.
     Kitepulley,
+    /// Best replica by its current state, as a bound for the others.
     Oracle,
 }
 
@@ -58,20 +64,24 @@
 ];
 
 struct Request {
+    /// Arrival time in seconds.
     at: f64,
     vm: usize,
     prefix: Option<u64>,
     response_seconds: f64,
+    /// Random number for the choice, the same for all policies.
     random: u64,
 }
 
 struct Server {
+    /// Ends of the running and waiting requests, in microseconds.
     open_until: BinaryHeap<Reverse<u64>>,
+    /// Cached prefixes, least recently used first.
     cache: VecDeque<u64>,
 }
 
 impl Server {
-    /// Requests running or waiting at a time.
+    /// Returns the number of requests that run or wait at a time.
     fn load(&mut self, now: u64) -> f64 {
         while self.open_until.peek().is_some_and(|Reverse(end)| *end <= now) {
             self.open_until.pop();
@@ -79,12 +89,13 @@
         self.open_until.len() as f64
     }
 
-    /// Takes a request and returns when its first token comes and when it ends.
+    /// Accepts a request. Returns the times of its first token and of its end, and true if its
+    /// prefix was cached.
     fn accept(&mut self, now: u64, prefix: Option<u64>, response_seconds: f64) -> (u64, u64, bool) {
         let load = self.load(now) as usize;
         let mut ends: Vec<u64> = self.open_until.iter().map(|Reverse(end)| *end).collect();
         ends.sort_unstable();
-        // A waiting request begins when enough of those before it have ended.
+        // A waiting request starts when enough of the requests before it have ended.
         let begin = if load < SLOTS { now } else { ends[load - SLOTS] };
         let hit = prefix.is_some_and(|prefix| self.cache.contains(&prefix));
         if let Some(prefix) = prefix {
@@ -115,7 +126,7 @@
     let mut at = 0.0;
     let request = |_| {
         at -= (1.0 - rng.random::<f64>()).ln() / rate;
-        // Few prefixes are much used and many a little.
+        // A skewed distribution: few prefixes are popular.
         let popular = (rng.random::<f64>().powi(2) * prefixes) as u64;
         Request {
             at,
@@ -131,11 +142,13 @@
 struct Run {
     policy: Policy,
     servers: Vec<Server>,
-    /// What each VM believes of each replica.
+    /// State of each replica at each VM.
     views: Vec<Vec<Replica>>,
+    /// Recent sends of each VM: time and replica.
     sent: Vec<VecDeque<(u64, usize)>>,
+    /// Time of the latest reports.
     reported_at: u64,
-    /// Reports on their way: made at a time, of each replica.
+    /// Reports in flight: time of the report and load of each replica.
     reports: VecDeque<(u64, Vec<f64>)>,
     round_robin: Vec<usize>,
     lag: u64,
@@ -159,7 +172,7 @@
         }
     }
 
-    /// Reports are made each `lag` and arrive `lag` later.
+    /// Creates load reports at intervals of `lag` and delivers them `lag` later.
     fn report(&mut self, now: u64) {
         while now >= self.reported_at + self.lag {
             self.reported_at += self.lag;
@@ -170,7 +183,7 @@
         while self.reports.front().is_some_and(|(at, _)| now >= at + self.lag) {
             let (at, loads) = self.reports.pop_front().expect("there is one");
             for (vm, view) in self.views.iter_mut().enumerate() {
-                // What this VM sent after the report was made is not in it.
+                // The report does not include requests that this VM sent after it was made.
                 for (replica, load) in view.iter_mut().zip(&loads) {
                     replica.reported = *load;
                     replica.reported_at = Moment(at);
@@ -185,6 +198,8 @@
         }
     }
 
+    /// Removes requests that have ended from the views of their VMs, and sends that are older than
+    /// any report in flight.
     fn expire(&mut self, ends: &mut BinaryHeap<Reverse<(u64, usize, usize)>>, now: u64) {
         while ends.peek().is_some_and(|Reverse((end, ..))| *end <= now) {
             let Reverse((_, vm, server)) = ends.pop().expect("there is one");
@@ -198,7 +213,8 @@
         }
     }
 
-    /// Where a request goes, and when: a full replica says at once that it did not run it.
+    /// Returns the replica for a request and the time at which it arrives there. A full replica
+    /// rejects the request at once, and its response carries its load.
     fn dispatch(&mut self, request: &Request, now: u64) -> (usize, u64) {
         let mut now = now;
         let mut server = self.choose(request, now);
@@ -252,7 +268,7 @@
         }
     }
 
-    /// The replica whose first token comes soonest, by its true state.
+    /// Returns the replica with the earliest first token, by its current state.
     fn soonest_replica(&mut self, request: &Request, now: u64) -> usize {
         let mut best = (f64::MAX, 0);
         let replicas = self.servers.len();
@@ -272,6 +288,8 @@
     }
 }
 
+/// Returns the times to the first token in milliseconds, the hit rate of shared prefixes, and the
+/// number of rejections per request.
 fn run_policy(
     requests: &[Request],
     policy: Policy,
@@ -311,7 +329,7 @@
     let mut table = Table::default();
     let load = options.load.unwrap_or(DEFAULT_LOAD);
     for vms in sizes {
-        // The fleet grows with the VMs: 24 replicas before 9, 600 before 330.
+        // The number of replicas grows with the fleet: 24 behind 9 VMs, 600 behind 330.
         let replicas = options.replicas.unwrap_or(if vms >= 100 { 600 } else { 24 });
         let requests = generate_requests(options, vms, replicas, load);
         let mut p99_bound = 0.0;
@@ -336,8 +354,8 @@
         table.rows.extend(rows);
     }
     table.notes.push(format!(
-        "Load {load} of the capacity, reports every {0} and {0} late, {SLOTS} slots a replica, \
-         {CACHED_PREFIXES} prefixes kept.",
+        "Load {load} of the capacity, reports every {0} and delayed by {0}, {SLOTS} slots per \
+         replica, {CACHED_PREFIXES} cached prefixes.",
         options.report_lag
     ));
     table
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -1,6 +1,7 @@
-//! Roll-outs of a harmful and of a harmless version, policies compared on the same requests.
+//! Rollouts of a harmful and of a harmless version: methods compared on the same requests.
 //!
-//! Virtual time in seconds; requests, sessions, sampled and late ratings are drawn from the seed.
+//! Runs in virtual time, in steps of a second. Requests, sessions and the sampled, delayed ratings
+//! depend only on the seed.
 
 use std::collections::VecDeque;
 
@@ -13,51 +14,58 @@
 use crate::decide::sequential::Count;
 use crate::unit::{Span, TrafficShare};
 
-/// Requests a second for the model.
+/// Rate of requests to the model, without those that continue a session.
 const REQUESTS_PER_SECOND: f64 = 50.0;
 
-/// Share of poor answers of the version in service.
+/// Fraction of poor answers of the old version.
 const BASELINE_POOR_SHARE: f64 = 0.08;
 
-/// Share of requests that begin a session.
+/// Fraction of requests that start a session.
 const SESSION_SHARE: f64 = 0.3;
 
-/// Chance that a session sends its next request in a given second.
+/// Probability that a session sends a request in a given second.
 const SESSION_REQUEST_CHANCE: f64 = 0.05;
 
-/// Chance that a session ends with a request.
+/// Probability that a session ends with a given request.
 const SESSION_END_CHANCE: f64 = 0.25;
 
-/// Seconds after which a run is given up.
+/// Length of a run that ends neither with a withdrawal nor, for a harmless version, with all
+/// traffic.
 const MAX_RUN_SECS: u64 = 7200;
 
-/// Shares of the fixed steps, and their length in seconds.
+/// Traffic shares of the methods with fixed steps, and the length of a step.
 const STEPS: [f64; 5] = [0.01, 0.05, 0.25, 0.5, 1.0];
 const STEP_SECS: u64 = 600;
 
-/// Time until the fixed steps reach all traffic.
+/// Time after which the fixed steps reach all traffic.
 const FIXED_SECS: f64 = (STEP_SECS * (STEPS.len() as u64 - 1)) as f64;
 
-/// The threshold of the fixed steps that have one, and the fewest ratings it looks at.
+/// Excess fraction of poor answers above which the method with a threshold withdraws, and the
+/// smallest number of ratings for that.
 const THRESHOLD: f64 = 0.05;
 const MIN_RATINGS: f64 = 30.0;
 
-/// A more careful one, which rarely withdraws a good version.
+/// Values of a more careful threshold, which rarely withdraws a good version.
 const CAREFUL_THRESHOLD: f64 = 0.08;
 const CAREFUL_MIN_RATINGS: f64 = 120.0;
 
-/// Seconds before the roll-out whose ratings are known.
+/// Period before the rollout whose ratings are known.
 const BASELINE_SECS: f64 = 600.0;
 
-/// A hop of the gossip, in seconds: neighbours are probed once a second.
+/// Delay of one gossip hop: neighbours are probed once a second.
 const GOSSIP_HOP_SECS: f64 = 1.0;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Method {
+    /// Fixed steps without any check.
     Timed,
+    /// Fixed steps with a threshold.
     Threshold,
+    /// Fixed steps with the careful threshold.
     Careful,
+    /// Fixed steps with a threshold and the router's sampling of ratings.
     ThresholdSampled,
+    /// The router's policy.
     Kitepulley,
 }
 
@@ -71,9 +79,13 @@
 
 #[derive(Clone, Copy, Default)]
 struct Outcome {
+    /// Requests that the new version served.
     requests: f64,
+    /// Sessions that started on the new version.
     sessions: f64,
+    /// Second of the withdrawal.
     withdrawn: Option<u64>,
+    /// Second at which the new version first had all traffic.
     full: Option<u64>,
 }
 
@@ -89,8 +101,11 @@
     baseline: Count,
     takes_sessions: bool,
     last_rating_at: u64,
+    /// Seconds until ratings have reached all VMs.
     gossip_delay: u64,
+    /// Ratings on their way: second of arrival, true for the new version, true for a poor answer.
     ratings: VecDeque<(u64, bool, bool)>,
+    /// Open sessions on the new version.
     sessions: f64,
 }
 
@@ -98,7 +113,7 @@
     fn simulate(&mut self, seed: u64) -> Outcome {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut outcome = Outcome::default();
-        // Ratings of the version in service from the ten minutes before.
+        // Ratings of the old version from the ten minutes before the rollout.
         let ratings = (REQUESTS_PER_SECOND * self.options.rated_share * BASELINE_SECS) as u64;
         let poor = (0..ratings).filter(|_| rng.random::<f64>() < BASELINE_POOR_SHARE).count();
         self.baseline = Count::of(ratings, poor as u64);
@@ -257,7 +272,7 @@
     })
 }
 
-/// Runs all policies on the same seeds.
+/// Runs all methods on the same seeds.
 pub fn run(options: &Options) -> Table {
     let vms = options.vms.first().copied().unwrap_or(9);
     let mut table = Table::default();
@@ -287,11 +302,12 @@
         table.rows.push(row);
     }
     table.notes.push(format!(
-        "{} seeds, {REQUESTS_PER_SECOND}/s, usual poor share {BASELINE_POOR_SHARE}, harm {}, rated share {}, rating lag {}, {vms} VMs.",
+        "{} seeds, {REQUESTS_PER_SECOND}/s, baseline poor share {BASELINE_POOR_SHARE}, harm {}, \
+         rated share {}, rating lag {}, {vms} VMs.",
         options.runs, options.harm, options.rated_share, options.rating_lag
     ));
     table.notes.push(
-        "bad_requests counts every request that the harmful version served; a run without \
+        "bad_requests counts all requests that the harmful version served; a run without \
          detection ends after two hours."
             .to_owned(),
     );
--- a/src/experiment/slopes.rs
+++ b/src/experiment/slopes.rs
@@ -1,7 +1,8 @@
-//! Slopes for `docs/CAPACITY.md`: what each thing costs in memory, processor time and bytes.
+//! Slopes for `docs/CAPACITY.md`: cost of each kind of object or operation in memory, CPU time and
+//! bytes.
 //!
-//! Each is measured at four sizes; the slope is that of the least squares through them, and the
-//! residual the largest distance from it, in shares of the largest value.
+//! Each is measured at four sizes. The slope is that of the least-squares line through them, and
+//! the residual is the largest distance from the line as a fraction of the largest value.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -23,10 +24,10 @@
 use crate::unit::{Cost, Date, Incarnation, Moment, Revision, Span, Vm};
 use crate::vm::{Fleet, SessionKeys};
 
-/// Least time that an operation is repeated for, in seconds.
+/// Shortest time for which an operation is repeated.
 const MIN_MEASURE_SECONDS: f64 = 0.05;
 
-/// Bytes of a unit of work: one SHA-256 over so many.
+/// Size of the block whose SHA-256 is the unit of work, relative to which times are shown too.
 const HASH_BLOCK_BYTES: usize = 1024;
 
 struct Slope {
@@ -52,7 +53,7 @@
     }
 }
 
-/// Bytes that `make` holds at each size.
+/// Measures the memory that the result of `make` occupies at each size.
 fn measure_memory<T>(name: &'static str, sizes: [usize; 4], make: impl Fn(usize) -> T) -> Slope {
     let held = |size: &usize| {
         let before = allocated_bytes();
@@ -65,7 +66,7 @@
     Slope { name, unit: "bytes", sizes: sizes.map(|s| s as f64).to_vec(), values }
 }
 
-/// Microseconds of one call of `act`.
+/// Returns the mean time of a call of `operation` in microseconds.
 fn call_micros(mut operation: impl FnMut()) -> f64 {
     let mut calls = 1u64;
     loop {
@@ -372,7 +373,7 @@
 /// Measures all slopes.
 ///
 /// # Errors
-/// None at present; the signature is that of the experiments over sockets.
+/// Never fails at present; the signature is that of the experiments over sockets.
 pub fn run(_options: &Options) -> Result<Table, Error> {
     let block = vec![7u8; HASH_BLOCK_BYTES];
     let unit = call_micros(|| {
@@ -395,7 +396,8 @@
         table.rows.push(row.with("points", points.join(" ")));
     }
     table.notes.push(format!(
-        "A unit of work is one SHA-256 over {HASH_BLOCK_BYTES} bytes with its hex: {unit:.2} us in this run."
+        "A unit of work is the SHA-256 of {HASH_BLOCK_BYTES} bytes in hexadecimal: {unit:.2} us in \
+         this run."
     ));
     Ok(table)
 }
--- a/src/experiment/spread.rs
+++ b/src/experiment/spread.rs
@@ -1,4 +1,5 @@
-//! Membership and spreading of the configuration, the server's own code over queues in virtual time.
+//! Membership and propagation of the configuration: the router's own gossip code, with messages
+//! queued in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,31 +15,33 @@
 use crate::peer::{Gossip, Member, State, rendezvous_order};
 use crate::unit::{Date, Incarnation, Moment, Revision, Vm};
 
-/// Time between two ticks of a VM, in microseconds, as in the server.
+/// Interval between two ticks of a VM, as in the router.
 const TICK_US: u64 = 50_000;
 
-/// Data centres: the first three in one region, the others in the second.
+/// Data centres, and how many of them are in the first of two regions.
 const DATA_CENTRES: usize = 5;
 const FIRST_REGION_DATA_CENTRES: usize = 3;
 
-/// One-way latencies in microseconds: within a data centre, between two, between regions.
+/// One-way latencies.
 const LATENCY_WITHIN_DATA_CENTRE_US: u64 = 300;
 const LATENCY_BETWEEN_DATA_CENTRES_US: u64 = 1_500;
 const LATENCY_BETWEEN_REGIONS_US: u64 = 40_000;
 
-/// Time of a call to the store, in microseconds.
+/// Latency of a call to the store.
 const STORE_CALL_US: u64 = 5_000;
 
-/// Watchers in each data centre, as in the server.
+/// VMs of each data centre that watch the store, as in the router.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
 
-/// Bytes of a packet beside its message: IP, UDP, QUIC's header and tag, and its acknowledgement.
+/// Bytes of a packet in addition to its message: IP and UDP headers, QUIC header and tag, and the
+/// acknowledgement.
 const PACKET_OVERHEAD_BYTES: u64 = 28 + 28 + 60;
 
-/// Payload of a packet.
+/// Message bytes that fit into a packet.
 const PACKET_PAYLOAD_BYTES: u64 = 1_200;
 
-/// The parts of a run, in microseconds: calm, rest, changes, a death.
+/// Phases of a run: warm-up, an idle phase that is measured, configuration changes, and the crash
+/// of a VM.
 const WARM_UP_US: u64 = 90_000_000;
 const IDLE_US: u64 = 30_000_000;
 const CHANGES: usize = 20;
@@ -50,7 +53,9 @@
 
 enum Event {
     Tick(usize),
+    /// A frame from a VM reaches another.
     Delivery(usize, Vm, Box<Frame>),
+    /// A watcher has read a revision from the store.
     StoreRead(usize, u64),
 }
 
@@ -64,7 +69,9 @@
     bytes: u64,
     messages: u64,
     store_calls: u64,
+    /// Times at which VMs adopted each revision, the first at index 0.
     adopted_at: Vec<Vec<u64>>,
+    /// Running VMs that were suspected, with the time of the first suspicion.
     suspected_at: BTreeMap<Vm, u64>,
 }
 
@@ -79,7 +86,7 @@
     }
 }
 
-/// A configuration of realistic size in which each revision changes one workspace.
+/// Returns a configuration of realistic size in which each revision changes one workspace.
 fn config(revision: u64) -> Snapshot {
     let mut root = Root { revision: Revision(revision), ..Root::default() };
     let mut pieces = BTreeMap::new();
@@ -195,7 +202,7 @@
             }
             Event::StoreRead(i, revision) => {
                 let Some(node) = &mut self.nodes[i] else { return };
-                // The answered watch and the one piece that changed.
+                // The response to the watch, and the read of the piece that changed.
                 self.store_calls += 2;
                 if node.adopt(config(revision)) {
                     node.set_enforced_revision(Revision(revision));
@@ -205,7 +212,7 @@
         }
     }
 
-    /// A change takes effect in the store now; the watchers hear of it.
+    /// Changes the configuration in the store now and notifies the watchers.
     fn change_config(&mut self, revision: u64) {
         self.adopted_at.push(Vec::new());
         for dc in 0..DATA_CENTRES {
@@ -215,7 +222,7 @@
             let watchers: Vec<usize> =
                 order.into_iter().take(WATCHERS_PER_DATA_CENTRE).map(|vm| self.index[vm]).collect();
             for i in watchers {
-                // The watch is answered, then the piece is read.
+                // Two calls: the response to the watch, then the read of the piece.
                 self.schedule(self.now + 2 * STORE_CALL_US, Event::StoreRead(i, revision));
             }
         }
@@ -289,7 +296,8 @@
         .with("false_suspicions", simulation.suspected_at.len())
 }
 
-/// Kills a VM and measures when the others hold it for dead.
+/// Crashes a VM and returns the median and the 99th percentile of the time in milliseconds after
+/// which the other VMs consider it dead.
 fn measure_failure_detection(simulation: &mut Simulation, vms: usize) -> (f64, f64) {
     let started_at = simulation.now;
     let victim = member(vms / 2).vm;
@@ -313,7 +321,7 @@
     (quantile(&mut times, 0.5), quantile(&mut times, 0.99))
 }
 
-/// Runs each number of VMs.
+/// Simulates each fleet size.
 pub fn run(options: &Options) -> Table {
     let sizes = if options.vms.is_empty() { vec![9, 33, 100, 330] } else { options.vms.clone() };
     let rows = std::thread::scope(|scope| {
@@ -324,13 +332,14 @@
     });
     let notes = vec![
         format!(
-            "The server's own gossip over queues: {DATA_CENTRES} data centres in 2 regions, one way \
-             {LATENCY_WITHIN_DATA_CENTRE_US} us within one, {LATENCY_BETWEEN_DATA_CENTRES_US} us between two, {LATENCY_BETWEEN_REGIONS_US} us between regions, a \
-             store's call {STORE_CALL_US} us."
+            "The router's own gossip in virtual time: {DATA_CENTRES} data centres in 2 regions; \
+             one-way latency {LATENCY_WITHIN_DATA_CENTRE_US} us within a data centre, \
+             {LATENCY_BETWEEN_DATA_CENTRES_US} us between two, {LATENCY_BETWEEN_REGIONS_US} us \
+             between regions; {STORE_CALL_US} us for a store call."
         ),
         format!(
-            "Bytes are those of each message and, assumed, {PACKET_OVERHEAD_BYTES} for each packet and its \
-             acknowledgement; sent ones are counted, once."
+            "Bytes are those of each sent message plus an assumed {PACKET_OVERHEAD_BYTES} for each \
+             packet and its acknowledgement."
         ),
     ];
     Table { rows, notes }
