--- a/src/experiment/bound/simulation.rs
+++ b/src/experiment/bound/simulation.rs
@@ -143,7 +143,7 @@
         let name = |vm: usize| format!("vm{vm:04}").parse::<Name>().expect("a name");
         let all: Vec<Name> = (0..vms).map(name).collect();
         let at: HashMap<&Name, usize> = all.iter().enumerate().map(|(at, vm)| (vm, at)).collect();
-        let near = |vm: usize| -> Vec<usize> {
+        let recipients = |vm: usize| -> Vec<usize> {
             match vms <= MAX_FULL_MESH {
                 true => (0..vms).filter(|other| *other != vm).collect(),
                 false => neighbours(&all[vm], &all).iter().map(|name| at[name]).collect(),
@@ -165,7 +165,7 @@
             events: HashMap::new(),
             names: all.iter().map(|name| hash::stable(&[name.as_str()])).collect(),
             partitioned: (0..vms).map(|vm| (vm as f64) < cut * vms as f64).collect(),
-            neighbours: (0..vms).map(near).collect(),
+            neighbours: (0..vms).map(recipients).collect(),
             views: vec![vec![View::default(); count]; vms],
             servers,
             counts: Counts::default(),
@@ -209,7 +209,7 @@
                 self.counts.allowed += rates * at.since(before).as_secs();
             }
             (before, self.now) = (at, at);
-            match self.events.remove(&number).expect("each event is pushed once") {
+            match self.events.remove(&number).expect("each event is queued once") {
                 Event::Arrival(request) => self.dispatch(request),
                 Event::Send(request, server) => self.send(request, server),
                 Event::ServerReceives(request, server, sent_at) => {
@@ -236,11 +236,12 @@
     fn share(&self, vm: usize, server: usize) -> Result<Option<Share>, ()> {
         let rate = self.views[vm][server].limit.rate(self.now).ok_or(())?;
         let vms = self.names.len();
-        let each = |rate: f64| Some(Share { senders: vms, interval: Span((1e6 / rate) as u64) });
+        let equal_share =
+            |rate: f64| Some(Share { senders: vms, interval: Span((1e6 / rate) as u64) });
         let share = match self.strategy {
             Strategy::Unlimited => return Err(()),
-            Strategy::PerVm => each(rate.0),
-            Strategy::EvenShares => each(rate.0 / vms as f64),
+            Strategy::PerVm => equal_share(rate.0),
+            Strategy::EvenShares => equal_share(rate.0 / vms as f64),
             Strategy::OneSender => {
                 self.as_sender(vm, server, Share::new(&RateLimit::advertised(rate), 1))
             }
@@ -293,7 +294,7 @@
             let server = &mut self.servers[server];
             server.pacer.reserve(&full_share(server.rate), now);
         } else if self.strategy == Strategy::Leases {
-            let share = self.leased_share(vm, server).expect("its turn was asked for");
+            let share = self.leased_share(vm, server).expect("the VM has a send slot");
             self.servers[server].pacer.reserve(&share, now);
             self.counts.bytes += 2 * MESSAGE_BYTES;
         } else if let Ok(Some(share)) = self.share(vm, server) {
@@ -320,9 +321,9 @@
         if std::mem::replace(&mut request.is_retry, true) {
             return;
         }
-        let callers = request.vm;
+        let first_vm = request.vm;
         // The load balancer directs a retry to another VM of the caller's data centre.
-        request.vm = (callers + self.rng.random_range(0..=callers)) % self.names.len();
+        request.vm = (first_vm + self.rng.random_range(0..=first_vm)) % self.names.len();
         let jitter = Span(self.rng.random_range(0..CALLER_RETRY_DELAY.0));
         self.schedule(self.now + CALLER_RETRY_DELAY + jitter, Event::Arrival(request));
     }
@@ -360,13 +361,13 @@
         {
             server.previous_limits.pop_front();
         }
-        let got = server.arrivals.len() as f64;
+        let received = server.arrivals.len() as f64;
         // In a window in which the limit changed, the highest announced limit applies.
-        let named =
+        let highest =
             server.previous_limits.iter().map(|(_, rate)| rate.0).fold(server.rate.0, f64::max);
-        let allowed = named * LIMIT_WINDOW.as_secs();
-        self.counts.excess = self.counts.excess.max(got - allowed);
-        self.counts.rule_ratio = self.counts.rule_ratio.max(got / (1.5 * allowed + 5.0));
+        let allowed = highest * LIMIT_WINDOW.as_secs();
+        self.counts.excess = self.counts.excess.max(received - allowed);
+        self.counts.rule_ratio = self.counts.rule_ratio.max(received / (1.5 * allowed + 5.0));
     }
 
     fn on_response(&mut self, vm: usize, server: usize, rate: Rate, sent_at: Moment) {
@@ -391,8 +392,8 @@
     }
 
     fn broadcast(&mut self, vm: usize, server: usize, update: Update) {
-        let near = self.neighbours[vm].clone();
-        self.send_update(vm, server, &near, update);
+        let recipients = self.neighbours[vm].clone();
+        self.send_update(vm, server, &recipients, update);
     }
 
     fn send_to_senders(&mut self, vm: usize, server: usize, rates: [Rate; 2], update: Update) {
--- a/src/experiment/overload.rs
+++ b/src/experiment/overload.rs
@@ -130,7 +130,7 @@
                 lost = true;
                 self.lose_half(now);
             }
-            match self.events.remove(&number).expect("each event once") {
+            match self.events.remove(&number).expect("each event is queued once") {
                 Event::Arrival(request) => self.on_arrival(now, request),
                 Event::Completion(at, request) => self.on_completion(now, at, request),
             }
@@ -217,6 +217,7 @@
         if load(a) <= load(b) { a } else { b }
     }
 
+    /// Ends a request at its VM and reports its outcome to the admission controller.
     fn on_attempt_end(&mut self, now: u64, request: &Request, outcome: Outcome) {
         self.running[request.vm] -= 1.0;
         if self.policy == Policy::Kitepulley {
--- a/src/experiment/poison/fleet.rs
+++ b/src/experiment/poison/fleet.rs
@@ -57,10 +57,14 @@
         let names: Vec<Vm> = (0..vms).map(name).collect();
         let index: HashMap<&Vm, usize> =
             names.iter().enumerate().map(|(at, vm)| (vm, at)).collect();
-        let near = |vm: &Vm| neighbours(vm, &names).iter().map(|other| index[other]).collect();
+        let ring_neighbours =
+            |vm: &Vm| neighbours(vm, &names).iter().map(|other| index[other]).collect();
         let all = |own: &Vm| (0..vms).filter(|at| names[*at] != *own).collect();
-        let few = vms <= MAX_FULL_MESH;
-        let neighbours = names.iter().map(|vm| if few { all(vm) } else { near(vm) }).collect();
+        let is_full_mesh = vms <= MAX_FULL_MESH;
+        let neighbours = names
+            .iter()
+            .map(|vm| if is_full_mesh { all(vm) } else { ring_neighbours(vm) })
+            .collect();
         let hashes = names.iter().map(|vm| hash::stable(&[vm.as_str()])).collect();
         Fleet { neighbours, hashes }
     }
--- a/src/experiment/poison/mod.rs
+++ b/src/experiment/poison/mod.rs
@@ -45,7 +45,7 @@
         innocent += simulation.innocent;
         bytes.push(simulation.bytes_per_vm_second());
     }
-    let million = refused as f64 * 1e6 / innocent.max(1) as f64;
+    let refused_per_million = refused as f64 * 1e6 / innocent.max(1) as f64;
     Row::named("way", strategy.name())
         .with("vms", fleet.vms())
         .number("cut off", cut, 2)
@@ -53,7 +53,7 @@
         .number("lost p99", quantile(&mut lost, 0.99), 0)
         .number("lost worst", quantile(&mut lost, 1.0), 0)
         .number("late retries worst", quantile(&mut late, 1.0), 0)
-        .number("innocent refused in a million", million, 1)
+        .number("innocent refused in a million", refused_per_million, 1)
         .number("innocent waits p99 ms", quantile(&mut waits, 0.99), 0)
         .number("bytes/s a VM", quantile(&mut bytes, 0.5), 1)
 }
--- a/src/experiment/poison/simulation.rs
+++ b/src/experiment/poison/simulation.rs
@@ -238,7 +238,7 @@
                 break;
             }
             self.now = at;
-            match self.events.remove(&number).expect("each event is pushed once") {
+            match self.events.remove(&number).expect("each event is queued once") {
                 Event::Arrival(request) => {
                     self.innocent += u64::from(request.poison.is_none());
                     self.send(request);
@@ -254,16 +254,16 @@
                 Event::Restart(server) => self.servers[server].is_up = true,
                 Event::Delivery(vm, message) => {
                     let topology = self.fleet.topology();
-                    let out = self.vms[vm].on_message(&message, topology, self.now);
-                    self.send_messages(vm, out);
+                    let effects = self.vms[vm].on_message(&message, topology, self.now);
+                    self.send_messages(vm, effects);
                 }
             }
         }
     }
 
     fn is_quarantined(&self, request: &Request) -> bool {
-        let held = self.vms[request.vm].quarantine_crashes(&request.content, self.now);
-        self.strategy != Strategy::Unprotected && held.is_some()
+        let crashes = self.vms[request.vm].quarantine_crashes(&request.content, self.now);
+        self.strategy != Strategy::Unprotected && crashes.is_some()
     }
 
     /// Sends a request to a server, refuses it if its content is quarantined, or queues it if it is
@@ -286,13 +286,13 @@
         if self.strategy != Strategy::OneAtATime || self.partitioned[request.vm] {
             return false;
         }
-        let owner = self.fleet.aggregators(request.content)[0];
+        let coordinator = self.fleet.aggregators(request.content)[0];
         let suspicion_delay = Span::millis(10);
         let is_suspect = self
             .suspected_since
             .get(&request.content)
             .is_some_and(|at| self.now.since(*at) >= suspicion_delay);
-        if self.partitioned[owner] || !is_suspect {
+        if self.partitioned[coordinator] || !is_suspect {
             return false;
         }
         if self.running.contains_key(&request.content) {
@@ -340,8 +340,8 @@
     fn on_completion(&mut self, run: u64) {
         let Some(Run { request, server, .. }) = self.runs.remove(&run) else { return };
         self.servers[server].open.remove(&run);
-        let out = self.vms[request.vm].on_success(request.content, self.now);
-        self.send_messages(request.vm, out);
+        let effects = self.vms[request.vm].on_success(request.content, self.now);
+        self.send_messages(request.vm, effects);
         self.suspected_since.remove(&request.content);
         self.start_next(request.content);
     }
@@ -382,14 +382,14 @@
         }
         for Run { request, started_at, .. } in interrupted {
             let ran = request.poison.is_none() && self.now.since(started_at) >= STABLE_AFTER;
-            let one = [OpenRequest { content: request.content, was_stable: ran }];
-            let out = self.vms[request.vm].on_server_crash(
+            let open_requests = [OpenRequest { content: request.content, was_stable: ran }];
+            let effects = self.vms[request.vm].on_server_crash(
                 incarnation_id,
-                &one,
+                &open_requests,
                 self.fleet.topology(),
                 self.now,
             );
-            self.send_messages(request.vm, out);
+            self.send_messages(request.vm, effects);
             self.suspected_since.entry(request.content).or_insert(self.now);
             self.start_next(request.content);
             self.retry(request);
@@ -422,12 +422,12 @@
         self.schedule(at, Event::Arrival(request));
     }
 
-    fn send_messages(&mut self, vm: usize, out: Effects) {
+    fn send_messages(&mut self, vm: usize, effects: Effects) {
         if matches!(self.strategy, Strategy::Unprotected | Strategy::PerVm) || self.partitioned[vm]
         {
             return;
         }
-        for outgoing in out.messages {
+        for outgoing in effects.messages {
             let to = match outgoing.to {
                 Recipients::All => self.fleet.neighbours(vm),
                 Recipients::Aggregators(_) if self.fleet.topology() == Topology::Direct => {
--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -29,26 +29,27 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = Simulation::new(strategy, vms, &mut rng);
     simulation.run();
-    let each = |price: f64| price / vms as f64;
+    let per_vm = |price: f64| price / vms as f64;
     let calm = simulation.price_between(Span(STORE_LOST_AT.0 - CALM_DURATION.0), STORE_LOST_AT);
-    let away = simulation.price_between(STORE_LOST_AT, STORE_RECOVERED_AT);
-    let returned =
+    let during_outage = simulation.price_between(STORE_LOST_AT, STORE_RECOVERED_AT);
+    let after_outage =
         simulation.price_between(STORE_RECOVERED_AT, Span(STORE_RECOVERED_AT.0 + CALM_DURATION.0));
-    let fallen = Moment(0) + READER_CRASH_AT..Moment(0) + ALL_CRASH_AT;
-    let fall = simulation.reader_starts.iter().filter(|(at, _)| fallen.contains(at)).count();
-    let known = |node: &Node| node.ready_at.map(|at| at.since(node.started_at).as_millis());
-    let mut ready: Vec<f64> = simulation.nodes.iter().filter_map(known).collect();
+    let after_reader_crash = Moment(0) + READER_CRASH_AT..Moment(0) + ALL_CRASH_AT;
+    let new_readers =
+        simulation.reader_starts.iter().filter(|(at, _)| after_reader_crash.contains(at)).count();
+    let time_to_ready = |node: &Node| node.ready_at.map(|at| at.since(node.started_at).as_millis());
+    let mut ready: Vec<f64> = simulation.nodes.iter().filter_map(time_to_ready).collect();
     let seconds = RUN_END.as_secs();
     let largest = simulation.nodes.iter().map(|node| node.bytes).max().unwrap_or(0);
     let mean = simulation.nodes.iter().map(|node| node.bytes).sum::<u64>() as f64 / vms as f64;
     Row::named("way", if strategy == Strategy::Relayed { "passed on" } else { "each itself" })
         .with("vms", vms)
-        .number("start, calls a VM", each(simulation.price_between(Span(0), Span::secs(5))), 2)
+        .number("start, calls a VM", per_vm(simulation.price_between(Span(0), Span::secs(5))), 2)
         .number("calm, calls/s", calm / CALM_DURATION.as_secs(), 2)
-        .number("away 8 s, calls", away, 0)
-        .number("return 10 s, calls", returned, 0)
-        .with("fall, VMs that read", fall)
-        .number("again, calls a VM", each(simulation.price_between(ALL_RESTART_AT, RUN_END)), 2)
+        .number("away 8 s, calls", during_outage, 0)
+        .number("return 10 s, calls", after_outage, 0)
+        .with("fall, VMs that read", new_readers)
+        .number("again, calls a VM", per_vm(simulation.price_between(ALL_RESTART_AT, RUN_END)), 2)
         .number("ready after p99 ms", quantile(&mut ready, 0.99), 0)
         .number("bytes/s a VM", mean / seconds, 0)
         .number("bytes/s largest", largest as f64 / seconds, 0)
--- a/src/experiment/reading/simulation.rs
+++ b/src/experiment/reading/simulation.rs
@@ -126,14 +126,14 @@
 
     /// Runs the simulation to its end.
     pub fn run(&mut self) {
-        let mut fallen = false;
+        let mut has_reader_crashed = false;
         while let Some(Reverse((at, event))) = self.queue.pop() {
             if at > Moment(0) + RUN_END {
                 return;
             }
             self.now = at;
-            if !fallen && at >= Moment(0) + READER_CRASH_AT {
-                fallen = true;
+            if !has_reader_crashed && at >= Moment(0) + READER_CRASH_AT {
+                has_reader_crashed = true;
                 let reader = self.nodes.iter().position(|node| node.role == Role::Reader);
                 reader.into_iter().for_each(|reader| self.crash(reader));
             }
@@ -183,8 +183,8 @@
         if self.nodes[at].role != Role::Reader {
             return;
         }
-        let away = self.is_store_lost();
-        let price = match (away, self.strategy) {
+        let store_lost = self.is_store_lost();
+        let price = match (store_lost, self.strategy) {
             (false, _) => 1.0,
             (true, Strategy::Relayed) => RETRY_PRICE,
             (true, Strategy::Direct) => DIRECT_RETRY_PRICE,
@@ -192,15 +192,15 @@
         self.record_call(price);
         let now = self.now;
         let node = &mut self.nodes[at];
-        if !away {
+        if !store_lost {
             node.synced_at = Some(now);
             node.ready_at = node.ready_at.or(Some(now));
             if std::mem::take(&mut node.store_lost) {
                 node.recovered_at = node.recovered_at.or(Some(now));
             }
         }
-        node.store_lost = away;
-        let pause = if away { RETRY_INTERVAL } else { CALL_INTERVAL };
+        node.store_lost = store_lost;
+        let pause = if store_lost { RETRY_INTERVAL } else { CALL_INTERVAL };
         self.schedule(now + pause, Event::ReadStore(at, incarnation));
     }
 
@@ -282,12 +282,13 @@
             return None;
         }
         let source = &self.nodes[other];
-        let (known, lost, incarnation) = (source.synced_at, source.store_lost, source.incarnation);
+        let (synced_at, lost, incarnation) =
+            (source.synced_at, source.store_lost, source.incarnation);
         let (reader, hops) = if source.role == Role::Reader { (other, 0) } else { source.origin };
         let may_answer = source.role == Role::Reader || self.strategy == Strategy::Relayed;
         let reader_name = self.nodes[reader].rank.vm.clone();
         let node = &mut self.nodes[at];
-        let Some(known) = known.filter(|_| may_answer) else {
+        let Some(synced_at) = synced_at.filter(|_| may_answer) else {
             node.sources.on_not_ready(&name, now);
             return None;
         };
@@ -301,7 +302,7 @@
         }
         let is_snapshot = node.snapshots_from.insert(other, incarnation) != Some(incarnation);
         let bytes = POLL_BYTES + if is_snapshot { self.snapshot_bytes } else { 0 };
-        node.synced_at = node.synced_at.max(Some(known));
+        node.synced_at = node.synced_at.max(Some(synced_at));
         node.origin = (reader, hops + 1);
         if lost {
             node.sources.on_store_lost(&name, now);
@@ -328,7 +329,7 @@
         if node.role == Role::Reader {
             return true;
         }
-        let without = FollowerState {
+        let state = FollowerState {
             place: self.place(at),
             has_other_groups: self.strategy == Strategy::Relayed,
             has_source: self.next_source(at).is_some(),
@@ -341,12 +342,12 @@
             is_starting: self.now.since(node.started_at) < STARTUP_WAIT,
             is_overdue: answer_timeout(node.synced_at, DRAIN_WINDOW, self.now).is_none(),
         };
-        let itself = match self.strategy {
-            Strategy::Relayed => should_read_store(&without),
-            Strategy::Direct => !without.has_source,
+        let reads_store = match self.strategy {
+            Strategy::Relayed => should_read_store(&state),
+            Strategy::Direct => !state.has_source,
         };
-        if itself {
-            self.become_reader(at, without.is_store_lost);
+        if reads_store {
+            self.become_reader(at, state.is_store_lost);
             return true;
         }
         let since = self.nodes[at].store_lost_since;
--- a/src/experiment/shed/simulation.rs
+++ b/src/experiment/shed/simulation.rs
@@ -247,7 +247,7 @@
                 break;
             }
             self.now = at;
-            match self.events.remove(&number).expect("each event is pushed once") {
+            match self.events.remove(&number).expect("each event is queued once") {
                 Event::Arrival(request) => self.dispatch(request),
                 Event::ServerReceives(request, server) => self.on_server_receives(request, server),
                 Event::ResponseReceived(request, server, incarnation, signal, load, accepted) => {
@@ -400,8 +400,9 @@
         let server = &self.servers[at];
         let (incarnation, is_draining, open_requests) =
             (server.incarnation, server.is_draining, server.open_requests());
-        let long = Span((-(1.0 - self.rng.random::<f64>()).ln() * MEAN_DURATION.0 as f64) as u64);
-        self.schedule(self.now + long, Event::Completion(request.vm, at, incarnation));
+        let duration =
+            Span((-(1.0 - self.rng.random::<f64>()).ln() * MEAN_DURATION.0 as f64) as u64);
+        self.schedule(self.now + duration, Event::Completion(request.vm, at, incarnation));
         self.started[(self.now.0 / 100_000) as usize] = true;
         self.respond(
             request,
@@ -455,9 +456,9 @@
             view.unavailable_during = Some((now, now + backoff));
         }
         if accepted {
-            let late = now.since(request.arrived_at);
+            let waited = now.since(request.arrived_at);
             self.counts.served += 1;
-            self.counts.in_goal += u64::from(late <= START_GOAL);
+            self.counts.in_goal += u64::from(waited <= START_GOAL);
             return;
         }
         view.load.on_close();
@@ -472,8 +473,8 @@
         }
     }
 
-    /// Records a backoff reported by another VM, and forwards it to the ring neighbours if it is
-    /// new.
+    /// Records a backoff that a VM received from a server or another VM, and forwards it to the
+    /// VM's ring neighbours if it is new.
     fn on_backoff_report(&mut self, vm: usize, server: usize, until: Moment) {
         let is_known = self.views[vm][server].reported_backoff_until + REACTION_TIME >= until;
         self.views[vm][server].reported_backoff_until = until;
--- a/src/experiment/spread.rs
+++ b/src/experiment/spread.rs
@@ -173,7 +173,7 @@
             }
             self.queue.pop();
             self.now = at;
-            let event = self.events.remove(&number).expect("each event once");
+            let event = self.events.remove(&number).expect("each event is queued once");
             self.handle(event);
         }
         self.now = end;
