--- a/src/experiment/reading/mod.rs
+++ b/src/experiment/reading/mod.rs
@@ -1,9 +1,10 @@
-//! The control path at many VMs: calls to the platform's store and bytes between VMs, the server's decisions in virtual
-//! time.
+//! Load of the control path with many VMs: calls to the platform's store and bytes between VMs,
+//! with the router's decisions in virtual time.
 //!
-//! A run has a start of all, a calm time, a store that is away for eight seconds, the fall of the VM that reads, and the
-//! death and start of all. Beside the way of the server runs the one before it, in which a VM without news reads for
-//! itself at once. Both are worked out from times of calls and questions; packets are counted, not sent.
+//! A run covers the start of all VMs, a calm period, a store outage of eight seconds, a crash of
+//! the VM that reads the store, and a crash and restart of all VMs. The router's strategy is
+//! compared with its predecessor, in which a VM without updates reads the store itself at once.
+//! Both are computed from the times of calls and polls; packets are counted, not sent.
 
 mod node;
 mod simulation;
@@ -21,50 +22,54 @@
     Simulation, Strategy,
 };
 
-/// The calm time that is counted.
+/// Time before the outage and after it in which calls are counted.
 const CALM_DURATION: Span = Span::secs(10);
 
 fn row(strategy: Strategy, vms: usize, seed: u64) -> Row {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = Simulation::new(strategy, vms, &mut rng);
     simulation.run();
-    let each = |price: f64| price / vms as f64;
+    let per_vm = |price: f64| price / vms as f64;
     let calm = simulation.price_between(Span(STORE_LOST_AT.0 - CALM_DURATION.0), STORE_LOST_AT);
-    let away = simulation.price_between(STORE_LOST_AT, STORE_RECOVERED_AT);
-    let returned =
+    let during_outage = simulation.price_between(STORE_LOST_AT, STORE_RECOVERED_AT);
+    let after_outage =
         simulation.price_between(STORE_RECOVERED_AT, Span(STORE_RECOVERED_AT.0 + CALM_DURATION.0));
-    let fallen = Moment(0) + READER_CRASH_AT..Moment(0) + ALL_CRASH_AT;
-    let fall = simulation.reader_starts.iter().filter(|(at, _)| fallen.contains(at)).count();
-    let known = |node: &Node| node.ready_at.map(|at| at.since(node.started_at).as_millis());
-    let mut ready: Vec<f64> = simulation.nodes.iter().filter_map(known).collect();
+    let after_reader_crash = Moment(0) + READER_CRASH_AT..Moment(0) + ALL_CRASH_AT;
+    let new_readers =
+        simulation.reader_starts.iter().filter(|(at, _)| after_reader_crash.contains(at)).count();
+    let time_to_ready = |node: &Node| node.ready_at.map(|at| at.since(node.started_at).as_millis());
+    let mut ready: Vec<f64> = simulation.nodes.iter().filter_map(time_to_ready).collect();
     let seconds = RUN_END.as_secs();
     let largest = simulation.nodes.iter().map(|node| node.bytes).max().unwrap_or(0);
     let mean = simulation.nodes.iter().map(|node| node.bytes).sum::<u64>() as f64 / vms as f64;
     Row::named("way", if strategy == Strategy::Relayed { "passed on" } else { "each itself" })
         .with("vms", vms)
-        .number("start, calls a VM", each(simulation.price_between(Span(0), Span::secs(5))), 2)
+        .number("start, calls a VM", per_vm(simulation.price_between(Span(0), Span::secs(5))), 2)
         .number("calm, calls/s", calm / CALM_DURATION.as_secs(), 2)
-        .number("away 8 s, calls", away, 0)
-        .number("return 10 s, calls", returned, 0)
-        .with("fall, VMs that read", fall)
-        .number("again, calls a VM", each(simulation.price_between(ALL_RESTART_AT, RUN_END)), 2)
+        .number("away 8 s, calls", during_outage, 0)
+        .number("return 10 s, calls", after_outage, 0)
+        .with("fall, VMs that read", new_readers)
+        .number("again, calls a VM", per_vm(simulation.price_between(ALL_RESTART_AT, RUN_END)), 2)
         .number("ready after p99 ms", quantile(&mut ready, 0.99), 0)
         .number("bytes/s a VM", mean / seconds, 0)
         .number("bytes/s largest", largest as f64 / seconds, 0)
 }
 
-/// Numbers of VMs that are played if none are given.
+/// Fleet sizes by default.
 const VMS: [usize; 5] = [10, 23, 60, 300, 1000];
 
-/// Runs it.
+/// Simulates both strategies for each fleet size.
 pub fn run(options: &Options) -> Table {
     let vms = if options.vms.is_empty() { VMS.to_vec() } else { options.vms.clone() };
-    let ways = [Strategy::Relayed, Strategy::Direct];
-    let rows = vms.iter().flat_map(|vms| ways.map(|strategy| row(strategy, *vms, options.seed)));
+    let strategies = [Strategy::Relayed, Strategy::Direct];
+    let rows =
+        vms.iter().flat_map(|vms| strategies.map(|strategy| row(strategy, *vms, options.seed)));
     let rows: Vec<Row> = rows.collect();
     let notes = vec![
-        "Calls by their price: a read that may be some seconds old costs a tenth.".to_owned(),
-        "Bytes are those that a VM sends and hears for control, over the whole run.".to_owned(),
+        "Calls are weighted by price: a read that may be some seconds stale costs a tenth."
+            .to_owned(),
+        "Bytes are the control traffic that a VM sends and receives, over the whole run."
+            .to_owned(),
     ];
     Table { rows, notes }
 }
