--- a/src/forward/announce.rs
+++ b/src/forward/announce.rs
@@ -1,10 +1,11 @@
 //! Exchange between VMs of what backend servers announce in their responses: that they drain, and
-//! their rate limits. The store lists draining servers too, but not while it is lost, and it lists
-//! no rate limits; a VM that gets no message finds out by a request that it sends there.
+//! their rate limits. The store lists draining servers too, but can't be read in an outage, and it
+//! lists no rate limits. A VM that misses a message learns the same from the response to its next
+//! request to that server.
 //!
-//! Each VM relays what is new to it, so that all know it within some round trips, at some hundred
-//! bytes for each change and neighbour. A changed rate is sent only to the VMs that have a share of
-//! it.
+//! Each VM relays what it did not know yet, so that all VMs know of a change within some round
+//! trips, at some hundred bytes for each change and neighbour. A changed rate is sent only to the
+//! VMs that have a share of the rate limit.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,8 +32,8 @@
             .get_mut(id)
             .filter(|one| one.replica.matches_incarnation(id, *started_at_ms, *address));
         let Some(server) = server else { return };
-        let leaves = Signal { draining: true, ..Signal::default() };
-        if !server.availability.observe(leaves, vm.now()) {
+        let drain = Signal { draining: true, ..Signal::default() };
+        if !server.availability.observe(drain, vm.now()) {
             return;
         }
         server.replica.clone()
@@ -57,24 +58,26 @@
             .and_then(|server| server.availability.limit.next_announcement(now))
     };
     match report {
-        Some((news, Recipients::All)) => peer::broadcast(vm, &limit_message(replica, news, now)),
-        Some((news, Recipients::Senders(rates))) => {
-            let message = limit_message(replica, news, now);
+        Some((update, Recipients::All)) => {
+            peer::broadcast(vm, &limit_message(replica, update, now))
+        }
+        Some((update, Recipients::Senders(rates))) => {
+            let message = limit_message(replica, update, now);
             peer::send_to_senders(vm, &replica.id, rates, &message);
         }
         None => {}
     }
 }
 
-fn limit_message(replica: &Replica, news: Update, now: Moment) -> Message {
+fn limit_message(replica: &Replica, update: Update, now: Moment) -> Message {
     let (server, started_at_ms, address) =
         (replica.id.clone(), replica.started_at_ms, replica.address);
     Message::ServerLimit {
         server,
         started_at_ms,
         address,
-        rate: news.rate,
-        age: now.since(news.as_of),
+        rate: update.rate,
+        age: now.since(update.as_of),
     }
 }
 
@@ -97,7 +100,7 @@
 /// Applies the report of another VM on a rate limit, and relays it if it is new.
 pub fn on_limit(vm: &Rc<Vm>, report: &LimitReport) {
     let now = vm.now();
-    let news = Update { rate: report.rate, as_of: Moment(now.0.saturating_sub(report.age.0)) };
+    let update = Update { rate: report.rate, as_of: Moment(now.0.saturating_sub(report.age.0)) };
     let (replica, changed, relays) = {
         let mut fleet = vm.fleet.borrow_mut();
         let is_same = |replica: &Replica| {
@@ -107,7 +110,7 @@
         let Some(server) = server else { return };
         let limit = &mut server.availability.limit;
         let before = limit.rate(now);
-        let relays = limit.merge(news, now);
+        let relays = limit.merge(update, now);
         (server.replica.clone(), before != limit.rate(now), relays)
     };
     if changed {
@@ -121,6 +124,6 @@
         vm.log("server rate limit reported by peer", &fields);
     }
     if relays {
-        peer::broadcast(vm, &limit_message(&replica, news, now));
+        peer::broadcast(vm, &limit_message(&replica, update, now));
     }
 }
--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -12,7 +12,7 @@
 use crate::unit::{Moment, Position, Revision, Vm as Name};
 use crate::watch::log::Value;
 
-/// Origin of the objects that this VM applies, and the position of the store that they reflect.
+/// Where objects that this VM applies come from, and the position of the store that they reflect.
 pub struct Source<'a> {
     /// The VM that sent the objects; none if this VM read the store itself.
     pub reader: Option<&'a Name>,
@@ -38,9 +38,11 @@
     configuration
 }
 
+/// Applies a list of a kind. Returns the revision of the configuration if the list has a valid one.
 fn apply_kind(vm: &Vm, kind: Kind, objects: &[Object], source: &Source) -> Option<Revision> {
     match kind {
-        // Objects of these kinds have numbers of their own, which only rise.
+        // Objects of these kinds carry revisions that only rise; each object is compared with the
+        // known one.
         Kind::Config => return apply_config_list(vm, objects),
         Kind::Rollouts => apply_rollouts(vm, objects),
         Kind::Servers => {
@@ -54,14 +56,17 @@
     None
 }
 
-/// Applies a list of a kind whose objects have no number of their own; objects that are known in a
-/// newer state stay as they are. Without that, the list of a reader that had been partitioned
-/// brought draining servers back for 0.7 s.
+/// Applies a list of all objects of a kind whose states are ordered by the position at which they
+/// were read: removes known objects that the list lacks, and applies those that it has. Objects
+/// that are known in a newer state stay as they are; otherwise the list of a reader that had been
+/// partitioned brought draining servers back for 0.7 s.
+///
+/// `may_lapse` is set if missing servers may only have expired in an outage of the store.
 fn reconcile(vm: &Vm, kind: Kind, objects: &[Object], may_lapse: bool, source: &Source) {
     let listed: HashSet<&str> = objects.iter().map(|one| one.metadata.name.as_str()).collect();
     let missing = vm.positions.borrow_mut().missing_from_list(kind, &listed, source.as_of);
-    // A server that a restored backup lacks counts as lapsed. Objects of other kinds stay until
-    // their owners have had time to write them again.
+    // A server that a restored backup lacks is treated as one whose entry expired in an outage.
+    // Missing objects of other kinds stay until their owners have had time to write them again.
     if kind == Kind::Servers || vm.recent_restore.borrow().is_none() {
         for name in missing {
             remove_object(vm, kind, &name, may_lapse, source);
@@ -87,7 +92,8 @@
     vm.log("stale update ignored", &fields);
 }
 
-/// Applies an object that is the newest; the entry of a server is logged if `source` is given.
+/// Applies an object in its newest known state; the entry of a server is logged if `source` is
+/// given.
 fn apply_current(vm: &Vm, kind: Kind, object: &Object, source: Option<&Source>) {
     match kind {
         Kind::Config if object.metadata.name == MAIN => {
@@ -142,7 +148,7 @@
     }
 }
 
-/// Applies a changed object unless a newer state of it is known.
+/// Applies a changed object unless a newer state is known.
 pub fn apply_object(vm: &Vm, kind: Kind, object: &Object, source: &Source) {
     vm.enter_era_of(source.as_of);
     if matches!(kind, Kind::Config | Kind::Rollouts) {
@@ -154,11 +160,11 @@
     }
 }
 
-/// Removes an object unless a newer state of it is known. If `lapsed` is set, a backend server is
-/// kept for a while: its entry may only have expired while the store was unavailable.
+/// Removes an object unless a newer state is known. With `lapsed`, a backend server is kept for a
+/// while, as its entry may only have expired while the store was unavailable.
 pub fn remove_object(vm: &Vm, kind: Kind, name: &str, lapsed: bool, source: &Source) {
     vm.enter_era_of(source.as_of);
-    // The operator removes objects of neither kind; the last state stays in force.
+    // The operator never removes the configuration or a rollout; its last state stays in force.
     if matches!(kind, Kind::Config | Kind::Rollouts) {
         return;
     }
@@ -182,8 +188,12 @@
     }
 }
 
-/// Applies the state of the restored store that was held back to give owners time to write again,
-/// where none of them has.
+/// Ends the grace time after a restore of the store from a backup, in which owners could write
+/// again what the backup lacks.
+///
+/// Applies the state of the backup that was deferred until now: removes evacuations and VMs that
+/// the backup lacks and nobody has written again, accepts entries of disputed servers, and applies
+/// deferred rollouts.
 pub fn accept_restored(vm: &Vm) {
     let Some(restore) = vm.recent_restore.send_replace(None) else { return };
     let as_of = restore.first_position.unwrap_or(Position::new(vm.era.newest(), 0));
@@ -196,15 +206,15 @@
         }
     }
     vm.fleet.borrow_mut().settle_disputes();
-    let put_off = vm.deferred_rollouts.take();
-    put_off.values().for_each(|object| apply_rollout(vm, object));
+    let deferred = vm.deferred_rollouts.take();
+    deferred.values().for_each(|object| apply_rollout(vm, object));
     let objects = |kind| -> Vec<Object> { vm.feed.borrow().objects(kind).collect() };
     objects(Kind::Evacuations).iter().for_each(|object| apply_evacuation(vm, object));
     objects(Kind::Servers).iter().for_each(|object| apply_server(vm, object, None));
 }
 
-/// Records a proof that `configuration` was the newest at `moment`, unless this VM has an older
-/// configuration.
+/// Records a proof (a linearizable read) that the revision `configuration` was the newest at
+/// `moment`. A proof of a newer configuration than this VM has is ignored.
 pub fn record_proof(vm: &Vm, moment: Moment, configuration: Revision) {
     let in_force = vm.routes().map(|table| table.revision).unwrap_or_default();
     if in_force < configuration {
@@ -259,6 +269,9 @@
     vm.log("servers listed", &[count, may_lapse, from, era, as_of]);
 }
 
+/// Applies the entry of a server. An entry that may come from a restored backup and contradicts
+/// what is known is ignored, and the dispute is announced to other VMs. An invalid entry removes
+/// the server.
 fn apply_server(vm: &Vm, object: &Object, source: Option<&Source>) {
     match object::decode_replica(object) {
         Ok(replica) => {
@@ -287,7 +300,7 @@
         }
         Err(why) => {
             log_unreadable(vm, SERVERS, object, &why);
-            // The earlier entry of the server is no longer valid.
+            // The server's earlier entry is no longer valid.
             if let Ok(id) = object.metadata.name.parse() {
                 vm.fleet.borrow_mut().remove(&id, false, vm.now());
             }
@@ -316,7 +329,11 @@
     objects.iter().for_each(|object| apply_current(vm, Kind::Rollouts, object, None));
 }
 
-/// Applies the state of a roll-out unless a newer one is known.
+/// Applies the state of a rollout unless a newer one is known.
+///
+/// A restored backup may have an older state under a newer position. If it is of the order that
+/// this VM knows, this VM keeps the progress of the rollout. If it is of another order, which may
+/// be an earlier one, it is deferred until the grace time ends ([`accept_restored`]).
 pub fn apply_rollout(vm: &Vm, object: &Object) {
     let mut rollout = match object::decode_rollout(object) {
         Ok(rollout) => rollout,
@@ -346,6 +363,7 @@
     set_rollout(vm, rollout);
 }
 
+/// Puts the state of a rollout into force, and starts a new trial if its version is new.
 fn set_rollout(vm: &Vm, rollout: Rollout) {
     let mut rollouts = vm.rollouts.borrow_mut();
     let share = match rollout.phase {
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -29,8 +29,24 @@
 /// Responses to earlier requests that may precede the response to this one on a connection.
 const MAX_STALE_RESPONSES: u32 = 2;
 
-/// Ends the reason of an attempt whose server restarted before it responded.
-const BEFORE_RESTART: &str = "before the server restarted";
+/// Why an attempt got no response although its connection did not break.
+#[derive(Clone, Copy, PartialEq)]
+enum NoResponse {
+    /// The attempt's deadline passed.
+    TimedOut,
+    /// A later incarnation of the server started, so that the request is lost.
+    ServerRestarted,
+}
+
+impl std::fmt::Display for NoResponse {
+    /// Writes the end of a sentence that begins with "no response" or "no connection".
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            NoResponse::TimedOut => "in time",
+            NoResponse::ServerRestarted => "before the server restarted",
+        })
+    }
+}
 
 /// The result of an attempt.
 pub struct Outcome {
@@ -46,13 +62,13 @@
     pub stream: Option<Stream>,
 }
 
-/// A stream whose first complete event, or end, has arrived.
+/// A stream of server-sent events whose first complete event, or whose end, has arrived.
 pub struct Stream {
     /// The connection that the remaining events come from.
     pub connection: Connection,
-    /// Bytes that have arrived and are not relayed yet.
+    /// Bytes of the stream that have arrived and are not relayed yet.
     pub events: EventBuffer,
-    /// The first complete events, until they are relayed.
+    /// The first complete events; `None` once they are relayed.
     pub first_batch: Option<Batch>,
     /// Set once the server has ended the stream.
     pub ended: bool,
@@ -88,8 +104,12 @@
     }
 }
 
-/// Sends a request to a server and waits for the response until the moment `until`. `pending`
-/// counts the prompt as unread at the server and is dropped when the attempt ends.
+/// Sends a request to a server and waits for the response until the moment `until`. `pending` keeps
+/// the prompt in the server's backlog and is dropped when the attempt ends.
+///
+/// Without a response by then, or if the server restarts, the outcome is `Late` if bytes may have
+/// been sent, else `NotSent`. A response that breaks off, or is lost by a restart, is reported to
+/// [`crash`], which checks whether the server crashed.
 pub async fn run(
     job: &Job,
     replica: &Replica,
@@ -105,10 +125,10 @@
     let left = until.since(vm.now()).duration();
     let exchange = exchange(job, replica, model, last_event_id, &pending, open, &mut sent);
     let outcome = tokio::select! {
-        ended = tokio::time::timeout(left, exchange) => ended.map_err(|_| "in time"),
-        () = restarted.notified() => Err(BEFORE_RESTART),
+        ended = tokio::time::timeout(left, exchange) => ended.map_err(|_| NoResponse::TimedOut),
+        () = restarted.notified() => Err(NoResponse::ServerRestarted),
     };
-    let is_lost = outcome.as_ref().is_err_and(|reason| *reason == BEFORE_RESTART);
+    let is_lost = outcome.as_ref().is_err_and(|reason| *reason == NoResponse::ServerRestarted);
     let outcome = match outcome {
         Ok(outcome) => outcome,
         Err(reason) if sent => {
@@ -164,6 +184,11 @@
     }
 }
 
+/// Sends the request on a pooled or new connection and reads the response; of a stream, its first
+/// event. Sets `sent` as soon as bytes may have been sent.
+///
+/// The availability and the rate limit of the server are checked again before sending, as they may
+/// have changed while the connection was opened.
 async fn exchange(
     job: &Job,
     replica: &Replica,
@@ -280,12 +305,13 @@
     }
 }
 
-/// Applies what a response head reports about its server: draining, backoff and rate limit. This
-/// happens as soon as the head has arrived and holds whatever becomes of the response.
+/// Applies what a response head reports about its server: draining, backoff and rate limit. Called
+/// as soon as the head has arrived: the report is valid even if the rest of the response does not
+/// arrive.
 ///
-/// `sent_at` is given if the response belongs to this request and the request ran. Only then does a
-/// head without a rate limit end the known one: whatever refuses a request need not know the
-/// server's limit.
+/// `sent_at` is when the request was sent, or `None` if the response belongs to an earlier request
+/// or the request did not run. A head without a rate limit ends the known limit only if `sent_at`
+/// is given: a component that refuses a request may not know the server's limit.
 fn apply_signal(job: &Job, replica: &Replica, response: &Response, sent_at: Option<Moment>) {
     // Another server has the address now; its head says nothing about this one.
     if response.status == StatusCode::MISDIRECTED_REQUEST {
@@ -321,8 +347,8 @@
     }
 }
 
-/// Logs what a response head reports about its server; `limit` is the rate limit now in force
-/// there.
+/// Logs what a response head reports about its server; `limit` is the server's rate limit as now
+/// known.
 fn log_signal(job: &Job, replica: &Replica, response: &Response, limit: Option<Rate>) {
     let is_read = response.limit != server_limit::LimitHeader::Invalid;
     let fields = [
@@ -369,6 +395,7 @@
     }
 }
 
+/// Returns the outcome of an attempt whose connection failed.
 fn outcome_of(fault: Fault) -> Outcome {
     match fault {
         Fault::NotSent(reason) => Outcome::without_response(AttemptOutcome::NotSent, reason),
@@ -377,7 +404,7 @@
 }
 
 /// Returns a connection to the server's pool, or drops it if the server's incarnation is gone.
-/// `idle_timeout` is the time that the server named, if it did.
+/// `idle_timeout` is the one that the server announced, if it did.
 pub fn release_connection(
     job: &Job,
     replica: &Replica,
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -50,18 +50,20 @@
 /// State of the attempts so far.
 #[derive(Default)]
 struct Progress {
+    /// Servers tried so far with the current model; further attempts avoid them.
     tried: Vec<Replica>,
-    /// Attempts that failed before a byte was sent.
+    /// Number of attempts that failed before a byte of the request was sent.
     unsent_attempts: u32,
-    /// The same since the model last changed.
+    /// Number of attempts that failed before a byte was sent, since the model last changed.
     unsent_attempts_of_model: u32,
+    /// True if a server may have run the request, at least in part.
     may_have_run: bool,
     /// The latest error response of a server, delivered if no later attempt succeeds.
     failure: Option<(ResponseHead, Bytes)>,
-    /// Set once the request went to the larger model; it does so at most once.
+    /// Set once the request was escalated to the larger model, which happens at most once.
     escalated: bool,
-    /// The smaller model whose response was dropped for the larger one. It runs again if the larger
-    /// model fails.
+    /// The smaller model whose response was dropped for the larger one. The request goes back to
+    /// this model if the larger one fails.
     fallback_model: Option<Model>,
 }
 
@@ -137,8 +139,8 @@
     }
 }
 
-/// Switches back to the smaller model whose response was dropped. Returns false if there is none or
-/// no further attempt is allowed.
+/// Switches back to the smaller model whose response was dropped on an escalation. Returns false if
+/// there was no escalation, or no further attempt is allowed.
 fn fall_back(job: &Job, progress: &mut Progress, model: &mut Option<Model>, now: Moment) -> bool {
     let is_allowed = job.left(now) >= MIN_ATTEMPT_TIME && progress.fallback_model.is_some();
     if !is_allowed || !spend_attempt(job, progress, now) {
@@ -150,7 +152,8 @@
     true
 }
 
-/// Makes one attempt and feeds its result into the rollout trial and this VM's estimates.
+/// Makes one attempt, and records its result in the trial of a rollout and in this VM's estimates
+/// of prefill and queue times.
 async fn attempt_at(
     job: &Job,
     placement: &Placement,
@@ -209,7 +212,7 @@
     outcome: &Outcome,
     now: Moment,
 ) -> Option<Model> {
-    // One for the larger model, and one for the fallback if the route allows that many at all.
+    // One attempt for the larger model, and one for the fallback if the route allows three at all.
     let needed = if job.route.max_attempts > 2 { 2 } else { 1 };
     let may_attempt = counted_attempts(job, progress) + needed <= job.route.max_attempts;
     if progress.escalated || !may_attempt || poison::is_quarantined(job) {
@@ -246,6 +249,8 @@
     outcome.end == AttemptOutcome::Late && job.route.retry != RetryPolicy::Never && more
 }
 
+/// Returns true if a failed request may be sent again. Takes the retry from the budget, unless the
+/// attempt failed before a byte was sent.
 fn may_retry(job: &Job, progress: &Progress, end: AttemptOutcome) -> bool {
     let now = job.vm.now();
     if job.left(now) < MIN_ATTEMPT_TIME || progress.unsent_attempts_of_model >= MAX_UNSENT_ATTEMPTS
@@ -265,6 +270,7 @@
         && job.vm.spend_retry(&job.service, now)
 }
 
+/// Returns the reply that delivers the response of a server to the caller.
 fn deliver(
     job: &Job,
     replica: Replica,
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -1,8 +1,8 @@
 //! Change feed of the platform's objects that a VM serves to its followers.
 //!
-//! A follower polls from its cursor. If the cursor is of another epoch, or of a change that is no
-//! longer kept, the follower gets all objects. The feed serves what this VM read from the store as
-//! well as what it got from another VM, with its true age.
+//! A follower polls from its cursor. If the cursor belongs to another process, or the changes since
+//! then are no longer kept, the follower gets all objects. The feed serves what this VM read from
+//! the store as well as what it got from another VM, with the age since the read.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -16,8 +16,8 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Position, Revision, Span, Vm};
 
-/// Changes kept for followers, which poll a few times a second. Of each change only the object's
-/// name is kept: a follower gets the object in its present state.
+/// Number of changes kept for followers, which poll a few times a second. Of each change only the
+/// object's name is kept: a follower gets the object in its present state.
 const MAX_CHANGES: usize = 2000;
 
 /// Position of a follower in the feed of another VM.
@@ -29,12 +29,12 @@
     pub sequence: u64,
 }
 
-/// How current a VM's state of a kind is.
+/// How current a VM's state of a kind of objects is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
     /// Position of the store that the state reflects.
     pub position: Position,
-    /// When the read was sent that returned it; later changes may be missing.
+    /// When the read that returned the state was sent; later changes may be missing.
     pub read_sent_at: Moment,
 }
 
@@ -49,18 +49,19 @@
     pub age: Span,
 }
 
-/// Whether the platform's store answers, as a VM reports it to its followers.
+/// State of the platform's store, as a VM reports it to its followers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reachability {
     /// The store answers.
     Up,
-    /// The store has answered again for this long; entries may have lapsed while it did not.
+    /// The store has answered again for this long; entries may have expired in the outage before.
     Recovered(Span),
     /// The store does not answer.
     Down,
 }
 
-/// Proof that a configuration is the newest, as one VM sends it to another.
+/// Proof that a configuration is the newest, as one VM sends it to another: a linearizable read of
+/// the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
     /// Age of the linearizable read that proves it, when the update is sent.
@@ -81,13 +82,13 @@
 /// Answer to a follower's poll: what changed since its cursor, and the state of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The VM that read it from the store.
+    /// The VM that read the state from the store, and the number of VMs that relayed it.
     pub origin: Origin,
-    /// Whether the store answers.
+    /// State of the store, as the sender knows it.
     pub store: Reachability,
-    /// Cursor of the follower once it has applied these changes.
+    /// The follower's cursor once it has applied the changes.
     pub cursor: Cursor,
-    /// True if the changes hold all objects that exist, rather than those that changed.
+    /// True if `changes` has all objects that exist, rather than only those that changed.
     pub is_full: bool,
     /// The changes, in the order in which they are applied.
     pub changes: Packed,
@@ -100,7 +101,7 @@
     pub restore: Option<Notice>,
     /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<rollout_counts::VersionVerdict>,
-    /// Request contents that the sender holds back.
+    /// Request contents that the sender has quarantined, since servers crashed under them.
     pub quarantined: Vec<poison::QuarantinedContent>,
 }
 
@@ -116,12 +117,12 @@
     }
 }
 
-/// The part of an [`Update`] that does not come from the feed itself.
+/// The part of an [`Update`] that the feed itself does not know.
 #[derive(Clone, Debug)]
 pub struct Status {
-    /// The VM that read it from the store.
+    /// The VM that read the state from the store, and the number of VMs that relayed it.
     pub origin: Origin,
-    /// Whether the store answers.
+    /// State of the store, as the sender knows it.
     pub store: Reachability,
     /// Proof that a configuration is the newest, if the sender has one.
     pub proof: Option<Proof>,
@@ -130,7 +131,7 @@
     pub restore: Option<Notice>,
     /// The sender's verdicts on versions that are rolled out.
     pub verdicts: Vec<rollout_counts::VersionVerdict>,
-    /// Request contents that the sender holds back.
+    /// Request contents that the sender has quarantined, since servers crashed under them.
     pub quarantined: Vec<poison::QuarantinedContent>,
 }
 
@@ -139,14 +140,16 @@
 pub struct Feed {
     cursor: Cursor,
     objects: BTreeMap<(Kind, String), Stored>,
+    /// The latest changes, oldest first, at most [`MAX_CHANGES`].
     changes: VecDeque<ChangeRecord>,
     freshness: BTreeMap<Kind, Freshness>,
-    /// Cache of packed changes, by the number of changes that the follower lacks (none: it gets all
-    /// objects). Cleared at the next change; it serves, say, fifty followers that poll at the same
-    /// time and lack the same changes.
+    /// Cache of packed changes by the number of latest changes they contain, or `None` for all
+    /// objects. Cleared at each change. Many followers, say fifty, poll at the same time and lack
+    /// the same changes.
     packed_cache: RefCell<HashMap<Option<u64>, Packed>>,
 }
 
+/// An object in JSON, with the position of its last change.
 struct Stored {
     position: Position,
     text: String,
@@ -175,7 +178,8 @@
         self.freshness.get(&kind).copied()
     }
 
-    /// Records that a read of a kind, sent at `sent`, was answered and its objects were applied.
+    /// Records that the store answered a read of a kind that was sent at `sent`, and that the
+    /// objects read were applied.
     pub fn record_read(&mut self, kind: Kind, position: Position, sent: Moment) {
         let known =
             self.freshness.entry(kind).or_insert(Freshness { position, read_sent_at: sent });
@@ -183,8 +187,8 @@
         known.read_sent_at = known.read_sent_at.max(sent);
     }
 
-    /// Inserts or replaces an object. The caller makes sure that the state is the newest: each kind
-    /// orders its states in its own way.
+    /// Inserts or replaces an object. The caller makes sure that the state is the newest, as each
+    /// kind orders its states differently.
     pub fn upsert(&mut self, kind: Kind, object: &Object) {
         let (name, position) = (object.metadata.name.clone(), object.metadata.position);
         let known = self.objects.get(&(kind, name.clone()));
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Returns the last `behind` changes, or all objects if it is none, packed for sending.
+    /// Returns the last `behind` changes packed for sending, or all objects if `behind` is `None`.
     fn packed(&self, behind: Option<u64>) -> Packed {
         let mut packed = self.packed_cache.borrow_mut();
         let made = packed.entry(behind).or_insert_with(|| {
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -1,5 +1,5 @@
-//! Polls other VMs for updates, in the order that [`crate::decide::reader`] gives, and decides to
-//! read the platform's store itself if none has any.
+//! Polls other VMs for updates of the store's objects, and makes this VM read the store itself if
+//! none of them has any. [`crate::decide::reader`] ranks the VMs and has the rules.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -23,7 +23,8 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Span, Vm as Name};
 
-/// Follows another VM whenever one serves updates, until the process ends.
+/// Polls for updates until the process ends. This VM follows another one whenever one serves
+/// updates, and otherwise reads the store itself.
 pub async fn run(vm: Rc<Vm>) {
     if vm.settings.links.is_none() {
         vm.role.send_replace(Role::Reads);
@@ -59,49 +60,53 @@
     vm: Rc<Vm>,
     /// When the polls began.
     started: Moment,
+    /// How the VMs answered earlier polls, and when each may be polled again.
     source_history: SourceHistory,
     /// Cursor in the feed of each VM.
     cursors: HashMap<Name, Cursor>,
-    /// The time that its state of the servers reflects; none while it reads the store itself.
+    /// Time that this VM's state of the servers reflects; `None` while this VM reads the store
+    /// itself.
     servers_as_of: Option<Moment>,
-    /// Since when the VMs that answer report that the store is down.
+    /// Since when all VMs that answer report that the store is down.
     store_lost_since: Option<Moment>,
-    /// What was sent to each VM about versions that are rolled out.
+    /// Counts of running rollouts that were sent to each VM.
     sent_counts: SentCounts,
 }
 
 /// The VMs that may be polled.
 struct Candidates {
+    /// Rank of this VM.
     own: Rank,
-    /// The other VMs of its group.
+    /// The other VMs of this VM's group: those of its data centre, or all VMs in a full mesh.
     group: Vec<Rank>,
-    /// The first VM of each other group.
+    /// The highest-ranked VM that responds, of each other group.
     firsts: Vec<Rank>,
 }
 
 /// Outcome of one poll.
 struct Outcome {
     name: Name,
+    /// When the request was sent.
     requested_at: Moment,
-    /// Counts of versions that were sent with the request.
+    /// Counts of running rollouts that were sent with the request.
     counts: Vec<Observations>,
     reply: Response,
 }
 
-/// What a poll brought.
+/// What a poll brought, from worst to best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Gain {
-    /// Nothing.
+    /// No update.
     None,
-    /// The state from before the store went down.
+    /// An update from a VM that reports the store as down, with the state from before.
     Stale,
-    /// Current changes.
+    /// An update with current state.
     Fresh,
 }
 
 impl Follower {
-    /// Polls the next candidate, and the followed VM if it is another one. Returns true if this VM
-    /// needs no other update until the next regular poll.
+    /// Polls the next candidate and the VM that this one follows, if that is another one. Returns
+    /// true if the next poll may wait for the regular interval, false if it should follow soon.
     async fn poll(&mut self) -> bool {
         let candidates = self.candidates();
         let followed = match &*self.vm.role.borrow() {
@@ -122,8 +127,9 @@
         gain == Gain::Fresh || self.decide_without_update(gain == Gain::Stale, &candidates)
     }
 
-    /// Returns the timeout of the next poll, or none if the state of the servers is too old to wait
-    /// for an answer. While the store is reported down, VMs are polled however old the state is.
+    /// Returns the timeout of the next poll, or `None` if the state of the servers is too old to
+    /// wait for an answer. While the store is reported down, VMs are polled however old the state
+    /// is.
     fn poll_timeout(&self, candidates: &Candidates) -> Option<Span> {
         let now = self.vm.now();
         let lost = self.vm.upstream_store_lost.get() || self.is_store_reported_down(candidates);
@@ -142,7 +148,7 @@
         )
     }
 
-    /// Returns true if this VM has just started and has got no update yet.
+    /// Returns true if this VM has just started and has received no update yet.
     fn is_starting(&self) -> bool {
         self.servers_as_of.is_none() && self.is_in_startup_wait()
     }
@@ -164,12 +170,14 @@
         Candidates { own, group, firsts }
     }
 
+    /// Returns this VM's place among the VMs of its group that respond.
     fn own_place(&self, candidates: &Candidates) -> decide::Place {
         self.source_history.place(&candidates.own, candidates.group.iter(), self.vm.now())
     }
 
-    /// Updates since when this VM is the first of its group, and whether so many firsts of
-    /// other groups rank before it that it may try the store rarely.
+    /// Updates since when this VM is the first of its group. Also updates `probes_rarely`: set if
+    /// so many firsts of other groups rank before this VM that it need not probe a lost store
+    /// often.
     fn update_rank(&self, candidates: &Candidates) {
         let now = self.vm.now();
         let is_first = self.own_place(candidates) == decide::Place::First;
@@ -193,7 +201,7 @@
         next.cloned()
     }
 
-    /// Polls a VM, if there is one and there is time for it.
+    /// Polls a VM. Returns `None` if there is no VM to poll, or no time left for it.
     async fn poll_vm(&self, name: Option<Name>, candidates: &Candidates) -> Option<Outcome> {
         let (name, vm) = (name?, &self.vm);
         let requested_at = vm.now();
@@ -212,7 +220,7 @@
         Some(Outcome { name, requested_at, counts, reply })
     }
 
-    /// Applies the outcome of a poll.
+    /// Applies the outcome of a poll, if there was one, and records how the VM answered.
     fn apply_outcome(&mut self, answer: Option<Outcome>) -> Gain {
         let Some(Outcome { name, requested_at, counts, reply }) = answer else {
             return Gain::None;
@@ -236,6 +244,12 @@
         Gain::None
     }
 
+    /// Applies an update that was requested at `requested_at`, and makes this VM follow the sender.
+    ///
+    /// An update is rejected if this VM itself read it from the store, too many VMs have relayed
+    /// it, its era is older than the newest, or it can't be decoded. While the sender reports the
+    /// store as lost, its update is used only if this VM does not read the store itself; a VM that
+    /// has just started waits until the loss is confirmed.
     fn apply_update(&mut self, from: &Name, requested_at: Moment, update: &Update) -> Gain {
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
@@ -295,8 +309,9 @@
         Gain::Fresh
     }
 
-    /// Decides what this VM does without an update, and makes it a reader if it must read the store
-    /// itself. Returns true if it needs no update until the next regular poll.
+    /// Handles a poll that brought no current update: makes this VM a reader if it must read the
+    /// store itself. Returns true if the next poll may wait for the regular interval, because this
+    /// VM reads the store or the loss of the store is confirmed.
     fn decide_without_update(&mut self, is_reported_down: bool, candidates: &Candidates) -> bool {
         let vm = &self.vm;
         if vm.is_reader() {
@@ -326,8 +341,9 @@
     }
 }
 
-/// Returns the time that a state reflects whose age was `age` in the response to a request sent at
-/// `requested_at`.
+/// Returns the time that a state reflects if a request sent at `requested_at` was answered with a
+/// state of the age `age`. The result is never later than the true time, however long the response
+/// took.
 fn dated_at(requested_at: Moment, age: Option<Span>) -> Option<Moment> {
     Some(Moment(requested_at.0.saturating_sub(age?.0)))
 }
@@ -350,7 +366,7 @@
             vm.feed.borrow_mut().record_read(staleness.kind, staleness.position, sent);
         }
     }
-    // The clock starts with the process, so an earlier proof can't be dated.
+    // The clock starts with the process, so a proof from before that can't be dated.
     if let Some(proof) = update.proof
         && let Some(at) = requested_at.0.checked_sub(proof.age.0)
     {
@@ -365,6 +381,7 @@
     Source { reader: Some(from), as_of }
 }
 
+/// Applies the change or removal of one object.
 fn apply_change(vm: &Vm, source: &Source, change: &Change) {
     if change.object.is_none() {
         apply::remove_object(vm, change.kind, &change.name, change.lapsed, source);
@@ -389,6 +406,7 @@
     }
 }
 
+/// Makes this VM a follower of `reader`, which served the update.
 fn become_follower(vm: &Vm, reader: &Name, update: &Update) {
     let role = Role::Follows(reader.clone());
     if *vm.role.borrow() == role {
@@ -411,6 +429,7 @@
     vm.role.send_replace(role);
 }
 
+/// Makes this VM read the store itself, and requests a proof at once.
 fn become_reader(vm: &Vm, without: &FollowerState) {
     let place = format!("{:?}", without.place);
     let fields = [
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -1,4 +1,5 @@
-//! An admitted request, the log record that it leaves, and the guards that count it at a server.
+//! An admitted request ([`Job`]), its log record, and the guards that count the request towards a
+//! server's backlog and load while it is there.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Write as _;
@@ -18,8 +19,8 @@
 use crate::decide::{escalate, priority};
 use crate::unit::{Digest, Model, Moment, Service, Span, Version, hash};
 
-/// An idempotent request is retried at another server after this many times the route's latency
-/// goal without a response, if time is left.
+/// An attempt of an idempotent request times out after this many times the route's latency goal;
+/// the request is then retried at another server if time is left.
 const ATTEMPT_TIMEOUT_GOALS: u64 = 3;
 
 /// A resumable stream moves to another server if its first event arrives neither within this many
@@ -29,27 +30,28 @@
 
 /// An admitted request with everything that its attempts need.
 pub struct Job {
-    /// The VM that forwards it.
+    /// The VM that forwards the request.
     pub vm: Rc<Vm>,
     /// The request head as the caller sent it.
     pub head: RequestHead,
-    /// The same head, parsed.
+    /// The request head, parsed.
     pub call: Call,
     /// The complete request body.
     pub body: Bytes,
-    /// The route that its host and path matched.
+    /// Route that matches the request's host and path.
     pub route: Rc<Route>,
-    /// The service of the route that it was assigned to by weight.
+    /// Service of the route that the request was assigned to, by weight.
     pub service: Service,
-    /// The holder of its API key; none on a public route or without keys.
+    /// Holder of the request's API key; `None` on a public route, or if the configuration has no
+    /// keys.
     pub holder: Option<Rc<KeyHolder>>,
-    /// Digest of its content; see [`super::content`].
+    /// Digest of what the request asks for, equal for repeated requests; see [`super::content`].
     pub content: Digest,
     /// When the request head arrived.
     pub arrived: Moment,
-    /// When the caller's timeout or the route's, whichever is shorter, expires.
+    /// When the shorter of the caller's and the route's timeout expires.
     pub deadline: Moment,
-    /// What is logged when it ends.
+    /// Log record, written when the request ends.
     pub record: Record,
 }
 
@@ -62,8 +64,8 @@
     /// Returns the moment until which an attempt may go without a response. A request that may run
     /// elsewhere does not spend all its time on a server that does not respond.
     ///
-    /// `attempts_left` includes this attempt; the server is expected to have read the prompt within
-    /// `until_prefilled`.
+    /// `attempts_left` includes this attempt; the server is expected to have prefilled the prompt
+    /// within `until_prefilled`.
     pub fn attempt_deadline(
         &self,
         attempts_left: u32,
@@ -87,8 +89,8 @@
         until.min(self.deadline)
     }
 
-    /// Returns the criteria for the choice of its server. `model` is the one that the system chose,
-    /// if it did; `tried` are the servers to avoid.
+    /// Returns the criteria for selecting a server. `model` is the model that the system chose, if
+    /// it did; `tried` are the servers to avoid.
     pub fn criteria<'a>(&'a self, model: Option<&'a Model>, tried: &'a [Replica]) -> Criteria<'a> {
         let model = model.or(self.call.model.as_ref());
         let of_workspace = self.holder.as_ref().map(|holder| &holder.regions);
@@ -121,7 +123,7 @@
     }
 
     /// Records that the request is about to be sent to a server. Returns the estimate for the
-    /// attempt and a guard that counts the prompt as unread at the server until it is dropped.
+    /// attempt, and a guard that keeps the prompt in the server's backlog until it is dropped.
     pub fn begin_attempt(
         &self,
         placement: &Placement,
@@ -138,8 +140,8 @@
         (estimate, PendingPrompt::new(&self.vm, &placement.replica, estimate.prefill_time, permit))
     }
 
-    /// Returns the priority at the server, 0 to 9, where the workspace's priority comes before that
-    /// of the prefill time.
+    /// Returns the priority of the request at a server, 0 (first) to 9. The workspace's priority
+    /// takes precedence over the prefill time.
     pub fn priority(&self, prefill_time: Span, now: Moment) -> u32 {
         let workspace = self.holder.as_ref().map_or(0, |holder| holder.priority);
         let goal = self.arrived + self.route.latency_goal;
@@ -157,11 +159,15 @@
     version: RefCell<Option<Version>>,
     route: String,
     arrived: Moment,
+    /// Revision of the configuration in force when the request arrived.
     revision: u64,
+    /// Age of the proof that the configuration is the newest, when the request arrived.
     proof_age: Option<Span>,
     outcome: RefCell<String>,
     attempts: Cell<u32>,
+    /// Readable list of the attempts, waits and escalation checks, with their times and ends.
     trail: RefCell<String>,
+    /// Time from the request's arrival to the start of the response to the caller.
     response_time: Cell<Option<Span>>,
 }
 
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Adds a wait, as no server takes the request now.
+    /// Adds a wait for a server, as no server may receive the request now.
     pub fn add_wait(&self, wait: &Wait, now: Moment) {
         let what = match wait.permit {
             Some(_) => "permit of a rate-limited server",
@@ -267,7 +273,7 @@
         let _ = write!(self.trail.borrow_mut(), "{what} in {}", wait.until.since(now));
     }
 
-    /// Adds what the decision on an escalation to a larger model was based on.
+    /// Adds the inputs of the decision on an escalation to a larger model.
     pub fn add_escalation_check(&self, known: &escalate::Inputs) {
         let mut trail = self.trail.borrow_mut();
         let _ = write!(trail, " confidence {:.2}", known.confidence);
@@ -336,14 +342,14 @@
     }
 }
 
-/// A prompt that was sent and has had no response yet. It counts as unread at that incarnation of
-/// the server until this is dropped.
+/// Guard of a prompt that was sent and has had no response yet. The prompt is part of the backlog
+/// of that incarnation of the server until the guard is dropped.
 pub struct PendingPrompt {
     vm: Rc<Vm>,
     replica: Replica,
-    /// Time that the server is expected to need for reading the prompt.
+    /// Time that the server is expected to need to prefill the prompt.
     pub prefill_time: Span,
-    /// The permit to send; an empty one if the server has no rate limit.
+    /// Permit to send; it holds no reservation if the server has no rate limit.
     pub permit: Rc<Permit>,
 }
 
@@ -369,8 +375,8 @@
     }
 }
 
-/// A request that is open at a server. It counts towards the load of that incarnation of the server
-/// until this is dropped.
+/// Guard of a request that is open at a server. The request counts towards the load of that
+/// incarnation of the server until the guard is dropped.
 pub struct OpenRequestGuard {
     vm: Rc<Vm>,
     replica: Replica,
--- a/src/forward/mod.rs
+++ b/src/forward/mod.rs
@@ -1,5 +1,24 @@
 //! An entry VM on the platform: forwards requests to backend servers unchanged and keeps what all
 //! VMs must agree on in the platform's store. `docs/PLATFORM.md` has the design.
+//!
+//! Terms of this module:
+//!
+//! - Reader: a VM that reads the store itself. Follower: a VM that polls another VM for updates.
+//! - Group: the VMs of one data centre, or all VMs in a full mesh. VMs of a group are ranked by CPU
+//!   quota and name. Usually the first of the first group reads the store, the firsts of the other
+//!   groups follow it, and all others follow the first of their group.
+//! - Full mesh: so few VMs that each sends its messages to all others. If there are more VMs, each
+//!   sends to its neighbours on a ring.
+//! - Proof: a linearizable read of the store that shows that the configuration is the newest. Its
+//!   age counts from when the read was sent.
+//! - Era: counter of the store that rises when it is restored from a backup. A position is an era
+//!   and a revision within it.
+//! - Incarnation: one lifetime of a backend server's process.
+//! - Lapsed: said of an entry that may have expired only because the store was unavailable.
+//! - Cold: said of a server that has started recently and accepts few requests per second.
+//! - Trial: comparison of a service's old and new version while a rollout runs.
+//! - Content: what a request asks for, identified by a digest; see [`content`].
+//! - Evacuation: an order to send no more requests to the servers of a data centre.
 
 mod announce;
 pub mod apply;
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -26,9 +26,9 @@
 
 pub use super::message::{Message, PeerInfo};
 
-/// Up to this number of other VMs each VM sends to each (full mesh). Beyond it each sends to its
-/// ring neighbours, so that its traffic grows with the logarithm of their number, and VMs listed in
-/// the store count as live.
+/// Maximum number of other VMs for a full mesh, in which each VM sends its messages to all others.
+/// With more VMs, each sends only to its neighbours on a ring, so that its traffic grows with the
+/// logarithm of the number of VMs, and VMs listed in the store count as live.
 const FULL_MESH_MAX: usize = 12;
 
 /// Time between two checks of the peers.
@@ -46,15 +46,18 @@
 /// Shorter work is not broadcast: it is done before the message arrives.
 const MIN_BROADCAST_WORK: Span = Span::millis(25);
 
-/// Number of VMs that collect the crash reports of one content, beyond a full mesh. With a tenth of
-/// the VMs cut off, all three are cut off for one content in a thousand.
+/// Number of VMs that collect the crash reports of one request content if there are too many VMs
+/// for a full mesh. With a tenth of the VMs cut off, all three are cut off for one content in a
+/// thousand.
 const AGGREGATOR_COUNT: usize = 3;
 
 struct Peer {
     info: PeerInfo,
-    /// When it became known, last sent something, and was last sent something.
+    /// When this VM learned of the peer.
     first_seen: Moment,
+    /// When the peer last sent something to this VM.
     last_received: Option<Moment>,
+    /// When this VM last sent something to the peer.
     last_sent: Option<Moment>,
 }
 
@@ -67,7 +70,8 @@
         self.last_received.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    /// Returns how long it has been silent for a VM that expects messages from it since `from`.
+    /// Returns how long the peer has sent nothing. The time before `from`, when this VM did not
+    /// expect messages from the peer, is not counted.
     fn silence(&self, from: Moment, now: Moment) -> Span {
         now.since(self.last_received.unwrap_or(self.first_seen).max(from))
     }
@@ -81,21 +85,21 @@
 }
 
 impl Peers {
-    /// Returns true if there are so few VMs that each sends to each.
+    /// Returns true if there are so few VMs that each sends its messages to all others.
     pub fn is_full_mesh(&self) -> bool {
         self.known.len() <= FULL_MESH_MAX
     }
 
     /// Returns the number of live VMs, this one included: those that sent something recently in a
-    /// full mesh, else those listed in the store. A VM that is gone and still listed makes each
-    /// VM's share of a common budget smaller.
+    /// full mesh, else those listed in the store. A VM that is gone and still listed reduces each
+    /// VM's share of budgets that all VMs have in common.
     pub fn count_live(&self, now: Moment) -> usize {
         let full_mesh = self.is_full_mesh();
         1 + self.known.values().filter(|peer| !full_mesh || peer.is_live(now)).count()
     }
 
-    /// Returns the other VMs by group: those in the group of `data_centre`, and the other groups. A
-    /// group is a data centre, or all VMs in a full mesh.
+    /// Returns the ranks of the other VMs by group: first those of the group of `data_centre`, then
+    /// the other groups. The VMs of a data centre form a group; in a full mesh all VMs form one.
     pub fn groups(&self, data_centre: &DataCentre) -> (Vec<Rank>, HashMap<DataCentre, Vec<Rank>>) {
         let full_mesh = self.is_full_mesh();
         let (mut own, mut others) = (Vec::new(), HashMap::<DataCentre, Vec<Rank>>::new());
@@ -120,7 +124,8 @@
         self.known.get(name).map(|peer| peer.info.address)
     }
 
-    /// Inserts a VM that the store lists. In a full mesh it counts as live from its first message.
+    /// Inserts a VM that the store lists. In a full mesh the VM counts as live from its first
+    /// message.
     pub fn insert_listed(&mut self, vm: Name, info: PeerInfo, now: Moment) {
         let peer = self.known.entry(vm).or_insert_with(|| Peer::new(info.clone(), now));
         if !peer.is_live(now) {
@@ -133,7 +138,7 @@
         self.known.retain(|name, peer| is_listed(name) || peer.is_live(now));
     }
 
-    /// Returns the links to the other VMs, once they are open.
+    /// Returns the links to the other VMs, or `None` before they are open.
     pub fn links(&self) -> Option<Links> {
         self.links.clone()
     }
@@ -242,8 +247,8 @@
     peer.last_received = Some(now);
 }
 
-/// Handles the message of a VM that it stops. Beyond a full mesh the VM stays in the list: it
-/// usually starts again, and only some VMs get this message.
+/// Handles the goodbye of a VM that stops. Without a full mesh the VM stays in the list: it usually
+/// starts again, and only some VMs get its goodbye.
 fn on_goodbye(vm: &Vm, name: &Name) {
     let mut peers = vm.peers.borrow_mut();
     if peers.is_full_mesh() {
@@ -260,8 +265,8 @@
         let mut peers = vm.peers.borrow_mut();
         let targets = broadcast_targets(vm, &peers);
         let full_mesh = peers.is_full_mesh();
-        // Beyond a full mesh the first VM of a data centre hears from the others there, as they
-        // poll it; it counts their silence from when it became the first.
+        // Without a full mesh, only the first VM of a data centre can expect messages: the others
+        // there poll it. It counts their silence from the moment when it became the first.
         let first_since = vm.first_in_group_since.get();
         let expected_from = if full_mesh { Some(Moment(0)) } else { first_since };
         for (name, peer) in &mut peers.known {
--- a/src/forward/pinned_sessions.rs
+++ b/src/forward/pinned_sessions.rs
@@ -1,9 +1,9 @@
 //! Sessions pinned to the old version while the trial of a new one is young.
 //!
 //! The requests of a session arrive at several VMs, and a VM that has not seen the session can't
-//! tell whether it begins just now. So each VM tells the others which of its live sessions use the
-//! old version although their draw selects the new one. Without this, four sessions of a quiet day
-//! with a roll-out changed their version.
+//! tell whether it begins just now. So each VM reports to the others which of its live sessions use
+//! the old version although their draw selects the new one. Without these reports, four sessions
+//! changed their version on a quiet day with a rollout.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,19 +15,20 @@
 use crate::decide::canary;
 use crate::unit::{Moment, Service, Span, Version, hash};
 
-/// Interval between two checks. The first sessions move to a new version a second after the order
-/// at the earliest.
+/// Interval at which a VM broadcasts its pinned sessions. The first sessions move to a new version
+/// a second after the order at the earliest.
 const PIN_BROADCAST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Validity of a pin, in maximum gaps between the requests of a session. It is sent again after one
-/// gap.
+/// Time that a reported pin is valid, as a multiple of `session_gap`, the longest time between two
+/// requests of a session. A pin is reported again after one such gap.
 const PIN_VALIDITY_GAPS: u64 = 2;
 
 /// Maximum number of sessions in a message.
 const MAX_DRAWS_PER_MESSAGE: usize = 500;
 
-/// Draw of a session, or of a request without one, for a version of a service: a hash that is the
-/// same on all VMs.
+/// Hash that decides which version of a service a session, or a request without a session, is
+/// assigned to during a rollout: the new one if the hash, as a point from 0 to 1, is below the new
+/// version's share. It is the same on all VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Draw(u64);
 
@@ -43,15 +44,17 @@
     }
 }
 
-/// Draws of sessions pinned to the old version, and when they were last sent or received.
+/// Sessions pinned to the old version, identified by their draws.
 #[derive(Default)]
 pub struct PinnedSessions {
+    /// When the pin of each session was last sent or received.
     seen_at: HashMap<Draw, Moment>,
     last_sweep: Moment,
 }
 
 impl PinnedSessions {
-    /// Returns true if a VM has reported the session as pinned to the old version.
+    /// Returns true if a VM has reported the session as pinned to the old version and the report is
+    /// still valid; `gap` is the longest time between two requests of a session.
     pub fn is_pinned(&self, draw: Draw, gap: Span, now: Moment) -> bool {
         self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * PIN_VALIDITY_GAPS))
     }
@@ -91,8 +94,8 @@
     }
 }
 
-/// Handles pinned sessions from another VM. Outside a full mesh they are forwarded to this VM's
-/// neighbours.
+/// Handles pinned sessions reported by another VM. If there are too many VMs for a full mesh, they
+/// are forwarded to this VM's ring neighbours.
 pub fn on_pinned_sessions(vm: &Rc<Vm>, service: &Service, version: &Version, draws: Vec<Draw>) {
     if vm.peers.borrow().is_full_mesh() {
         vm.pinned_sessions.borrow_mut().record(
@@ -105,8 +108,8 @@
     }
 }
 
-/// Returns true while sessions are pinned to their version: in the first half of a roll-out's time
-/// limit.
+/// Returns true while sessions are pinned to the old version: in the first half of the time in
+/// which the rollout must complete.
 pub fn is_pinning(vm: &Vm, rollout: &Rollout, now: Moment) -> bool {
     let trials = vm.rollout_trials.borrow();
     let trial = trials.get(&rollout.service);
@@ -114,8 +117,8 @@
     first_half && rollout.is_open()
 }
 
-/// Returns the draws of this VM's live sessions that use the old version although the first share
-/// selects them.
+/// Returns the draws of this VM's live sessions that use the old version although they are below
+/// the new version's first share.
 fn own_draws(vm: &Vm, rollout: &Rollout, now: Moment) -> Vec<Draw> {
     let share = canary::first_share(vm.settings.bounds.max_exposure);
     let sessions = vm.sessions.borrow();
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -1,10 +1,11 @@
-//! Polls between VMs: a follower requests updates of the platform's objects, and any VM responds
-//! with what it knows, whether it read the store itself or follows another VM.
+//! Polls between VMs: a follower requests updates of the objects in the platform's store, and any
+//! VM responds with what it knows, whether it read the store itself or follows another VM.
 //!
-//! The recipient dates a proof to the moment when it sent the request, less the age of the proof
-//! when the response was sent, so that no network delay makes it look younger than it is. Ages of
-//! objects are dated in the same way. Updates that several VMs relay carry the delays of all hops,
-//! and updates that are too old are not relayed.
+//! A proof is a linearizable read of the store that shows that a configuration is the newest. The
+//! follower dates a proof to the moment when it sent its request, less the age that the response
+//! gives, so that no network delay makes the proof look younger than it is. Ages of objects are
+//! dated in the same way. Updates that several VMs relay carry the delays of all hops, and updates
+//! that are too old are not relayed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,11 +23,12 @@
 use crate::peer::wire::{decode, encode};
 use crate::unit::{Span, Vm as Name};
 
-/// A VM serves no updates once its proof is older than this part of the longest age: it has lost
-/// contact with the store or its reader.
+/// Largest age of its proof at which a VM serves updates, as a fraction of the age up to which
+/// requests with a key may be forwarded ([`Vm::max_proof_age`]). A VM with an older proof has lost
+/// contact with the store, or with the VM that it follows.
 const MAX_PROOF_AGE_FRACTION: f64 = 0.75;
 
-/// A VM whose sleep between two polls overran by this much was frozen, or is slow. Its state may be
+/// A VM whose sleep between two polls took this much too long was stalled. Its state may be
 /// outdated, so it serves no updates for `STALL_QUARANTINE`.
 pub const STALL_THRESHOLD: Span = Span::millis(400);
 const STALL_QUARANTINE: Span = Span::millis(1500);
@@ -36,17 +38,17 @@
 struct Request {
     /// The VM that sends the request.
     from: Name,
-    /// Its cursor in the feed of the recipient.
+    /// The sender's cursor in the feed of the recipient.
     cursor: Cursor,
-    /// What it counted for versions that are rolled out, as far as the recipient lacks it.
+    /// The sender's counts of running rollouts that the recipient has not received yet.
     counts: Vec<Observations>,
-    /// Request contents that it holds back.
+    /// Request contents that the sender has quarantined, since servers crashed under them.
     quarantined: Vec<poison::QuarantinedContent>,
 }
 
-/// Outcome of a request.
+/// Outcome of a request for updates.
 pub enum Response {
-    /// Objects changed since the cursor, and the state of the store.
+    /// The changes since the cursor, and the state of the store.
     Update(Box<Update>),
     /// The VM serves no updates now.
     Declined(Decline),
@@ -54,8 +56,8 @@
     NoAnswer,
 }
 
-/// Requests the changes since `cursor` from the VM at `to`, and sends it what was `seen` of
-/// versions that are rolled out.
+/// Requests the changes since `cursor` from the VM at `to`, and sends it the counts `seen` of
+/// running rollouts. Waits for the response for the time `within`.
 pub async fn request_updates(
     vm: &Vm,
     to: SocketAddr,
@@ -109,6 +111,7 @@
     vm.log("serving of updates changed", &fields);
 }
 
+/// Returns the update for a follower at `cursor`, or the reason why this VM serves none.
 fn update(vm: &Vm, cursor: Cursor) -> Result<Update, Decline> {
     let now = vm.now();
     if !vm.feed.borrow().is_complete() {
@@ -121,7 +124,7 @@
         return Err(Decline::Stops);
     }
     if !vm.has_followers(now) {
-        // With followers, proofs are due earlier.
+        // A VM with followers renews its proof earlier than one without.
         vm.proof_requested.notify_one();
     }
     vm.follower_polled_at.set(Some(now));
@@ -137,11 +140,11 @@
     Ok(vm.feed.borrow().update_since(cursor, status, now))
 }
 
-/// Returns the state of the store to report, or the reason to serve no update if `current` is one.
-/// While the store is down nobody has anything newer, so outdated objects are served with their
-/// age. The store counts as down until all state is current again: otherwise, when the first VM had
-/// an answer about servers some milliseconds before its proof, 9 of 16 VMs read the store
-/// themselves.
+/// Returns the state of the store to report, or why no update is served; `current` is the result of
+/// [`check_ages`]. While the store is down no VM has anything newer, so outdated objects are served
+/// with their age. The store counts as down until all state is current again: otherwise, when the
+/// first VM had an answer about servers some milliseconds before its proof, 9 of 16 VMs read the
+/// store themselves.
 fn reachability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
     match (vm.store_state(vm.now()), current) {
         (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
@@ -155,6 +158,7 @@
     origin.unwrap_or_else(|| Origin { reader: vm.settings.vm.clone(), hops: 0 })
 }
 
+/// Returns an error if the proof or the state of the servers is too old to be served.
 fn check_ages(vm: &Vm, proof_age: Option<Span>) -> Result<(), Decline> {
     if let Some(longest) = vm.max_proof_age() {
         proof_age
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -1,5 +1,6 @@
-//! Enforces the rate limits of backend servers at this VM. [`crate::decide::server_limit`] decides which
-//! VMs may send to a server, and how far apart.
+//! Enforces the rate limits of backend servers at this VM. A server's limit holds for the requests
+//! of all VMs together; each VM that may send to the server (a sender) has a share of it.
+//! [`crate::decide::server_limit`] decides which VMs may send to a server, and how far apart.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::HashSet;
@@ -15,8 +16,8 @@
 use crate::unit::{Moment, Service, Span, hash};
 
 /// A VM that has just started does not know all others yet, and sends nothing to rate-limited
-/// servers for this long: each VM that counts itself among the senders by mistake adds its share to
-/// the load of the server.
+/// servers for this long: each VM that counts itself among a server's senders by mistake adds its
+/// share to the load of the server.
 const VM_DISCOVERY_TIME: Span = Span::millis(1500);
 
 /// Updates the gauges of cold servers and of servers that announce a rate limit, by service.
@@ -42,8 +43,10 @@
 
 /// Checks the rate limits of the servers of one service at one moment.
 pub struct Limiter<'a> {
+    /// Rate limit that the service declares for cold servers.
     cold: Option<cold_start::ColdStart>,
     now: Moment,
+    /// Returns the VMs, or `None` if this one does not know the others yet.
     find_vms: Box<dyn Fn() -> Option<Vms> + 'a>,
     vms: OnceCell<Option<Vms>>,
 }
@@ -86,32 +89,32 @@
     /// Returns the rate limit of a server, if it has one; the tightest if there are several.
     pub fn rate_limit(&self, server: &Server) -> Option<RateLimit> {
         let cold = self.cold.filter(|cold| server.is_cold(cold, self.now)).map(RateLimit::from);
-        let limit = server.availability.limit.rate(self.now).map(RateLimit::advertised);
-        cold.into_iter().chain(limit).reduce(RateLimit::strictest)
+        let advertised = server.availability.limit.rate(self.now).map(RateLimit::advertised);
+        cold.into_iter().chain(advertised).reduce(RateLimit::strictest)
     }
 
     /// Returns true if the rate limit of a server allows this VM a request now.
     pub fn allows(&self, server: &Server) -> bool {
-        let may = |bound: RateLimit| self.next(&bound, server).is_some_and(|next| next <= self.now);
+        let may = |limit: RateLimit| self.next(&limit, server).is_some_and(|next| next <= self.now);
         self.rate_limit(server).is_none_or(may)
     }
 
-    /// Returns when this VM may send to a rate-limited server next; `None` if it is not among its
-    /// senders, or the server has no rate limit any more.
+    /// Returns when this VM may next send to a server; `None` if the server has no rate limit, or
+    /// this VM is not among its senders.
     pub fn next_permit(&self, server: &Server) -> Option<Moment> {
         self.next(&self.rate_limit(server)?, server)
     }
 
-    fn next(&self, bound: &RateLimit, server: &Server) -> Option<Moment> {
-        let share = self.share(bound, server)?;
+    fn next(&self, limit: &RateLimit, server: &Server) -> Option<Moment> {
+        let share = self.share(limit, server)?;
         Some(server.pacer.next_send(&share, self.now))
     }
 
-    /// Returns this VM's share of a rate limit; `None` if it is not among the senders to the
-    /// server.
-    fn share(&self, bound: &RateLimit, server: &Server) -> Option<Share> {
+    /// Returns this VM's share of a server's rate limit; `None` if this VM is not among the senders
+    /// to the server.
+    fn share(&self, limit: &RateLimit, server: &Server) -> Option<Share> {
         let vms = self.vms.get_or_init(&self.find_vms).as_ref()?;
-        let share = Share::new(bound, vms.others.len() + 1);
+        let share = Share::new(limit, vms.others.len() + 1);
         let number = hash::stable(&[server.replica.id.as_str()]);
         server_limit::is_sender(&share, number, vms.own, &vms.others).then_some(share)
     }
@@ -124,8 +127,8 @@
     }
 }
 
-/// Permit to send one request to one incarnation of a server. Dropping it unused releases its
-/// reservation.
+/// Permit to send one request to one incarnation of a server. Dropping an unused permit releases
+/// its reservation.
 pub struct Permit {
     vm: Rc<Vm>,
     replica: Replica,
@@ -146,18 +149,18 @@
         &self.replica
     }
 
-    /// Uses the permit: its request is about to be sent.
+    /// Uses the permit; called right before the request is sent.
     ///
     /// # Errors
-    /// `Throttled` if it may not be sent: the rate limit became known after the server had been
-    /// chosen, and this VM may not send there now.
+    /// `Throttled` if the request may not be sent now: the rate limit became known after the server
+    /// had been selected.
     pub fn consume(&self, now: Moment) -> Result<(), Throttled> {
         let mut fleet = self.vm.fleet.borrow_mut();
         let Some(server) = fleet.incarnation_mut(&self.replica) else { return Ok(()) };
         let limiter = limiter(&self.vm, &self.replica.service, now);
         if self.reservation.take().is_none() {
-            if let (Some(bound), false) = (limiter.rate_limit(server), limiter.allows(server)) {
-                return Err(Throttled(bound));
+            if let (Some(limit), false) = (limiter.rate_limit(server), limiter.allows(server)) {
+                return Err(Throttled(limit));
             }
             limiter.reserve(server);
         }
--- a/src/forward/replica.rs
+++ b/src/forward/replica.rs
@@ -69,7 +69,7 @@
     pub address: SocketAddr,
 }
 
-/// Progress of a roll-out, as written in the store.
+/// Progress of a rollout, as written in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// A share of sessions goes to the new version.
@@ -90,7 +90,7 @@
     pub service: Service,
     /// The new version.
     pub version: Version,
-    /// Time in which the roll-out is to complete.
+    /// Time in which the rollout is to complete.
     pub within: Span,
     /// Progress that this VM knows; none before the first step.
     pub phase: Option<Phase>,
@@ -119,7 +119,7 @@
         self.phase != self.stored
     }
 
-    /// Returns true if the roll-out has neither completed nor been rolled back.
+    /// Returns true if the rollout has neither completed nor been rolled back.
     pub fn is_open(&self) -> bool {
         !matches!(self.phase, Some(Phase::Completed | Phase::RolledBack))
     }
--- a/src/forward/rollout_attempt.rs
+++ b/src/forward/rollout_attempt.rs
@@ -1,4 +1,5 @@
-//! Reports attempts at a server to the trial of a roll-out.
+//! Counts attempts at a server in the trial of a rollout, which compares the answers of the old and
+//! the new version ([`super::rollout_trial`]).
 
 use super::job::Job;
 use super::replica::Replica;
@@ -12,13 +13,13 @@
     version: Version,
     started_at: Moment,
     expected_time: Option<Span>,
-    /// Levels of slowness that were counted.
+    /// Number of slowness levels at which the attempt was counted so far.
     reported_slow_levels: usize,
 }
 
 impl<'a> RolloutAttempt<'a> {
-    /// Creates the record of an attempt that began at the moment `started_at`; its first event is due
-    /// within `expected_time`, if known.
+    /// Creates the record of an attempt that began at `started_at`; its first event is due within
+    /// `expected_time`, if that is known.
     pub fn new(
         job: &'a Job,
         replica: &Replica,
--- a/src/forward/rollout_counts.rs
+++ b/src/forward/rollout_counts.rs
@@ -1,10 +1,11 @@
-//! Aggregation of trial counts over a large fleet.
+//! Aggregates the counts of trials over a large fleet. A trial compares the answers of the old and
+//! the new version of a service while a rollout runs ([`super::rollout_trial`]).
 //!
-//! A VM sends its counts to the VM that it follows, and the first of a group sends the sum of its
-//! group. So the VM that reads the store has the sum of all, judges the version by it, and sends
-//! its verdict with its updates. Each of 295 VMs sees three answers in a thousand by itself, and
-//! three in a hundred together with its neighbours on the ring, which were the basis before this
-//! aggregation.
+//! A VM sends its counts to the VM that it follows, and the first VM of a group (a data centre)
+//! sends the sum of its group. So the VM that reads the store has the sum of all counts, judges the
+//! version by that sum, and sends its verdict with its updates. Each of 295 VMs sees three answers
+//! in a thousand by itself, and three in a hundred together with its neighbours on the ring, which
+//! were the basis before this aggregation.
 //!
 //! Counts are totals since the order and replace the last ones from the same VM, or from the first
 //! of the same group, so that nothing counts twice. A VM that restarts begins at zero.
@@ -48,8 +49,8 @@
 }
 
 impl SentCounts {
-    /// Returns the counts that the VM `to` has not received yet: those of this VM, or of its group
-    /// if this VM is the `first`.
+    /// Returns the counts that the VM `to` has not received yet: those of this VM, or the sum of
+    /// its group if this VM is the `first` of the group.
     pub fn unsent(&self, vm: &Vm, to: &Name, first: bool) -> Vec<Observations> {
         let is_unsent = |seen: &Observations| {
             let sent = self.sent.get(&seen.service);
@@ -58,15 +59,15 @@
         observations(vm, first).into_iter().filter(is_unsent).collect()
     }
 
-    /// Records that the VM `to` has received these counts.
+    /// Records that the VM `to` has received the counts `seen`.
     pub fn record_sent(&mut self, to: &Name, seen: Vec<Observations>) {
         let sent = seen.into_iter().map(|one| (one.service.clone(), (to.clone(), one)));
         self.sent.extend(sent);
     }
 }
 
-/// Returns the counts of running roll-outs. None in a full mesh, where each VM sends its counts to
-/// each other.
+/// Returns the counts of running rollouts, or no counts in a full mesh, where each VM broadcasts
+/// its counts.
 fn observations(vm: &Vm, first: bool) -> Vec<Observations> {
     if vm.peers.borrow().is_full_mesh() {
         return Vec::new();
@@ -85,7 +86,7 @@
     running_rollouts(vm).into_iter().filter_map(counts).collect()
 }
 
-/// Returns the services with a running roll-out and their new versions.
+/// Returns the services with a running rollout and their new versions.
 fn running_rollouts(vm: &Vm) -> Vec<(Service, Version)> {
     let rollouts = vm.rollouts.borrow();
     let running = rollouts.values().filter(|rollout| rollout.is_open());
@@ -100,7 +101,7 @@
     }
 }
 
-/// Returns this VM's verdicts on running roll-outs, for the VMs that follow it.
+/// Returns this VM's verdicts on running rollouts, for the VMs that follow it.
 pub fn verdicts(vm: &Vm) -> Vec<VersionVerdict> {
     let trials = vm.rollout_trials.borrow();
     let verdict = |(service, version): (Service, Version)| {
--- a/src/forward/rollout_steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -1,4 +1,4 @@
-//! Task that writes the next steps of roll-outs to the store.
+//! Task that writes the next steps of rollouts to the store.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,29 +15,30 @@
 use crate::platform::object::{self, ROLLOUTS};
 use crate::unit::{Moment, Service, Span};
 
-/// Interval between two checks.
+/// Interval between two checks for due steps.
 const STEP_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Maximum random delay, in seconds, before a VM writes a step, so that usually only one VM writes
 /// it.
 const WRITE_JITTER_S: f64 = 0.2;
 
-/// The same for a rollback, which a VM that reads the store and finds the version bad writes nearly
-/// at once.
+/// Maximum random delay, in seconds, before a VM that reads the store writes a rollback: a version
+/// that was found bad must go out of use nearly at once.
 const ROLLBACK_JITTER_S: f64 = 0.05;
 
-/// Delay, in seconds, after which VMs that follow a reader try to write a step. They leave steps to
-/// the readers, since they see a step some tenths of a second late.
+/// Delay, in seconds, after which VMs that follow a reader try to write a step. Followers leave
+/// steps to the readers, since they see a written step some tenths of a second late.
 const FOLLOWER_DELAY_S: f64 = 1.0;
 
 /// Maximum backoff after failed writes. Without backoff 91 VMs sent 50 of them a second to a store
 /// that refused them.
 const MAX_RETRY_DELAY: Span = Span::millis(1600);
 
-/// Backoff of a service after failed writes.
+/// Retry state of a service after failed writes.
 #[derive(Default)]
 struct Retry {
     backoff: Backoff,
+    /// No step is written before this moment.
     not_before: Moment,
 }
 
@@ -90,8 +91,8 @@
     }
 }
 
-/// Writes the step that is due, if any. Returns true if the store accepted or answered the write, or
-/// if none was due.
+/// Writes the step that is due, if any. Returns true if the store accepted the write or answered
+/// with a newer state, or if no step was due. Returns false if the write must be retried.
 async fn write_due_step(vm: &Rc<Vm>, store: &mut Client, service: &Service) -> bool {
     let Some(DueStep { phase, .. }) = due_step(vm, service) else { return true };
     let (wait, spread) = match (!vm.is_reader(), phase) {
@@ -136,7 +137,7 @@
 
 /// A step that is due.
 struct DueStep {
-    /// The roll-out.
+    /// The rollout to advance.
     rollout: Rollout,
     /// The phase to write.
     phase: Phase,
@@ -148,7 +149,7 @@
 fn due_step(vm: &Vm, service: &Service) -> Option<DueStep> {
     let now = vm.now();
     let rollouts = vm.rollouts.borrow();
-    // A revision of another era refers to another state of the store.
+    // The store does not accept a conditional write with a revision of an earlier era.
     let rollout = rollouts.get(service).filter(|one| one.position.era == vm.era.newest())?;
     let trials = vm.rollout_trials.borrow();
     let trial = trials.get(service)?;
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -1,4 +1,5 @@
-//! Counts of the answers of the old and the new version while a roll-out runs.
+//! Trial of a rollout: counts the failed and slow answers of the old and the new version of a
+//! service while the rollout runs, and compares them to find a new version that is worse.
 
 use std::collections::HashMap;
 
@@ -78,11 +79,11 @@
     pub route: &'a str,
     /// Version of the server that answered.
     pub version: &'a Version,
-    /// True if the server itself failed.
+    /// True if the answer is a failure of the server itself.
     pub failed: bool,
     /// Time to the answer or to its first event, or the time waited so far; none if it failed.
     pub response_time: Option<Span>,
-    /// Levels of slowness that were counted for this answer before.
+    /// Number of slowness levels at which this answer was already counted while it was awaited.
     pub reported_slow_levels: usize,
     /// Time within which the first event was due if the request has a prompt, assuming that the
     /// server has cached only prompts that this VM sent to it. Otherwise a new version, which has
@@ -95,7 +96,7 @@
 pub struct Totals {
     /// Failed answers.
     pub failures: Comparison,
-    /// Slow answers, by level.
+    /// Slow answers, by level of slowness.
     pub slow: [Comparison; SLOWNESS_LEVELS],
 }
 
@@ -119,26 +120,30 @@
 /// Trial of a new version of one service.
 #[derive(Default)]
 pub struct RolloutTrial {
-    /// The new version to which the counts belong.
+    /// The new version that is compared with the old one; `None` before the first rollout.
     version: Option<Version>,
+    /// When this VM first saw the order to roll out the version.
     started_at: Moment,
+    /// True once this VM has found the new version worse; later counts do not change that.
     found_bad: bool,
+    /// Counts of this VM.
     own: TotalsByRoute,
+    /// Usual times of the old version, by route.
     medians: HashMap<String, Median>,
-    /// Latest counts from other VMs and from other groups.
+    /// Latest counts from other VMs, and sums from other groups (data centres).
     others: HashMap<Source, TotalsByRoute>,
-    /// Verdict of the VM that this one follows.
+    /// Verdict of the VM that this one follows, which knows the counts of more VMs.
     upstream_verdict: Option<Verdict>,
-    /// Counts as they were last sent to the other VMs.
+    /// Counts of this VM as they were last sent to the other VMs.
     sent: TotalsByRoute,
 }
 
-/// Result of the counts for a new version.
+/// Judgement on a new version from the counts of its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Answers of the new version that were seen.
+    /// Number of answers of the new version that were counted.
     pub seen: f64,
-    /// Evidence that it is worse, as a log likelihood ratio.
+    /// Evidence that the new version is worse than the old one, as a log likelihood ratio.
     pub evidence: f64,
 }
 
@@ -174,8 +179,8 @@
         self.found_bad = self.found_bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
     }
 
-    /// Returns the number of levels at which an answer was slow. Without a prompt, answers of the
-    /// old version set the usual time.
+    /// Returns the number of levels at which an answer was slow. The usual time of a request
+    /// without a prompt is the median of the old version's times.
     fn slow_levels(&mut self, sample: &Sample, is_new: bool) -> usize {
         let Some(time) = sample.response_time else { return 0 };
         if let Some(expected) = sample.expected_time {
@@ -194,7 +199,7 @@
         &self.own
     }
 
-    /// Counts of this VM and the others of its group.
+    /// Returns the sum of the counts of this VM and the others of its group (data centre).
     pub fn group_totals(&self) -> TotalsByRoute {
         self.sum(|source| matches!(source, Source::Vm(_)))
     }
@@ -210,9 +215,9 @@
         sums
     }
 
-    /// Returns the evidence that the new version is worse on one route or on all together. Of this
-    /// VM's own sum and the verdict of the VM it follows, the one that rests on more answers
-    /// counts: the one with fewer would accuse good versions by chance.
+    /// Returns the evidence that the new version is worse on one route or on all together. Returns
+    /// this VM's own verdict or that of the VM it follows, whichever is based on more answers: with
+    /// fewer answers, good versions would be found bad by chance.
     pub fn verdict(&self) -> Verdict {
         let sums = self.sum(|_| true);
         let all = sums.values().fold(Totals::default(), |sum, one| sum.plus(*one));
@@ -284,7 +289,7 @@
         self.verdict().seen
     }
 
-    /// Returns the time since this VM saw the order.
+    /// Returns the time since this VM first saw the order to roll out the version.
     pub fn age(&self, now: Moment) -> Span {
         now.since(self.started_at)
     }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -22,18 +22,20 @@
 
 pub use version::{Reason, Versions};
 
-/// Requests that wait for the end of the same backoff wake at random within this time after it.
+/// Maximum random delay between the end of a server's backoff and the moment when a request that
+/// waits for it wakes, so that such requests do not all retry at once.
 const WAKE_JITTER: Span = Span::millis(20);
 
 /// What a request requires of its server.
 pub struct Criteria<'a> {
-    /// The service that must serve it.
+    /// Service that must serve the request.
     pub service: &'a Service,
     /// The parsed head of the request.
     pub call: &'a Call,
     /// Size of the request body in bytes.
     pub body_bytes: usize,
-    /// Regions allowed by the route and by the workspace, if an API key names one.
+    /// Regions allowed by the route, and by the workspace if the request has an API key. A server
+    /// must be in an allowed region of both.
     pub regions: [Option<&'a Regions>; 2],
     /// The model, if the caller or the system has chosen one.
     pub model: Option<&'a Model>,
@@ -59,15 +61,17 @@
 pub struct Placement {
     /// The selected server.
     pub replica: Replica,
-    /// Expected time until the server has read the prompt, including the queue there.
+    /// Expected time until the server has prefilled the prompt, including the prompts queued before
+    /// it.
     pub until_prefilled: Span,
-    /// The part of that time spent on this prompt itself.
+    /// Expected time that the server needs to prefill this prompt alone, without the queue.
     pub prefill_time: Span,
     /// Why the request goes to the server's version.
     pub reason: Reason,
-    /// The permit, if the request has waited for one.
+    /// Permit to send to the rate-limited server, if the request has waited for one.
     pub permit: Option<Rc<Permit>>,
-    /// Servers of the service that were skipped although they are not draining.
+    /// Number of the service's servers that could not be selected, by reason; draining ones are not
+    /// counted.
     pub skipped: Skipped,
 }
 
@@ -76,19 +80,21 @@
 pub struct Skipped {
     /// Servers in evacuated data centres.
     pub evacuated: usize,
-    /// Cold servers whose next permit is not this VM's, or not due yet.
+    /// Cold servers whose rate limit does not allow this VM a request now: it is not among their
+    /// senders, or its next permit is not due yet.
     pub cold: usize,
-    /// Servers that report a rate limit, likewise.
+    /// Servers whose reported rate limit does not allow this VM a request now, for the same
+    /// reasons.
     pub limited: usize,
-    /// Servers that asked for a backoff.
+    /// Servers that are backing off, or are being probed after a backoff.
     pub backing_off: usize,
 }
 
 impl Skipped {
-    fn count(fleet: &Fleet, access: &Limiter, service: &Service, now: Moment) -> Skipped {
+    fn count(fleet: &Fleet, limiter: &Limiter, service: &Service, now: Moment) -> Skipped {
         let (mut cold, mut limited) = (0, 0);
-        for server in fleet.eligible(service, now).filter(|one| !access.allows(one)) {
-            match access.is_cold(server) {
+        for server in fleet.eligible(service, now).filter(|one| !limiter.allows(one)) {
+            match limiter.is_cold(server) {
                 true => cold += 1,
                 false => limited += 1,
             }
@@ -111,13 +117,14 @@
 /// What a request waits for if no server takes it at once: a permit at a rate-limited server, or
 /// the end of a server's backoff, after which the selection is repeated.
 pub struct Wait {
-    /// When the wait is over.
+    /// When the request stops waiting.
     pub until: Moment,
-    /// The permit that is due then; none for a backoff.
+    /// Permit that is due at `until`; `None` if the request waits for the end of a backoff.
     pub permit: Option<Permit>,
 }
 
-/// Returns the wait that a request can make that ends by `until`, if there is one.
+/// Returns what a request can wait for that happens by `until`: the next permit of a rate-limited
+/// server or, if there is none, the end of a backoff. Returns `None` if there is neither.
 pub fn next_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     permit_wait(vm, criteria, until, now).or_else(|| backoff_wait(vm, criteria, until, now))
 }
@@ -141,7 +148,7 @@
 /// Reserves the earliest permit at a rate-limited server and returns a wait for it.
 fn permit_wait(vm: &Rc<Vm>, criteria: &Criteria, until: Moment, now: Moment) -> Option<Wait> {
     let (versions, _) = eligible_versions(vm, criteria.service, criteria.call, now);
-    let access = rate_limit::limiter(vm, criteria.service, now);
+    let limiter = rate_limit::limiter(vm, criteria.service, now);
     let mut fleet = vm.fleet.borrow_mut();
     let allowed = fleet.eligible(criteria.service, now).filter(|one| {
         let replica = &one.replica;
@@ -149,7 +156,7 @@
             && criteria.allows(vm, one)
             && !criteria.has_tried(replica)
     });
-    let permits = allowed.filter_map(|one| Some((access.next_permit(one)?, &one.replica)));
+    let permits = allowed.filter_map(|one| Some((limiter.next_permit(one)?, &one.replica)));
     let first =
         permits.min_by(|(at, one), (other_at, other)| (at, &one.id).cmp(&(other_at, &other.id)));
     let (at, replica) = first.filter(|(at, _)| *at <= until)?;
@@ -158,7 +165,8 @@
     Some(Wait { until: at, permit: Some(permit) })
 }
 
-/// Returns the server whose permit the request has waited for, if it is still available.
+/// Returns a placement at the server whose permit the request has waited for. Returns `None` if the
+/// request waited for a backoff, or the server is no longer available.
 pub fn select_after_wait(
     vm: &Vm,
     criteria: &Criteria,
@@ -178,19 +186,19 @@
         let prompt = Prompt::new(criteria, &[server]);
         Placement::of(server, &candidate(vm, criteria, &prompt, server, now), reason)
     });
-    // Dropping an unused permit borrows the fleet to return it.
+    // Dropping an unused permit borrows the fleet mutably to release its reservation.
     drop(fleet);
     Some(Placement { permit: Some(Rc::new(permit)), ..placement? })
 }
 
 impl Placement {
     fn of(server: &Server, candidate: &Candidate, reason: Reason) -> Placement {
-        let Candidate { until_prefilled: until_read, prefill: reads, .. } = *candidate;
+        let Candidate { until_prefilled, prefill: prefill_time, .. } = *candidate;
         let replica = server.replica.clone();
         Placement {
             replica,
-            until_prefilled: until_read,
-            prefill_time: reads,
+            until_prefilled,
+            prefill_time,
             reason,
             permit: None,
             skipped: Skipped::default(),
@@ -198,7 +206,7 @@
     }
 }
 
-/// Selects the server for a request. Returns none if no server takes it now.
+/// Selects the server for a request. Returns `None` if no server may receive the request now.
 pub fn select_server(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Placement> {
     let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
     let found = select_among(vm, criteria, &versions, reason, now);
@@ -223,8 +231,8 @@
 
 /// Returns true if a server of these versions will take requests again soon, so that the request
 /// waits for its version: the server asked for a backoff, or it reports a rate limit and the next
-/// permit is due later. A request that was merely drawn for a version goes to another one rather
-/// than wait for a permit.
+/// permit is due later. A request that was assigned to its version by a draw ([`Reason::Drawn`])
+/// goes to another version rather than wait for a permit.
 fn is_available_soon(
     vm: &Vm,
     criteria: &Criteria,
@@ -248,19 +256,19 @@
 /// or rate limited.
 pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
-    let access = rate_limit::limiter(vm, criteria.service, now);
+    let limiter = rate_limit::limiter(vm, criteria.service, now);
     let is_eligible = |one: &&Server| criteria.allows(vm, one);
     let serving = || fleet.eligible(criteria.service, now).filter(is_eligible);
-    if serving().any(|one| access.rate_limit(one).is_none()) {
+    if serving().any(|one| limiter.rate_limit(one).is_none()) {
         return None;
     }
     let backing_off = fleet.backing_off(criteria.service, now).filter(|(one, _)| is_eligible(one));
     let permits =
-        serving().filter_map(|one| access.next_permit(one)).map(|permit| permit.since(now));
+        serving().filter_map(|one| limiter.next_permit(one)).map(|permit| permit.since(now));
     availability::retry_after(backing_off.map(|(_, left)| left).chain(permits), rand::random())
 }
 
-/// Selects the server among those of the given versions.
+/// Selects the server among those of the given versions; `reason` is why the request goes to them.
 fn select_among(
     vm: &Vm,
     criteria: &Criteria,
@@ -269,7 +277,7 @@
     now: Moment,
 ) -> Option<Placement> {
     let fleet = vm.fleet.borrow();
-    let access = rate_limit::limiter(vm, criteria.service, now);
+    let limiter = rate_limit::limiter(vm, criteria.service, now);
     let of_version = || {
         let allowed = |one: &&Server| versions.contains(&one.replica.version);
         let within = |one: &&Server| criteria.allows(vm, one);
@@ -277,7 +285,7 @@
             .eligible(criteria.service, now)
             .filter(allowed)
             .filter(within)
-            .filter(|one| access.allows(one))
+            .filter(|one| limiter.allows(one))
     };
     let is_available = |one: &&Server| one.availability.unavailable_reason(now).is_none();
     let in_trial_set =
@@ -306,7 +314,7 @@
         false => placement::soonest(&candidates, criteria.body_bytes),
     };
     at.map(|at| {
-        let skipped = Skipped::count(&fleet, &access, criteria.service, now);
+        let skipped = Skipped::count(&fleet, &limiter, criteria.service, now);
         Placement { skipped, ..Placement::of(servers[at], &candidates[at], reason) }
     })
 }
@@ -325,25 +333,26 @@
 pub struct Estimate {
     /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Number of those tokens that the server was thought not to have cached.
+    /// Number of the prompt's tokens that the server was expected not to have cached.
     pub uncached_tokens: u64,
-    /// Expected time until the server starts to read the prompt.
+    /// Expected time until the server starts to prefill the prompt.
     pub queue_time: Span,
-    /// Expected time that the server needs to read the prompt.
+    /// Expected time that the server needs to prefill the prompt.
     pub prefill_time: Span,
     /// Estimated number of requests at the server.
     pub load: f64,
-    /// Time until the prompt is read if the server works at the usual speed and has only the work
-    /// of this VM; none if the request has no prompt.
+    /// Expected time until the prompt is prefilled if the server works at the usual speed and has
+    /// only the work of this VM; `None` if the request has no prompt.
     pub expected_time: Option<Span>,
-    /// Why the server should not have been used, if it was used nevertheless.
+    /// Why the server was unavailable, if it was selected nevertheless because no other server was
+    /// left.
     pub unavailable: Option<Unavailable>,
     /// The rate limit that the server reported, and how long ago it first did.
     pub reported_limit: Option<(Rate, Span)>,
 }
 
 /// Records that a request is sent: its prompt joins the server's backlog and its parts count as
-/// cached there. Returns the estimate made before.
+/// cached there. Returns what was expected of the request before it was added to the backlog.
 pub fn record_send(
     vm: &Rc<Vm>,
     placement: &Placement,
@@ -384,6 +393,8 @@
     }
 }
 
+/// Returns the inputs for choosing a server: its load, and how soon it would have prefilled the
+/// prompt.
 fn candidate(
     vm: &Vm,
     criteria: &Criteria,
--- a/src/forward/selection/prompt.rs
+++ b/src/forward/selection/prompt.rs
@@ -1,11 +1,12 @@
-//! The parts of a prompt and how many of its tokens each server would have to read.
+//! The parts of a prompt, and how many of its tokens a server would have to prefill because it has
+//! not cached them.
 
 use super::Criteria;
 use crate::forward::call::{Call, PromptPart};
 use crate::forward::server::Server;
 use crate::unit::{Model, Moment, Server as Id, hash};
 
-/// A prompt as a list of parts, with the server preferred for its shared parts.
+/// A prompt as a list of parts, of which all but the last may be shared with other requests.
 pub struct Prompt {
     parts: Vec<Part>,
     /// The server preferred for requests with the same last shared part (prefix affinity). All VMs
@@ -49,8 +50,9 @@
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Returns the number of tokens that a server would have to read: all from the first part on
-    /// that it has not cached. The preferred server counts as having cached all parts but the last.
+    /// Returns the number of tokens that a server would have to prefill: those of the first part
+    /// that it has not cached, and of all later parts. The preferred server counts as having cached
+    /// all parts but the last.
     pub fn uncached_tokens(&self, server: &Server, now: Moment) -> u64 {
         let is_preferred = self.preferred.as_ref() == Some(&server.replica.id);
         let last = self.parts.len().saturating_sub(1);
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -21,7 +21,7 @@
 }
 
 impl Versions {
-    /// Returns true if the version is among them.
+    /// Returns true if a request may be sent to `version`.
     pub fn contains(&self, version: &Version) -> bool {
         match self {
             Versions::Only(only) => version == only,
@@ -38,17 +38,18 @@
     Settled,
     /// This VM has judged the new version bad.
     NewVersionBad,
-    /// This VM has sent the session to that version before.
+    /// This VM has sent the session to the version before.
     SessionKept,
-    /// Another VM reported that the session was sent to that version.
+    /// Another VM reported the session as pinned to the old version ([`pinned_sessions`]).
     SessionPinned,
-    /// Chosen by comparing the request's point, from 0 to 1, with the new version's share.
+    /// Assigned by the draw of the session, or of a request without one: to the new version if the
+    /// draw's point is below the new version's share.
     Drawn {
-        /// The point, the same on all VMs for the same session.
+        /// Point of the draw, from 0 to 1; the same on all VMs for the same session.
         point: f64,
         /// The new version's share of the requests, from 0 to 1.
         share: f64,
-        /// Set if this VM has sent the session to a version before.
+        /// True if this VM has sent the session to any version before.
         known: bool,
     },
     /// The version that the request should go to has no available server.
@@ -114,8 +115,8 @@
     }
 }
 
-/// Returns the servers that share the requests of a version in a rollout, or none if all of them
-/// do. All VMs compute the same servers.
+/// Returns the ids of the servers that share the requests for the new version while a rollout runs,
+/// or `None` if all servers of `versions` may serve. All VMs compute the same ids.
 pub fn rollout_servers<'a>(
     vm: &Vm,
     service: &Service,
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -15,10 +15,10 @@
 use crate::decide::server_limit::Pacer;
 use crate::unit::{DataCentre, Moment, Server as Id, Service, Span, Version};
 
-/// How long a server whose entry lapsed in an outage of the store stays in use after the recovery
-/// was noticed: entries of live servers come back within two seconds. Noticing takes up to 0.7 s,
-/// among many VMs up to 1 s; sites with few VMs allow three seconds after the recovery, those with
-/// many four.
+/// How long a server whose entry may have expired in an outage of the store stays in use after this
+/// VM noticed the recovery: entries of live servers come back within two seconds. Noticing takes up
+/// to 0.7 s, among many VMs up to 1 s; sites with few VMs allow three seconds after the recovery,
+/// those with many four.
 pub const LAPSED_ENTRY_GRACE: Span = Span::millis(2000);
 
 /// Prompt prefixes remembered for one server, and for how long. Servers evict the oldest when their
@@ -34,30 +34,31 @@
 
 /// One incarnation of a backend server, with what this VM knows of it.
 pub struct Server {
-    /// Its entry in the store.
+    /// The server's entry in the store.
     pub replica: Replica,
-    /// Estimate of the requests that it holds.
+    /// Estimate of the requests that are running or queued at the server.
     pub load: Load,
-    /// What decides if it may receive requests, as far as this VM knows.
+    /// State that decides if the server may receive requests.
     pub availability: Availability,
     /// Spaces the requests of this VM while the server has a rate limit.
     pub pacer: Pacer,
-    /// Wakes requests at this incarnation when a later one starts, as they are lost.
+    /// Notified when a later incarnation of the server starts: requests that are open at this one
+    /// are lost.
     pub superseded: Rc<Notify>,
     /// How sure this VM is that this incarnation still runs.
     pub liveness: Liveness,
-    /// Idle connections.
+    /// Idle connections to the server.
     pub pool: Pool,
-    /// Prompts that wait for their prefill there, as far as this VM knows.
+    /// Prompts that wait for their prefill at the server, as far as this VM knows.
     pub backlog: Backlog,
-    /// Hashes of prompt prefixes that were sent there recently, and when.
+    /// Hashes of prompt prefixes that were sent to the server recently, and when.
     prefixes: HashMap<u64, Moment>,
-    /// End of its cold phase by its entry. An entry shows the end only with the next heartbeat, so
-    /// this may be too late but is never too early.
+    /// End of the server's cold start according to its entry. An entry shows the end only with the
+    /// next heartbeat, so this may be too late but is never too early.
     cold_until: Option<Moment>,
-    /// Since when it may have become cold without an entry that says so yet.
+    /// Since when the server may have become cold although its entry does not show that yet.
     possibly_cold_since: Option<Moment>,
-    /// True if its entry disappeared during an outage of the store.
+    /// True if the server's entry disappeared during an outage of the store.
     lapsed: bool,
 }
 
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Records that a prompt prefix was sent there, which the server now caches for a while.
+    /// Records that a prompt prefix was sent to the server, which now caches it for a while.
     pub fn record_prefix(&mut self, prefix: u64, now: Moment) {
         if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.retain(|_, at| now.since(*at) < PREFIX_TTL);
@@ -89,18 +90,18 @@
         }
     }
 
-    /// Returns true if a prompt prefix was sent there recently.
+    /// Returns true if a prompt prefix was sent to the server recently.
     pub fn has_prefix(&self, prefix: u64, now: Moment) -> bool {
         self.prefixes.get(&prefix).is_some_and(|at| now.since(*at) < PREFIX_TTL)
     }
 
-    /// Sets the end of the cold phase from the entry.
+    /// Sets the end of the cold start from the server's entry.
     fn update_cold_until(&mut self, now: Moment) {
         let cold = self.replica.cold;
         self.cold_until = (cold > Span(0)).then(|| now + cold);
     }
 
-    /// Returns true if it is cold, or may be.
+    /// Returns true if the server is cold, or may be.
     pub fn is_cold(&self, bound: &ColdStart, now: Moment) -> bool {
         let is_listed_cold = self.cold_until.is_some_and(|until| now < until);
         is_listed_cold
@@ -108,7 +109,7 @@
     }
 }
 
-/// What was known of an incarnation of a server whose entry was removed.
+/// What was known of an incarnation of a server when its entry was removed.
 struct RemovedServer {
     replica: Replica,
     availability: Availability,
@@ -121,8 +122,8 @@
     servers: HashMap<Id, Server>,
     /// Servers whose entries were removed recently, and may come back as the same incarnation.
     removed: HashMap<Id, RemovedServer>,
-    /// Incarnations that are draining or gone, and that a restored copy of the store lists as
-    /// ready.
+    /// Disputed incarnations: known to be draining or gone, but listed as ready by a store that was
+    /// restored from a backup.
     disputed: HashMap<Id, Incarnation>,
     /// Data centres whose servers get no new requests.
     evacuated: HashSet<DataCentre>,
@@ -133,8 +134,8 @@
 }
 
 impl Fleet {
-    /// Inserts or updates the entry of a server. Returns true if it starts a later incarnation of a
-    /// known server: nothing that was known of the earlier one applies to it.
+    /// Inserts or updates the entry of a server. Returns true if the entry belongs to a later
+    /// incarnation of a known server, to which nothing that was known of the earlier one applies.
     pub fn upsert(&mut self, replica: Replica, now: Moment) -> bool {
         self.default_versions
             .entry(replica.service.clone())
@@ -167,10 +168,10 @@
         }
     }
 
-    /// Checks an entry that may be older than what is known of its server. Returns true if it is to
-    /// be applied: it can't undo anything that is known. An incarnation drains for good, so an
-    /// entry that says so is never too old. An entry that contradicts what is known starts a
-    /// dispute.
+    /// Checks an entry that may come from a backup and be older than what is known of its server.
+    /// Returns true if the entry is to be applied, because it undoes nothing that is known. An
+    /// incarnation drains for good, so an entry that shows it as draining is never too old. An
+    /// entry that shows a draining or removed incarnation as ready makes that incarnation disputed.
     pub fn accept_outdated(&mut self, replica: &Replica) -> bool {
         let is_same = |known: &Replica| known.is_same_incarnation(replica);
         let (is_accepted, is_disputed) =
@@ -191,19 +192,19 @@
         is_accepted
     }
 
-    /// Returns the incarnations that are draining or gone, and that a restored copy of the store
-    /// lists as ready.
+    /// Returns the disputed incarnations: known to be draining or gone, but listed as ready by a
+    /// store that was restored from a backup.
     pub fn disputed(&self) -> impl Iterator<Item = &Incarnation> {
         self.disputed.values()
     }
 
-    /// Ends all disputes: from now on the store is right.
+    /// Clears the disputed incarnations: from now on the entries in the store apply.
     pub fn settle_disputes(&mut self) {
         self.disputed.clear();
     }
 
-    /// Applies the report of another VM that an incarnation is draining or gone. A later entry
-    /// overrides it.
+    /// Applies the report of another VM that an incarnation is draining or gone although the
+    /// restored store lists it as ready. A later entry overrides it.
     pub fn dispute(&mut self, incarnation: &Incarnation, now: Moment) {
         let Incarnation { server, started_at_ms, address } = incarnation;
         let server = self.servers.get_mut(server);
@@ -215,8 +216,9 @@
         }
     }
 
-    /// Removes a server whose entry disappeared. With `in_outage` the entry may only have lapsed,
-    /// and the server stays in use until [`Fleet::expire`].
+    /// Removes a server whose entry disappeared. If `in_outage` is set, the entry may only have
+    /// expired because the store was unavailable, and the server stays in use until
+    /// [`Fleet::expire`].
     pub fn remove(&mut self, id: &Id, in_outage: bool, now: Moment) {
         if !in_outage {
             self.move_to_removed(id, now);
@@ -225,8 +227,8 @@
         }
     }
 
-    /// Removes servers whose entries lapsed and did not come back, and returns their ids. Called
-    /// when the store has been reachable for long enough.
+    /// Removes servers whose entries expired in an outage of the store and did not come back, and
+    /// returns their ids. Called when the store has been reachable for long enough.
     pub fn expire(&mut self, now: Moment) -> Vec<Id> {
         let lapsed = self.servers.iter().filter(|(_, server)| server.lapsed);
         let gone: Vec<Id> = lapsed.map(|(id, _)| id.clone()).collect();
@@ -266,7 +268,8 @@
         self.servers.get_mut(id)
     }
 
-    /// Applies an order to evacuate a data centre. Returns true if it is a new one.
+    /// Applies an order to evacuate a data centre. Returns false if the data centre is evacuated
+    /// already.
     pub fn evacuate(&mut self, data_centre: &DataCentre) -> bool {
         self.evacuation_withdrawn.remove(data_centre);
         self.evacuated.insert(data_centre.clone())
@@ -277,8 +280,9 @@
         self.evacuation_withdrawn.contains(data_centre)
     }
 
-    /// Withdraws the evacuation of a data centre. Returns true if there was one. Its servers may
-    /// have become cold meanwhile, and the entries that say so may not have arrived yet.
+    /// Withdraws the evacuation of a data centre. Returns false if the data centre was not
+    /// evacuated. Its servers may have become cold meanwhile, and the entries that say so may not
+    /// have arrived yet.
     pub fn withdraw_evacuation(&mut self, data_centre: &DataCentre, now: Moment) -> bool {
         let was_evacuated = self.evacuated.remove(data_centre);
         if was_evacuated {
@@ -291,7 +295,7 @@
     }
 
     /// Returns the number of servers of a service that are evacuated and not draining: they would
-    /// take requests without the order.
+    /// receive requests but for the evacuation.
     pub fn count_evacuated(&self, service: &Service) -> usize {
         if self.evacuated.is_empty() {
             return 0;
@@ -345,8 +349,8 @@
         by_order.or_else(|| server.availability.unavailable_reason(now))
     }
 
-    /// Returns why a request that was assigned to an incarnation of a server may not be sent there
-    /// any more, whichever way the server was chosen.
+    /// Returns why a request that was assigned to an incarnation of a server may no longer be sent
+    /// to it, however the server was selected.
     pub fn unavailable_reason(&self, replica: &Replica, now: Moment) -> Option<Unavailable> {
         let server =
             self.servers.get(&replica.id).filter(|one| one.replica.is_same_incarnation(replica));
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -17,7 +17,7 @@
 /// lost without an error, and then no event arrives for that long.
 const WATCH_TIMEOUT: Span = Span::secs(6);
 
-/// Longest wait of a watch of roll-outs, as a part of the bound in which a version found bad must
+/// Longest wait of a watch of rollouts, as a part of the bound in which a version found bad must
 /// be out of use: with a bound of 5 s, a watch that hangs is repeated at most 3.4 s after the
 /// change, and after 7.4 s with [`WATCH_TIMEOUT`].
 const ROLLOUTS_WATCH_FRACTION: f64 = 0.4;
