--- a/src/forward/call.rs
+++ b/src/forward/call.rs
@@ -9,7 +9,7 @@
 /// The parsed head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The caller's id of this attempt; a retry by the caller has another one.
+    /// Id that the caller gave this attempt; a retry by the caller has another id.
     pub id: String,
     /// The host that the request names.
     pub host: String,
@@ -45,7 +45,7 @@
 pub struct Response {
     /// The HTTP status.
     pub status: StatusCode,
-    /// The id of the request that it responds to.
+    /// Id of the request that the response belongs to.
     pub id: Option<String>,
     /// Set if the server has signed the response.
     pub signed: bool,
--- a/src/forward/connection.rs
+++ b/src/forward/connection.rs
@@ -44,11 +44,11 @@
 
 /// How the body of a response is framed.
 enum Body {
-    /// There is none, or it was read completely.
+    /// There is no body, or it was read completely.
     Complete,
-    /// By a content length or in chunks.
+    /// The body has a content length or is sent in chunks.
     Framed(ClientPayloadCodec),
-    /// By the end of the connection.
+    /// The body ends with the connection.
     UntilClose(ClientCodec),
 }
 
@@ -196,7 +196,7 @@
         Body::Complete
     }
 
-    /// Reads the next bytes of the response body; none after the last.
+    /// Reads the next bytes of the response body, or returns `None` after the last.
     ///
     /// # Errors
     /// `Broken` if the connection ended before the last byte or the framing is wrong.
--- a/src/forward/content.rs
+++ b/src/forward/content.rs
@@ -1,4 +1,5 @@
-//! The content of a request: what it asks for, regardless of the attempt and the VM it reaches.
+//! The content of a request: what it asks for, the same for all attempts and on all VMs. Its digest
+//! identifies requests that crash servers.
 //!
 //! Requests have the same content if method, host, path and query, body and workspace are equal.
 //! Without an API key all callers count as one workspace. The request id, the choice among the keys
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -15,7 +15,8 @@
 use crate::decide::poison::OpenRequest;
 use crate::engine::check::{self, ProcessState};
 
-/// What to do about a broken response, by what this VM knows of the server's incarnation.
+/// What to do about a broken response, depending on what this VM knows of the server's incarnation
+/// (one lifetime of its process).
 enum Action {
     /// The incarnation has ended: record the crash.
     RecordCrash,
@@ -38,7 +39,8 @@
     record_check(vm, replica, vec![request], ProcessState::IsGone);
 }
 
-/// Decides on the action and remembers the request while the server is being checked.
+/// Decides what to do about the broken response to `request`. The request is remembered if the
+/// server is being checked, so that the result of the check applies to it too.
 fn next_action(fleet: &mut Fleet, replica: &Replica, request: OpenRequest) -> Action {
     let Some(server) = fleet.get_mut(&replica.id) else { return Action::Ignore };
     if !server.replica.is_same_incarnation(replica) {
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -50,7 +50,8 @@
 /// State of the attempts so far.
 #[derive(Default)]
 struct Progress {
-    /// Servers tried so far with the current model; further attempts avoid them.
+    /// Servers tried so far, which further attempts avoid; cleared when the request goes back to
+    /// the smaller model.
     tried: Vec<Replica>,
     /// Number of attempts that failed before a byte of the request was sent.
     unsent_attempts: u32,
--- a/src/forward/era.rs
+++ b/src/forward/era.rs
@@ -7,8 +7,8 @@
 
 use crate::unit::Era;
 
-/// A larger rise counts only once a second answer names the same era: one garbled header must not
-/// make all later answers look old.
+/// Largest rise of the era that a single answer can cause. A larger rise takes effect only once a
+/// second answer names the same era: one garbled header must not make all later answers look old.
 const MAX_UNCONFIRMED_RISE: u64 = 1;
 
 /// Why the era header of an answer was not used as it was.
@@ -29,7 +29,7 @@
     pub const ALL: [Anomaly; 4] =
         [Anomaly::Missing, Anomaly::Unreadable, Anomaly::Implausible, Anomaly::Older];
 
-    /// Returns its name in metrics and logs.
+    /// Returns the anomaly's name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Anomaly::Missing => "missing",
@@ -40,7 +40,8 @@
     }
 }
 
-/// Tracks the newest era and counts anomalies of the header.
+/// Tracks the newest era that any answer of the store named, and counts anomalies of the era
+/// header.
 #[derive(Default)]
 pub struct Tracker {
     newest: Cell<Option<Era>>,
@@ -54,14 +55,14 @@
 }
 
 impl Tracker {
-    /// Returns the newest era, or the first if no answer has named one yet.
+    /// Returns the newest era, or the initial one if no answer has named any.
     pub fn newest(&self) -> Era {
         self.newest.get().unwrap_or_default()
     }
 
-    /// Returns the era of an answer with this header, or none if the answer must be ignored because
-    /// its era is older than the newest or not yet confirmed. An answer without a valid header
-    /// counts as one of the newest era.
+    /// Returns the era of an answer with this era header. Returns `None` if the answer must be
+    /// ignored because its era is older than the newest, or is not confirmed yet. An answer without
+    /// a valid header counts as one of the newest era.
     pub fn observe(&self, header: Option<&str>) -> Option<Era> {
         self.header_seen.set(self.header_seen.get() || header.is_some());
         match (header.map(str::parse::<Era>), self.newest.get()) {
@@ -95,16 +96,19 @@
         self.anomalies[anomaly as usize].get()
     }
 
+    /// Returns true if a rise of the era is small, or a second answer confirms it.
     fn is_plausible(&self, era: Era, newest: Era) -> bool {
         let is_near = era.0 - newest.0 <= MAX_UNCONFIRMED_RISE;
         is_near || self.candidate.replace(Some(era)) == Some(era)
     }
 
+    /// Counts an anomaly of an answer that is used as one of the newest era.
     fn assume_newest(&self, newest: Era, anomaly: Anomaly) -> Option<Era> {
         self.record_anomaly(anomaly);
         Some(newest)
     }
 
+    /// Counts an anomaly of an answer that must be ignored.
     fn reject(&self, anomaly: Anomaly) -> Option<Era> {
         self.record_anomaly(anomaly);
         None
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -311,7 +311,7 @@
 
     /// Handles a poll that brought no current update: makes this VM a reader if it must read the
     /// store itself. Returns true if the next poll may wait for the regular interval, because this
-    /// VM reads the store or the loss of the store is confirmed.
+    /// VM reads the store without failures, or the loss of the store is confirmed.
     fn decide_without_update(&mut self, is_reported_down: bool, candidates: &Candidates) -> bool {
         let vm = &self.vm;
         if vm.is_reader() {
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -1,4 +1,4 @@
-//! Registration of the VMs in the store, and the key of the links between them.
+//! Registration of the VMs in the store, and the shared key that protects the links between them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,15 +26,16 @@
 /// Longest delay after a failed call to the store.
 const MAX_BACKOFF: Span = Span::millis(1000);
 
-/// A VM that was not registered yet lists the VMs again after this, to see those that start at the
-/// same time.
+/// Delay after which a VM that has just registered lists the VMs again, to find those that start at
+/// the same time.
 const RELIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of those lists that may be some seconds old, which cost a tenth of a linearizable read.
+/// Number of repeated lists that are stale reads: they may be some seconds old, and cost a tenth of
+/// a linearizable read.
 const STALE_RELISTS: u32 = 4;
 
-/// Returns the key of the links, which the first VM creates. The key never changes, so a stale read
-/// is as good as a linearizable one. Retries until the store answers.
+/// Returns the shared key of the links between VMs, which the first VM creates. The key never
+/// changes, so a stale read is as good as a linearizable one. Retries until the store answers.
 pub async fn shared_key(vm: &Vm, store: &mut Client) -> String {
     let mut backoff = Backoff::default();
     loop {
@@ -72,7 +73,7 @@
     }
 }
 
-/// Checks that the store answers, with a small read that may be some seconds old.
+/// Checks that the store answers, by a small stale read.
 ///
 /// # Errors
 /// If the store refuses or does not answer.
@@ -84,7 +85,13 @@
     }
 }
 
-/// Lists the VMs that are registered in the store, and registers this one if it is not among them.
+/// Learns which VMs are registered in the store, and registers this one.
+///
+/// A VM that finds its own entry in the first list is done: it was registered before. A new VM must
+/// also learn of the VMs that start at the same time. If another VM of its group has a better rank,
+/// this VM will poll that one and learns of them by its updates. Otherwise it repeats stale lists
+/// until one has its own entry, and thus is from after the registration; if none has, a
+/// linearizable list follows, which is the newest.
 pub async fn join(vm: &Vm, store: &mut Client, address: SocketAddr) {
     let entry = PeerInfo::of(&vm.settings, address);
     if list_and_check_own_entry(vm, store, &entry, Consistency::Stale).await {
@@ -103,8 +110,8 @@
     list_and_check_own_entry(vm, store, &entry, Consistency::Strong).await;
 }
 
-/// Writes this VM's entry and the key again if a restored backup lacks them. Returns the era in
-/// which the store has them, or none if the caller must retry.
+/// After a restore of the store, writes this VM's entry and the shared key again if the backup
+/// lacks them. Returns the era in which the store has both, or `None` if the caller must retry.
 pub async fn reregister(
     vm: &Vm,
     store: &mut Client,
@@ -144,8 +151,9 @@
     true
 }
 
-/// Lists and applies the VMs that are registered. Returns true if this VM's entry is among them,
-/// unchanged.
+/// Lists and applies the VMs that are registered. Returns true if the list has this VM's own entry
+/// with the same content as `entry`: the list is from after the registration, and the VM need not
+/// be registered. Returns false if the list has no such entry or failed.
 async fn list_and_check_own_entry(
     vm: &Vm,
     store: &mut Client,
@@ -173,6 +181,8 @@
     }
 }
 
+/// Returns true if a known VM of this VM's group ranks before this one, so that this VM polls that
+/// one for updates.
 fn has_better_ranked_peer(vm: &Vm) -> bool {
     let (group, _) = vm.peers.borrow().groups(&vm.settings.data_centre);
     let own = vm.rank();
@@ -204,7 +214,8 @@
     }
 }
 
-/// Adds or updates the peer of an entry in the store. This VM's own entry is ignored.
+/// Inserts or updates the peer that an entry in the store describes. This VM's own entry is
+/// ignored.
 pub fn apply_entry(vm: &Vm, object: &Object) {
     let entry: Result<PeerInfo, _> = serde_json::from_value(object.spec.clone());
     let (Ok(entry), Ok(name)) = (entry, object.metadata.name.parse::<Name>()) else {
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -22,7 +22,7 @@
     Work {
         /// Id of the server.
         server: Server,
-        /// Estimated time of the prefill.
+        /// Estimated time that the server needs to prefill the prompt.
         work: Span,
     },
     /// Counts of a new version since its rollout began.
@@ -40,10 +40,10 @@
         service: Service,
         /// The new version.
         version: Version,
-        /// Hashes that decide which sessions get the new version.
+        /// Draws of the pinned sessions: hashes that decide which sessions get the new version.
         draws: Vec<Draw>,
     },
-    /// Contents under which servers crashed, or ran well.
+    /// Request contents under which servers crashed, or that were served well.
     Poison(poison::Message),
     /// An incarnation of a server announced that it drains.
     ServerDraining(Incarnation),
--- a/src/forward/pack.rs
+++ b/src/forward/pack.rs
@@ -26,9 +26,10 @@
     pub kind: Kind,
     /// Name of the object, unique within its kind.
     pub name: String,
-    /// The object in JSON; none if it was removed.
+    /// The object in JSON; `None` if it was removed.
     pub object: Option<String>,
-    /// True if the entry may only have lapsed, since the store was unavailable just before.
+    /// True if the object was removed but may only have expired, since the store was unavailable
+    /// just before.
     pub lapsed: bool,
 }
 
--- a/src/forward/poison.rs
+++ b/src/forward/poison.rs
@@ -15,7 +15,8 @@
 
 pub use crate::decide::poison::{Message, QuarantinedContent};
 
-/// Returns true if the content of a request is quarantined: it is not sent, or not again.
+/// Returns true if the content of a request is quarantined, so that the request must not be sent,
+/// or not sent again.
 pub fn is_quarantined(job: &Job) -> bool {
     let vm = &job.vm;
     vm.poison.borrow().quarantine_crashes(&job.content, vm.now()).is_some()
@@ -35,14 +36,14 @@
 }
 
 /// Applies a message from another VM.
-pub fn on_message(vm: &Rc<Vm>, from: &str, news: &Message) {
-    let out = vm.poison.borrow_mut().on_message(news, topology(vm), vm.now());
+pub fn on_message(vm: &Rc<Vm>, from: &str, message: &Message) {
+    let out = vm.poison.borrow_mut().on_message(message, topology(vm), vm.now());
     apply(vm, out, Some(from));
 }
 
-/// Applies the contents that another VM has quarantined. Their ages are those at `told_at`.
-pub fn on_quarantine_list(vm: &Rc<Vm>, from: &str, told: &[QuarantinedContent], told_at: Moment) {
-    let out = vm.poison.borrow_mut().on_quarantine_report(told, topology(vm), told_at, vm.now());
+/// Applies the contents that another VM has quarantined, with their ages as of `as_of`.
+pub fn on_quarantine_list(vm: &Rc<Vm>, from: &str, reported: &[QuarantinedContent], as_of: Moment) {
+    let out = vm.poison.borrow_mut().on_quarantine_report(reported, topology(vm), as_of, vm.now());
     apply(vm, out, Some(from));
 }
 
@@ -54,13 +55,13 @@
 /// Sends the quarantined contents to a VM that was just discovered, or is back: it may have started
 /// a moment ago and know none.
 pub fn send_quarantined(vm: &Rc<Vm>, address: SocketAddr) {
-    let held = quarantined(vm);
-    if !held.is_empty() {
-        peer::send(vm, address, peer::Message::Poison(Message::Quarantined(held)));
+    let quarantined = quarantined(vm);
+    if !quarantined.is_empty() {
+        peer::send(vm, address, peer::Message::Poison(Message::Quarantined(quarantined)));
     }
 }
 
-/// Removes what is too old, and updates the gauges.
+/// Removes entries that are too old, and updates the gauges.
 pub fn expire(vm: &Vm) {
     let now = vm.now();
     let mut poison = vm.poison.borrow_mut();
@@ -69,6 +70,7 @@
     vm.metrics.quarantined_contents.set(poison.quarantined(now).len() as i64);
 }
 
+/// Returns how crash reports reach the other VMs: directly in a full mesh, else by gossip.
 fn topology(vm: &Vm) -> Topology {
     if vm.peers.borrow().is_full_mesh() { Topology::Direct } else { Topology::Gossip }
 }
@@ -93,11 +95,11 @@
             }
         }
     }
-    for message in out.messages {
-        let news = peer::Message::Poison(message.message);
-        match message.to {
-            Recipients::All => peer::broadcast(vm, &news),
-            Recipients::Aggregators(content) => peer::send_to_aggregators(vm, content, &news),
+    for outgoing in out.messages {
+        let message = peer::Message::Poison(outgoing.message);
+        match outgoing.to {
+            Recipients::All => peer::broadcast(vm, &message),
+            Recipients::Aggregators(content) => peer::send_to_aggregators(vm, content, &message),
         }
     }
 }
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -1,5 +1,6 @@
 //! Proofs that the configuration is the newest: linearizable reads of the store, each dated to the
-//! moment when the read was sent.
+//! moment when the read was sent. A VM needs a recent proof to forward requests with a key, or to
+//! deny a route or key.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,26 +16,30 @@
 use crate::platform::object::CONFIG;
 use crate::unit::Span;
 
-/// A proof is renewed once it reaches this part of the longest age; the rest is a reserve for a
-/// store that is slow or unavailable for a moment.
+/// Age at which a proof is renewed, as a fraction of the age up to which requests with a key may be
+/// forwarded ([`Vm::max_proof_age`]); the remainder is a reserve for a store that is slow or
+/// unavailable for a moment.
 const RENEWAL_FRACTION: f64 = 0.7;
 
-/// A reader with followers renews its proof at these parts of the longest age and of the bound in
-/// which a change must be in force. Followers deny routes and keys by its proofs, and need time to
-/// notice that the reader is gone and to read the store themselves.
+/// Ages at which a VM that reads the store for followers renews its proof: the first is a fraction
+/// of [`Vm::max_proof_age`], the second of the time within which a configuration change must be in
+/// force. Followers deny routes and keys by the reader's proofs, and need time to notice that the
+/// reader is gone and to read the store themselves.
 const READER_RENEWAL_FRACTION: f64 = 0.35;
 const DENIAL_RENEWAL_FRACTION: f64 = 0.45;
 
-/// Time for the first list of the configuration after the start, which is a proof as well.
+/// Time that the first list of the configuration after the start may take before a separate proof
+/// is made; the list is a proof as well.
 const STARTUP_LIST_GRACE: Span = Span::millis(300);
 
-/// Longest delay after a failed proof. It is short so that recovery of the store is noticed soon;
-/// in a large fleet it is longer, since the VMs that try the store inform the others.
+/// Longest delay after a failed proof. The delay is short so that recovery of the store is noticed
+/// soon. It is longer if there are too many VMs for a full mesh, since the VMs that probe the store
+/// inform the others.
 const MAX_BACKOFF: Span = Span::millis(300);
 const MAX_BACKOFF_LARGE_FLEET: Span = Span::millis(600);
 
-/// Longest delay while three VMs that rank before this one try the store. This one still tries,
-/// since the store may reject just those three.
+/// Longest delay while three VMs that rank before this one probe the store. This VM still probes
+/// it, since the store may reject just those three.
 const MAX_BACKOFF_LOW_RANK: Span = Span::millis(2400);
 
 /// When the store recovers, a VM that is not the first of its group polls the first for this long
@@ -42,11 +47,12 @@
 /// followers learn of the recovery later by this time.
 const FIRST_VM_GRACE: Span = Span::millis(400);
 
-/// Interval at which a VM that leaves the store to others checks whether that still holds.
+/// Interval at which a VM that leaves proofs to others checks its role again.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Renews the proof before the last one expires and on request, one read at a time, until the
-/// process ends. While this VM follows another, that VM's updates bring proofs as well.
+/// Renews the proof before the last one expires, and on request, one read at a time, until the
+/// process ends. While the store is lost, probes it with backoff instead. A VM that follows another
+/// also gets proofs with that VM's updates.
 pub async fn run(vm: Rc<Vm>) {
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
@@ -81,8 +87,7 @@
     }
 }
 
-/// Checks whether a store that was down answers again, by a stale read, which costs a tenth of a
-/// proof.
+/// Checks if a store that was down answers again, by a stale read, which costs a tenth of a proof.
 async fn probe_store(vm: &Vm, store: &mut Client) -> Result<(), StoreError> {
     let found = membership::probe(store).await;
     vm.count_store_call("probe-stale", &found);
@@ -114,6 +119,7 @@
     tokio::time::sleep(backoff.next_delay(max_backoff(vm)).duration()).await;
 }
 
+/// Returns the longest delay after a failed proof, by the number of VMs and the rank of this one.
 fn max_backoff(vm: &Vm) -> Span {
     match vm.peers.borrow().is_full_mesh() {
         true => MAX_BACKOFF,
@@ -122,8 +128,8 @@
     }
 }
 
-/// Returns true if this VM leaves it to others to try the store: it has not found a VM to follow
-/// yet, or the VM that it follows reports that the store is down and will report its recovery.
+/// Returns true if this VM leaves proofs to other VMs: it still looks for a VM to follow, or the VM
+/// that it follows reports that the store is down and will report the recovery.
 fn is_left_to_others(vm: &Vm) -> bool {
     match *vm.role.borrow() {
         Role::Joins => true,
@@ -136,7 +142,8 @@
 async fn wait_for_due(vm: &Vm) -> bool {
     let asked = vm.proof_requested.notified();
     let proved = vm.proved_at.get();
-    // Without a bound on the revocation of keys, proofs are needed only on request.
+    // Without a bound on the time in which revoked keys are refused, proofs are needed only on
+    // request.
     let Some(wait) = time_until_due(vm) else {
         asked.await;
         return true;
@@ -146,7 +153,7 @@
     (was_asked || vm.proved_at.get() == proved) && !is_left_to_others(vm)
 }
 
-/// Returns the time until the next proof is due, or none if proofs are made only on request.
+/// Returns the time until the next proof is due, or `None` if proofs are made only on request.
 fn time_until_due(vm: &Vm) -> Option<Span> {
     let longest = vm.max_proof_age();
     let interval = if vm.is_reader() && vm.has_followers(vm.now()) {
@@ -155,7 +162,8 @@
     } else {
         longest?.mul_f64(RENEWAL_FRACTION)
     };
-    // The list at the start is a proof too, so without one there is still a short wait for it.
+    // The first list of the configuration is a proof too, so without any proof there is still a
+    // short wait for that list.
     let age =
         vm.proof_age(vm.now()).unwrap_or(Span(interval.0.saturating_sub(STARTUP_LIST_GRACE.0)));
     Some(Span(interval.0.saturating_sub(age.0)))
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -23,7 +23,7 @@
     current: StartedStream,
     /// Id of the last event that the caller has.
     last_id: Option<u64>,
-    /// Attempts to resume that failed before a byte was sent.
+    /// Number of attempts to resume that failed before a byte was sent.
     unsent_attempts: u32,
 }
 
@@ -43,7 +43,7 @@
 /// Returns the body of the caller's response. Dropping it closes the connection to the server.
 pub fn body(job: Job, started: StartedStream) -> impl Pieces<Item = Result<Bytes, Aborted>> {
     let last_id = job.call.last_event_id;
-    // The outcome if this is dropped before the stream ends.
+    // The outcome if the body is dropped before the stream ends.
     job.record.set_outcome("caller left its stream");
     let relay = Relay { job, current: started, last_id, unsent_attempts: 0 };
     futures_util::stream::unfold(Some(relay), |relay| async move {
@@ -68,7 +68,7 @@
 }
 
 impl Relay {
-    /// Returns the next complete events, or none at the end of the stream.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes, String>> {
         loop {
             let reason = match self.next_buffered() {
@@ -123,7 +123,9 @@
         }
     }
 
-    /// Resumes the stream at another server after the last complete event, if the route allows it.
+    /// Resumes the stream at another server after the last complete event, if the route, the retry
+    /// budget and the deadline allow it. Before that, records the broken attempt and reports it to
+    /// [`crash`].
     async fn resume(&mut self, reason: String) -> Result<(), String> {
         let vm = self.job.vm.clone();
         let broken = &self.current.replica;
--- a/src/forward/replica.rs
+++ b/src/forward/replica.rs
@@ -9,24 +9,26 @@
 /// One incarnation of a backend server: a process from its start to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Its id. A server that restarts may keep its id, but keeps no requests, cache or other state.
+    /// Id of the server. A server that restarts may keep its id, but keeps no requests, cache or
+    /// other state.
     pub id: Server,
     /// Start of this incarnation in milliseconds since 1970 by the server's own clock, if the entry
     /// gives it; tells incarnations under one id apart.
     pub started_at_ms: Option<u64>,
-    /// The service that it belongs to.
+    /// Service that the server belongs to.
     pub service: Service,
     /// Address where it listens.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Version of its software.
+    /// Version of the server's software.
     pub version: Version,
-    /// Requests that it processes at the same time.
+    /// Number of requests that the server processes at the same time.
     pub slots: u32,
-    /// Remaining time of its cold start when the entry was written.
+    /// Remaining time of the server's cold start, in which it accepts few requests, when the entry
+    /// was written.
     pub cold: Span,
-    /// False if it is draining and must get no new requests.
+    /// False if the server is draining and must get no new requests.
     pub ready: bool,
 }
 
@@ -86,17 +88,17 @@
 /// The operator's order to roll out a version of a service, and its progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// The service.
+    /// Service whose version is rolled out.
     pub service: Service,
     /// The new version.
     pub version: Version,
     /// Time in which the rollout is to complete.
     pub within: Span,
-    /// Progress that this VM knows; none before the first step.
+    /// Progress that this VM knows; `None` before the first step.
     pub phase: Option<Phase>,
-    /// Progress that is written in the store.
+    /// Progress that is written in the store; `None` before the first step.
     pub stored: Option<Phase>,
-    /// Position of the object's last change, for conditional writes.
+    /// Position of the last change of the rollout's object, for conditional writes.
     pub position: Position,
 }
 
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -1,7 +1,9 @@
 //! Handles a restore of the platform's store from a backup.
 //!
-//! The backup lacks the last writes, and their owners write them again within a short time. Until
-//! then the restored state does not undo what this VM knows to be newer.
+//! The backup lacks the last writes, and the owners of the objects (servers, VMs, operators' tools)
+//! write them again within a short time. Until then the restored state does not undo what this VM
+//! knows to be newer. The store's era, a counter that rises with each restore, shows that one
+//! happened.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,17 +21,18 @@
 /// every second; an operator's tool may take longer to notice the restore.
 pub const REWRITE_GRACE: Span = Span::secs(5);
 
-/// Interval of the messages about disputed servers. They are repeated because one sent to a VM just
-/// after its start may be lost.
+/// Interval of the messages about disputed servers, which the backup lists as ready although they
+/// are draining or gone. The messages are repeated because one sent to a VM just after its start
+/// may be lost.
 const DISPUTE_BROADCAST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A restore of the store that this VM has noticed.
 #[derive(Clone, Copy, Debug)]
 pub struct Restore {
-    /// When this VM noticed it.
+    /// When this VM noticed the restore.
     pub noticed_at: Moment,
     /// First position that was read in the new era; objects that changed later were written after
-    /// the restore. None until a position was read.
+    /// the restore. `None` until a position was read.
     pub first_position: Option<Position>,
 }
 
@@ -49,7 +52,7 @@
 /// A restore as one VM reports it to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Time since the restore was noticed, when the update is sent.
+    /// Time since the sender noticed the restore, when the update is sent.
     age: Span,
     first_position: Position,
     /// Incarnations of servers that are draining or gone but that the backup lists as ready.
@@ -57,8 +60,8 @@
 }
 
 impl Notice {
-    /// Returns the notice of the last restore, or none if owners have had time to write their
-    /// objects again or no position of the new era was read.
+    /// Returns the notice of the last restore. Returns `None` if owners have had time to write
+    /// their objects again, or no position of the new era was read.
     pub fn of(vm: &Vm, now: Moment) -> Option<Notice> {
         let restore = (*vm.recent_restore.borrow()).filter(|restore| restore.is_recent(now))?;
         let disputed = vm.fleet.borrow().disputed().cloned().collect();
@@ -69,8 +72,8 @@
         })
     }
 
-    /// Returns the restore, dated so that it can't look later than it was if the request was sent
-    /// at `asked`.
+    /// Returns the restore, dated by the time `asked` at which the update was requested, so that
+    /// the restore can't look more recent than it was.
     pub fn to_restore(&self, asked: Moment) -> Restore {
         Restore {
             noticed_at: Moment(asked.0.saturating_sub(self.age.0)),
@@ -79,8 +82,8 @@
     }
 }
 
-/// Enters each new era of the store, whichever call found it, and counts anomalies of the era
-/// header, until the process ends.
+/// Enters each new era of the store, whichever call to the store showed it, and counts anomalies of
+/// the era header, until the process ends.
 pub async fn run(vm: Rc<Vm>) {
     loop {
         vm.era.changed.notified().await;
@@ -89,6 +92,7 @@
     }
 }
 
+/// Raises the metric of an anomaly to its count, and logs the first occurrence.
 fn update_anomaly_counter(vm: &Vm, anomaly: Anomaly) {
     let counter = vm.metrics.era_anomalies.with_label_values(&[anomaly.name()]);
     let (before, count) = (counter.get(), vm.era.count(anomaly));
@@ -98,8 +102,8 @@
     }
 }
 
-/// Sends other VMs the servers that the backup wrongly lists as ready, repeatedly while there are
-/// any: a VM that starts meanwhile and reads the restored store has no other source.
+/// Broadcasts which servers the backup wrongly lists as ready, repeatedly while there are any: a VM
+/// that starts meanwhile and reads the restored store learns it only by these messages.
 pub async fn broadcast_disputes(vm: Rc<Vm>) {
     loop {
         let disputed: Vec<Incarnation> = vm.fleet.borrow().disputed().cloned().collect();
@@ -111,8 +115,8 @@
     }
 }
 
-/// Applies the held-back state of the backup when the grace time after a restore ends, after each
-/// restore, until the process ends.
+/// Applies the deferred state of the backup when the grace time after a restore ends; repeats this
+/// for each restore until the process ends.
 pub async fn accept_after_grace(vm: Rc<Vm>) {
     let mut restored = vm.recent_restore.subscribe();
     loop {
--- a/src/forward/role.rs
+++ b/src/forward/role.rs
@@ -7,27 +7,27 @@
 /// How a VM gets the state of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has just started and looks for a VM to follow.
+    /// The VM has just started and looks for a VM to follow.
     Joins,
-    /// It reads the store itself.
+    /// The VM reads the store itself (it is a reader).
     Reads,
-    /// It polls this VM, which reads the store or follows another VM in its turn.
+    /// The VM polls the named VM, which reads the store or follows another VM (it is a follower).
     Follows(Name),
 }
 
-/// Why a VM serves no updates.
+/// Why a VM serves no updates to a VM that polls it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decline {
     /// The request could not be decoded.
     Unreadable,
-    /// It does not know all kinds of objects yet.
+    /// The VM has not read all kinds of objects yet.
     KnowsTooLittle,
     /// The process was frozen a moment ago, so its state may be outdated.
     HeldUp,
-    /// It is shutting down.
+    /// The VM is shutting down.
     Stops,
-    /// Its proof of the configuration is too old.
+    /// The VM's proof that its configuration is the newest is too old.
     OldProof,
-    /// Its state of the servers is too old.
+    /// The VM's state of the servers is too old.
     OldServers,
 }
--- a/src/forward/rollout_steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -149,7 +149,8 @@
 fn due_step(vm: &Vm, service: &Service) -> Option<DueStep> {
     let now = vm.now();
     let rollouts = vm.rollouts.borrow();
-    // The store does not accept a conditional write with a revision of an earlier era.
+    // A position of another era refers to another state of the store, so no write can be based on
+    // it.
     let rollout = rollouts.get(service).filter(|one| one.position.era == vm.era.newest())?;
     let trials = vm.rollout_trials.borrow();
     let trial = trials.get(service)?;
--- a/src/forward/run.rs
+++ b/src/forward/run.rs
@@ -22,8 +22,8 @@
 /// Time between two flushes of the log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a planned stop serves on at least: the balancer notices that a VM is not ready after
-/// two health checks, a second apart.
+/// Minimum time that a planned stop goes on serving requests: the balancer notices that a VM is not
+/// ready after two health checks, a second apart.
 const READINESS_NOTICE_TIME: Span = Span::millis(2500);
 
 /// Safety margin before the time at which the process would be killed.
@@ -32,7 +32,7 @@
 /// Time between two log lines with the counts of calls to the store.
 const STORE_CALLS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between two checks if the last request has ended.
+/// Interval of the checks during a planned stop that all requests have ended.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an entry VM until SIGTERM or SIGINT.
@@ -100,6 +100,7 @@
     }
 }
 
+/// Logs the total calls to the store, by call and outcome.
 fn log_store_call_counts(vm: &Vm, calls: &[(String, u64)]) {
     let fields: Vec<(&str, Value)> =
         calls.iter().map(|(name, count)| (name.as_str(), (*count).into())).collect();
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -109,7 +109,8 @@
         let Skipped { evacuated, cold, limited, backing_off } = self;
         write!(
             f,
-            "skipped {evacuated} evacuated, {cold} cold, {backing_off} backing off, {limited} limited"
+            "skipped {evacuated} evacuated, {cold} cold, {backing_off} backing off, \
+             {limited} limited"
         )
     }
 }
--- a/src/forward/session.rs
+++ b/src/forward/session.rs
@@ -7,7 +7,8 @@
 /// Maximum number of sessions; a VM at the target load serves a few hundred within one session gap.
 const MAX_SESSIONS: usize = 20_000;
 
-/// A session is kept for this many session gaps, because responses take time too.
+/// A session is kept for this many session gaps (the longest time between two requests of one
+/// session), because responses take time too.
 const RETENTION_GAPS: u64 = 2;
 
 struct Session {
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -1,4 +1,5 @@
-//! Tasks that keep this VM's objects up to date by lists and watches of the platform's store.
+//! Tasks that keep this VM's objects up to date by lists and watches of the platform's store, while
+//! this VM is a reader: one that reads the store itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,26 +18,28 @@
 /// lost without an error, and then no event arrives for that long.
 const WATCH_TIMEOUT: Span = Span::secs(6);
 
-/// Longest wait of a watch of rollouts, as a part of the bound in which a version found bad must
-/// be out of use: with a bound of 5 s, a watch that hangs is repeated at most 3.4 s after the
-/// change, and after 7.4 s with [`WATCH_TIMEOUT`].
+/// Longest wait of a watch of rollouts, as a fraction of the time within which a version found bad
+/// must be out of use (`Bounds::rollback`): with a bound of 5 s, a watch that hangs is repeated at
+/// most 3.4 s after the change, and after 7.4 s with [`WATCH_TIMEOUT`].
 const ROLLOUTS_WATCH_FRACTION: f64 = 0.4;
 
-/// Longest wait of a watch of evacuations, as a part of the bound in which a data centre must be
-/// evacuated: with a bound of 5 s, a watch that hangs is repeated at most 3.2 s after the order.
+/// Longest wait of a watch of evacuations, as a fraction of the time within which a data centre
+/// must be evacuated (`Bounds::evacuate_within`): with a bound of 5 s, a watch that hangs is
+/// repeated at most 3.2 s after the order.
 const EVACUATIONS_WATCH_FRACTION: f64 = 0.4;
 
-/// Delay after an event, so that all events of one change come with one call.
+/// Delay of the next watch after an event, so that the events of one change arrive in one response.
 const EVENT_BATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Interval of polls for changes of servers, as a part of the bound in which a draining server may
-/// still get requests. Servers are polled because a watch that waits proves nothing: one that hung
-/// on a connection slowed by a network cut of 0.8 s delayed an entry by 2.0 s, while proofs of the
-/// configuration went on over a new connection.
+/// Interval of polls for changes of servers, as a fraction of the time within which a draining
+/// server may still get requests (`Bounds::drain_within`). Servers are polled because a watch that
+/// waits proves nothing: one that hung on a connection slowed by a network cut of 0.8 s delayed an
+/// entry by 2.0 s, while proofs of the configuration went on over a new connection.
 const SERVERS_POLL_FRACTION: f64 = 0.3;
 
-/// An answer about servers that takes longer than this may not come at all. A store that was 60
-/// times slower than usual answered after 240 ms.
+/// After this time without a response to a poll for changes of servers, the store counts as
+/// doubtful: the response may not come at all. A store that was 60 times slower than usual answered
+/// after 240 ms.
 const SLOW_ANSWER_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// Longest delay after a failed call.
@@ -46,16 +49,18 @@
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// When the store recovers, a VM that is not the first of its group waits this long for updates
-/// from the first, which tries the store every 0.6 s and is polled every 0.35 s. Otherwise several
+/// from the first, which probes the store every 0.6 s and is polled every 0.35 s. Otherwise several
 /// VMs would list all kinds at once.
 const RECOVERY_YIELD: Duration = Duration::from_millis(900);
 
-/// Interval of the checks for lapsed entries.
+/// Interval of the checks for servers whose entries expired while the store was unavailable.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Lists and watches a kind of objects until the process ends. Pauses while another VM reads the
-/// store for this one, and then resumes from the known position if the store still has the changes
-/// since then.
+/// Lists and watches a kind of objects until the process ends.
+///
+/// The task pauses while another VM reads the store for this one, and then resumes from the known
+/// position if the store still has the changes since then; otherwise it lists all objects again. A
+/// failed call is repeated after a backoff, which the recovery of the store ends.
 pub async fn watch_kind(vm: Rc<Vm>, kind: Kind) {
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
@@ -128,7 +133,7 @@
                 );
                 // Followers of this VM may poll others meanwhile.
                 vm.store_suspect.set(vm.store_suspect.get() || kind == Kind::Servers);
-                // A proof shows whether the store is down or only this call failed.
+                // The next proof shows if the store is down or only this call failed.
                 vm.proof_requested.notify_one();
                 // Recovery of the store ends the delay.
                 let wait = backoff.next_delay(MAX_BACKOFF).duration();
@@ -138,7 +143,10 @@
     }
 }
 
-/// Waits for a pending proof that shows whether the store is down, and if it is, for its recovery.
+/// Waits until the store can be called. A VM that became a reader because others report the store
+/// as lost first waits for a proof, which shows if the store is down. While it is down, waits for
+/// its recovery; a VM that is not the first of its group then gives the first time to serve
+/// updates.
 async fn wait_for_store(vm: &Vm, recoveries: &mut tokio::sync::watch::Receiver<u64>) {
     if vm.store_untested.get() {
         let _ =
@@ -155,8 +163,9 @@
     }
 }
 
-/// Returns changes of a kind since `from`: of servers those that exist now, of other kinds as soon
-/// as there is one.
+/// Requests the changes of a kind since the position `from`. Changes of servers are polled: the
+/// store responds at once, even if there are none. For other kinds the store responds when there is
+/// a change, or when the wait ends.
 async fn watch(
     vm: &Vm,
     kind: Kind,
@@ -166,7 +175,7 @@
 ) -> Result<Events, StoreError> {
     let wait = match kind {
         Kind::Servers => {
-            // The first timeout is short, for a connection that hangs; a slow store gets more time
+            // The first timeout is short, in case the connection hangs; a slow store gets more time
             // at the next call.
             let within =
                 if backoff.has_failed() { RESPONSE_TIMEOUT } else { SHORT_RESPONSE_TIMEOUT };
@@ -184,8 +193,8 @@
     store.watch(kind.name(), from, wait).await
 }
 
-/// Waits for an answer; if it is late, flags the store as doubtful, so that followers of this VM
-/// may poll others.
+/// Waits for a response. If it takes longer than [`SLOW_ANSWER_THRESHOLD`], marks the store as
+/// doubtful, so that followers of this VM may poll others.
 async fn flag_if_slow<T>(vm: &Vm, call: impl Future<Output = T>) -> T {
     let mut call = std::pin::pin!(call);
     if let Ok(answer) = tokio::time::timeout(SLOW_ANSWER_THRESHOLD, &mut call).await {
@@ -201,6 +210,8 @@
     due.since(vm.now()).duration()
 }
 
+/// Lists and applies all objects of a kind. Returns the position of the list, and false as it has
+/// no events.
 async fn list(vm: &Vm, kind: Kind, store: &mut Client) -> Result<(Position, bool), StoreError> {
     let sent = vm.now();
     let listing = store.list(kind.name(), Consistency::Strong).await?;
@@ -221,6 +232,7 @@
     }
 }
 
+/// Applies the changes that a watch or a poll returned.
 fn apply_events(vm: &Vm, kind: Kind, events: &Events) {
     let lapsed = vm.was_store_lost_recently(vm.now());
     let source = Source { reader: None, as_of: events.position() };
@@ -234,8 +246,8 @@
     }
 }
 
-/// Removes servers whose entries lapsed while the store was unavailable and were not written again,
-/// until the process ends.
+/// Removes servers whose entries expired while the store was unavailable and were not written again
+/// soon after, until the process ends.
 pub async fn expire_servers(vm: Rc<Vm>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
--- a/src/forward/suspension.rs
+++ b/src/forward/suspension.rs
@@ -11,7 +11,7 @@
 use super::vm::Vm;
 use crate::unit::Span;
 
-/// Time between two checks.
+/// Interval of the checks for a suspension.
 const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shorter differences are no suspension: the two clocks are read one after the other, and the
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -34,7 +34,8 @@
 use crate::watch::label::LabelSet;
 use crate::watch::log::{Logger, Value};
 
-/// Safety margin on the age of the proof of freshness, for differences between clock rates.
+/// Safety margin on the age of a proof that the configuration is the newest, for differences
+/// between clock rates.
 const PROOF_AGE_MARGIN: Span = Span::millis(250);
 
 /// How long new streams are accepted after a planned stop began. The balancer takes two to three
@@ -61,68 +62,72 @@
     pub era: Rc<Tracker>,
     /// Era of the store that this VM works in.
     pub active_era: Cell<Option<Era>>,
-    /// The last restore of the store from a copy, until owners have had time to rewrite the objects
-    /// that the copy lacks.
+    /// The last restore of the store from a backup, until owners have had time to write again the
+    /// objects that the backup lacks.
     pub recent_restore: tokio::sync::watch::Sender<Option<Restore>>,
-    /// Revisions of the platform's objects that this VM knows, to ignore stale updates.
+    /// Positions (era and revision) of the objects that this VM knows, to ignore stale updates.
     pub positions: RefCell<Positions>,
     /// Backend servers, with what this VM knows of each.
     pub fleet: RefCell<Fleet>,
     /// Rollouts by service.
     pub rollouts: RefCell<HashMap<Service, Rollout>>,
-    /// Wakes the task that broadcasts which servers a restored copy wrongly lists as ready.
+    /// Wakes the task that broadcasts disputed servers, which a restored backup wrongly lists as
+    /// ready.
     pub disputes_changed: Notify,
-    /// Rollouts read from a restored copy of the store while a later order is known.
+    /// Rollouts read from a restored backup while a later order is known; applied when the grace
+    /// time after the restore ends.
     pub deferred_rollouts: RefCell<HashMap<Service, Object>>,
-    /// Observations of rollouts, by service.
+    /// Trials of new versions, by service: counts of the answers of old and new version.
     pub rollout_trials: RefCell<HashMap<Service, RolloutTrial>>,
     /// Sessions that were seen recently.
     pub sessions: RefCell<Sessions>,
     /// Sessions that other VMs report as pinned to the old version.
     pub pinned_sessions: RefCell<PinnedSessions>,
-    /// Request contents under which servers crashed.
+    /// Request contents under which servers crashed, by digest.
     pub poison: RefCell<Exchange>,
-    /// When the last read was sent that proved the configuration to be the newest.
+    /// When the last read that proved the configuration to be the newest was sent.
     pub proved_at: Cell<Option<Moment>>,
     /// True if the last attempt to get a proof failed.
     pub store_lost: Cell<bool>,
     /// When the store became reachable again, or was restored.
     pub store_recovered_at: Cell<Option<Moment>>,
-    /// Which role this VM has in reading the store: by itself, or through another VM.
+    /// How this VM gets the state of the store: it reads the store itself, or follows another VM.
     pub role: tokio::sync::watch::Sender<Role>,
     /// Which VM read the last update from the store, and the number of VMs that relayed it; `None`
     /// if this VM reads the store itself.
     pub updates_origin: RefCell<Option<Origin>>,
     /// True if the VM that this one follows reports that the store is lost.
     pub upstream_store_lost: Cell<bool>,
-    /// True if the last read of the servers got no response.
+    /// True if the last read of the servers failed or got no timely response.
     pub store_suspect: Cell<bool>,
     /// True if this VM became a reader because others report the store as lost, and has not tried
     /// the store itself yet.
     pub store_untested: Cell<bool>,
-    /// True if enough other VMs probe a lost store, so that this one does so rarely.
+    /// True if enough other VMs probe a lost store, so that this VM probes it rarely.
     pub probes_rarely: Cell<bool>,
-    /// Wakes the search for a VM to follow: a store that was lost responds again.
+    /// Wakes the follower task, which then polls for a VM to follow at once; used when a lost store
+    /// responds again.
     pub reader_search: Notify,
     /// Notified when the VMs that the store lists are known.
     pub peers_listed: Notify,
-    /// Since when this VM has the highest rank of its group.
+    /// Since when this VM is the first of its group: the highest-ranked one that responds. `None`
+    /// if it is not.
     pub first_in_group_since: Cell<Option<Moment>>,
     /// Updates that this VM serves to its followers.
     pub feed: RefCell<Feed>,
-    /// Why the last VM that polled this one was declined.
+    /// Why the last VM that polled this one got no update; `None` if it got one.
     pub last_decline: Cell<Option<Decline>>,
     /// When this process noticed that it had been stalled or suspended.
     pub stalled_at: Cell<Option<Moment>>,
     /// When a follower polled last.
     pub follower_polled_at: Cell<Option<Moment>>,
-    /// Wakes the task that gets proofs of freshness.
+    /// Wakes the task that gets proofs that the configuration is the newest.
     pub proof_requested: Notify,
     /// Wakes tasks that wait for a proof.
     pub proof_received: Notify,
     /// Counts recoveries and restores of the store; tasks that watch the store wait for a change.
     pub store_recoveries: tokio::sync::watch::Sender<u64>,
-    /// Kinds of which all objects have been listed since the start.
+    /// Kinds of objects that have been listed completely since the start.
     pub listed_kinds: RefCell<HashSet<Kind>>,
     /// When a planned stop began; `None` before.
     pub stopping_since: tokio::sync::watch::Sender<Option<Moment>>,
@@ -134,7 +139,7 @@
     pub logger: Logger,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Names of response headers of servers that nothing decodes.
+    /// Names of servers' response headers that this version does not decode.
     pub unknown_headers: RefCell<LabelSet>,
     budgets: RefCell<HashMap<Service, RetryBudget>>,
     prefill_estimators: RefCell<HashMap<Option<Model>, PrefillEstimator>>,
@@ -218,7 +223,7 @@
         self.proved_at.get().map(|at| now.since(at))
     }
 
-    /// Returns the rank of this VM, by which the VMs choose who reads the store.
+    /// Returns the rank of this VM, which decides with the ranks of the others who reads the store.
     pub fn rank(&self) -> Rank {
         Rank::new(self.settings.share, self.settings.vm.clone())
     }
@@ -243,9 +248,10 @@
         self.enter_era_with(era, Some(Restore { noticed_at: self.now(), first_position: None }));
     }
 
-    /// Enters an era of the store. A later era means that the store was restored from a copy:
-    /// entries of backend servers may be missing for a while, and all kinds are listed again.
-    /// `restore` is `None` if owners have had time to rewrite the objects that the copy lacks.
+    /// Enters an era of the store, a counter that rises with each restore. A later era means that
+    /// the store was restored from a backup: entries of backend servers may be missing for a while,
+    /// and all kinds are listed again. `restore` is `None` if owners have had time to write again
+    /// the objects that the backup lacks.
     pub fn enter_era_with(&self, era: Era, restore: Option<Restore>) {
         self.era.advance(era);
         let before = self.active_era.get();
@@ -275,13 +281,13 @@
         self.recent_restore.send_if_modified(|restore| restore.as_mut().is_some_and(is_first));
     }
 
-    /// Returns true if an object that last changed at `position` may come from a copy that the
-    /// store was restored from, and its owner may not have had time to rewrite it.
+    /// Returns true if an object that last changed at `position` may come from a backup that the
+    /// store was restored from, and its owner may not have had time to write it again.
     pub fn may_be_outdated(&self, position: Position) -> bool {
         self.recent_restore.borrow().is_some_and(|restore| restore.covers(position, self.now()))
     }
 
-    /// Records that a read for a proof failed. Ignored while another VM reads for this one.
+    /// Records that a read of the store for a proof failed. Ignored while this VM follows another.
     pub fn on_proof_failure(&self, why: &str) {
         if self.is_reader() && !self.store_lost.replace(true) {
             self.log("store lost", &[("why", why.into())]);
@@ -384,10 +390,10 @@
     /// Returns the estimated time that a model takes to prefill a number of tokens.
     pub fn prefill_time(&self, model: Option<&Model>, tokens: u64) -> Span {
         let prefill_estimators = self.prefill_estimators.borrow();
-        let pace = prefill_estimators.get(&model.cloned());
-        pace.map_or_else(
+        let estimator = prefill_estimators.get(&model.cloned());
+        estimator.map_or_else(
             || PrefillEstimator::default().prefill_time(tokens),
-            |pace| pace.prefill_time(tokens),
+            |estimator| estimator.prefill_time(tokens),
         )
     }
 
@@ -427,6 +433,8 @@
         self.budget(service, |budget| budget.try_spend_optional(now))
     }
 
+    /// Calls `act` with the retry budget of a service, which is created if needed and gets this
+    /// VM's even share of the extra retries of all VMs.
     fn budget<T>(&self, service: &Service, act: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let bounds = &self.settings.bounds;
         let mut budgets = self.budgets.borrow_mut();
