--- a/src/forward/announce.rs
+++ b/src/forward/announce.rs
@@ -22,8 +22,8 @@
     peer::broadcast(vm, &Message::ServerDraining(replica.incarnation()));
 }
 
-/// Applies the report of another VM that an incarnation of a server drains, and relays it if it is
-/// new.
+/// Applies the report of another VM that an incarnation of a server drains, and relays the report
+/// if this VM did not know.
 pub fn on_drain(vm: &Rc<Vm>, from: &str, incarnation: &Incarnation) {
     let Incarnation { server: id, started_at_ms, address } = incarnation;
     let replica = {
@@ -87,17 +87,18 @@
     pub from: &'a str,
     /// Id of the server.
     pub server: &'a Server,
-    /// Start of the incarnation, in milliseconds since 1970 by its own clock.
+    /// Start of the incarnation, in milliseconds since 1970 by the server's own clock.
     pub started_at_ms: Option<u64>,
     /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Requests per second from all VMs together; `None` if there is no limit any more.
+    /// Rate limit in requests per second from all VMs together; `None` if the limit has ended.
     pub rate: Option<Rate>,
-    /// Time since the server announced it.
+    /// Time since the server announced the rate limit or its end.
     pub age: Span,
 }
 
-/// Applies the report of another VM on a rate limit, and relays it if it is new.
+/// Applies the report of another VM on a server's rate limit, and relays the report if it changes
+/// what this VM knows.
 pub fn on_limit(vm: &Rc<Vm>, report: &LimitReport) {
     let now = vm.now();
     let update = Update { rate: report.rate, as_of: Moment(now.0.saturating_sub(report.age.0)) };
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -19,14 +19,15 @@
 use crate::platform::header::{self, AddedHeaders};
 use crate::unit::{Model, Moment, Rate, Span};
 
-/// Another server is tried if the connection does not open within this time; the servers are a few
+/// Timeout for opening a connection, after which another server is tried; the servers are a few
 /// milliseconds away.
 const CONNECT_TIMEOUT: Span = Span::millis(350);
 
 /// Largest response body in bytes that is not a stream.
 const MAX_BODY_SIZE: usize = 8 * 1024 * 1024;
 
-/// Responses to earlier requests that may precede the response to this one on a connection.
+/// Maximum number of responses to earlier requests that are skipped on a connection before the
+/// response to the present request.
 const MAX_STALE_RESPONSES: u32 = 2;
 
 /// Why an attempt got no response although its connection did not break.
@@ -109,7 +110,7 @@
 ///
 /// Without a response by then, or if the server restarts, the outcome is `Late` if bytes may have
 /// been sent, else `NotSent`. A response that breaks off, or is lost by a restart, is reported to
-/// [`crash`], which checks whether the server crashed.
+/// the module `crash`, which checks if the server crashed.
 pub async fn run(
     job: &Job,
     replica: &Replica,
@@ -227,7 +228,7 @@
         after_event: last_event_id,
     };
     let head = header::server_request(&job.head, &extra);
-    // From here on bytes may have been sent.
+    // From here on bytes of the request may have been sent.
     *sent = true;
     let (head, response) = match send_and_read_head(job, replica, &mut connection, head).await {
         Ok(answered) => answered,
@@ -280,7 +281,8 @@
         if response.id.is_none() {
             return Err(Fault::Broken("the response has no request id".to_owned()));
         }
-        // A response to an earlier request; the one to this request follows it.
+        // The response belongs to an earlier request on the connection; the next one may be to this
+        // request.
         connection.read_body(MAX_BODY_SIZE).await?;
         head = connection.read_head().await?;
     }
@@ -313,7 +315,8 @@
 /// or the request did not run. A head without a rate limit ends the known limit only if `sent_at`
 /// is given: a component that refuses a request may not know the server's limit.
 fn apply_signal(job: &Job, replica: &Replica, response: &Response, sent_at: Option<Moment>) {
-    // Another server has the address now; its head says nothing about this one.
+    // Another server has the address now, so the head says nothing about the server that was
+    // selected.
     if response.status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
--- a/src/forward/backoff.rs
+++ b/src/forward/backoff.rs
@@ -5,6 +5,7 @@
 /// Delay after the first failed call, before jitter.
 const INITIAL_DELAY: Span = Span::millis(150);
 
+/// Number of failures after which the delay no longer doubles.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// Delays that double with each failure. A random part of up to a half keeps VMs from calling the
@@ -15,7 +16,7 @@
 }
 
 impl Backoff {
-    /// Returns true if a call has failed since the back-off was created.
+    /// Returns true if a call has failed since this backoff was created.
     pub fn has_failed(&self) -> bool {
         self.failures > 0
     }
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -47,7 +47,7 @@
     pub tried: Vec<Replica>,
 }
 
-/// State of the attempts so far.
+/// State of the attempts at a request so far.
 #[derive(Default)]
 struct Progress {
     /// Servers tried so far, which further attempts avoid; cleared when the request goes back to
@@ -68,7 +68,7 @@
     fallback_model: Option<Model>,
 }
 
-/// Attempts the request at one server after another until one responds or no retry is allowed.
+/// Sends the request to one server after another until one responds or no retry is allowed.
 pub async fn run(job: &Job) -> Reply {
     let vm = &job.vm;
     let mut progress = Progress::default();
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -16,14 +16,14 @@
 use crate::platform::object::Object;
 use crate::unit::{Moment, Position, Revision, Span, Vm};
 
-/// Number of changes kept for followers, which poll a few times a second. Of each change only the
-/// object's name is kept: a follower gets the object in its present state.
+/// Number of changes kept for followers, which poll a few times a second. Only the object's name is
+/// kept for each change: a follower gets the object in its present state.
 const MAX_CHANGES: usize = 2000;
 
 /// Position of a follower in the feed of another VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// Identifies the process that serves the feed; drawn at random at its start.
+    /// Identifies the process that serves the feed; drawn at random at the start of the process.
     pub epoch: u64,
     /// Number of changes of that epoch that the follower has.
     pub sequence: u64,
@@ -64,7 +64,7 @@
 /// the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
-    /// Age of the linearizable read that proves it, when the update is sent.
+    /// Age of the linearizable read when the update is sent.
     pub age: Span,
     /// Revision of the configuration; a VM that has an older one ignores the proof.
     pub configuration: Revision,
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -36,15 +36,15 @@
 /// caller's remaining time.
 const DEFAULT_RETRY_AFTER: Span = Span::millis(300);
 
-/// Denying a route or key needs a freshness proof no older than this fraction of the time within
-/// which a change must be in force.
+/// Maximum age of the proof that the configuration is the newest for denying a route or key, as a
+/// fraction of the time within which a configuration change must be in force.
 const DENIAL_PROOF_AGE_FRACTION: f64 = 0.75;
 
-/// Time after the start of a VM during which requests wait for its first complete state. Later they
-/// are refused at once.
+/// Time after the start of a VM during which requests wait until the VM has its first complete
+/// state. Later, requests are refused at once while the state is incomplete.
 const STARTUP_GRACE: Span = Span::millis(1200);
 
-/// Longest time that a request waits for a freshness proof.
+/// Longest time that a request waits for a proof that the configuration is the newest.
 const PROOF_TIMEOUT: Span = Span::millis(900);
 
 /// Time within which a readiness probe or metrics scrape must send its request.
@@ -147,7 +147,7 @@
     }
 }
 
-/// Accepts connections while `keep_accepting` returns true; it is asked after each one.
+/// Accepts connections while `keep_accepting` returns true; it is called after each connection.
 async fn accept_connections<S>(
     listener: &TcpListener,
     service: Rc<S>,
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -25,13 +25,13 @@
         /// Estimated time that the server needs to prefill the prompt.
         work: Span,
     },
-    /// Counts of a new version since its rollout began.
+    /// The sender's counts of answers of the old and the new version, since the rollout began.
     RolloutCounts {
         /// The service.
         service: Service,
         /// The new version.
         version: Version,
-        /// Counts by route, of the routes where they changed.
+        /// Counts by route, only of the routes where they changed.
         routes: Vec<(String, Totals)>,
     },
     /// Sessions pinned to the old version in the early part of a rollout.
@@ -45,19 +45,19 @@
     },
     /// Request contents under which servers crashed, or that were served well.
     Poison(poison::Message),
-    /// An incarnation of a server announced that it drains.
+    /// An incarnation of a server (one lifetime of its process) announced that it drains.
     ServerDraining(Incarnation),
     /// An incarnation of a server announced a rate limit, or the end of one.
     ServerLimit {
         /// Id of the server.
         server: Server,
-        /// Start of the incarnation, in milliseconds since 1970 by its own clock.
+        /// Start of the incarnation, in milliseconds since 1970 by the server's own clock.
         started_at_ms: Option<u64>,
         /// Address on which the server listens.
         address: SocketAddr,
-        /// Requests per second from all VMs together; `None` if there is no limit any more.
+        /// Rate limit in requests per second from all VMs together; `None` if the limit has ended.
         rate: Option<Rate>,
-        /// Time since the server announced it.
+        /// Time since the server announced the rate limit or its end.
         age: Span,
     },
 }
--- a/src/forward/metrics.rs
+++ b/src/forward/metrics.rs
@@ -17,16 +17,16 @@
     pub requests: IntCounterVec,
     /// Attempts, by service and outcome.
     pub attempts: IntCounterVec,
-    /// Checks if a server still runs after a response broke off, by service and result.
+    /// Checks of servers after a response broke off, by service and result.
     pub checks: IntCounterVec,
-    /// Announcements of servers in response headers that changed what is known of them, by service
-    /// and kind.
+    /// Announcements in servers' response headers that changed what this VM knows of the servers,
+    /// by service and kind.
     pub server_signals: IntCounterVec,
-    /// Response headers of servers that nothing decodes, by name.
+    /// Response headers of servers that this version does not decode, by name.
     pub unknown_headers: IntCounterVec,
     /// Request contents under which a server crashed.
     pub suspect_contents: IntGauge,
-    /// Request contents that are quarantined.
+    /// Request contents that are quarantined because servers crashed under them.
     pub quarantined_contents: IntGauge,
     /// Time from a request to the head of its response or the first event, by route.
     pub response_time: HistogramVec,
@@ -46,7 +46,7 @@
     pub limited_servers: IntGaugeVec,
     /// Revision of the configuration in force.
     pub revision: IntGauge,
-    /// Era of the store.
+    /// Era of the store, a counter that rises with each restore from a backup.
     pub era: IntGauge,
     /// Responses of the store whose era was rejected or adjusted, by reason.
     pub era_anomalies: IntCounterVec,
--- a/src/forward/pack.rs
+++ b/src/forward/pack.rs
@@ -1,8 +1,8 @@
 //! Encodes and compresses the changes that one VM sends to another.
 //!
 //! A configuration of 1,600 routes has about 400 KB of text. A small VM's link of 10 Mbit/s takes a
-//! third of a second for it, and one VM answers fifty others at once. Compressed, it has a tenth of
-//! that size.
+//! third of a second to send that much, and one VM answers fifty others at once. Compression
+//! reduces the configuration to a tenth of its size.
 
 use std::io::Read;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Decodes the changes, or returns none if they are invalid or too large.
+    /// Decodes the changes, or returns `None` if they are invalid or too large.
     pub fn changes(&self) -> Option<Vec<Change>> {
         if !self.deflated {
             return decode(&self.bytes);
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -142,9 +142,9 @@
 
 /// Returns the state of the store to report, or why no update is served; `current` is the result of
 /// [`check_ages`]. While the store is down no VM has anything newer, so outdated objects are served
-/// with their age. The store counts as down until all state is current again: otherwise, when the
-/// first VM had an answer about servers some milliseconds before its proof, 9 of 16 VMs read the
-/// store themselves.
+/// with their age. The store counts as down until all state is current again. Without that rule,
+/// when the first VM of a group had a response about servers some milliseconds before its proof, 9
+/// of 16 VMs read the store themselves.
 fn reachability(vm: &Vm, current: Result<(), Decline>) -> Result<Reachability, Decline> {
     match (vm.store_state(vm.now()), current) {
         (Reachability::Down, _) | (Reachability::Recovered(_), Err(_)) => Ok(Reachability::Down),
--- a/src/forward/pool.rs
+++ b/src/forward/pool.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, Fault};
 use crate::unit::{Moment, Span};
 
-/// Idle timeout of a connection if the server names none, and the longest one used.
+/// Idle timeout of a connection if the server announces none, and the longest one used.
 const MAX_IDLE_TIMEOUT: Span = Span::secs(8);
 
 /// A connection is dropped this long before the server would close it.
@@ -47,7 +47,7 @@
     }
 
     /// Keeps a connection for reuse if it is reusable and the pool has room, else closes it.
-    /// `idle_timeout` is the time that the server named, if it did.
+    /// `idle_timeout` is the one that the server announced, if it did.
     pub fn release(&mut self, connection: Connection, idle_timeout: Option<Span>, now: Moment) {
         let timeout = idle_timeout.unwrap_or(MAX_IDLE_TIMEOUT).min(MAX_IDLE_TIMEOUT);
         if timeout <= IDLE_TIMEOUT_MARGIN
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the idle connection if there is one, else opens a new one within the time.
+/// Returns the idle connection if there is one, else opens a new one with the timeout `within`.
 ///
 /// # Errors
 /// `NotSent` if no connection is established.
--- a/src/forward/positions.rs
+++ b/src/forward/positions.rs
@@ -1,5 +1,5 @@
 //! Positions of the objects that a VM knows, so that an older state never replaces a newer one.
-//! States come from the store, by a list or a watch, and from a reader, which may have been
+//! States come from the store, by a list or a watch, and from another VM, which may have been
 //! partitioned for a while.
 
 use std::collections::{HashMap, HashSet};
@@ -54,7 +54,7 @@
     }
 
     /// Records that a list of the store's position `as_of` had exactly the objects `listed`.
-    /// Returns the known objects that it lacks; the caller removes each with
+    /// Returns the known objects that the list lacks; the caller removes each with
     /// [`Positions::record_removal`].
     pub fn missing_from_list(
         &mut self,
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -43,8 +43,8 @@
 const MAX_BACKOFF_LOW_RANK: Span = Span::millis(2400);
 
 /// When the store recovers, a VM that is not the first of its group polls the first for this long
-/// instead of proving the recovery itself: several VMs would do the same read at once. Its
-/// followers learn of the recovery later by this time.
+/// instead of proving the recovery itself, as otherwise several VMs would do the same read at once.
+/// The VM's followers learn of the recovery later by this time.
 const FIRST_VM_GRACE: Span = Span::millis(400);
 
 /// Interval at which a VM that leaves proofs to others checks its role again.
@@ -94,8 +94,8 @@
     found
 }
 
-/// Polls the first VM of the group for [`FIRST_VM_GRACE`]. Returns true if it has proved the
-/// configuration meanwhile, so that this VM follows it.
+/// Polls the first VM of the group for [`FIRST_VM_GRACE`]. Returns true if the first VM has proved
+/// the configuration meanwhile, so that this VM follows it.
 async fn first_vm_took_over(vm: &Vm) -> bool {
     if vm.first_in_group_since.get().is_some() {
         return false;
@@ -138,7 +138,7 @@
     }
 }
 
-/// Waits until a proof is due or requested. Returns true if it is still needed then.
+/// Waits until a proof is due or requested. Returns true if the proof is still needed then.
 async fn wait_for_due(vm: &Vm) -> bool {
     let asked = vm.proof_requested.notified();
     let proved = vm.proved_at.get();
@@ -149,7 +149,8 @@
         return true;
     };
     let was_asked = tokio::time::timeout(wait.duration(), asked).await.is_ok();
-    // Another proof may have arrived meanwhile, with a list or from a reader.
+    // Another proof may have arrived meanwhile, with a list of the configuration or from another
+    // VM.
     (was_asked || vm.proved_at.get() == proved) && !is_left_to_others(vm)
 }
 
--- a/src/forward/rollout_attempt.rs
+++ b/src/forward/rollout_attempt.rs
@@ -7,7 +7,7 @@
 use crate::decide::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span, Version};
 
-/// An attempt that is counted in a trial.
+/// An attempt at a server that is counted in the trial of a rollout.
 pub struct RolloutAttempt<'a> {
     job: &'a Job,
     version: Version,
@@ -30,8 +30,9 @@
         RolloutAttempt { job, version, started_at, expected_time, reported_slow_levels: 0 }
     }
 
-    /// Waits for an attempt. Counts it as slow as soon as it takes too long: its answer may come
-    /// seconds later, or its caller may leave, and a slow version must be detected by then.
+    /// Waits for an attempt. Counts the attempt at each slowness level as soon as it exceeds the
+    /// level's threshold: the answer may come seconds later, or the caller may leave, and a slow
+    /// version must be detected by then.
     pub async fn wait<T>(&mut self, attempt: impl Future<Output = T>) -> T {
         let mut attempt = std::pin::pin!(attempt);
         for limit in self.expected_time.map(rollout_trial::slow_thresholds).into_iter().flatten() {
@@ -45,7 +46,7 @@
         attempt.await
     }
 
-    /// Counts the end of the attempt, unless it was counted as slow before.
+    /// Counts the end of the attempt, unless the attempt was counted as slow before.
     pub fn on_end(mut self, end: AttemptOutcome) {
         match end {
             _ if self.reported_slow_levels > 0 => {}
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -9,15 +9,15 @@
 use crate::decide::sequential::Count;
 use crate::unit::{DataCentre, Moment, Span, Version, Vm as Name};
 
-/// Levels of slowness. An answer is slow at a level if it took this many times its expected time:
-/// the prefill time of its prompt or, without a prompt, the old version's usual time for its route.
-/// Where servers are overloaded, two in five answers of a good version are slow at the first level,
-/// and a slow version stands out at the higher ones only.
+/// Levels of slowness: an answer is slow at a level if it took this many times its expected time.
+/// The expected time is the prefill time of the prompt or, without a prompt, the old version's
+/// usual time for the route. Where servers are overloaded, two in five answers of a good version
+/// are slow at the first level, and a slow version stands out at the higher ones only.
 const SLOW_FACTORS: [f64; SLOWNESS_LEVELS] = [2.5, 6.0, 15.0];
 const SLOWNESS_LEVELS: usize = 3;
 
-/// Minimum excess over the usual time of a slow answer, so that jitter of fast answers does not
-/// count.
+/// Time by which an answer without a prompt must exceed the usual time to count as slow, so that
+/// jitter of fast answers does not count.
 const MIN_SLOW_EXCESS: Span = Span::millis(15);
 
 /// Minimum time that any answer of a model takes in addition to prefill.
@@ -57,13 +57,13 @@
     }
 }
 
-/// Returns the time per level after which an answer is slow, if its first event was due within
-/// `expected`.
+/// Returns for each level of slowness the time after which an answer is slow, if its first event
+/// was due within `expected`.
 pub fn slow_thresholds(expected: Span) -> [Span; SLOWNESS_LEVELS] {
     SLOW_FACTORS.map(|times| Span(((expected.0 + MIN_OVERHEAD.0) as f64 * times) as u64))
 }
 
-/// Origin of counts.
+/// Origin of counts that another VM sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Source {
     /// One VM.
@@ -81,7 +81,8 @@
     pub version: &'a Version,
     /// True if the answer is a failure of the server itself.
     pub failed: bool,
-    /// Time to the answer or to its first event, or the time waited so far; none if it failed.
+    /// Time to the answer or to its first event, or the time waited so far; `None` if the answer is
+    /// a failure.
     pub response_time: Option<Span>,
     /// Number of slowness levels at which this answer was already counted while it was awaited.
     pub reported_slow_levels: usize,
@@ -113,8 +114,8 @@
     }
 }
 
-/// Counts by route. A version may be bad on one route only, which few of its answers use: one VM
-/// sees only some answers of one route during a trial, but all VMs together see enough.
+/// Counts by route. A version may be bad on a single route with few requests: one VM sees only some
+/// answers of that route during a trial, but all VMs together see enough.
 pub type TotalsByRoute = HashMap<String, Totals>;
 
 /// Trial of a new version of one service.
@@ -148,8 +149,8 @@
 }
 
 impl RolloutTrial {
-    /// Sets the version that is rolled out, seen at the moment `now`. Counts restart if it differs
-    /// from the last one.
+    /// Sets the version that is rolled out, seen at the moment `now`. Counts restart if the version
+    /// differs from the last one.
     pub fn track_version(&mut self, version: &Version, now: Moment) {
         if self.version.as_ref() != Some(version) {
             *self = RolloutTrial {
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Counts an answer, or an awaited answer at the moment when it became slow.
+    /// Counts an answer in the totals of its route, or an awaited answer at the moment when it
+    /// became slow. An answer is counted once at each level.
     pub fn record(&mut self, sample: &Sample) {
         let is_new = self.version.as_ref() == Some(sample.version);
         let level = self.slow_levels(sample, is_new);
@@ -234,7 +236,7 @@
     }
 
     /// Replaces the counts of another VM or group by route; routes that are not named keep their
-    /// counts. Ignored for any other version.
+    /// counts. Counts of another version than the present one are ignored.
     pub fn merge_totals(
         &mut self,
         from: Source,
@@ -247,7 +249,8 @@
         }
     }
 
-    /// Sets the verdict of the VM that this one follows. Ignored for any other version.
+    /// Sets the verdict of the VM that this one follows. A verdict on another version than the
+    /// present one is ignored.
     pub fn set_upstream_verdict(&mut self, version: &Version, verdict: Verdict) {
         if self.version.as_ref() == Some(version) {
             self.upstream_verdict = Some(verdict);
--- a/src/forward/settings.rs
+++ b/src/forward/settings.rs
@@ -38,7 +38,7 @@
 /// Times and fractions that the operators promise to their users.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The other bounds apply to a VM once it has run without disturbance for this long.
+    /// Time that a VM must have run without disturbance before the other bounds apply to it.
     pub settling_time: Span,
     /// Time until a change of the configuration is in force everywhere.
     pub config_propagation: Span,
@@ -46,7 +46,7 @@
     pub drain_within: Span,
     /// Time after which the servers of an evacuated data centre get no new requests.
     pub evacuate_within: Span,
-    /// Time after which a revoked key is refused everywhere; `None` if there is no such bound.
+    /// Time after which a revoked key is refused everywhere; `None` if that time is not bounded.
     pub key_staleness: Option<Span>,
     /// Time from the verdict that a version is bad until it is out of use.
     pub rollback: Span,
@@ -56,9 +56,9 @@
     pub session_gap: Span,
     /// Retries allowed per request, on average over all VMs.
     pub retry_share: f64,
-    /// Further retries allowed in one window, over all VMs.
+    /// Retries allowed in one window in addition to `retry_share`, over all VMs.
     pub retry_extra: f64,
-    /// Window in which both are counted.
+    /// Window in which requests and retries are counted for `retry_share` and `retry_extra`.
     pub retry_window: Span,
     /// Fraction of a service's requests that a bad version may get.
     pub max_exposure: f64,
--- a/src/forward/sse.rs
+++ b/src/forward/sse.rs
@@ -5,7 +5,7 @@
 /// Largest size of an event in bytes; a server that sends an endless one is broken.
 const MAX_EVENT_SIZE: usize = 1024 * 1024;
 
-/// The bytes of a stream that have arrived and were not taken yet.
+/// Bytes of a stream that have arrived and are not yet returned as complete events.
 #[derive(Default)]
 pub struct EventBuffer {
     buffer: BytesMut,
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -45,7 +45,7 @@
 /// Longest delay after a failed call.
 const MAX_BACKOFF: Span = Span::millis(1000);
 
-/// A task that waits for the store to recover checks again after this at the latest.
+/// Longest time after which a task that waits for the store to recover checks again.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// When the store recovers, a VM that is not the first of its group waits this long for updates
@@ -210,8 +210,8 @@
     due.since(vm.now()).duration()
 }
 
-/// Lists and applies all objects of a kind. Returns the position of the list, and false as it has
-/// no events.
+/// Lists and applies all objects of a kind. Returns the position of the list, and false, since a
+/// list has no events.
 async fn list(vm: &Vm, kind: Kind, store: &mut Client) -> Result<(Position, bool), StoreError> {
     let sent = vm.now();
     let listing = store.list(kind.name(), Consistency::Strong).await?;
--- a/src/forward/suspension.rs
+++ b/src/forward/suspension.rs
@@ -1,8 +1,9 @@
 //! Detects that the machine was suspended and has resumed.
 //!
 //! Ages include the time suspended, so nothing that needs a recent proof is done with an old one.
-//! Timers of the runtime do not include it: they fire later by the length of the suspension. So the
-//! next proof is requested at once, and followers get no updates until this VM has had time to get
+//! Timers of the runtime do not include the time suspended: they fire later by the length of the
+//! suspension. So after a suspension the next proof that the configuration is the newest is
+//! requested at once, and the VMs that poll this one get no updates until it has had time to get
 //! some itself.
 
 use std::rc::Rc;
@@ -14,8 +15,8 @@
 /// Interval of the checks for a suspension.
 const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shorter differences are no suspension: the two clocks are read one after the other, and the
-/// system adjusts the rate of both.
+/// Minimum difference between the two clocks that counts as a suspension. Smaller ones arise
+/// because the clocks are read one after the other, and the system adjusts the rates of both.
 const MIN_SUSPENSION: Span = Span::millis(50);
 
 /// Checks for suspensions until the process ends.
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -42,7 +42,8 @@
 /// seconds to notice the stop, and a stream itself lasts some seconds.
 const STREAM_ACCEPT_TIME: Span = Span::millis(2800);
 
-/// A VM that was polled within this time has followers; they poll a few times a second.
+/// A VM that was polled for updates within this time has followers; followers poll a few times a
+/// second.
 const FOLLOWER_TIMEOUT: Span = Span::secs(2);
 
 /// Kinds that a VM must have listed, besides the configuration, before it forwards requests.
@@ -87,7 +88,7 @@
     pub poison: RefCell<Exchange>,
     /// When the last read that proved the configuration to be the newest was sent.
     pub proved_at: Cell<Option<Moment>>,
-    /// True if the last attempt to get a proof failed.
+    /// True if this VM reads the store itself and its last attempt to get a proof failed.
     pub store_lost: Cell<bool>,
     /// When the store became reachable again, or was restored.
     pub store_recovered_at: Cell<Option<Moment>>,
@@ -147,7 +148,7 @@
 }
 
 impl Vm {
-    /// Returns a VM that has not read anything yet.
+    /// Returns a VM that has not read the store yet.
     pub fn new(settings: Settings, clock: Clock, lines: Logger) -> Vm {
         Vm {
             settings,
@@ -233,7 +234,7 @@
         *self.role.borrow() == Role::Reads
     }
 
-    /// Records that the store responded, and ends an outage if there was one.
+    /// Records that the store responded, which ends an outage if there was one.
     pub fn on_store_response(&self) {
         self.store_suspect.set(false);
         if self.store_lost.replace(false) {
@@ -342,8 +343,8 @@
         self.follower_polled_at.get().is_some_and(|at| now.since(at) < FOLLOWER_TIMEOUT)
     }
 
-    /// Returns the age of the proof up to which requests with a key may be forwarded; `None` if
-    /// there is no bound.
+    /// Returns the longest age of the proof at which requests with a key may be forwarded; `None`
+    /// if the settings give no bound for revoked keys.
     pub fn max_proof_age(&self) -> Option<Span> {
         let bound = self.settings.bounds.key_staleness?;
         Some(Span(bound.0.saturating_sub(PROOF_AGE_MARGIN.0)))
@@ -406,7 +407,8 @@
             .record(tokens, time);
     }
 
-    /// Records how long a request waited at a server of a service, its own prefill not counted.
+    /// Records how long a request waited at a server of a service, not counting the prefill of its
+    /// own prompt.
     pub fn record_wait(&self, service: &Service, waited: Span, goal: Span) {
         let mut pressures = self.pressures.borrow_mut();
         pressures.entry(service.clone()).or_default().record(waited, goal, self.now());
