--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -14,7 +14,7 @@
 
 /// Where objects that this VM applies come from, and the position of the store that they reflect.
 pub struct Source<'a> {
-    /// The VM that sent the objects; none if this VM read the store itself.
+    /// The VM that sent the objects; `None` if this VM read the store itself.
     pub reader: Option<&'a Name>,
     /// Position of the store at which the objects were in this state.
     pub as_of: Position,
@@ -331,9 +331,10 @@
 
 /// Applies the state of a rollout unless a newer one is known.
 ///
-/// A restored backup may have an older state under a newer position. If it is of the order that
-/// this VM knows, this VM keeps the progress of the rollout. If it is of another order, which may
-/// be an earlier one, it is deferred until the grace time ends ([`accept_restored`]).
+/// A restored backup may have an older state under a newer position. If that state belongs to the
+/// order that this VM knows, the known progress of the rollout is kept. If it belongs to another
+/// order, which may be an earlier one, it is deferred until the grace time after the restore ends
+/// ([`accept_restored`]).
 pub fn apply_rollout(vm: &Vm, object: &Object) {
     let mut rollout = match object::decode_rollout(object) {
         Ok(rollout) => rollout,
--- a/src/forward/connection.rs
+++ b/src/forward/connection.rs
@@ -24,10 +24,11 @@
 /// recovers within a second or two must not break running requests.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// TCP keepalive: silence before the first probe, interval between probes, and number of unanswered
-/// probes that end the connection.
+/// Silence on a connection before the first TCP keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(2);
+/// Interval between TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered TCP keepalive probes that end the connection.
 const KEEPALIVE_PROBES: u32 = 3;
 
 /// Buffer space in bytes reserved for each read.
@@ -55,6 +56,7 @@
 /// An open connection that carries one request at a time.
 pub struct Connection {
     io: TcpStream,
+    /// Bytes that were received and not decoded yet.
     read: BytesMut,
     /// Present between two responses; moved into `body` while a body is read.
     codec: Option<ClientCodec>,
@@ -127,6 +129,8 @@
         self.read_head().await
     }
 
+    /// Returns the bytes of a request, and remembers its method, which decides if the response has
+    /// a body.
     fn encode(&mut self, mut head: RequestHead, body: &Bytes) -> Result<BytesMut, Fault> {
         let refused = |e: io::Error| Fault::NotSent(e.to_string());
         let codec = self.codec.as_mut();
@@ -191,6 +195,7 @@
         self.keep_alive &= !matches!(self.body, Body::UntilClose(_));
     }
 
+    /// Puts the codec back and returns the framing of a response without a body.
     fn without_body(&mut self, codec: ClientCodec) -> Body {
         self.codec = Some(codec);
         Body::Complete
--- a/src/forward/crash.rs
+++ b/src/forward/crash.rs
@@ -75,7 +75,8 @@
     record_check(&vm, &replica, broken, found);
 }
 
-/// Counts and logs the result of a check and reports a crash with the contents that ran there.
+/// Counts and logs the result of a check, and reports a crash with the contents of the requests
+/// that were open at the server.
 fn record_check(vm: &Rc<Vm>, replica: &Replica, broken: Vec<OpenRequest>, found: ProcessState) {
     let outcome = format!("{found:?}");
     vm.metrics.checks.with_label_values(&[replica.service.as_str(), &outcome]).inc();
--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -41,7 +41,8 @@
     pub stream: Stream,
     /// The server that sends the events now.
     pub replica: Replica,
-    /// The model that the system chose; none if the caller named one or the request has none.
+    /// The model that the system chose; `None` if the caller named one or the request needs no
+    /// model.
     pub model: Option<Model>,
     /// Servers that were tried so far; a resumed stream avoids them.
     pub tried: Vec<Replica>,
@@ -305,6 +306,7 @@
     refuse(job, Refusal::with_detail(Kind::Broken, reason))
 }
 
+/// Records the refusal as the request's outcome and returns it as the reply.
 fn refuse(job: &Job, refusal: Refusal) -> Reply {
     job.record.set_outcome(refusal.kind.row().name);
     Reply::Refused(refusal)
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -214,6 +214,7 @@
         of_kind.filter_map(|(_, kept)| Object::from_json(&kept.text).ok())
     }
 
+    /// Appends a change, and drops the oldest one if there are too many.
     fn push_change(&mut self, change: ChangeRecord) {
         self.cursor.sequence += 1;
         self.packed_cache.get_mut().clear();
@@ -263,6 +264,7 @@
         changes
     }
 
+    /// Returns a change with the present state of its object.
     fn to_change(&self, changed: &ChangeRecord) -> Change {
         let ChangeRecord { kind, name, lapsed } = changed;
         let kept = self.objects.get(&(*kind, name.clone()));
@@ -270,6 +272,7 @@
         Change { kind: *kind, name: name.clone(), object, lapsed: *lapsed }
     }
 
+    /// Returns how current each kind is, with ages as of `now`.
     fn staleness(&self, now: Moment) -> Vec<Staleness> {
         let staleness = |(kind, freshness): (&Kind, &Freshness)| Staleness {
             kind: *kind,
@@ -279,6 +282,7 @@
         self.freshness.iter().map(staleness).collect()
     }
 
+    /// Returns all objects as changes.
     fn all_objects(&self) -> Vec<Change> {
         let change = |((kind, name), kept): (&(Kind, String), &Stored)| Change {
             kind: *kind,
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -140,6 +140,7 @@
         )
     }
 
+    /// Returns true if the VMs of the group that this VM polls report the store as down.
     fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
         self.source_history.is_store_reported_lost(
             &candidates.own,
@@ -153,10 +154,12 @@
         self.servers_as_of.is_none() && self.is_in_startup_wait()
     }
 
+    /// Returns true while a VM that has just started still waits for its first update.
     fn is_in_startup_wait(&self) -> bool {
         self.vm.now().since(self.started) < STARTUP_WAIT
     }
 
+    /// Returns the VMs that may be polled now.
     fn candidates(&self) -> Candidates {
         let vm = &self.vm;
         let own = vm.rank();
@@ -390,8 +393,8 @@
     }
 }
 
-/// Returns the object of a change, or none if it was removed or is invalid; an invalid one leaves
-/// the known state as it is.
+/// Returns the object of a change, or `None` if the object was removed or is invalid. An invalid
+/// object leaves the known state as it is.
 fn parse_object(vm: &Vm, change: &Change) -> Option<Object> {
     match Object::from_json(change.object.as_deref()?) {
         Ok(object) => Some(object),
--- a/src/forward/job.rs
+++ b/src/forward/job.rs
@@ -100,10 +100,11 @@
     }
 
     /// Returns the server for this request, waiting for a permit at a rate-limited server or for
-    /// the end of a backoff if no other server takes it.
+    /// the end of a backoff if no other server may receive it.
     ///
     /// Waits while the response can still come within the route's latency goal, or within the
-    /// deadline once the goal has passed. Returns none if no server takes the request by then.
+    /// deadline once the goal has passed. Returns `None` if no server may receive the request by
+    /// then.
     pub async fn wait_for_server(&self, criteria: &Criteria<'_>) -> Option<Placement> {
         let vm = &self.vm;
         let goal = self.arrived + self.route.latency_goal;
--- a/src/forward/membership.rs
+++ b/src/forward/membership.rs
@@ -14,10 +14,11 @@
 use crate::platform::object::Object;
 use crate::unit::{Era, Span, Vm as Name};
 
-/// Kind and name of the object that holds the key of the links between VMs. The deploy file is
-/// public, so the key can't be in it: the first VM creates it, and all others read it from the
-/// store.
+/// Kind of the object in the store that holds the shared key of the links between VMs. The deploy
+/// file is public, so the key can't be in it: the first VM creates it, and all others read it from
+/// the store.
 const KEY_KIND: &str = "kitepulley-keys";
+/// Name of the object that holds the shared key of the links.
 const LINK_KEY: &str = "links";
 
 /// Length of the key in bytes.
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -1,6 +1,6 @@
 //! Messages between entry VMs and their membership: who the other VMs are, which of them are alive,
-//! and which of them get a message. Messages speed up what a VM would find out by itself; a lost
-//! one costs nothing but time.
+//! and which of them get a message. Messages speed up what a VM would find out by itself; losing
+//! one only delays that.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -43,7 +43,8 @@
 /// A peer that sent nothing for this long is removed, and its entry in the store deleted.
 const REMOVAL_TIMEOUT: Span = Span::secs(60);
 
-/// Shorter work is not broadcast: it is done before the message arrives.
+/// Minimum duration of work at a server that is broadcast; shorter work is done before the message
+/// arrives.
 const MIN_BROADCAST_WORK: Span = Span::millis(25);
 
 /// Number of VMs that collect the crash reports of one request content if there are too many VMs
@@ -51,6 +52,7 @@
 /// thousand.
 const AGGREGATOR_COUNT: usize = 3;
 
+/// Another VM, as far as this one knows it.
 struct Peer {
     info: PeerInfo,
     /// When this VM learned of the peer.
@@ -66,6 +68,7 @@
         Peer { info, first_seen: now, last_received: None, last_sent: None }
     }
 
+    /// Returns true if the peer sent something recently.
     fn is_live(&self, now: Moment) -> bool {
         self.last_received.is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
@@ -81,6 +84,7 @@
 #[derive(Default)]
 pub struct Peers {
     links: Option<Links>,
+    /// The other VMs by name, including those that may be gone.
     known: HashMap<Name, Peer>,
 }
 
@@ -144,7 +148,8 @@
     }
 }
 
-/// Opens the links, joins the other VMs, and checks them until the process ends.
+/// Opens the links to the other VMs, registers this VM, and checks the peers until the process
+/// ends.
 pub async fn run(vm: Rc<Vm>) {
     let Some(address) = vm.settings.links else { return };
     let mut store = vm.store_client();
@@ -173,6 +178,7 @@
     }
 }
 
+/// Handles messages and calls of other VMs until the links are closed.
 async fn receive(vm: Rc<Vm>, mut incoming: mpsc::UnboundedReceiver<Incoming>) {
     while let Some(message) = incoming.recv().await {
         let bytes = match message {
@@ -190,6 +196,8 @@
     }
 }
 
+/// Handles a message of another VM. A sender that is new, or was silent for long, gets a heartbeat
+/// and the quarantined contents in return.
 fn on_envelope(vm: &Rc<Vm>, envelope: Envelope) {
     let Envelope { from, info, message } = envelope;
     let now = vm.now();
@@ -328,7 +336,7 @@
 }
 
 /// Sends a message to the VMs that collect the crash reports of a content: all peers in a full
-/// mesh, else those with the highest weights for it, which all VMs compute alike.
+/// mesh, else the VMs with the highest weights for the content, which all VMs compute alike.
 pub fn send_to_aggregators(vm: &Rc<Vm>, content: Digest, message: &Message) {
     let aggregators = {
         let peers = vm.peers.borrow();
@@ -360,6 +368,7 @@
     weighed.into_iter().take(count).map(|(_, name)| name.clone()).collect()
 }
 
+/// Sends a message to those of the named VMs that are known.
 fn send_to_all(vm: &Rc<Vm>, names: &[Name], message: &Message) {
     let now = vm.now();
     let addresses: Vec<SocketAddr> = {
@@ -377,7 +386,7 @@
     }
 }
 
-/// Broadcasts work that was sent to a server, if it takes long enough to matter.
+/// Broadcasts work that was sent to a server, if the work takes long enough to matter.
 pub fn broadcast_work(vm: &Rc<Vm>, server: &Server, work: Span) {
     if work >= MIN_BROADCAST_WORK {
         broadcast(vm, &Message::Work { server: server.clone(), work });
--- a/src/forward/pinned_sessions.rs
+++ b/src/forward/pinned_sessions.rs
@@ -49,6 +49,7 @@
 pub struct PinnedSessions {
     /// When the pin of each session was last sent or received.
     seen_at: HashMap<Draw, Moment>,
+    /// When expired pins were last removed.
     last_sweep: Moment,
 }
 
@@ -59,8 +60,8 @@
         self.seen_at.get(&draw).is_some_and(|at| now.since(*at) < Span(gap.0 * PIN_VALIDITY_GAPS))
     }
 
-    /// Records draws that are sent or received. Returns those that were not recorded within the
-    /// last gap.
+    /// Records draws that are sent or received. Returns the draws that were not recorded within the
+    /// last `gap`, the longest time between two requests of a session.
     pub fn record(
         &mut self,
         draws: impl Iterator<Item = Draw>,
--- a/src/forward/poison.rs
+++ b/src/forward/poison.rs
@@ -22,7 +22,8 @@
     vm.poison.borrow().quarantine_crashes(&job.content, vm.now()).is_some()
 }
 
-/// Records that an incarnation of a server crashed while these requests of this VM were open there.
+/// Records that an incarnation of a server crashed while the requests `broken` of this VM were open
+/// at it.
 pub fn on_server_crash(vm: &Rc<Vm>, replica: &Replica, broken: &[OpenRequest]) {
     let incarnation = ServerIncarnation::new(replica.id.as_str(), replica.started_at_ms);
     let out = vm.poison.borrow_mut().on_server_crash(incarnation, broken, topology(vm), vm.now());
@@ -52,8 +53,8 @@
     vm.poison.borrow().quarantined(vm.now())
 }
 
-/// Sends the quarantined contents to a VM that was just discovered, or is back: it may have started
-/// a moment ago and know none.
+/// Sends the quarantined contents to a VM that was just discovered, or is back: that VM may have
+/// started a moment ago and know none of them.
 pub fn send_quarantined(vm: &Rc<Vm>, address: SocketAddr) {
     let quarantined = quarantined(vm);
     if !quarantined.is_empty() {
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -31,6 +31,7 @@
 /// A VM whose sleep between two polls took this much too long was stalled. Its state may be
 /// outdated, so it serves no updates for `STALL_QUARANTINE`.
 pub const STALL_THRESHOLD: Span = Span::millis(400);
+/// Time after a stall during which a VM serves no updates.
 const STALL_QUARANTINE: Span = Span::millis(1500);
 
 /// A request for updates.
--- a/src/forward/positions.rs
+++ b/src/forward/positions.rs
@@ -86,6 +86,7 @@
         self.gone_as_of.get(&kind).copied().unwrap_or_default()
     }
 
+    /// Records that objects of a kind were missing or removed at the store's position `as_of`.
     fn record_gone(&mut self, kind: Kind, as_of: Position) {
         let known = self.gone_as_of.entry(kind).or_insert(as_of);
         *known = as_of.max(*known);
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -21,21 +21,22 @@
 /// unavailable for a moment.
 const RENEWAL_FRACTION: f64 = 0.7;
 
-/// Ages at which a VM that reads the store for followers renews its proof: the first is a fraction
-/// of [`Vm::max_proof_age`], the second of the time within which a configuration change must be in
-/// force. Followers deny routes and keys by the reader's proofs, and need time to notice that the
-/// reader is gone and to read the store themselves.
+/// Age at which a VM that reads the store for followers renews its proof, as a fraction of
+/// [`Vm::max_proof_age`]. Followers deny routes and keys by the reader's proofs, and need time to
+/// notice that the reader is gone and to read the store themselves.
 const READER_RENEWAL_FRACTION: f64 = 0.35;
+/// Age at which a VM that reads the store for followers renews its proof, as a fraction of the time
+/// within which a configuration change must be in force. The lower of the two ages applies.
 const DENIAL_RENEWAL_FRACTION: f64 = 0.45;
 
 /// Time that the first list of the configuration after the start may take before a separate proof
 /// is made; the list is a proof as well.
 const STARTUP_LIST_GRACE: Span = Span::millis(300);
 
-/// Longest delay after a failed proof. The delay is short so that recovery of the store is noticed
-/// soon. It is longer if there are too many VMs for a full mesh, since the VMs that probe the store
-/// inform the others.
+/// Longest delay after a failed proof, short so that recovery of the store is noticed soon.
 const MAX_BACKOFF: Span = Span::millis(300);
+/// Longest delay after a failed proof if there are too many VMs for a full mesh. It may be longer
+/// than [`MAX_BACKOFF`], since the VMs that probe the store inform the others.
 const MAX_BACKOFF_LARGE_FLEET: Span = Span::millis(600);
 
 /// Longest delay while three VMs that rank before this one probe the store. This VM still probes
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -105,6 +105,8 @@
         self.next(&self.rate_limit(server)?, server)
     }
 
+    /// Returns when this VM may next send to a server with this rate limit; `None` if this VM is
+    /// not among the server's senders.
     fn next(&self, limit: &RateLimit, server: &Server) -> Option<Moment> {
         let share = self.share(limit, server)?;
         Some(server.pacer.next_send(&share, self.now))
@@ -132,6 +134,8 @@
 pub struct Permit {
     vm: Rc<Vm>,
     replica: Replica,
+    /// The reserved send; `None` if the server has no rate limit, this VM is not among its senders,
+    /// or the permit was used.
     reservation: Cell<Option<Reservation>>,
 }
 
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -177,6 +177,7 @@
         }
     }
 
+    /// Returns true if the route's limit on attempts and the deadline allow another attempt.
     fn may_resume(&self, now: Moment) -> bool {
         self.counted_attempts() < self.job.route.max_attempts && now < self.job.deadline
     }
--- a/src/forward/replica.rs
+++ b/src/forward/replica.rs
@@ -13,7 +13,7 @@
     /// other state.
     pub id: Server,
     /// Start of this incarnation in milliseconds since 1970 by the server's own clock, if the entry
-    /// gives it; tells incarnations under one id apart.
+    /// gives it; distinguishes incarnations with the same id.
     pub started_at_ms: Option<u64>,
     /// Service that the server belongs to.
     pub service: Service,
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -54,6 +54,7 @@
 pub struct Notice {
     /// Time since the sender noticed the restore, when the update is sent.
     age: Span,
+    /// First position that was read in the new era.
     first_position: Position,
     /// Incarnations of servers that are draining or gone but that the backup lists as ready.
     pub disputed: Vec<Incarnation>,
--- a/src/forward/rollout_attempt.rs
+++ b/src/forward/rollout_attempt.rs
@@ -11,7 +11,9 @@
 pub struct RolloutAttempt<'a> {
     job: &'a Job,
     version: Version,
+    /// When the attempt began.
     started_at: Moment,
+    /// Time within which the first event is due, if that is known.
     expected_time: Option<Span>,
     /// Number of slowness levels at which the attempt was counted so far.
     reported_slow_levels: usize,
@@ -60,6 +62,8 @@
         }
     }
 
+    /// Counts the attempt in the trial of its service, as failed or with the time that it took so
+    /// far.
     fn record_sample(&mut self, failed: bool) {
         let vm = &self.job.vm;
         let time = (!failed).then(|| vm.now().since(self.started_at));
--- a/src/forward/rollout_steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -101,7 +101,7 @@
         (false, _) => (0.0, WRITE_JITTER_S),
     };
     tokio::time::sleep(Duration::from_secs_f64(wait + spread * rand::random::<f64>())).await;
-    // Another VM may have written it in the meantime.
+    // Another VM may have written the step in the meantime.
     let Some(DueStep { rollout, phase, inputs }) = due_step(vm, service) else { return true };
     let status = object::rollout_status(&rollout, phase);
     let written = store.put_status(ROLLOUTS, service.as_str(), rollout.position, status).await;
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -14,6 +14,7 @@
 /// usual time for the route. Where servers are overloaded, two in five answers of a good version
 /// are slow at the first level, and a slow version stands out at the higher ones only.
 const SLOW_FACTORS: [f64; SLOWNESS_LEVELS] = [2.5, 6.0, 15.0];
+/// Number of levels of slowness.
 const SLOWNESS_LEVELS: usize = 3;
 
 /// Time by which an answer without a prompt must exceed the usual time to count as slow, so that
@@ -37,6 +38,7 @@
 }
 
 impl Median {
+    /// Moves the estimate towards a new time.
     fn record(&mut self, time: f64) {
         if self.seen == 0 {
             self.value = time;
@@ -102,6 +104,7 @@
 }
 
 impl Totals {
+    /// Returns the sum of both counts.
     fn plus(self, other: Totals) -> Totals {
         let slow = std::array::from_fn(|level| self.slow[level].plus(other.slow[level]));
         Totals { failures: self.failures.plus(other.failures), slow }
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -61,8 +61,7 @@
 pub struct Placement {
     /// The selected server.
     pub replica: Replica,
-    /// Expected time until the server has prefilled the prompt, including the prompts queued before
-    /// it.
+    /// Expected time until the server has prefilled the prompt, including the prompts in the queue.
     pub until_prefilled: Span,
     /// Expected time that the server needs to prefill this prompt alone, without the queue.
     pub prefill_time: Span,
@@ -91,6 +90,7 @@
 }
 
 impl Skipped {
+    /// Counts the servers of a service that may not receive a request of this VM now.
     fn count(fleet: &Fleet, limiter: &Limiter, service: &Service, now: Moment) -> Skipped {
         let (mut cold, mut limited) = (0, 0);
         for server in fleet.eligible(service, now).filter(|one| !limiter.allows(one)) {
@@ -193,6 +193,7 @@
 }
 
 impl Placement {
+    /// Returns a placement without a permit at a server, from its values as a candidate.
     fn of(server: &Server, candidate: &Candidate, reason: Reason) -> Placement {
         let Candidate { until_prefilled, prefill: prefill_time, .. } = *candidate;
         let replica = server.replica.clone();
@@ -253,8 +254,8 @@
 }
 
 /// Returns the time after which a refused caller should retry, when the first backoff ends or the
-/// first permit is due. Returns none unless all servers that the request may go to are backing off
-/// or rate limited.
+/// first permit is due. Returns `None` unless all servers that the request may go to are backing
+/// off or rate limited.
 pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
     let limiter = rate_limit::limiter(vm, criteria.service, now);
@@ -348,12 +349,13 @@
     /// Why the server was unavailable, if it was selected nevertheless because no other server was
     /// left.
     pub unavailable: Option<Unavailable>,
-    /// The rate limit that the server reported, and how long ago it first did.
+    /// The rate limit that the server reported, and the time since it first did.
     pub reported_limit: Option<(Rate, Span)>,
 }
 
 /// Records that a request is sent: its prompt joins the server's backlog and its parts count as
-/// cached there. Returns what was expected of the request before it was added to the backlog.
+/// cached at the server. Returns what was expected of the request before it was added to the
+/// backlog.
 pub fn record_send(
     vm: &Rc<Vm>,
     placement: &Placement,
--- a/src/forward/selection/prompt.rs
+++ b/src/forward/selection/prompt.rs
@@ -65,6 +65,7 @@
     }
 }
 
+/// Returns the parts of a call's prompt, hashed with the model.
 fn parts(call: &Call, model: Option<&Model>) -> Vec<Part> {
     let model = model.map_or("", |model| model.as_str());
     let part =
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -21,18 +21,19 @@
 /// those with many four.
 pub const LAPSED_ENTRY_GRACE: Span = Span::millis(2000);
 
-/// Prompt prefixes remembered for one server, and for how long. Servers evict the oldest when their
-/// cache is full, which takes some ten seconds under load.
+/// Maximum number of prompt prefixes remembered for one server.
 const MAX_PREFIXES: usize = 1000;
+/// Time for which a prompt prefix is assumed to be cached by a server. Servers evict the oldest
+/// prefixes when their cache is full, which takes some ten seconds under load.
 const PREFIX_TTL: Span = Span::secs(20);
 
-/// Maximum number of removed servers that are remembered, and the age from which they are dropped
-/// once there are that many. Sites are expected to have 600 servers in two years; one takes about
-/// 300 bytes.
+/// Maximum number of removed servers that are remembered. Sites are expected to have 600 servers in
+/// two years; one takes about 300 bytes.
 const MAX_REMOVED: usize = 2400;
+/// Age from which removed servers are dropped once [`MAX_REMOVED`] of them are remembered.
 const REMOVED_TTL: Span = Span::secs(60);
 
-/// One incarnation of a backend server, with what this VM knows of it.
+/// One incarnation of a backend server (a lifetime of its process), with what this VM knows of it.
 pub struct Server {
     /// The server's entry in the store.
     pub replica: Replica,
@@ -204,7 +205,7 @@
     }
 
     /// Applies the report of another VM that an incarnation is draining or gone although the
-    /// restored store lists it as ready. A later entry overrides it.
+    /// restored store lists it as ready. A later entry of the server overrides the report.
     pub fn dispute(&mut self, incarnation: &Incarnation, now: Moment) {
         let Incarnation { server, started_at_ms, address } = incarnation;
         let server = self.servers.get_mut(server);
@@ -319,7 +320,7 @@
     }
 
     /// Returns the servers of a service that are backing off or being probed after a backoff, and
-    /// the time until the next request may go there.
+    /// the time until the next request may go to the server.
     pub fn backing_off<'a>(
         &'a self,
         service: &'a Service,
@@ -335,10 +336,12 @@
         })
     }
 
+    /// Returns all servers of a service, including those that may not receive requests.
     fn of_service<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Server> {
         self.servers.values().filter(move |one| one.replica.service == *service)
     }
 
+    /// Returns true if the data centre of the server is evacuated.
     fn is_evacuated(&self, server: &Server) -> bool {
         self.evacuated.contains(&server.replica.data_centre)
     }
--- a/src/forward/session.rs
+++ b/src/forward/session.rs
@@ -11,11 +11,14 @@
 /// session), because responses take time too.
 const RETENTION_GAPS: u64 = 2;
 
+/// A session that was seen recently.
 struct Session {
     version: Version,
     last_used: Moment,
 }
 
+/// Returns true if the session may still get requests; `gap` is the longest time between two of its
+/// requests.
 fn is_live(seen: &Session, gap: Span, now: Moment) -> bool {
     now.since(seen.last_used) < Span(gap.0 * RETENTION_GAPS)
 }
@@ -24,6 +27,7 @@
 #[derive(Default)]
 pub struct Sessions {
     seen: HashMap<String, Session>,
+    /// When expired sessions were last removed.
     last_sweep: Moment,
 }
 
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -142,8 +142,11 @@
     pub metrics: Metrics,
     /// Names of servers' response headers that this version does not decode.
     pub unknown_headers: RefCell<LabelSet>,
+    /// Retry budgets by service.
     budgets: RefCell<HashMap<Service, RetryBudget>>,
+    /// Estimators of prefill times by model; `None` is for requests without a model.
     prefill_estimators: RefCell<HashMap<Option<Model>, PrefillEstimator>>,
+    /// Recent waits at the servers of each service, relative to the latency goal.
     pressures: RefCell<HashMap<Service, Pressure>>,
 }
 
