--- a/src/forward/dispatch.rs
+++ b/src/forward/dispatch.rs
@@ -41,31 +41,35 @@
     pub stream: Stream,
     /// The server that sends the events now.
     pub replica: Replica,
-    /// The model that the system chose; none if the caller named one or the request has none.
+    /// The model that the system chose; `None` if the caller named one or the request needs no
+    /// model.
     pub model: Option<Model>,
     /// Servers that were tried so far; a resumed stream avoids them.
     pub tried: Vec<Replica>,
 }
 
-/// State of the attempts so far.
+/// State of the attempts at a request so far.
 #[derive(Default)]
 struct Progress {
+    /// Servers tried so far, which further attempts avoid; cleared when the request goes back to
+    /// the smaller model.
     tried: Vec<Replica>,
-    /// Attempts that failed before a byte was sent.
+    /// Number of attempts that failed before a byte of the request was sent.
     unsent_attempts: u32,
-    /// The same since the model last changed.
+    /// Number of attempts that failed before a byte was sent, since the model last changed.
     unsent_attempts_of_model: u32,
+    /// True if a server may have run the request, at least in part.
     may_have_run: bool,
     /// The latest error response of a server, delivered if no later attempt succeeds.
     failure: Option<(ResponseHead, Bytes)>,
-    /// Set once the request went to the larger model; it does so at most once.
+    /// Set once the request was escalated to the larger model, which happens at most once.
     escalated: bool,
-    /// The smaller model whose response was dropped for the larger one. It runs again if the larger
-    /// model fails.
+    /// The smaller model whose response was dropped for the larger one. The request goes back to
+    /// this model if the larger one fails.
     fallback_model: Option<Model>,
 }
 
-/// Attempts the request at one server after another until one responds or no retry is allowed.
+/// Sends the request to one server after another until one responds or no retry is allowed.
 pub async fn run(job: &Job) -> Reply {
     let vm = &job.vm;
     let mut progress = Progress::default();
@@ -139,8 +143,8 @@
     }
 }
 
-/// Switches back to the smaller model whose response was dropped. Returns false if there is none or
-/// no further attempt is allowed.
+/// Switches back to the smaller model whose response was dropped on an escalation. Returns false if
+/// there was no escalation, or no further attempt is allowed.
 fn fall_back(job: &Job, progress: &mut Progress, model: &mut Option<Model>, now: Moment) -> bool {
     let is_allowed = job.left(now) >= MIN_ATTEMPT_TIME && progress.fallback_model.is_some();
     if !is_allowed || !spend_attempt(job, progress, now) {
@@ -152,7 +156,8 @@
     true
 }
 
-/// Makes one attempt and feeds its result into the rollout trial and this VM's estimates.
+/// Makes one attempt, and records its result in the trial of a rollout and in this VM's estimates
+/// of prefill and queue times.
 async fn attempt_at(
     job: &Job,
     placement: &Placement,
@@ -211,7 +216,7 @@
     outcome: &Outcome,
     now: Moment,
 ) -> Option<Model> {
-    // One for the larger model, and one for the fallback if the route allows that many at all.
+    // One attempt for the larger model, and one for the fallback if the route allows three at all.
     let needed = if job.route.max_attempts > 2 { 2 } else { 1 };
     let may_attempt = counted_attempts(job, progress) + needed <= job.route.max_attempts;
     if progress.escalated || !may_attempt || poison::is_quarantined(job) {
@@ -248,6 +253,8 @@
     outcome.end == AttemptOutcome::Late && job.route.retry != RetryPolicy::Never && more
 }
 
+/// Returns true if a failed request may be sent again. Takes the retry from the budget, unless the
+/// attempt failed before a byte was sent.
 fn may_retry(job: &Job, progress: &Progress, end: AttemptOutcome) -> bool {
     let now = job.vm.now();
     if job.left(now) < MIN_ATTEMPT_TIME || progress.unsent_attempts_of_model >= MAX_UNSENT_ATTEMPTS
@@ -267,6 +274,7 @@
         && job.vm.spend_retry(&job.service, now)
 }
 
+/// Returns the reply that delivers the response of a server to the caller.
 fn deliver(
     job: &Job,
     replica: Replica,
@@ -300,6 +308,7 @@
     refuse(job, Refusal::with_detail(Kind::Broken, reason))
 }
 
+/// Records the refusal as the request's outcome and returns it as the reply.
 fn refuse(job: &Job, refusal: Refusal) -> Reply {
     job.record.set_outcome(refusal.kind.row().name);
     Reply::Refused(refusal)
--- a/src/forward/rollout_attempt.rs
+++ b/src/forward/rollout_attempt.rs
@@ -1,4 +1,5 @@
-//! Reports attempts at a server to the trial of a roll-out.
+//! Counts attempts at a server in the trial of a rollout, which compares the answers of the old and
+//! the new version ([`super::rollout_trial`]).
 
 use super::job::Job;
 use super::replica::Replica;
@@ -6,19 +7,21 @@
 use crate::decide::outcome::AttemptOutcome;
 use crate::unit::{Moment, Span, Version};
 
-/// An attempt that is counted in a trial.
+/// An attempt at a server that is counted in the trial of a rollout.
 pub struct RolloutAttempt<'a> {
     job: &'a Job,
     version: Version,
+    /// When the attempt began.
     started_at: Moment,
+    /// Time within which the first event is due, if that is known.
     expected_time: Option<Span>,
-    /// Levels of slowness that were counted.
+    /// Number of slowness levels at which the attempt was counted so far.
     reported_slow_levels: usize,
 }
 
 impl<'a> RolloutAttempt<'a> {
-    /// Creates the record of an attempt that began at the moment `started_at`; its first event is due
-    /// within `expected_time`, if known.
+    /// Creates the record of an attempt that began at `started_at`; its first event is due within
+    /// `expected_time`, if that is known.
     pub fn new(
         job: &'a Job,
         replica: &Replica,
@@ -29,8 +32,9 @@
         RolloutAttempt { job, version, started_at, expected_time, reported_slow_levels: 0 }
     }
 
-    /// Waits for an attempt. Counts it as slow as soon as it takes too long: its answer may come
-    /// seconds later, or its caller may leave, and a slow version must be detected by then.
+    /// Waits for an attempt. Counts the attempt at each slowness level as soon as it exceeds the
+    /// level's threshold: the answer may come seconds later, or the caller may leave, and a slow
+    /// version must be detected by then.
     pub async fn wait<T>(&mut self, attempt: impl Future<Output = T>) -> T {
         let mut attempt = std::pin::pin!(attempt);
         for limit in self.expected_time.map(rollout_trial::slow_thresholds).into_iter().flatten() {
@@ -44,7 +48,7 @@
         attempt.await
     }
 
-    /// Counts the end of the attempt, unless it was counted as slow before.
+    /// Counts the end of the attempt, unless the attempt was counted as slow before.
     pub fn on_end(mut self, end: AttemptOutcome) {
         match end {
             _ if self.reported_slow_levels > 0 => {}
@@ -58,6 +62,8 @@
         }
     }
 
+    /// Counts the attempt in the trial of its service, as failed or with the time that it took so
+    /// far.
     fn record_sample(&mut self, failed: bool) {
         let vm = &self.job.vm;
         let time = (!failed).then(|| vm.now().since(self.started_at));
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -1,4 +1,5 @@
-//! Counts of the answers of the old and the new version while a roll-out runs.
+//! Trial of a rollout: counts the failed and slow answers of the old and the new version of a
+//! service while the rollout runs, and compares them to find a new version that is worse.
 
 use std::collections::HashMap;
 
@@ -8,15 +9,16 @@
 use crate::decide::sequential::Count;
 use crate::unit::{DataCentre, Moment, Span, Version, Vm as Name};
 
-/// Levels of slowness. An answer is slow at a level if it took this many times its expected time:
-/// the prefill time of its prompt or, without a prompt, the old version's usual time for its route.
-/// Where servers are overloaded, two in five answers of a good version are slow at the first level,
-/// and a slow version stands out at the higher ones only.
+/// Levels of slowness: an answer is slow at a level if it took this many times its expected time.
+/// The expected time is the prefill time of the prompt or, without a prompt, the old version's
+/// usual time for the route. Where servers are overloaded, two in five answers of a good version
+/// are slow at the first level, and a slow version stands out at the higher ones only.
 const SLOW_FACTORS: [f64; SLOWNESS_LEVELS] = [2.5, 6.0, 15.0];
+/// Number of levels of slowness.
 const SLOWNESS_LEVELS: usize = 3;
 
-/// Minimum excess over the usual time of a slow answer, so that jitter of fast answers does not
-/// count.
+/// Time by which an answer without a prompt must exceed the usual time to count as slow, so that
+/// jitter of fast answers does not count.
 const MIN_SLOW_EXCESS: Span = Span::millis(15);
 
 /// Minimum time that any answer of a model takes in addition to prefill.
@@ -36,6 +38,7 @@
 }
 
 impl Median {
+    /// Moves the estimate towards a new time.
     fn record(&mut self, time: f64) {
         if self.seen == 0 {
             self.value = time;
@@ -56,13 +59,13 @@
     }
 }
 
-/// Returns the time per level after which an answer is slow, if its first event was due within
-/// `expected`.
+/// Returns for each level of slowness the time after which an answer is slow, if its first event
+/// was due within `expected`.
 pub fn slow_thresholds(expected: Span) -> [Span; SLOWNESS_LEVELS] {
     SLOW_FACTORS.map(|times| Span(((expected.0 + MIN_OVERHEAD.0) as f64 * times) as u64))
 }
 
-/// Origin of counts.
+/// Origin of counts that another VM sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Source {
     /// One VM.
@@ -78,11 +81,12 @@
     pub route: &'a str,
     /// Version of the server that answered.
     pub version: &'a Version,
-    /// True if the server itself failed.
+    /// True if the answer is a failure of the server itself.
     pub failed: bool,
-    /// Time to the answer or to its first event, or the time waited so far; none if it failed.
+    /// Time to the answer or to its first event, or the time waited so far; `None` if the answer is
+    /// a failure.
     pub response_time: Option<Span>,
-    /// Levels of slowness that were counted for this answer before.
+    /// Number of slowness levels at which this answer was already counted while it was awaited.
     pub reported_slow_levels: usize,
     /// Time within which the first event was due if the request has a prompt, assuming that the
     /// server has cached only prompts that this VM sent to it. Otherwise a new version, which has
@@ -95,11 +99,12 @@
 pub struct Totals {
     /// Failed answers.
     pub failures: Comparison,
-    /// Slow answers, by level.
+    /// Slow answers, by level of slowness.
     pub slow: [Comparison; SLOWNESS_LEVELS],
 }
 
 impl Totals {
+    /// Returns the sum of both counts.
     fn plus(self, other: Totals) -> Totals {
         let slow = std::array::from_fn(|level| self.slow[level].plus(other.slow[level]));
         Totals { failures: self.failures.plus(other.failures), slow }
@@ -112,39 +117,43 @@
     }
 }
 
-/// Counts by route. A version may be bad on one route only, which few of its answers use: one VM
-/// sees only some answers of one route during a trial, but all VMs together see enough.
+/// Counts by route. A version may be bad on a single route with few requests: one VM sees only some
+/// answers of that route during a trial, but all VMs together see enough.
 pub type TotalsByRoute = HashMap<String, Totals>;
 
 /// Trial of a new version of one service.
 #[derive(Default)]
 pub struct RolloutTrial {
-    /// The new version to which the counts belong.
+    /// The new version that is compared with the old one; `None` before the first rollout.
     version: Option<Version>,
+    /// When this VM first saw the order to roll out the version.
     started_at: Moment,
+    /// True once this VM has found the new version worse; later counts do not change that.
     found_bad: bool,
+    /// Counts of this VM.
     own: TotalsByRoute,
+    /// Usual times of the old version, by route.
     medians: HashMap<String, Median>,
-    /// Latest counts from other VMs and from other groups.
+    /// Latest counts from other VMs, and sums from other groups (data centres).
     others: HashMap<Source, TotalsByRoute>,
-    /// Verdict of the VM that this one follows.
+    /// Verdict of the VM that this one follows, which knows the counts of more VMs.
     upstream_verdict: Option<Verdict>,
-    /// Counts as they were last sent to the other VMs.
+    /// Counts of this VM as they were last sent to the other VMs.
     sent: TotalsByRoute,
 }
 
-/// Result of the counts for a new version.
+/// Judgement on a new version from the counts of its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Answers of the new version that were seen.
+    /// Number of answers of the new version that were counted.
     pub seen: f64,
-    /// Evidence that it is worse, as a log likelihood ratio.
+    /// Evidence that the new version is worse than the old one, as a log likelihood ratio.
     pub evidence: f64,
 }
 
 impl RolloutTrial {
-    /// Sets the version that is rolled out, seen at the moment `now`. Counts restart if it differs
-    /// from the last one.
+    /// Sets the version that is rolled out, seen at the moment `now`. Counts restart if the version
+    /// differs from the last one.
     pub fn track_version(&mut self, version: &Version, now: Moment) {
         if self.version.as_ref() != Some(version) {
             *self = RolloutTrial {
@@ -156,7 +165,8 @@
         }
     }
 
-    /// Counts an answer, or an awaited answer at the moment when it became slow.
+    /// Counts an answer in the totals of its route, or an awaited answer at the moment when it
+    /// became slow. An answer is counted once at each level.
     pub fn record(&mut self, sample: &Sample) {
         let is_new = self.version.as_ref() == Some(sample.version);
         let level = self.slow_levels(sample, is_new);
@@ -174,8 +184,8 @@
         self.found_bad = self.found_bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
     }
 
-    /// Returns the number of levels at which an answer was slow. Without a prompt, answers of the
-    /// old version set the usual time.
+    /// Returns the number of levels at which an answer was slow. The usual time of a request
+    /// without a prompt is the median of the old version's times.
     fn slow_levels(&mut self, sample: &Sample, is_new: bool) -> usize {
         let Some(time) = sample.response_time else { return 0 };
         if let Some(expected) = sample.expected_time {
@@ -194,7 +204,7 @@
         &self.own
     }
 
-    /// Counts of this VM and the others of its group.
+    /// Returns the sum of the counts of this VM and the others of its group (data centre).
     pub fn group_totals(&self) -> TotalsByRoute {
         self.sum(|source| matches!(source, Source::Vm(_)))
     }
@@ -210,9 +220,9 @@
         sums
     }
 
-    /// Returns the evidence that the new version is worse on one route or on all together. Of this
-    /// VM's own sum and the verdict of the VM it follows, the one that rests on more answers
-    /// counts: the one with fewer would accuse good versions by chance.
+    /// Returns the evidence that the new version is worse on one route or on all together. Returns
+    /// this VM's own verdict or that of the VM it follows, whichever is based on more answers: with
+    /// fewer answers, good versions would be found bad by chance.
     pub fn verdict(&self) -> Verdict {
         let sums = self.sum(|_| true);
         let all = sums.values().fold(Totals::default(), |sum, one| sum.plus(*one));
@@ -229,7 +239,7 @@
     }
 
     /// Replaces the counts of another VM or group by route; routes that are not named keep their
-    /// counts. Ignored for any other version.
+    /// counts. Counts of another version than the present one are ignored.
     pub fn merge_totals(
         &mut self,
         from: Source,
@@ -242,7 +252,8 @@
         }
     }
 
-    /// Sets the verdict of the VM that this one follows. Ignored for any other version.
+    /// Sets the verdict of the VM that this one follows. A verdict on another version than the
+    /// present one is ignored.
     pub fn set_upstream_verdict(&mut self, version: &Version, verdict: Verdict) {
         if self.version.as_ref() == Some(version) {
             self.upstream_verdict = Some(verdict);
@@ -284,7 +295,7 @@
         self.verdict().seen
     }
 
-    /// Returns the time since this VM saw the order.
+    /// Returns the time since this VM first saw the order to roll out the version.
     pub fn age(&self, now: Moment) -> Span {
         now.since(self.started_at)
     }
