--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -41,7 +41,8 @@
         /// Share of new work after the event.
         share: TrafficShare,
         /// True if new sessions may start on the version after the event.
-        sessions: bool,
+        #[serde(rename = "sessions")]
+        accepts_new_sessions: bool,
         /// Why.
         reason: String,
     },
@@ -235,7 +236,7 @@
                 model: rollout.to.model.clone(),
                 event: "stop".to_owned(),
                 share: TrafficShare(0),
-                sessions: false,
+                accepts_new_sessions: false,
                 reason: "an operator stopped it".to_owned(),
             });
         }
@@ -324,14 +325,14 @@
             from: from.clone(),
             state: chart::named("rollout").start.clone(),
             share: TrafficShare(0),
-            sessions: false,
+            accepts_new_sessions: false,
             begun: date,
             since: date,
             reason: "an operator began it".to_owned(),
         }),
         Change::Withdraw { target, .. } => withdraw(root, target),
-        Change::Step { model, event, share, sessions, reason } => {
-            let after = (*share, *sessions);
+        Change::Step { model, event, share, accepts_new_sessions, reason } => {
+            let after = (*share, *accepts_new_sessions);
             apply_rollout_event(root, model, event, after, reason, date)?;
         }
         Change::Drain(name) => {
@@ -372,7 +373,7 @@
     root: &mut Root,
     model: &Model,
     event: &str,
-    (share, sessions): (TrafficShare, bool),
+    (share, accepts_new_sessions): (TrafficShare, bool),
     reason: &str,
     date: Date,
 ) -> Result<(), Error> {
@@ -382,7 +383,7 @@
     let next = chart.next(&rollout.state, event).map_err(|error| Error::Plan(error.to_string()))?;
     rollout.state = next.to_owned();
     rollout.share = share;
-    rollout.sessions = sessions;
+    rollout.accepts_new_sessions = accepts_new_sessions;
     rollout.since = date;
     rollout.reason = reason.to_owned();
     let done = rollout.clone();
--- a/src/config/root.rs
+++ b/src/config/root.rs
@@ -39,7 +39,8 @@
     pub share: TrafficShare,
     /// True if new sessions may start on `to`. Sessions stay on their version, so this needs more
     /// evidence than single requests.
-    pub sessions: bool,
+    #[serde(rename = "sessions")]
+    pub accepts_new_sessions: bool,
     /// Start of the roll-out; evidence about it is recorded under this date.
     pub begun: Date,
     /// Time of the last change of its state or share.
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -166,7 +166,7 @@
         if let Some(rollout) = self.rollout(model) {
             let growing = rollout.state == "growing" || rollout.state == "held";
             let usable = self.allowed(workspace, &rollout.to) == Allowed::Yes;
-            let open = rollout.sessions || !new_session;
+            let open = rollout.accepts_new_sessions || !new_session;
             if growing && usable && open && point < rollout.share.fraction() {
                 return Some(rollout.to.clone());
             }
@@ -228,7 +228,7 @@
             from: "v3".parse().unwrap(),
             state: "growing".into(),
             share: TrafficShare::from_fraction(0.1),
-            sessions: false,
+            accepts_new_sessions: false,
             begun: Default::default(),
             since: Default::default(),
             reason: String::new(),
--- a/src/demo/caller.rs
+++ b/src/demo/caller.rs
@@ -121,7 +121,7 @@
                 break;
             };
             answer = self.client.send(address, &vm, request).await;
-            let counter = match (answer.whole, answer.ran) {
+            let counter = match (answer.is_complete, answer.ran) {
                 (true, _) => &self.progress.whole,
                 (false, Some(_)) if answer.status >= 300 => &self.progress.refused,
                 _ => &self.progress.broken,
--- a/src/demo/client.rs
+++ b/src/demo/client.rs
@@ -56,7 +56,7 @@
     /// Whether the request ran, as a refusal states it.
     pub ran: Option<Ran>,
     /// True if the answer is complete.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Text of the answer.
     pub text: String,
     /// Session token for the next request.
@@ -99,8 +99,8 @@
             request: answer.request.clone(),
             status: answer.status,
             ran: answer.ran,
-            whole: answer.whole,
-            digest: answer.whole.then(|| digest(&answer.text)),
+            is_complete: answer.is_complete,
+            digest: answer.is_complete.then(|| digest(&answer.text)),
             target: answer.target.clone(),
             vm: Some(vm.clone()),
         });
@@ -172,7 +172,7 @@
             continue;
         };
         if data == "[DONE]" {
-            answer.whole = true;
+            answer.is_complete = true;
             return;
         }
         let Ok(value) = serde_json::from_str::<Value>(data) else {
@@ -197,5 +197,5 @@
     let is_model = ask.path.starts_with("/v1/chat");
     let content = value["choices"][0]["message"]["content"].as_str();
     answer.text = if is_model { content.unwrap_or_default().to_owned() } else { text };
-    answer.whole = read && (!is_model || content.is_some());
+    answer.is_complete = read && (!is_model || content.is_some());
 }
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -239,7 +239,7 @@
         let entry = |node: &Node| VmEntry {
             vm: node.vm.settings.vm.clone(),
             data_centre: node.vm.settings.data_centre.clone(),
-            leaving: false,
+            is_leaving: false,
         };
         self.platform.set_vms(self.nodes.values().map(entry).collect());
     }
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -202,10 +202,10 @@
         let mut switches = Switches::default();
         for fault in group {
             match fault {
-                Fault::StoreDown => switches.down = true,
+                Fault::StoreDown => switches.is_down = true,
                 Fault::StoreSlow => switches.slow_ms = 250,
                 Fault::AnswerLost => switches.lose = LOST_ANSWERS,
-                Fault::WatchQuiet => switches.quiet = true,
+                Fault::WatchQuiet => switches.hides_changes = true,
                 _ => {}
             }
         }
@@ -225,8 +225,8 @@
         Ok(())
     }
 
-    fn record_fault(&self, name: &str, began: bool) {
-        self.cluster.history.record(|| Event::Fault { name: name.to_owned(), began });
+    fn record_fault(&self, name: &str, is_start: bool) {
+        self.cluster.history.record(|| Event::Fault { name: name.to_owned(), is_start });
     }
 
     fn random_vm(&mut self) -> Vm {
@@ -252,14 +252,15 @@
             Fault::Race => self.race_operators(),
             Fault::Leave => {
                 let at = self.rng.random_range(0..self.cluster.engines.len());
-                let leaving = engine::Switches { leaving: true, ..engine::Switches::default() };
+                let leaving = engine::Switches { is_draining: true, ..engine::Switches::default() };
                 self.cluster.engines[at].set_switches(leaving);
             }
             Fault::Cut => self
                 .set_engine_faults(&engine::Switches { cut_after: Some(5), ..Default::default() }),
-            Fault::Noise => {
-                self.set_engine_faults(&engine::Switches { noise: true, ..Default::default() })
-            }
+            Fault::Noise => self.set_engine_faults(&engine::Switches {
+                sends_foreign_frames: true,
+                ..Default::default()
+            }),
             Fault::RatingsStop => self.cluster.rater.set_silent(true),
             Fault::StoreDown | Fault::StoreSlow | Fault::AnswerLost | Fault::WatchQuiet => {}
         }
@@ -271,7 +272,7 @@
         for engine in self.cluster.engines.iter().take(4) {
             engine.update_switches(|now| {
                 now.cut_after = switches.cut_after;
-                now.noise = switches.noise;
+                now.sends_foreign_frames = switches.sends_foreign_frames;
             });
         }
     }
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -47,7 +47,7 @@
 
     /// Returns the evidence key of a version in the current trial of its model: the running
     /// roll-out or the current time window.
-    pub(super) fn trial_key(&self, target: &Target) -> Key {
+    pub(super) fn evidence_key(&self, target: &Target) -> Key {
         let since = self.vm.trial_start(&target.model, self.vm.clock.date());
         Key::Trial { target: target.clone(), since }
     }
@@ -56,7 +56,7 @@
     /// rating will count under: that of the trial and `key`.
     fn count_answer(&self, target: &Target, key: Key) -> Vec<Key> {
         self.vm.record_evidence(key.clone(), Counts { ended: 1, ..Counts::default() });
-        vec![self.trial_key(target), key]
+        vec![self.evidence_key(target), key]
     }
 
     /// Counts an answer of a cascade's cheap version, kept or not, and may submit it for rating.
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -51,7 +51,7 @@
             slow: u64::from(late),
             ..Counts::default()
         };
-        self.vm.record_evidence(self.trial_key(target), counts);
+        self.vm.record_evidence(self.evidence_key(target), counts);
         self.record_burn(target, failed || late);
         if !received.is_empty() || outcome.is_ok() {
             self.add_bill_part(target, received.len() as u32, outcome.is_ok());
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -284,7 +284,7 @@
             None => {
                 let mut received = Vec::new();
                 let end = self.generate(target, &mut received, true).await?;
-                let keys = vec![self.trial_key(target)];
+                let keys = vec![self.evidence_key(target)];
                 self.sample_for_rating(
                     target,
                     self.job.request.clone(),
--- a/src/history/check.rs
+++ b/src/history/check.rs
@@ -166,7 +166,7 @@
             Event::Asked { ask, workspace, talk, .. } => {
                 facts.asks.insert(*ask, (workspace, *talk));
             }
-            Event::Fault { began, .. } => facts.faults.push((line.at, *began)),
+            Event::Fault { is_start, .. } => facts.faults.push((line.at, *is_start)),
             Event::Adopted { .. } | Event::Answered { .. } | Event::Started { .. } => {}
         }
     }
@@ -188,14 +188,14 @@
     /// Returns true if a fault was active at any time from `from` to `to`.
     fn fault_between(&self, from: Date, to: Date) -> bool {
         let mut active = 0;
-        for (at, began) in &self.faults {
+        for (at, is_start) in &self.faults {
             if *at > to {
                 break;
             }
-            if *at >= from && *began {
+            if *at >= from && *is_start {
                 return true;
             }
-            active += if *began { 1 } else { -1 };
+            active += if *is_start { 1 } else { -1 };
         }
         active > 0
     }
@@ -262,7 +262,8 @@
     let mut verdict = Verdict::new("A session keeps its version for its whole life.");
     let mut pinned: HashMap<u64, &Target> = HashMap::new();
     for line in lines {
-        let Event::Answered { ask, target: Some(target), whole: true, .. } = &line.event else {
+        let Event::Answered { ask, target: Some(target), is_complete: true, .. } = &line.event
+        else {
             continue;
         };
         let Some((_, Some(talk))) = facts.asks.get(ask) else {
@@ -283,7 +284,7 @@
 fn check_bills(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("Each request is billed exactly once.");
     for line in lines {
-        let Event::Answered { ask, request: Some(id), whole: true, .. } = &line.event else {
+        let Event::Answered { ask, request: Some(id), is_complete: true, .. } = &line.event else {
             continue;
         };
         if !facts.work.contains_key(id) {
@@ -308,8 +309,9 @@
 fn check_answers(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A caller receives the whole answer to its own request.");
     for line in lines {
-        let Event::Answered { ask, request: Some(id), whole: true, digest: Some(digest), .. } =
-            &line.event
+        let Event::Answered {
+            ask, request: Some(id), is_complete: true, digest: Some(digest), ..
+        } = &line.event
         else {
             continue;
         };
@@ -383,7 +385,8 @@
 fn check_planned_stops(lines: &[Line], facts: &Facts) -> Verdict {
     let mut verdict = Verdict::new("A planned stop cuts off no request in flight.");
     for line in lines {
-        let Event::Answered { ask, vm: Some(vm), status, whole, request, .. } = &line.event else {
+        let Event::Answered { ask, vm: Some(vm), status, is_complete, request, .. } = &line.event
+        else {
             continue;
         };
         // Only a response that ended after the stop started can have been cut off by it.
@@ -394,7 +397,7 @@
         // A request whose connection was refused after the stop was never in flight.
         let in_flight = request.is_some() || *status != 0;
         if in_flight {
-            let cut = !*whole && *status < 300;
+            let cut = !*is_complete && *status < 300;
             verdict.record(!cut, || {
                 format!("ask {ask} was cut off on {vm}, which stopped as planned")
             });
--- a/src/history/event.rs
+++ b/src/history/event.rs
@@ -79,7 +79,8 @@
         /// Statement of a refusal about the execution.
         ran: Option<Ran>,
         /// True if the response is complete.
-        whole: bool,
+        #[serde(rename = "whole")]
+        is_complete: bool,
         /// Digest of the text of the response.
         digest: Option<String>,
         /// Version, according to the response headers.
@@ -158,6 +159,7 @@
         /// Name of the fault.
         name: String,
         /// True if the fault started, false if it ended.
-        began: bool,
+        #[serde(rename = "began")]
+        is_start: bool,
     },
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -59,13 +59,16 @@
 #[serde(default)]
 pub struct Switches {
     /// Drains: it announces that and refuses new requests.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub is_draining: bool,
     /// Breaks every stream off after this many tokens.
     pub cut_after: Option<u32>,
     /// Sends every frame twice, after a frame of another request.
-    pub noise: bool,
+    #[serde(rename = "noise")]
+    pub sends_foreign_frames: bool,
     /// Stops sending frames but keeps connections open.
-    pub frozen: bool,
+    #[serde(rename = "frozen")]
+    pub is_frozen: bool,
     /// Simulates a crash on prompts that contain this text: the request hangs and is counted, and
     /// the owner of the engine is to stop it then.
     pub crashes_on: Option<String>,
@@ -125,7 +128,7 @@
     /// Replaces the injected faults; a drain that begins is recorded in the history.
     pub fn set_switches(&self, switches: Switches) {
         let mut state = self.lock();
-        if switches.leaving && !state.switches.leaving {
+        if switches.is_draining && !state.switches.is_draining {
             let server = state.profile.name.clone();
             self.history.record(|| Event::Leaving { server });
         }
@@ -169,7 +172,7 @@
 
     fn admit(&self, work: &Generate) -> Result<(), Reason> {
         let mut state = self.lock();
-        if state.switches.leaving {
+        if state.switches.is_draining {
             return Err(Reason::Leaving);
         }
         if !state.loaded.contains(&work.target) {
@@ -242,7 +245,7 @@
         let mut whole = true;
         for (i, token) in draft.tokens.iter().enumerate().skip(work.offset as usize) {
             let switches = self.lock().switches.clone();
-            if switches.frozen {
+            if switches.is_frozen {
                 to.closed().await;
             }
             let cut = switches.cut_after.is_some_and(|n| i as u32 >= n) || (breaks && i > 0);
@@ -253,8 +256,11 @@
                 break;
             }
             let line = frame(&work, i as u32, token, None);
-            let line =
-                if switches.noise { with_stray_frames(&work, i as u32, &line) } else { line };
+            let line = if switches.sends_foreign_frames {
+                with_stray_frames(&work, i as u32, &line)
+            } else {
+                line
+            };
             if to.send(Ok(line)).await.is_err() {
                 whole = false;
                 break;
@@ -319,7 +325,7 @@
         let mut state = engine.lock();
         let mut loaded: Vec<Target> = state.loaded.iter().cloned().collect();
         loaded.sort();
-        state.reported.leaving = state.switches.leaving;
+        state.reported.leaving = state.switches.is_draining;
         state.reported.loaded = loaded;
         state.reported.clone()
     };
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -43,7 +43,8 @@
 #[serde(default)]
 pub struct Switches {
     /// Responds to every call with 503.
-    pub down: bool,
+    #[serde(rename = "down")]
+    pub is_down: bool,
     /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
     /// Number of next writes that take effect but whose connection is reset.
@@ -52,9 +53,11 @@
     /// condition still holds.
     pub late: u32,
     /// Responds to every call with 429.
-    pub busy: bool,
+    #[serde(rename = "busy")]
+    pub is_rate_limiting: bool,
     /// Watches report no changes.
-    pub quiet: bool,
+    #[serde(rename = "quiet")]
+    pub hides_changes: bool,
     /// Era that responses name instead of the true one; an empty one omits the header.
     pub era: Option<String>,
 }
@@ -82,7 +85,8 @@
     /// Data centre of the VM.
     pub data_centre: DataCentre,
     /// True if the VM is shutting down.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub is_leaving: bool,
 }
 
 /// Rate limits, in calls per second.
@@ -256,10 +260,10 @@
         if switches.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(switches.slow_ms)).await;
         }
-        if switches.down {
+        if switches.is_down {
             return Some(self.refuse(HttpResponse::ServiceUnavailable()));
         }
-        switches.busy.then(|| self.refuse(HttpResponse::TooManyRequests()))
+        switches.is_rate_limiting.then(|| self.refuse(HttpResponse::TooManyRequests()))
     }
 
     fn refuse(&self, answer: HttpResponseBuilder) -> HttpResponse {
@@ -379,18 +383,18 @@
         let changed = platform.changed.notified();
         {
             let state = platform.lock();
-            if state.switches.down {
+            if state.switches.is_down {
                 return with_era(&state, HttpResponse::ServiceUnavailable()).finish();
             }
-            let is_ahead = after > state.clock && !state.switches.quiet;
+            let is_ahead = after > state.clock && !state.switches.hides_changes;
             if after < state.compacted_revision || is_ahead {
                 return with_era(&state, HttpResponse::Gone()).finish();
             }
             let events = state.events(kind, after);
             let waited = tokio::time::Instant::now() >= until;
-            if waited || (!events.is_empty() && !state.switches.quiet) {
-                let events = if state.switches.quiet { Vec::new() } else { events };
-                let revision = if state.switches.quiet { after } else { state.clock };
+            if waited || (!events.is_empty() && !state.switches.hides_changes) {
+                let events = if state.switches.hides_changes { Vec::new() } else { events };
+                let revision = if state.switches.hides_changes { after } else { state.clock };
                 return with_era(&state, HttpResponse::Ok())
                     .json(json!({"events": events, "store_revision": revision}));
             }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -48,7 +48,7 @@
     pub revision: u64,
     pub kind: String,
     pub object: Value,
-    pub deleted: bool,
+    pub is_deletion: bool,
 }
 
 /// Token bucket that limits calls per second; its burst is one second of calls.
@@ -175,7 +175,12 @@
     /// Appends to the change log and drops its oldest entry if it is full.
     pub fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
         let revision = self.clock;
-        self.changes.push_back(Change { revision, kind: kind.to_owned(), object, deleted });
+        self.changes.push_back(Change {
+            revision,
+            kind: kind.to_owned(),
+            object,
+            is_deletion: deleted,
+        });
         if self.changes.len() > MAX_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
@@ -185,7 +190,7 @@
 
     pub fn events(&self, kind: &str, after: u64) -> Vec<Value> {
         let later = self.changes.iter().filter(|one| one.revision > after && one.kind == kind);
-        later.map(|one| json!({"object": one.object, "deleted": one.deleted})).collect()
+        later.map(|one| json!({"object": one.object, "deleted": one.is_deletion})).collect()
     }
 }
 
--- a/src/standin/rating.rs
+++ b/src/standin/rating.rs
@@ -30,7 +30,8 @@
     /// Request that was answered.
     pub request: RequestId,
     /// True if the answer is good enough.
-    pub pass: bool,
+    #[serde(rename = "pass")]
+    pub is_good: bool,
 }
 
 /// The rating service; clones share its state.
@@ -88,8 +89,8 @@
     waiting.retain(|(at, sample)| {
         let due = now.duration_since(*at) >= rater.lag && sample.vm == query.vm;
         if due {
-            let pass = !sample.answer.contains(text::POOR);
-            ready.push(Rating { request: sample.request.clone(), pass });
+            let is_good = !sample.answer.contains(text::POOR);
+            ready.push(Rating { request: sample.request.clone(), is_good });
         }
         !due
     });
--- a/src/standin/replica.rs
+++ b/src/standin/replica.rs
@@ -107,7 +107,7 @@
     seen: Vec<RecordedRequest>,
     connections: usize,
     crash: Option<Crash>,
-    draining: bool,
+    is_draining: bool,
     limit: Option<String>,
     extra_header: Option<String>,
     rejections: Vec<Instant>,
@@ -122,7 +122,7 @@
 impl State {
     /// Returns the header lines that all responses carry.
     fn common_headers(&self) -> String {
-        let leaving = self.draining.then(|| "Server-Leaving: 1".to_owned());
+        let leaving = self.is_draining.then(|| "Server-Leaving: 1".to_owned());
         let limit = self.limit.as_ref().map(|limit| format!("Server-Limit: {limit}"));
         let lines = [leaving, limit, self.extra_header.clone()].into_iter().flatten();
         lines.map(|line| line + "\r\n").collect()
@@ -247,7 +247,7 @@
 
     /// Adds the header to all further responses that announces a drain.
     pub fn announce_draining(&self) -> &Replica {
-        self.lock().draining = true;
+        self.lock().is_draining = true;
         self
     }
 
--- a/src/standin/text.rs
+++ b/src/standin/text.rs
@@ -22,7 +22,7 @@
     /// Text of the answer, one string per token.
     pub tokens: Vec<&'static str>,
     /// True if the rating service is to reject it.
-    pub poor: bool,
+    pub is_poor: bool,
     /// Confidence that the engine reports, 0 to 1; on average lower for poor answers.
     pub confidence: f64,
 }
@@ -51,7 +51,7 @@
     }
     let spread = unit_hash(seed, 0);
     let confidence = if poor { spread * spread * 0.9 } else { 1.0 - spread * spread * 0.6 };
-    Completion { tokens, poor, confidence }
+    Completion { tokens, is_poor: poor, confidence }
 }
 
 /// Returns the digest of a text that is recorded in histories, 16 hex digits.
@@ -75,7 +75,7 @@
     #[test]
     fn poor_answers_come_as_often_as_the_quality_says() {
         let target: Target = "m@v1".parse().unwrap();
-        let poor = (0..2000).filter(|i| complete(&i.to_string(), &target, 0.9, 8).poor).count();
+        let poor = (0..2000).filter(|i| complete(&i.to_string(), &target, 0.9, 8).is_poor).count();
         assert!((150..250).contains(&poor), "{poor}");
     }
 }
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -65,7 +65,9 @@
     let policy = &control.vm.settings.rollout;
     let (event, share, reason) = match rollout::next_step(policy, &inputs) {
         // Sessions may be admitted or excluded without a change of share.
-        Action::Stay if rollout.sessions != rollout::admits_sessions(policy, &inputs) => {
+        Action::Stay
+            if rollout.accepts_new_sessions != rollout::admits_sessions(policy, &inputs) =>
+        {
             ("grow", rollout.share, "sessions".to_owned())
         }
         Action::Stay => return,
@@ -79,8 +81,8 @@
     if rollout.state == "held" && event == "grow" {
         return;
     }
-    let sessions = rollout::admits_sessions(policy, &inputs);
-    write_step(control, snapshot, rollout, event, (share, sessions), &reason).await;
+    let accepts_new_sessions = rollout::admits_sessions(policy, &inputs);
+    write_step(control, snapshot, rollout, event, (share, accepts_new_sessions), &reason).await;
 }
 
 /// Writes a step of a rollout to the store and reads the configuration again.
@@ -89,7 +91,7 @@
     snapshot: &Snapshot,
     rollout: &Rollout,
     event: &str,
-    (share, sessions): (TrafficShare, bool),
+    (share, accepts_new_sessions): (TrafficShare, bool),
     reason: &str,
 ) {
     let descriptions = vec![format!("roll-out of {}: {event} to {share}: {reason}", rollout.to)];
@@ -97,7 +99,7 @@
         model: rollout.to.model.clone(),
         event: event.to_owned(),
         share,
-        sessions,
+        accepts_new_sessions,
         reason: reason.to_owned(),
     };
     let plan = Plan::new(snapshot.revision(), vec![step], descriptions.clone(), Vec::new());
--- a/src/vm/ratings.rs
+++ b/src/vm/ratings.rs
@@ -100,7 +100,7 @@
                 .expect("no panic while held")
                 .remove(&rating.request, date);
             let Some(pending) = pending else { continue };
-            let more = Counts { rated: 1, poor: u64::from(!rating.pass), ..Counts::default() };
+            let more = Counts { rated: 1, poor: u64::from(!rating.is_good), ..Counts::default() };
             for key in pending.keys {
                 control.vm.record_evidence(key, more);
             }
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -193,7 +193,7 @@
 #[test]
 fn a_key_cannot_be_agreed_on_without_the_store_and_is_free_afterwards() {
     let (world, vms) = start_world(2);
-    world.platform.set_switches(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { is_down: true, ..Switches::default() });
     let refused = confirm(9, "seat-9").expect_refusal(vms[0], 503, "store_away", "no");
     assert!(refused.retry_after.is_some());
     // Model requests don't need the store: their configuration revision is already in force.
@@ -216,7 +216,7 @@
 fn a_key_set_aside_beforehand_flows_once_through_any_vm_while_the_store_is_away() {
     let (world, vms) = start_world(3);
     assert_eq!(reserve("seat-6").send_to(vms[0]).status, 201);
-    world.platform.set_switches(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { is_down: true, ..Switches::default() });
     let granted = confirm(6, "seat-6").send_to(vms[1]);
     assert_eq!(granted.status, 200, "{}", granted.body);
     confirm(6, "seat-6").expect_refusal(vms[2], 409, "key_running", "unknown");
@@ -289,7 +289,7 @@
 #[test]
 fn a_change_is_in_force_though_every_watch_is_silent() {
     let (world, _) = start_world(3);
-    world.platform.set_switches(Switches { quiet: true, ..Switches::default() });
+    world.platform.set_switches(Switches { hides_changes: true, ..Switches::default() });
     let revision = apply_intent(world.platform_address, "withdraw roastmind v4", "test")
         .expect("it is confirmed");
     assert!(world.wait_accepted(revision, Span::secs(14)));
@@ -299,7 +299,7 @@
 #[test]
 fn a_vm_that_starts_without_the_store_takes_the_configuration_from_the_others() {
     let (mut world, _) = start_world(2);
-    world.platform.set_switches(Switches { down: true, ..Switches::default() });
+    world.platform.set_switches(Switches { is_down: true, ..Switches::default() });
     let vm = world.add_vm().expect("it starts");
     world.wait_ready(3).expect("it becomes ready");
     assert_eq!(chat("roastmind").send_to(world.nodes[&vm].address).status, 200);
@@ -362,7 +362,7 @@
     for (at, engine) in world.engines.iter().enumerate() {
         match at {
             1 => engine.update_switches(|now| now.cut_after = Some(0)),
-            _ => engine.update_switches(|now| now.leaving = true),
+            _ => engine.update_switches(|now| now.is_draining = true),
         }
     }
     let ran = || {
--- a/tests/forward.rs
+++ b/tests/forward.rs
@@ -414,7 +414,7 @@
     let more = "Authorization: Token key\r\n";
     let status = || ask(vm.callers, &head("GET /safe/x", "f", more), b"").status;
     assert_eq!(status(), 200);
-    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { is_down: true, ..Switches::default() });
     // The key is revoked while the store is unreachable.
     site.config["tenants"][0]["api_keys"] = json!([]);
     site.publish();
@@ -437,8 +437,8 @@
     let vm = site.start_ready();
     let status = |path: &str| ask(vm.callers, &head(&format!("GET {path}"), "h", ""), b"").status;
     for (round, switches) in [
-        Switches { busy: true, ..Switches::default() },
-        Switches { down: true, ..Switches::default() },
+        Switches { is_rate_limiting: true, ..Switches::default() },
+        Switches { is_down: true, ..Switches::default() },
         Switches { slow_ms: 300, ..Switches::default() },
     ]
     .into_iter()
@@ -738,7 +738,7 @@
     let mut site = site();
     let replica = site.replica("r1", "v1");
     let vm = site.start_ready();
-    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { is_down: true, ..Switches::default() });
     eventually("the store is lost", || vm.lines().iter().any(|line| line["event"] == "store lost"));
     site.store.delete_object("servers", "r1");
     site.store.set_switches(Switches::default());
@@ -763,7 +763,7 @@
     let mut site = site();
     site.replica("r1", "v1");
     let vm = site.start_ready();
-    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { is_down: true, ..Switches::default() });
     // Long enough for the retry delay to grow.
     std::thread::sleep(Duration::from_millis(3500));
     site.store.delete_object("servers", "r1");
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -192,7 +192,7 @@
             std::thread::sleep(Duration::from_secs(2));
             late.start_again();
             std::thread::sleep(Duration::from_secs(2));
-            site.store.set_switches(Switches { down: true, ..Switches::default() });
+            site.store.set_switches(Switches { is_down: true, ..Switches::default() });
             std::thread::sleep(Duration::from_secs(3));
             site.store.set_switches(Switches::default());
         });
--- a/tests/restore.rs
+++ b/tests/restore.rs
@@ -48,7 +48,7 @@
 
 /// Takes the store down for a while and restores it from a backup.
 fn restore_after(site: &Site, copy: &Snapshot, away: Duration) {
-    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { is_down: true, ..Switches::default() });
     std::thread::sleep(away);
     site.store.restore(copy.clone());
     site.store.set_switches(Switches::default());
@@ -160,7 +160,7 @@
     replace_key(&mut site, "lost");
     assert_in_force(&vms, "lost", "first");
     // No call fails, and when the watches resume the revisions are past those before the restore.
-    site.store.set_switches(Switches { quiet: true, ..Switches::default() });
+    site.store.set_switches(Switches { hides_changes: true, ..Switches::default() });
     site.store.restore(copy);
     replace_key(&mut site, "second");
     let more = (0..LOST_CHANGES).map(|number| site.replica(&format!("more{number}"), "v1"));
--- a/tests/restores.rs
+++ b/tests/restores.rs
@@ -257,7 +257,7 @@
         let away = self.random.random_range(0..=1500);
         let started_at = Instant::now();
         if away > 300 {
-            self.site.store.set_switches(Switches { down: true, ..Switches::default() });
+            self.site.store.set_switches(Switches { is_down: true, ..Switches::default() });
             std::thread::sleep(Duration::from_millis(away));
         }
         self.site.store.restore(copy);
--- a/tests/runs.rs
+++ b/tests/runs.rs
@@ -26,7 +26,8 @@
     let text = |line: &Line| serde_json::to_string(line).unwrap_or_default();
     let mut report = vec!["answers broken".to_owned(), outcome.log.join("\n")];
     for line in &lines {
-        let Event::Answered { ask, request, status, ran, whole: false, .. } = &line.event else {
+        let Event::Answered { ask, request, status, ran, is_complete: false, .. } = &line.event
+        else {
             continue;
         };
         if ran.is_some() && *status >= 300 {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -80,15 +80,15 @@
     let vms = start(&site);
     let calm = cost_of(&site, || std::thread::sleep(AWAY));
     for switches in [
-        Switches { down: true, ..Switches::default() },
-        Switches { busy: true, ..Switches::default() },
+        Switches { is_down: true, ..Switches::default() },
+        Switches { is_rate_limiting: true, ..Switches::default() },
     ] {
         site.store.set_switches(switches.clone());
         let away = cost_of(&site, || std::thread::sleep(AWAY));
         println!("away: {away} calls, calm: {calm} calls");
         assert!(away <= 3.0 * calm, "{away} calls while away, {calm} in calm: {switches:?}");
         site.store.set_switches(Switches::default());
-        site.replica(&format!("r{}", vms.len() + usize::from(switches.down)), "v1");
+        site.replica(&format!("r{}", vms.len() + usize::from(switches.is_down)), "v1");
         let back = Instant::now();
         let returned = cost_of(&site, || {
             // The last state of the store that a VM logged, found by itself or reported by another
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -160,7 +160,7 @@
         let site = three_kinds();
         let servers = servers(&site, 3, line);
         let vms = vms(&site, 2);
-        site.store.set_switches(Switches { down: true, ..Switches::default() });
+        site.store.set_switches(Switches { is_down: true, ..Switches::default() });
         let said = Instant::now();
         servers[0].announce_draining();
         assert_all_served(&load(&vms, line));
@@ -460,7 +460,7 @@
     let servers = servers(&site, 2, "POST /safe/x");
     let vms = vms(&site, 14);
     std::thread::sleep(Duration::from_secs(2));
-    site.store.set_switches(Switches { down: true, ..Switches::default() });
+    site.store.set_switches(Switches { is_down: true, ..Switches::default() });
     servers[0].announce_draining();
     site::eventually("one VM knows that it drains", || {
         ask(vms[0].callers, &head("POST /safe/x", &id(0, 0, 0), ""), b"x");
