--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -10,11 +10,12 @@
 use crate::error::Error;
 use crate::unit::{DataCentre, Date, Model, Revision, Target, TrafficShare, Version};
 
-/// One change of the root, complete enough that any VM can apply it.
+/// One change of the root (the configuration object that lists all parts), complete enough that
+/// any VM can apply it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Adds or replaces a piece of the declarations.
+    /// Adds or replaces a piece (a separately stored part) of the declarations.
     Put(Piece),
     /// Removes the piece with this name.
     Remove(String),
@@ -27,23 +28,24 @@
     },
     /// Withdraws a version and ends its roll-out.
     Withdraw {
-        /// Version to withdraw.
+        /// Version of a model to withdraw.
         target: Target,
-        /// Why.
+        /// Reason for the withdrawal, as a sentence.
         reason: String,
     },
-    /// Applies an event of the chart `rollout` to the roll-out of a model.
+    /// Applies an event of the state machine `rollout` (`charts/rollout.toml`) to the roll-out of a
+    /// model.
     Step {
         /// Model whose roll-out it is.
         model: Model,
-        /// Event of the chart.
+        /// Event of the state machine, such as `grow`.
         event: String,
         /// Share of new work after the event.
         share: TrafficShare,
         /// True if new sessions may start on the version after the event.
         #[serde(rename = "sessions")]
         accepts_new_sessions: bool,
-        /// Why.
+        /// Reason for the step, as a sentence.
         reason: String,
     },
     /// Drains a data centre: its servers get no new work.
@@ -368,7 +370,8 @@
     }
 }
 
-/// Applies an event of the chart `rollout` and ends the roll-out if it reached a final state.
+/// Applies an event of the state machine `rollout` (`charts/rollout.toml`) and ends the roll-out if
+/// it reached a final state.
 fn apply_rollout_event(
     root: &mut Root,
     model: &Model,
--- a/src/config/root.rs
+++ b/src/config/root.rs
@@ -33,7 +33,7 @@
     pub to: Target,
     /// Version that was in service at its start.
     pub from: Version,
-    /// State in the chart `rollout`.
+    /// State in the state machine `rollout` (`charts/rollout.toml`).
     pub state: String,
     /// Share of the model's new work that goes to `to`.
     pub share: TrafficShare,
@@ -64,7 +64,8 @@
     pub what: Vec<String>,
 }
 
-/// The root object of the configuration.
+/// The root object of the configuration. It names the pieces by digest, so that one conditional
+/// write of it commits all parts of a revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Root {
     /// Number of the revision; each change raises it by one.
--- a/src/decide/poison/exchange.rs
+++ b/src/decide/poison/exchange.rs
@@ -162,6 +162,8 @@
             Message::ServerCrashed { incarnation, requests, age } => {
                 let mut effects =
                     self.apply_crash(*incarnation, requests, moment_before(now, *age), now);
+                // A content that completed here recently is cleared of the crash. The aggregators
+                // may not know of that: a VM reports a success at once only for a suspect.
                 for request in requests {
                     self.report_success(
                         request.content,
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -344,7 +344,9 @@
         }
     }
 
-    /// Shuts all VMs down gracefully and records the bills in the store.
+    /// Collects the burn counts (answers within and beyond the objectives) of the VMs, shuts them
+    /// down gracefully, records the bills found in the store in the history, and stops the
+    /// stand-ins.
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
         for node in self.cluster.nodes.values() {
--- a/src/entry/dispatch/account.rs
+++ b/src/entry/dispatch/account.rs
@@ -22,7 +22,7 @@
     }
 
     /// Counts an answer towards the error budget of each objective of the workspace that covers the
-    /// kind of work.
+    /// kind of work. `target` is the version that answered.
     pub(super) fn record_burn(&self, target: &Target, bad: bool) {
         let date = self.vm.clock.date();
         let mut burn = self.vm.burn.lock().expect("no panic while held");
@@ -45,15 +45,16 @@
         });
     }
 
-    /// Returns the evidence key of a version in the current trial of its model: the running
-    /// roll-out or the current time window.
+    /// Returns the key under which the answers of `target` (a version of a model) are counted now.
+    /// Counts are kept per trial: a running roll-out of the model or, also for a version in service,
+    /// the current time window.
     pub(super) fn evidence_key(&self, target: &Target) -> Key {
         let since = self.vm.trial_start(&target.model, self.vm.clock.date());
         Key::Trial { target: target.clone(), since }
     }
 
     /// Counts an answer under `key`, the evidence key of its cascade, and returns the keys that its
-    /// rating will count under: that of the trial and `key`.
+    /// rating will count under: that of the current trial (see `evidence_key`) and `key`.
     fn count_answer(&self, target: &Target, key: Key) -> Vec<Key> {
         self.vm.record_evidence(key.clone(), Counts { ended: 1, ..Counts::default() });
         vec![self.evidence_key(target), key]
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -29,9 +29,9 @@
 }
 
 impl Dispatcher {
-    /// Generates an answer with one version and records the outcome for admission, roll-out
-    /// evidence, error budget and bill. Tokens are collected in `received` and, with `to_client`,
-    /// also sent.
+    /// Generates an answer with the version `target` of a model and records the outcome for
+    /// admission, roll-out evidence, error budget and bill. Tokens are collected in `received` and,
+    /// with `to_client`, also sent.
     pub(super) async fn generate(
         &mut self,
         target: &Target,
@@ -299,6 +299,8 @@
                     }
                 }
                 Chunk::End(end) => {
+                    // An empty answer has no first token. Its end is recorded as `first`, by which
+                    // the state machine `charts/request.toml` moves from `sent` to `running`.
                     self.record_event(if has_tokens { "last" } else { "first" });
                     return Ok(end);
                 }
--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -272,8 +272,9 @@
         self.generate(target, received, true).await
     }
 
-    /// Generates an answer with one version. With `withheld`, collects the tokens there instead of
-    /// sending them to the client, so that the cascade can still discard the answer.
+    /// Generates an answer with the version `target` of a model. With `withheld`, collects the
+    /// tokens there instead of sending them to the client, so that the cascade can still discard
+    /// the answer.
     async fn run_target(
         &mut self,
         target: &Target,
--- a/src/history/check.rs
+++ b/src/history/check.rs
@@ -13,7 +13,8 @@
 /// A draining backend server must get no new work after this time.
 const DRAIN_TIMEOUT: Span = Span::secs(3);
 
-/// A new revision must be accepted within this time, unless a fault was active meanwhile.
+/// A new revision must be accepted (no VM starts work under an older one) within this time, unless
+/// a fault was active meanwhile.
 const ACCEPT_TIMEOUT: Span = Span::secs(15);
 
 /// Most breaches described for each promise.
@@ -105,6 +106,7 @@
     Ok(lines)
 }
 
+/// What a revision of the configuration's root object permits, and when it was stored.
 struct Root {
     at: Date,
     allowed: BTreeMap<Workspace, Vec<Target>>,
--- a/src/history/event.rs
+++ b/src/history/event.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// The store accepted a new root.
+    /// The store wrote a new root of the configuration, so its revision is confirmed.
     Confirmed {
         /// Revision of the root.
         revision: Revision,
@@ -46,7 +46,7 @@
         /// Number of the revision.
         revision: Revision,
     },
-    /// A VM adopted a revision.
+    /// A VM adopted a revision: it uses it for new work.
     Adopted {
         /// VM of the event.
         vm: Vm,
@@ -83,7 +83,7 @@
         is_complete: bool,
         /// Digest of the text of the response.
         digest: Option<String>,
-        /// Version, according to the response headers.
+        /// Version of the model that answered, according to the response headers.
         target: Option<Target>,
         /// VM, according to the response headers or the caller's connection.
         vm: Option<Vm>,
@@ -96,7 +96,7 @@
         request: RequestId,
         /// Revision under which it decided.
         revision: Revision,
-        /// Version; none for a call of a service.
+        /// Version of the model; none for a call of a service.
         target: Option<Target>,
         /// Name of the backend server.
         server: Server,
--- a/src/peer/gossip/adoption.rs
+++ b/src/peer/gossip/adoption.rs
@@ -1,8 +1,10 @@
 //! Adoption of configuration revisions by all VMs, and the lease under which a VM starts work.
 //!
-//! A VM that enforces a new revision reports it to the accepters. These mark the revision as
-//! accepted when no VM can start work under an older one any more: each VM has reported it, is
-//! gone, or is unreachable for longer than its start lease lasts.
+//! A VM *adopts* a revision when it starts to use it for new work, and *enforces* it when all work
+//! that it sends from then on follows it. A VM that enforces a new revision reports it to the
+//! accepters. These mark the revision as *accepted* when no VM can start work under an older one
+//! any more: each VM has reported it, is gone, or is unreachable for longer than its start lease
+//! lasts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,7 +18,7 @@
 /// Time that an accepter waits beyond `START_LEASE`, because clocks of VMs run at different rates.
 pub(super) const START_LEASE_MARGIN: Span = Span::secs(2);
 
-/// Number of VMs that collect adoptions and decide that a revision is accepted.
+/// Number of VMs (accepters) that collect adoptions and decide that a revision is accepted.
 const ACCEPTER_COUNT: usize = 2;
 
 /// Interval at which a VM repeats the report of its adoption until the revision is accepted.
--- a/src/peer/gossip/mod.rs
+++ b/src/peer/gossip/mod.rs
@@ -90,8 +90,9 @@
     probe_all: bool,
     /// The configuration adopted here.
     pub snapshot: Arc<Snapshot>,
-    /// Highest revision known to be accepted.
+    /// Highest revision known to be accepted: no VM can start work under an older one.
     accepted: Revision,
+    /// Revision that all work which this VM sends from now on follows.
     enforced_revision: Revision,
     /// Time at which the adopted revision was last known to be the newest of the store.
     store_read_at: Option<Moment>,
--- a/src/peer/wire.rs
+++ b/src/peer/wire.rs
@@ -17,7 +17,8 @@
 pub struct ConfigStatus {
     /// Revision that the sender has adopted.
     pub revision: Revision,
-    /// Highest revision that the sender knows to be enforced by every VM.
+    /// Highest revision that the sender knows to be accepted: no VM can start work under an older
+    /// one.
     pub accepted: Revision,
     /// Time since the sender's revision was last known to be the newest of the store; none if
     /// never.
@@ -81,12 +82,12 @@
     ConfigRequest {
         /// Revision that the sender has.
         have: Revision,
-        /// Digests of the pieces that the sender has already.
+        /// Digests of the pieces (parts of the declarations) that the sender has already.
         pieces: Vec<String>,
     },
     /// Sends a configuration: the root, and the pieces that the receiver lacks.
     Config {
-        /// JSON of the root, as in the store.
+        /// JSON of the root (the object that lists the pieces), as in the store.
         root: Vec<u8>,
         /// Pieces that were not in the request.
         pieces: Vec<Piece>,
@@ -152,7 +153,8 @@
 pub enum Reply {
     /// The call is complete and returns nothing.
     Done,
-    /// Result of a claim.
+    /// Decision of the owner of the shard on the claim of an idempotency key: the request may run,
+    /// or why it may not.
     Claim(Answer),
     /// Decision of the holder of a reserved key; none if the receiver has not reserved it.
     UseReserved(Option<KeyGrant>),
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -33,7 +33,8 @@
 /// Query parameter that allows a stale read.
 const STALE_QUERY: &str = "stale_ok=1";
 
-/// Header with the store's era, in each response.
+/// Header with the store's era, a number that rises with each restore of a backup, in each
+/// response.
 const ERA_HEADER: &str = "Store-Era";
 
 /// Consistency of a read.
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -23,7 +23,7 @@
 /// Kind of the objects that list the VMs.
 const VM_KIND: &str = "vms";
 
-/// Response header with the era of the store.
+/// Response header with the era of the store, a number that rises with each restore of a backup.
 const ERA_HEADER: &str = "Store-Era";
 
 /// Largest body of a write.
@@ -69,9 +69,9 @@
     pub reads: u64,
     /// Reads and lists that allow data some seconds old; the platform charges a tenth for them.
     pub stale: u64,
-    /// Watches.
+    /// Watches opened.
     pub watches: u64,
-    /// Writes.
+    /// Writes: creations, replacements and deletions.
     pub writes: u64,
     /// Calls refused by the rate limits.
     pub refused: u64,
@@ -270,7 +270,9 @@
         with_era(&self.lock(), answer).finish()
     }
 
-    /// Executes a write and responds to it. Injected faults delay the write or lose its response.
+    /// Executes a write and responds to it. An injected fault can break the connection instead of
+    /// responding, after the write took effect; a late write also takes effect only after
+    /// `LATE_WRITE_DELAY`.
     async fn respond_to_write(
         &self,
         write: impl Fn(&mut State) -> Result<Value, WriteError>,
@@ -307,7 +309,7 @@
     Missing,
 }
 
-/// Adds the era header of the state that the response is made from.
+/// Adds the header with the era (number of restores) of the state that the response is made from.
 fn with_era(state: &State, mut answer: HttpResponseBuilder) -> HttpResponseBuilder {
     let era = state.switches.era.clone().unwrap_or_else(|| state.era.to_string());
     if !era.is_empty() {
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -9,10 +9,11 @@
 use crate::history::Event;
 use crate::unit::{Era, Revision, Target, Workspace};
 
-/// Kind and name of the object whose changes are recorded in the history.
+/// Kind and name of the root object of the configuration, whose changes are recorded in the
+/// history.
 pub const ROOT: (&str, &str) = ("config", "root");
 
-/// Prefix of the names of configuration pieces.
+/// Prefix of the names of configuration pieces, the objects that hold a part of the declarations.
 const PIECE_PREFIX: &str = "piece~";
 
 /// Length of the change log; watches from before it are answered 410.
@@ -89,7 +90,8 @@
     pub compacted_revision: u64,
     /// Revision of the last change.
     pub clock: u64,
-    /// Incremented by each restore.
+    /// Number that rises each time the store is restored from a backup, because revisions count
+    /// from that of the backup again.
     pub era: Era,
     pub switches: Switches,
     pub calls: Calls,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Restores a backup and increments the era.
+    /// Restores a backup and increments the era, by which clients notice the restore.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let Snapshot { objects, changes, compacted_revision, clock } = snapshot;
         (self.objects, self.changes) = (objects, changes);
@@ -194,7 +196,10 @@
     }
 }
 
-/// Returns the event of a new root: which versions each workspace may use, from the root's pieces.
+/// Returns the event of a new root: which versions each workspace may use.
+///
+/// The configuration is stored as pieces (parts of the declarations, named by their digest) and a
+/// root object that lists the digests; the versions are read from the pieces.
 pub fn confirmed(state: &State) -> Event {
     let value = |name: &str| {
         let object = state.get(ROOT.0, name);
--- a/src/unit/id.rs
+++ b/src/unit/id.rs
@@ -146,7 +146,8 @@
     Incarnation
 );
 
-/// Model and version, written as `MODEL@VERSION`.
+/// One version of a model, for which requests are meant; written as `MODEL@VERSION`. A target is
+/// not a backend server: several servers can serve one target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Target {
     /// Model.
--- a/src/vm/config_watch.rs
+++ b/src/vm/config_watch.rs
@@ -129,8 +129,8 @@
     Ok(())
 }
 
-/// Applies a root read from the store if its revision is newer, after fetching the pieces that this
-/// VM lacks.
+/// Adopts the configuration of a root read from the store if it is newer, after fetching the
+/// pieces that this VM lacks.
 async fn apply_root(control: &Control, body: &[u8]) -> Result<(), Error> {
     let root: Root =
         serde_json::from_slice(body).map_err(|error| Error::Store(error.to_string()))?;
--- a/src/vm/control.rs
+++ b/src/vm/control.rs
@@ -81,6 +81,10 @@
 
     /// Publishes the configuration of the gossip state, and the start lease (the time until which
     /// new work may start), to the threads that serve callers.
+    ///
+    /// A revision is *adopted* once this VM uses it for new work, *enforced* once all work that
+    /// this VM sends from then on follows it, and *accepted* once no VM can start work under an
+    /// older one any more.
     pub fn publish_snapshot(&self) {
         let now = self.vm.clock.now();
         let (snapshot, start_lease, accepted) =
@@ -106,7 +110,7 @@
         self.vm.set_start_lease_until(start_lease);
         self.vm.metrics.revision.set(revision.0 as i64);
         log::info!(
-            "{} {} applied configuration revision {revision}",
+            "{} {} adopted configuration revision {revision}",
             self.vm.settings.vm,
             self.vm.incarnation
         );
--- a/src/vm/state.rs
+++ b/src/vm/state.rs
@@ -115,19 +115,19 @@
         }
     }
 
-    /// Returns the configuration in force on this VM.
+    /// Returns the configuration that this VM has adopted.
     pub fn config(&self) -> Arc<Snapshot> {
         self.snapshot.read().expect("no panic while held").clone()
     }
 
-    /// Returns the configuration in force on this VM, and a guard for work that is decided with it.
+    /// Returns the configuration that this VM has adopted, and a guard for work decided with it.
     /// Until the guard is dropped, this VM does not report to other VMs that all its work follows a
     /// later revision.
     pub fn begin_dispatch(&self) -> (Arc<Snapshot>, DispatchGuard<'_>) {
         loop {
             let snapshot = self.config();
             let dispatch = DispatchGuard::new(self, snapshot.revision());
-            // A later revision that was applied before the guard existed may have been reported
+            // A later revision that was adopted before the guard existed may have been reported
             // already.
             if self.config().revision() == snapshot.revision() {
                 return (snapshot, dispatch);
@@ -136,7 +136,7 @@
     }
 
     /// Returns a revision such that all work which this VM sends from now on follows this or a
-    /// later one: the revision in force, or the oldest one of an open `DispatchGuard`.
+    /// later one: the adopted revision, or the oldest one of an open `DispatchGuard`.
     pub fn enforced_revision(&self) -> Revision {
         let present = self.config().revision();
         let dispatches = self.open_dispatches.lock().expect("no panic while held");
@@ -240,8 +240,8 @@
         self.retry_budget.lock().expect("no panic while held").try_spend()
     }
 
-    /// Returns the start, in microseconds, of the trial that a request of a model counts for: that
-    /// of the running rollout, or else of the current window.
+    /// Returns the start, in microseconds, of the trial (the period whose answers are counted
+    /// together) of a model: that of the running roll-out, or else of the current time window.
     pub fn trial_start(&self, model: &crate::unit::Model, date: Date) -> u64 {
         let snapshot = self.config();
         match snapshot.rollout(model) {
