--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -10,11 +10,12 @@
 use crate::error::Error;
 use crate::unit::{DataCentre, Date, Model, Revision, Target, TrafficShare, Version};
 
-/// One change of the root, complete enough that any VM can apply it.
+/// One change of the root (the configuration object that lists all parts), complete enough that
+/// any VM can apply it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Adds or replaces a piece of the declarations.
+    /// Adds or replaces a piece (a separately stored part) of the declarations.
     Put(Piece),
     /// Removes the piece with this name.
     Remove(String),
@@ -27,22 +28,24 @@
     },
     /// Withdraws a version and ends its roll-out.
     Withdraw {
-        /// Version to withdraw.
+        /// Version of a model to withdraw.
         target: Target,
-        /// Why.
+        /// Reason for the withdrawal, as a sentence.
         reason: String,
     },
-    /// Applies an event of the chart `rollout` to the roll-out of a model.
+    /// Applies an event of the state machine `rollout` (`charts/rollout.toml`) to the roll-out of a
+    /// model.
     Step {
         /// Model whose roll-out it is.
         model: Model,
-        /// Event of the chart.
+        /// Event of the state machine, such as `grow`.
         event: String,
         /// Share of new work after the event.
         share: TrafficShare,
         /// True if new sessions may start on the version after the event.
-        sessions: bool,
-        /// Why.
+        #[serde(rename = "sessions")]
+        accepts_new_sessions: bool,
+        /// Reason for the step, as a sentence.
         reason: String,
     },
     /// Drains a data centre: its servers get no new work.
@@ -235,7 +238,7 @@
                 model: rollout.to.model.clone(),
                 event: "stop".to_owned(),
                 share: TrafficShare(0),
-                sessions: false,
+                accepts_new_sessions: false,
                 reason: "an operator stopped it".to_owned(),
             });
         }
@@ -324,14 +327,14 @@
             from: from.clone(),
             state: chart::named("rollout").start.clone(),
             share: TrafficShare(0),
-            sessions: false,
+            accepts_new_sessions: false,
             begun: date,
             since: date,
             reason: "an operator began it".to_owned(),
         }),
         Change::Withdraw { target, .. } => withdraw(root, target),
-        Change::Step { model, event, share, sessions, reason } => {
-            let after = (*share, *sessions);
+        Change::Step { model, event, share, accepts_new_sessions, reason } => {
+            let after = (*share, *accepts_new_sessions);
             apply_rollout_event(root, model, event, after, reason, date)?;
         }
         Change::Drain(name) => {
@@ -367,12 +370,13 @@
     }
 }
 
-/// Applies an event of the chart `rollout` and ends the roll-out if it reached a final state.
+/// Applies an event of the state machine `rollout` (`charts/rollout.toml`) and ends the roll-out if
+/// it reached a final state.
 fn apply_rollout_event(
     root: &mut Root,
     model: &Model,
     event: &str,
-    (share, sessions): (TrafficShare, bool),
+    (share, accepts_new_sessions): (TrafficShare, bool),
     reason: &str,
     date: Date,
 ) -> Result<(), Error> {
@@ -382,7 +386,7 @@
     let next = chart.next(&rollout.state, event).map_err(|error| Error::Plan(error.to_string()))?;
     rollout.state = next.to_owned();
     rollout.share = share;
-    rollout.sessions = sessions;
+    rollout.accepts_new_sessions = accepts_new_sessions;
     rollout.since = date;
     rollout.reason = reason.to_owned();
     let done = rollout.clone();
--- a/src/entry/dispatch/attempts.rs
+++ b/src/entry/dispatch/attempts.rs
@@ -29,9 +29,9 @@
 }
 
 impl Dispatcher {
-    /// Generates an answer with one version and records the outcome for admission, roll-out
-    /// evidence, error budget and bill. Tokens are collected in `received` and, with `to_client`,
-    /// also sent.
+    /// Generates an answer with the version `target` of a model and records the outcome for
+    /// admission, roll-out evidence, error budget and bill. Tokens are collected in `received` and,
+    /// with `to_client`, also sent.
     pub(super) async fn generate(
         &mut self,
         target: &Target,
@@ -51,7 +51,7 @@
             slow: u64::from(late),
             ..Counts::default()
         };
-        self.vm.record_evidence(self.trial_key(target), counts);
+        self.vm.record_evidence(self.evidence_key(target), counts);
         self.record_burn(target, failed || late);
         if !received.is_empty() || outcome.is_ok() {
             self.add_bill_part(target, received.len() as u32, outcome.is_ok());
@@ -299,6 +299,8 @@
                     }
                 }
                 Chunk::End(end) => {
+                    // An empty answer has no first token. Its end is recorded as `first`, by which
+                    // the state machine `charts/request.toml` moves from `sent` to `running`.
                     self.record_event(if has_tokens { "last" } else { "first" });
                     return Ok(end);
                 }
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -6,9 +6,6 @@
 
 use futures_util::future::join;
 
-use crate::decide::reader::{self as decide, FAST_POLL_INTERVAL, FIRST_POLL_TIMEOUT, FollowerState, POLL_INTERVAL, Rank, STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, may_accept_update, poll_timeout};
-use crate::platform::object::Object;
-use crate::unit::{Moment, Span, Vm as Name};
 use super::apply::{self, Source};
 use super::feed::{Cursor, Origin, Reachability, Update};
 use super::kind::Kind;
@@ -19,6 +16,12 @@
 use super::rollout_trial::RolloutTrial;
 use super::vm::Vm;
 use super::{peer, poison};
+use crate::decide::reader::{
+    self as decide, FAST_POLL_INTERVAL, FIRST_POLL_TIMEOUT, FollowerState, POLL_INTERVAL, Rank,
+    STARTUP_WAIT, STORE_LOSS_CONFIRMED_AFTER, SourceHistory, may_accept_update, poll_timeout,
+};
+use crate::platform::object::Object;
+use crate::unit::{Moment, Span, Vm as Name};
 
 /// Polls for updates until the process ends. This VM follows another one whenever one serves
 /// updates, and otherwise reads the store itself.
--- a/src/forward/rate_limit.rs
+++ b/src/forward/rate_limit.rs
@@ -7,13 +7,13 @@
 use std::fmt;
 use std::rc::Rc;
 
-use crate::decide::cold_start;
-use crate::decide::server_limit::{self, RateLimit, Reservation, Share, Throttled};
-use crate::unit::{Moment, Service, Span, hash};
 use super::kind::Kind;
 use super::replica::Replica;
 use super::server::{Fleet, Server};
 use super::vm::Vm;
+use crate::decide::cold_start;
+use crate::decide::server_limit::{self, RateLimit, Reservation, Share, Throttled};
+use crate::unit::{Moment, Service, Span, hash};
 
 /// A VM that has just started does not know all others yet, and sends nothing to rate-limited
 /// servers for this long: each VM that counts itself among a server's senders by mistake adds its
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -23,7 +23,7 @@
 /// Kind of the objects that list the VMs.
 const VM_KIND: &str = "vms";
 
-/// Response header with the era of the store.
+/// Response header with the era of the store, a number that rises with each restore of a backup.
 const ERA_HEADER: &str = "Store-Era";
 
 /// Largest body of a write.
@@ -43,7 +43,8 @@
 #[serde(default)]
 pub struct Switches {
     /// Responds to every call with 503.
-    pub down: bool,
+    #[serde(rename = "down")]
+    pub is_down: bool,
     /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
     /// Number of next writes that take effect but whose connection is reset.
@@ -52,9 +53,11 @@
     /// condition still holds.
     pub late: u32,
     /// Responds to every call with 429.
-    pub busy: bool,
+    #[serde(rename = "busy")]
+    pub is_rate_limiting: bool,
     /// Watches report no changes.
-    pub quiet: bool,
+    #[serde(rename = "quiet")]
+    pub hides_changes: bool,
     /// Era that responses name instead of the true one; an empty one omits the header.
     pub era: Option<String>,
 }
@@ -66,9 +69,9 @@
     pub reads: u64,
     /// Reads and lists that allow data some seconds old; the platform charges a tenth for them.
     pub stale: u64,
-    /// Watches.
+    /// Watches opened.
     pub watches: u64,
-    /// Writes.
+    /// Writes: creations, replacements and deletions.
     pub writes: u64,
     /// Calls refused by the rate limits.
     pub refused: u64,
@@ -82,7 +85,8 @@
     /// Data centre of the VM.
     pub data_centre: DataCentre,
     /// True if the VM is shutting down.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub is_leaving: bool,
 }
 
 /// Rate limits, in calls per second.
@@ -256,17 +260,19 @@
         if switches.slow_ms > 0 {
             tokio::time::sleep(Duration::from_millis(switches.slow_ms)).await;
         }
-        if switches.down {
+        if switches.is_down {
             return Some(self.refuse(HttpResponse::ServiceUnavailable()));
         }
-        switches.busy.then(|| self.refuse(HttpResponse::TooManyRequests()))
+        switches.is_rate_limiting.then(|| self.refuse(HttpResponse::TooManyRequests()))
     }
 
     fn refuse(&self, answer: HttpResponseBuilder) -> HttpResponse {
         with_era(&self.lock(), answer).finish()
     }
 
-    /// Executes a write and responds to it. Injected faults delay the write or lose its response.
+    /// Executes a write and responds to it. An injected fault can break the connection instead of
+    /// responding, after the write took effect; a late write also takes effect only after
+    /// `LATE_WRITE_DELAY`.
     async fn respond_to_write(
         &self,
         write: impl Fn(&mut State) -> Result<Value, WriteError>,
@@ -303,7 +309,7 @@
     Missing,
 }
 
-/// Adds the era header of the state that the response is made from.
+/// Adds the header with the era (number of restores) of the state that the response is made from.
 fn with_era(state: &State, mut answer: HttpResponseBuilder) -> HttpResponseBuilder {
     let era = state.switches.era.clone().unwrap_or_else(|| state.era.to_string());
     if !era.is_empty() {
@@ -379,18 +385,18 @@
         let changed = platform.changed.notified();
         {
             let state = platform.lock();
-            if state.switches.down {
+            if state.switches.is_down {
                 return with_era(&state, HttpResponse::ServiceUnavailable()).finish();
             }
-            let is_ahead = after > state.clock && !state.switches.quiet;
+            let is_ahead = after > state.clock && !state.switches.hides_changes;
             if after < state.compacted_revision || is_ahead {
                 return with_era(&state, HttpResponse::Gone()).finish();
             }
             let events = state.events(kind, after);
             let waited = tokio::time::Instant::now() >= until;
-            if waited || (!events.is_empty() && !state.switches.quiet) {
-                let events = if state.switches.quiet { Vec::new() } else { events };
-                let revision = if state.switches.quiet { after } else { state.clock };
+            if waited || (!events.is_empty() && !state.switches.hides_changes) {
+                let events = if state.switches.hides_changes { Vec::new() } else { events };
+                let revision = if state.switches.hides_changes { after } else { state.clock };
                 return with_era(&state, HttpResponse::Ok())
                     .json(json!({"events": events, "store_revision": revision}));
             }
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -9,10 +9,11 @@
 use crate::history::Event;
 use crate::unit::{Era, Revision, Target, Workspace};
 
-/// Kind and name of the object whose changes are recorded in the history.
+/// Kind and name of the root object of the configuration, whose changes are recorded in the
+/// history.
 pub const ROOT: (&str, &str) = ("config", "root");
 
-/// Prefix of the names of configuration pieces.
+/// Prefix of the names of configuration pieces, the objects that hold a part of the declarations.
 const PIECE_PREFIX: &str = "piece~";
 
 /// Length of the change log; watches from before it are answered 410.
@@ -48,7 +49,7 @@
     pub revision: u64,
     pub kind: String,
     pub object: Value,
-    pub deleted: bool,
+    pub is_deletion: bool,
 }
 
 /// Token bucket that limits calls per second; its burst is one second of calls.
@@ -89,7 +90,8 @@
     pub compacted_revision: u64,
     /// Revision of the last change.
     pub clock: u64,
-    /// Incremented by each restore.
+    /// Number that rises each time the store is restored from a backup, because revisions count
+    /// from that of the backup again.
     pub era: Era,
     pub switches: Switches,
     pub calls: Calls,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Restores a backup and increments the era.
+    /// Restores a backup and increments the era, by which clients notice the restore.
     pub fn restore(&mut self, snapshot: Snapshot) {
         let Snapshot { objects, changes, compacted_revision, clock } = snapshot;
         (self.objects, self.changes) = (objects, changes);
@@ -175,7 +177,12 @@
     /// Appends to the change log and drops its oldest entry if it is full.
     pub fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
         let revision = self.clock;
-        self.changes.push_back(Change { revision, kind: kind.to_owned(), object, deleted });
+        self.changes.push_back(Change {
+            revision,
+            kind: kind.to_owned(),
+            object,
+            is_deletion: deleted,
+        });
         if self.changes.len() > MAX_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
@@ -185,11 +192,14 @@
 
     pub fn events(&self, kind: &str, after: u64) -> Vec<Value> {
         let later = self.changes.iter().filter(|one| one.revision > after && one.kind == kind);
-        later.map(|one| json!({"object": one.object, "deleted": one.deleted})).collect()
+        later.map(|one| json!({"object": one.object, "deleted": one.is_deletion})).collect()
     }
 }
 
-/// Returns the event of a new root: which versions each workspace may use, from the root's pieces.
+/// Returns the event of a new root: which versions each workspace may use.
+///
+/// The configuration is stored as pieces (parts of the declarations, named by their digest) and a
+/// root object that lists the digests; the versions are read from the pieces.
 pub fn confirmed(state: &State) -> Event {
     let value = |name: &str| {
         let object = state.get(ROOT.0, name);
