--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -214,7 +214,7 @@
         known
     };
     if !known {
-        vm.log("peer heard", &[("peer", from.as_str().into())]);
+        vm.log("peer became live", &[("peer", from.as_str().into())]);
         send(vm, info.address, Message::Hello);
         poison::send_quarantined(vm, info.address);
     }
@@ -250,7 +250,7 @@
     let mut peers = vm.peers.borrow_mut();
     let Some(peer) = peers.known.get_mut(name) else { return };
     if !peer.is_live(now) {
-        vm.log("peer heard", &[("peer", name.as_str().into())]);
+        vm.log("peer became live", &[("peer", name.as_str().into())]);
     }
     peer.last_received = Some(now);
 }
--- a/tests/forward.rs
+++ b/tests/forward.rs
@@ -632,7 +632,7 @@
     let mut two = site.start_ready();
     let heard = |vm: &site::Vm, event: &str| vm.lines().iter().any(|line| line["event"] == event);
     eventually("each has received a message of the other", || {
-        heard(&one, "peer heard") && heard(&two, "peer heard")
+        heard(&one, "peer became live") && heard(&two, "peer became live")
     });
     two.signal(libc::SIGTERM);
     eventually("the other VM knows of the stop", || heard(&one, "peer left"));
@@ -917,7 +917,7 @@
     site.replica("r1", "v1");
     let mut vms = [site.start_ready(), site.start(), site.start()];
     let heard =
-        |vm: &site::Vm| vm.lines().iter().filter(|one| one["event"] == "peer heard").count();
+        |vm: &site::Vm| vm.lines().iter().filter(|one| one["event"] == "peer became live").count();
     eventually("all VMs receive messages of each other", || vms.iter().all(|vm| heard(vm) == 2));
     vms[0].kill();
     vms[0].start_again();
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -266,7 +266,8 @@
         let more = format!("Session: s{session}\r\n");
         ask(vm.callers, &head("GET /safe/x", &format!("s{session}"), &more), b"").status
     };
-    let has_logged = |vm: &site::Vm| vm.lines().iter().any(|line| line["event"] == "peer heard");
+    let has_logged =
+        |vm: &site::Vm| vm.lines().iter().any(|line| line["event"] == "peer became live");
     eventually("both VMs know the other", || has_logged(&one) && has_logged(&two));
     for session in 0..300 {
         assert_eq!(send(&one, session), 200);
