--- a/src/config/route.rs
+++ b/src/config/route.rs
@@ -54,7 +54,7 @@
     /// Rule for retries.
     pub retry: RetryPolicy,
     /// True if responses are streams of events.
-    pub streaming: bool,
+    pub is_streaming: bool,
     /// Longest time that a request may take.
     pub timeout: Span,
     /// Latency goal for the response or, for a stream, its first event.
@@ -64,7 +64,7 @@
     /// Priority; 0 is the highest.
     pub priority: u32,
     /// True if requests need no API key.
-    pub public: bool,
+    pub is_public: bool,
     /// Regions in which its requests may be processed.
     pub regions: Regions,
     /// Models of a cascade, smallest first; empty if the caller names a model.
--- a/src/config/snapshot.rs
+++ b/src/config/snapshot.rs
@@ -25,7 +25,7 @@
 /// A revision of the configuration with all of its declarations.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// Root of the revision.
+    /// Root object of the revision, which lists its pieces by digest.
     pub root: Root,
     /// Pieces by digest, to send them to other VMs.
     pub pieces: BTreeMap<String, Arc<Piece>>,
@@ -96,7 +96,7 @@
         self.declared.models.iter().find(|entry| entry.name == *name)
     }
 
-    /// Returns the declaration of a version.
+    /// Returns the declaration of a version of a model.
     pub fn version(&self, target: &Target) -> Option<&VersionEntry> {
         let model = self.model(&target.model)?;
         model.versions.iter().find(|version| version.name == target.version)
@@ -107,7 +107,8 @@
         self.declared.services.iter().find(|entry| entry.name.as_str() == name)
     }
 
-    /// Returns the servers that run a version, in data centres that are not drained.
+    /// Returns the backend servers that run a version of a model, in data centres that are not
+    /// drained.
     pub fn servers_of(&self, target: &Target) -> impl Iterator<Item = &ServerEntry> {
         let indices = self.servers.get(target).map(Vec::as_slice).unwrap_or_default();
         let servers = indices.iter().map(|i| &self.declared.servers[*i]);
--- a/src/demo/cluster.rs
+++ b/src/demo/cluster.rs
@@ -98,10 +98,10 @@
 ///
 /// # Errors
 /// If the plan cannot be made or confirmed, or the platform does not respond.
-pub fn apply(platform: SocketAddr, wish: &PlanSource, who: &str) -> Result<Revision, Error> {
+pub fn apply(platform: SocketAddr, source: &PlanSource, who: &str) -> Result<Revision, Error> {
     crate::command::block_on(async move {
         let store = Store::new(platform);
-        let plan = config::make_plan(&read_snapshot(&store).await?, wish)?;
+        let plan = config::make_plan(&read_snapshot(&store).await?, source)?;
         let date = Clock::default().date();
         let (Confirmation::Applied(revision) | Confirmation::AlreadyApplied(revision)) =
             confirm(&store, &plan, who, date).await?;
@@ -259,7 +259,8 @@
         Err(Error::Unreachable("The VMs did not become ready within 10 s.".to_owned()))
     }
 
-    /// Waits until a VM knows that a revision is in force everywhere; returns false on timeout.
+    /// Waits until a VM knows that a revision is accepted (no VM starts work under an older one);
+    /// returns false on timeout.
     pub fn wait_accepted(&self, revision: Revision, within: Span) -> bool {
         let started = std::time::Instant::now();
         while started.elapsed() < within.duration() {
--- a/src/demo/fault.rs
+++ b/src/demo/fault.rs
@@ -18,7 +18,8 @@
     Stop,
     /// A VM is killed and replaced.
     Kill,
-    /// The control thread of a VM is paused for longer than its permit is valid.
+    /// The control thread of a VM is paused for longer than its start lease, so that it may start no
+    /// work until it has contact again.
     Pause,
     /// One VM cannot send to any other; the others can send to it.
     LinkCut,
--- a/src/demo/scenario.rs
+++ b/src/demo/scenario.rs
@@ -26,7 +26,7 @@
 /// Duration of a fault that is cleared.
 const FAULT_DURATION: Duration = Duration::from_millis(1500);
 
-/// Duration of `Fault::Pause`, longer than a VM's permit is valid.
+/// Duration of `Fault::Pause`, longer than a VM's start lease.
 const PAUSE_DURATION: Duration = Duration::from_secs(10);
 
 /// Delay after which the platform's list shows that a VM is gone.
@@ -344,8 +344,8 @@
         }
     }
 
-    /// Collects the burn counts (answers within and beyond the objectives) of the VMs, shuts them
-    /// down gracefully, records the bills found in the store in the history, and stops the
+    /// Collects the burn counts (requests, and those that missed an objective) of the VMs, shuts
+    /// them down gracefully, records the bills found in the store in the history, and stops the
     /// stand-ins.
     fn finish(&mut self) {
         let date = crate::vm::Clock::default().date();
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -198,7 +198,7 @@
         remaining: job.left(vm.now()),
         workspace: job.holder.as_ref().map(|holder| &holder.workspace),
         model,
-        priority: job.route.streaming.then(|| job.priority(pending.prefill_time, vm.now())),
+        priority: job.route.is_streaming.then(|| job.priority(pending.prefill_time, vm.now())),
         after_event: last_event_id,
     };
     let head = header::server_request(&job.head, &extra);
@@ -214,7 +214,7 @@
             "the success response is unsigned or encoded",
         );
     }
-    if head.status.is_success() && job.route.streaming {
+    if head.status.is_success() && job.route.is_streaming {
         return read_first_event(vm, connection, open, head, response).await;
     }
     let body = match connection.read_body(MAX_BODY_SIZE).await {
--- a/src/forward/listener.rs
+++ b/src/forward/listener.rs
@@ -252,10 +252,10 @@
     };
     let route = found?.0;
     record.set_route(&route.name);
-    if vm.would_outlast(route.streaming, vm.now()) {
+    if vm.would_outlast(route.is_streaming, vm.now()) {
         return Err(Refusal::with_retry_after(Kind::Stopping, Span(0)));
     }
-    if table.requires_key && !route.public && !await_key_proof(vm).await {
+    if table.requires_key && !route.is_public && !await_key_proof(vm).await {
         return Err(Refusal::new(Kind::CutOff));
     }
     if !vm.has_required_state() {
@@ -287,7 +287,7 @@
 fn authorize(table: &Table, call: &Call) -> Result<(Rc<Route>, Option<Rc<KeyHolder>>), Refusal> {
     let route = table.route(&call.host, &call.path);
     let route = route.ok_or_else(|| Refusal::new(Kind::NotFound))?.clone();
-    if !table.requires_key || route.public {
+    if !table.requires_key || route.is_public {
         return Ok((route, None));
     }
     let holder = call.api_key.as_deref().and_then(|key| table.key_holder(key));
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -225,7 +225,7 @@
     let lapsed = vm.was_store_lost_recently(vm.now());
     let source = Source { reader: None, as_of: events.position() };
     for event in &events.events {
-        if event.deleted {
+        if event.is_deleted {
             let name = event.object.metadata.name.as_str();
             apply::remove_object(vm, kind, name, lapsed, &source);
         } else {
--- a/src/history/check.rs
+++ b/src/history/check.rs
@@ -113,6 +113,7 @@
     withdrawn: BTreeSet<Target>,
 }
 
+/// A run of a request at a backend server, as the server recorded it.
 struct Work<'a> {
     at: Date,
     server: &'a Server,
@@ -131,6 +132,7 @@
     stopping: HashMap<&'a Vm, Date>,
     killed: HashSet<&'a Vm>,
     asks: HashMap<u64, (&'a Workspace, Option<u64>)>,
+    /// Starts (true) and ends (false) of injected faults.
     faults: Vec<(Date, bool)>,
 }
 
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -114,8 +114,8 @@
     #[serde(deserialize_with = "one_object")]
     pub object: Object,
     /// Set if the object was deleted.
-    #[serde(default)]
-    pub deleted: bool,
+    #[serde(default, rename = "deleted")]
+    pub is_deleted: bool,
 }
 
 /// Result of a watch.
--- a/src/platform/object.rs
+++ b/src/platform/object.rs
@@ -65,8 +65,8 @@
     pub position: Position,
 }
 
-/// Encoding of [`Metadata`]. The store leaves out the era; VMs include it in what they forward to
-/// each other, unless it is the first.
+/// Encoding of [`Metadata`]. The store leaves out the era (number of restores of the store); VMs
+/// include it in what they forward to each other, unless it is the first.
 #[derive(Deserialize, Serialize)]
 struct Encoded {
     name: String,
@@ -218,13 +218,13 @@
 }
 
 fn decode_route(entry: RouteEntry) -> Result<Route, String> {
-    let streaming = entry.r#type == "streaming";
+    let is_streaming = entry.r#type == "streaming";
     let retry = match entry.r#type.as_str() {
         "idempotent" => RetryPolicy::Safe,
         "streaming" if entry.stream_resume => RetryPolicy::Resume,
         _ => RetryPolicy::Never,
     };
-    let whole =
+    let single =
         entry.service.map(|service| vec![WeightedService { service, weight: DEFAULT_WEIGHT }]);
     let split = entry.backends.map(|parts| {
         let part = |b: Backend| WeightedService {
@@ -234,18 +234,18 @@
         parts.into_iter().map(part).collect()
     });
     let services =
-        split.or(whole).ok_or_else(|| format!("route `{}` has no service", entry.name))?;
+        split.or(single).ok_or_else(|| format!("route `{}` has no service", entry.name))?;
     Ok(Route {
         name: entry.name,
         prefix: entry.path_prefix,
         services,
         retry,
-        streaming,
+        is_streaming,
         timeout: millis(entry.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS)),
         latency_goal: millis(entry.latency_goal_ms.unwrap_or(DEFAULT_LATENCY_GOAL_MS)),
         max_attempts: entry.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS).max(1),
         priority: entry.priority.unwrap_or(DEFAULT_PRIORITY),
-        public: entry.public,
+        is_public: entry.public,
         regions: Regions::new(entry.allowed_regions.unwrap_or_default()),
         cascade: entry.sizes.unwrap_or_default(),
     })
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -186,7 +186,7 @@
         let is_watched =
             |object: &Raw| object.metadata.name == name && object.metadata.position > after;
         from = from.max(events.position());
-        let changes = events.events.into_iter().filter(|event| !event.deleted);
+        let changes = events.events.into_iter().filter(|event| !event.is_deleted);
         let newest = changes.map(|event| event.object).rfind(is_watched);
         if newest.is_some() || started.elapsed() >= wait.duration() {
             return Ok(newest);
--- a/src/standin/platform/mod.rs
+++ b/src/standin/platform/mod.rs
@@ -92,7 +92,7 @@
 /// Rate limits, in calls per second.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Writes.
+    /// Creations, replacements and deletions.
     pub writes: f64,
     /// Reads, watches and lists.
     pub reads: f64,
@@ -242,7 +242,8 @@
         stopped.or_else(|| (!within).then(|| self.refuse(HttpResponse::TooManyRequests())))
     }
 
-    /// Does the same for a read; reads that allow stale data are not rate-limited.
+    /// Counts a read; returns the response that refuses it, if a fault or a rate limit does. Reads
+    /// that allow stale data are not rate-limited.
     async fn admit_read(&self, allows_stale: bool) -> Option<HttpResponse> {
         if !allows_stale {
             return self.admit_call(false).await;
--- a/src/standin/platform/state.rs
+++ b/src/standin/platform/state.rs
@@ -175,14 +175,9 @@
     }
 
     /// Appends to the change log and drops its oldest entry if it is full.
-    pub fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
+    pub fn record_change(&mut self, kind: &str, object: Value, is_deletion: bool) {
         let revision = self.clock;
-        self.changes.push_back(Change {
-            revision,
-            kind: kind.to_owned(),
-            object,
-            is_deletion: deleted,
-        });
+        self.changes.push_back(Change { revision, kind: kind.to_owned(), object, is_deletion });
         if self.changes.len() > MAX_CHANGES
             && let Some(oldest) = self.changes.pop_front()
         {
--- a/src/standin/text.rs
+++ b/src/standin/text.rs
@@ -42,16 +42,16 @@
     prompt.hash(&mut hasher);
     target.hash(&mut hasher);
     let seed = hasher.finish();
-    let poor = unit_hash(seed, 1) >= quality;
+    let is_poor = unit_hash(seed, 1) >= quality;
     let length = MIN_TOKENS.max((f64::from(longest) * (0.5 + 0.5 * unit_hash(seed, 2))) as u32);
     let word = |i: u32| WORDS[(unit_hash(seed, 3 + u64::from(i)) * WORDS.len() as f64) as usize];
     let mut tokens: Vec<&'static str> = (0..length).map(word).collect();
-    if poor {
+    if is_poor {
         tokens[(length / 2) as usize] = POOR;
     }
     let spread = unit_hash(seed, 0);
-    let confidence = if poor { spread * spread * 0.9 } else { 1.0 - spread * spread * 0.6 };
-    Completion { tokens, is_poor: poor, confidence }
+    let confidence = if is_poor { spread * spread * 0.9 } else { 1.0 - spread * spread * 0.6 };
+    Completion { tokens, is_poor, confidence }
 }
 
 /// Returns the digest of a text that is recorded in histories, 16 hex digits.
--- a/src/vm/fleet.rs
+++ b/src/vm/fleet.rs
@@ -183,7 +183,7 @@
         self.servers.get(server).map(|state| state.address)
     }
 
-    /// Returns true if a server reported a version as loaded.
+    /// Returns true if a server reported a version of a model as loaded.
     pub fn has_loaded(&self, server: &Server, target: &Target) -> bool {
         self.servers.get(server).is_some_and(|state| state.load.loaded.contains(target))
     }
