--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -49,7 +49,7 @@
         request_rate: 50.0,
         rating_lag: Span::secs(60),
         time_since_rating: Span::secs(1),
-        declared_bad_share: 0.08,
+        declared_poor_share: 0.08,
     };
     let policy = Policy::default();
     bench.bench_function("rollout", |b| b.iter(|| black_box(next_step(&policy, &view))));
--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -87,20 +87,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DriftDetector {
     observed: Count,
-    /// Sum of the expected shares of bad ratings, over the same ratings as `observed`.
-    expected: f64,
+    /// Expected number of bad ratings, over the same ratings as `observed`.
+    expected_bad: f64,
 }
 
 impl DriftDetector {
-    /// Records a rating of an answer that was expected to pass with probability `expected`. Returns
-    /// true and resets the detector if the ratings prove, up to `ALARM_CHANCE`, that answers have
-    /// become worse.
-    pub fn record(&mut self, expected: f64, pass: bool) -> bool {
+    /// Records a rating of an answer that was expected to pass with probability `pass_probability`.
+    /// Returns true and resets the detector if the ratings show that answers have become worse,
+    /// with a false-alarm probability of at most [`ALARM_CHANCE`].
+    pub fn record(&mut self, pass_probability: f64, pass: bool) -> bool {
         let kept = 1.0 - 1.0 / WINDOW_RATINGS;
         self.observed.all = self.observed.all * kept + 1.0;
         self.observed.bad = self.observed.bad * kept + f64::from(u8::from(!pass));
-        self.expected = self.expected * kept + (1.0 - expected);
-        let usual = (self.expected / self.observed.all).clamp(0.01, 0.99);
+        self.expected_bad = self.expected_bad * kept + (1.0 - pass_probability);
+        let usual = (self.expected_bad / self.observed.all).clamp(0.01, 0.99);
+        // The share of bad ratings must exceed the expected one by more than 0.01, which tolerates
+        // that much error in the estimates.
         let alarm = evidence(self.observed, usual + 0.01) >= (1.0 / ALARM_CHANCE).ln();
         if alarm {
             *self = DriftDetector::default();
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -60,7 +60,7 @@
 
 /// Backoff after a source did not answer a VM that has just started; the source may have just
 /// started too.
-const STARTUP_SILENT_BACKOFF: Span = Span::millis(300);
+const STARTUP_NO_RESPONSE_BACKOFF: Span = Span::millis(300);
 
 /// Maximum time that a follower waits for the answer to a poll.
 pub const POLL_TIMEOUT: Span = Span::millis(450);
@@ -172,7 +172,7 @@
     /// Returns true if the last answer of any source of the VM `own` was that the store is lost. A
     /// source that only has no update is no sign of a lost store: during an outage the first VM of
     /// a group may stop or stall, and the VMs of lower rank must keep waiting.
-    pub fn is_store_reported_lost<'a>(
+    pub fn is_store_reported_unavailable<'a>(
         &'a self,
         own: &'a Rank,
         group: impl Iterator<Item = &'a Rank>,
@@ -205,7 +205,7 @@
 
     /// Backs off briefly from a source that did not answer a VM which has just started.
     pub fn on_startup_timeout(&mut self, vm: &Vm, now: Moment) {
-        self.set_backoff(vm, BackoffReason::Silent(0), now + STARTUP_SILENT_BACKOFF);
+        self.set_backoff(vm, BackoffReason::Silent(0), now + STARTUP_NO_RESPONSE_BACKOFF);
     }
 
     fn set_backoff(&mut self, vm: &Vm, reason: BackoffReason, until: Moment) {
@@ -306,7 +306,7 @@
     /// True if there is a source to poll next.
     pub has_source: bool,
     /// True if a source reported the store as lost and none has an update.
-    pub is_store_lost: bool,
+    pub is_store_unavailable: bool,
     /// True if the VM has received a snapshot before.
     pub has_snapshot: bool,
     /// True while the VM started so recently that it may wait for its first update.
@@ -317,7 +317,7 @@
 
 /// Returns true if a VM that got no update from its sources reads the store itself.
 pub fn should_read_store(state: &FollowerState) -> bool {
-    if state.is_store_lost {
+    if state.is_store_unavailable {
         return should_try_lost_store(state);
     }
     if state.is_overdue {
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -68,9 +68,9 @@
 pub struct Inputs {
     /// Counts of the new version.
     pub new: Arm,
-    /// Counts of the version in service, since the roll-out began.
+    /// Counts of the old version, the one in service, since the roll-out began.
     pub old: Arm,
-    /// Ratings of the version in service before the roll-out began.
+    /// Ratings of the old version before the roll-out began.
     pub earlier_ratings: Count,
     /// Share of the traffic that the new version gets now.
     pub share: TrafficShare,
@@ -84,8 +84,8 @@
     pub rating_lag: Span,
     /// Time since the latest rating of either version.
     pub time_since_rating: Span,
-    /// Share of poor answers of the version in service, as operators declared it.
-    pub declared_bad_share: f64,
+    /// Fraction of the old version's ratings that do not pass, as operators declared it.
+    pub declared_poor_share: f64,
 }
 
 /// Next step of a roll-out, with the new share if it changes, and the reason for operators.
@@ -123,18 +123,18 @@
 /// Factor on the new version's share when harm is likely.
 const SHRINK_FACTOR: f64 = 0.25;
 
-/// Maximum weight in the baseline, in ratings, of the version in service before the roll-out began.
+/// Maximum weight in the baseline, in ratings, of the old version's ratings before the roll-out.
 const MAX_EARLIER_RATINGS: f64 = 800.0;
 
-/// Maximum difference, in standard errors, between the ratings of the version in service before and
-/// during the roll-out. If they differ more, only those during the roll-out count.
+/// Maximum difference, in standard errors, between the old version's ratings before and during the
+/// roll-out. If they differ more, only those during the roll-out count.
 const MAX_DRIFT_ERRORS: f64 = 3.0;
 
-/// Returns the ratings with which the new version is compared: those of the version in service
+/// Returns the ratings with which the new version is compared: those of the old version
 /// since the roll-out began, plus earlier ones if they agree.
 fn baseline_ratings(inputs: &Inputs) -> Count {
     let (now, before) = (inputs.old.poor, inputs.earlier_ratings.capped(MAX_EARLIER_RATINGS));
-    let difference = Difference::between(now, before, inputs.declared_bad_share);
+    let difference = Difference::between(now, before, inputs.declared_poor_share);
     if difference.mean.abs() > MAX_DRIFT_ERRORS * difference.error {
         return now;
     }
@@ -152,7 +152,7 @@
     [
         (
             "ratings",
-            evidence(inputs.new.poor, limit(baseline_ratings(inputs), inputs.declared_bad_share)),
+            evidence(inputs.new.poor, limit(baseline_ratings(inputs), inputs.declared_poor_share)),
         ),
         ("errors", evidence(inputs.new.errors, limit(inputs.old.errors, 0.01))),
         ("late first tokens", evidence(inputs.new.slow, limit(inputs.old.slow, 0.05))),
@@ -161,7 +161,7 @@
 
 /// Estimates how much larger the new version's share of poor ratings is than the baseline's.
 pub fn rating_difference(inputs: &Inputs) -> Difference {
-    Difference::between(inputs.new.poor, baseline_ratings(inputs), inputs.declared_bad_share)
+    Difference::between(inputs.new.poor, baseline_ratings(inputs), inputs.declared_poor_share)
 }
 
 /// Returns true if sessions may begin on the new version. A session stays on its version, so this
@@ -300,7 +300,7 @@
             request_rate: 50.0,
             rating_lag: Span::secs(60),
             time_since_rating: Span::secs(1),
-            declared_bad_share: 0.1,
+            declared_poor_share: 0.1,
         }
     }
 
--- a/src/experiment/bound/simulation.rs
+++ b/src/experiment/bound/simulation.rs
@@ -275,14 +275,17 @@
         }
     }
 
-    /// Returns the share that the first VM for a server, which alone counts its send slots, grants
-    /// to another VM, or none if that VM cannot reach it.
+    /// Returns the share with which a VM reserves send slots at a server's coordinator, or none if
+    /// the VM cannot reach it. The coordinator is the VM of the highest weight for the server; all
+    /// VMs reserve from its one schedule, so the share is the server's whole rate.
     fn leased_share(&self, vm: usize, server: usize) -> Option<Share> {
         let server_hash = self.servers[server].hash;
         let weight = |at: &usize| hash::mix(server_hash, self.names[*at]);
-        let first = (0..self.names.len()).max_by_key(weight)?;
-        let is_reachable = vm == first || !(self.partitioned[vm] || self.partitioned[first]);
-        let rate = self.views[first][server].limit.rate(self.now);
+        let coordinator = (0..self.names.len()).max_by_key(weight)?;
+        let is_reachable =
+            vm == coordinator || !(self.partitioned[vm] || self.partitioned[coordinator]);
+        // A coordinator that has not learned the rate yet uses the one that the VM knows.
+        let rate = self.views[coordinator][server].limit.rate(self.now);
         let rate = rate.or(self.views[vm][server].limit.rate(self.now));
         is_reachable
             .then(|| rate.map_or(UNLIMITED, |rate| Share::new(&RateLimit::advertised(rate), 1)))
--- a/src/experiment/cascade.rs
+++ b/src/experiment/cascade.rs
@@ -55,8 +55,9 @@
     strong_passes: bool,
     cheap_ms: f64,
     strong_ms: f64,
-    /// Random numbers for the decisions of the policy: exploration, choice at the edges of the
-    /// rule, and whether an answer and an escalated answer are rated.
+    /// Random numbers for the decisions of the policy: exploration, the choices that the cascade's
+    /// rule makes with a probability (to begin with the strong model, to keep a cheap answer), and
+    /// whether an answer and an escalated answer are rated.
     explore_random: f64,
     rule_random: f64,
     rating_random: f64,
--- a/src/experiment/poison/fleet.rs
+++ b/src/experiment/poison/fleet.rs
@@ -1,4 +1,5 @@
-//! The VMs of a fleet: how they handle crashing contents, and which VMs exchange messages.
+//! The VMs of a fleet: how they handle request contents that crash servers, and which VMs
+//! exchange messages.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,7 +15,7 @@
 /// VMs that collect the reports of a content.
 const AGGREGATORS: usize = 3;
 
-/// How VMs handle crashing contents.
+/// How VMs handle request contents that crash the servers that run them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
     /// They do not quarantine them.
--- a/src/experiment/poison/simulation.rs
+++ b/src/experiment/poison/simulation.rs
@@ -38,7 +38,7 @@
 /// Time within which VMs that are not partitioned know what the others know.
 const PROPAGATION_LIMIT: Span = Span::secs(3);
 
-/// Servers per VM, as on the users' large site, and the smallest number of servers.
+/// Servers per VM, the ratio of the users' largest deployment, and the smallest number of servers.
 const SERVERS_PER_VM: f64 = 0.56;
 const MIN_SERVERS: usize = 12;
 
--- a/src/experiment/reading/simulation.rs
+++ b/src/experiment/reading/simulation.rs
@@ -116,7 +116,7 @@
         self.queue.push(Reverse((at, event)));
     }
 
-    fn is_store_lost(&self) -> bool {
+    fn is_store_unavailable(&self) -> bool {
         (Moment(0) + STORE_LOST_AT..Moment(0) + STORE_RECOVERED_AT).contains(&self.now)
     }
 
@@ -183,7 +183,7 @@
         if self.nodes[at].role != Role::Reader {
             return;
         }
-        let store_lost = self.is_store_lost();
+        let store_lost = self.is_store_unavailable();
         let price = match (store_lost, self.strategy) {
             (false, _) => 1.0,
             (true, Strategy::Relayed) => RETRY_PRICE,
@@ -335,7 +335,7 @@
             group_position: self.place(at),
             has_other_groups: self.strategy == Strategy::Relayed,
             has_source: self.next_source(at).is_some(),
-            is_store_lost: node.sources.is_store_reported_lost(
+            is_store_unavailable: node.sources.is_store_reported_unavailable(
                 &node.rank,
                 self.group(at),
                 self.now,
@@ -349,7 +349,7 @@
             Strategy::Direct => !state.has_source,
         };
         if reads_store {
-            self.become_reader(at, state.is_store_lost);
+            self.become_reader(at, state.is_store_unavailable);
             return true;
         }
         let since = self.nodes[at].store_lost_since;
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -289,7 +289,8 @@
 }
 
 /// Returns the times to the first token in milliseconds, the hit rate of shared prefixes, and the
-/// number of rejections per request.
+/// number of rejections per request. `lag` is the interval and the delay of load reports, in
+/// microseconds.
 fn run_policy(
     requests: &[Request],
     policy: Policy,
@@ -299,28 +300,30 @@
 ) -> (Vec<f64>, f64, f64) {
     let mut run = Run::new(policy, vms, replicas, lag);
     let mut ends = BinaryHeap::new();
-    let mut firsts = Vec::new();
+    let mut first_token_ms = Vec::new();
     let (mut hits, mut shared) = (0.0, 0.0);
-    let warm = (requests.len() as f64 * WARM_UP_SHARE) as usize;
+    let warm_up_requests = (requests.len() as f64 * WARM_UP_SHARE) as usize;
     for (i, request) in requests.iter().enumerate() {
-        let now = micros(request.at) + 1_000_000;
-        run.expire(&mut ends, now);
-        run.report(now);
-        let (server, now) = run.dispatch(request, now);
+        // The run starts one second before the first request, so that the first load reports, of
+        // idle replicas, can be delivered before.
+        let arrived_at = micros(request.at) + 1_000_000;
+        run.expire(&mut ends, arrived_at);
+        run.report(arrived_at);
+        let (server, accepted_at) = run.dispatch(request, arrived_at);
         let (first, end, hit) =
-            run.servers[server].accept(now, request.prefix, request.response_seconds);
+            run.servers[server].accept(accepted_at, request.prefix, request.response_seconds);
         run.views[request.vm][server].own_open += 1.0;
-        run.sent[request.vm].push_back((now, server));
+        run.sent[request.vm].push_back((accepted_at, server));
         ends.push(Reverse((end, request.vm, server)));
-        if i >= warm {
-            firsts.push((first - micros(request.at) - 1_000_000) as f64 / 1e3);
+        if i >= warm_up_requests {
+            first_token_ms.push((first - micros(request.at) - 1_000_000) as f64 / 1e3);
             if request.prefix.is_some() {
                 shared += 1.0;
                 hits += f64::from(u8::from(hit));
             }
         }
     }
-    (firsts, hits / shared, run.rejected as f64 / requests.len() as f64)
+    (first_token_ms, hits / shared, run.rejected as f64 / requests.len() as f64)
 }
 
 /// Runs all policies on the same requests, for each number of VMs.
@@ -335,15 +338,15 @@
         let mut p99_bound = 0.0;
         let mut rows = Vec::new();
         for (policy, name) in POLICIES.into_iter().rev() {
-            let (mut firsts, hits, rejected) =
+            let (mut first_token_ms, hits, rejected) =
                 run_policy(&requests, policy, vms, replicas, options.report_lag.0);
-            let p99 = quantile(&mut firsts, 0.99);
+            let p99 = quantile(&mut first_token_ms, 0.99);
             if policy == Policy::Oracle {
                 p99_bound = p99;
             }
             let row = Row::named("policy", name)
                 .with("vms", vms)
-                .number("first_token_p50_ms", quantile(&mut firsts, 0.5), 1)
+                .number("first_token_p50_ms", quantile(&mut first_token_ms, 0.5), 1)
                 .number("first_token_p99_ms", p99, 1)
                 .number("p99_ratio", p99 / p99_bound, 3)
                 .number("prefix_hit", hits, 4)
--- a/src/experiment/rollout.rs
+++ b/src/experiment/rollout.rs
@@ -207,7 +207,7 @@
             request_rate: REQUESTS_PER_SECOND,
             rating_lag: Span(self.options.rating_lag.0 + Span::secs(self.gossip_delay).0),
             time_since_rating: Span::secs(now - self.last_rating_at),
-            declared_bad_share: BASELINE_POOR_SHARE,
+            declared_poor_share: BASELINE_POOR_SHARE,
         }
     }
 
--- a/src/experiment/shed/simulation.rs
+++ b/src/experiment/shed/simulation.rs
@@ -12,7 +12,7 @@
 use crate::decide::placement::{Candidate, select_least_loaded};
 use crate::unit::{Moment, Span};
 
-/// Servers per VM, as on the users' large site, and the smallest number of servers.
+/// Servers per VM, the ratio of the users' largest deployment, and the smallest number of servers.
 const SERVERS_PER_VM: f64 = 0.56;
 const MIN_SERVERS: usize = 12;
 
@@ -164,7 +164,7 @@
     views: Vec<Vec<View>>,
     partitioned: Vec<bool>,
     servers: Vec<Server>,
-    /// True for each tenth of a second in which a request began to run.
+    /// Indexed by tenth of a second since the start of the run: true if a request began to run.
     started: Vec<bool>,
     /// Results so far.
     pub counts: Counts,
--- a/src/forward/call.rs
+++ b/src/forward/call.rs
@@ -47,7 +47,8 @@
     pub status: StatusCode,
     /// Id of the request that the response belongs to.
     pub id: Option<String>,
-    /// Set if the server has signed the response.
+    /// Set if the response has the server's signature header. Only its presence is checked, the
+    /// signature is not verified; a success response without one counts as broken.
     pub signed: bool,
     /// Set if the server states that it did not run the request.
     pub not_run: bool,
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -69,7 +69,7 @@
     servers_as_of: Option<Moment>,
     /// Since when all VMs that answer report that the store is down.
     store_lost_since: Option<Moment>,
-    /// Counts of running rollouts that were sent to each VM.
+    /// For each VM, the counts of answers in rollout trials that were already sent to it.
     sent_counts: SentCounts,
 }
 
@@ -88,19 +88,21 @@
     name: Name,
     /// When the request was sent.
     requested_at: Moment,
-    /// Counts of running rollouts that were sent with the request.
+    /// Answer counts of the trials of running rollouts, as sent with the request.
     counts: Vec<Observations>,
     reply: Response,
 }
 
-/// What a poll brought, from worst to best.
+/// What a poll brought, from worst to best. An update may also be rejected; see
+/// [`Follower::apply_update`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Gain {
-    /// No update.
+    /// No update, or one that was rejected.
     None,
-    /// An update from a VM that reports the store as down, with the state from before.
+    /// An update from a VM that reports the store as down, with the state from before: applied, or
+    /// put off by a VM that has just started.
     Stale,
-    /// An update with current state.
+    /// An update with current state, which was applied.
     Fresh,
 }
 
@@ -142,7 +144,7 @@
 
     /// Returns true if the VMs of the group that this VM polls report the store as down.
     fn is_store_reported_down(&self, candidates: &Candidates) -> bool {
-        self.source_history.is_store_reported_lost(
+        self.source_history.is_store_reported_unavailable(
             &candidates.own,
             candidates.group.iter(),
             self.vm.now(),
@@ -254,6 +256,10 @@
     /// it, its era is older than the newest, or it can't be decoded. While the sender reports the
     /// store as lost, its update is used only if this VM does not read the store itself; a VM that
     /// has just started waits until the loss is confirmed.
+    ///
+    /// Returns `None` if the update was rejected, `Stale` if it comes from a sender that reports
+    /// the store as lost, whether it was applied or put off until the loss is confirmed, and
+    /// `Fresh` if it was applied and this VM follows the sender.
     fn apply_update(&mut self, from: &Name, requested_at: Moment, update: &Update) -> Gain {
         let vm = self.vm.clone();
         let Origin { reader, hops } = &update.origin;
@@ -296,6 +302,8 @@
         rollout_counts::apply_verdicts(&vm, &update.verdicts);
         poison::on_quarantine_list(&vm, from.as_str(), &update.quarantined, requested_at);
         apply_contents(&vm, requested_at, from, update, &changes);
+        // Incarnations that the sender knows as draining or gone although the restored store lists
+        // them as ready.
         let disputed = update.restore.iter().flat_map(|restore| &restore.disputed);
         disputed.for_each(|incarnation| vm.fleet.borrow_mut().dispute(incarnation, vm.now()));
         let age = update.staleness_of(Kind::Servers).map(|staleness| staleness.age);
@@ -328,7 +336,7 @@
             group_position: self.own_place(candidates),
             has_other_groups: !candidates.firsts.is_empty(),
             has_source: self.next_target(candidates).is_some(),
-            is_store_lost: self.is_store_reported_down(candidates),
+            is_store_unavailable: self.is_store_reported_down(candidates),
             has_snapshot: self.servers_as_of.is_some(),
             is_starting: self.is_in_startup_wait(),
             is_overdue: poll_timeout(self.servers_as_of, bound, now).is_none(),
@@ -438,12 +446,12 @@
     let place = format!("{:?}", without.group_position);
     let fields = [
         ("place", place.as_str().into()),
-        ("told_lost", without.is_store_lost.into()),
+        ("told_lost", without.is_store_unavailable.into()),
         ("overdue", without.is_overdue.into()),
     ];
     vm.log("reads the store itself", &fields);
     vm.upstream_store_lost.set(false);
-    vm.store_untested.set(without.is_store_lost);
+    vm.store_untested.set(without.is_store_unavailable);
     vm.proof_requested.notify_one();
     vm.updates_origin.replace(None);
     vm.rollout_trials.borrow_mut().values_mut().for_each(RolloutTrial::clear_upstream_verdict);
--- a/src/forward/message.rs
+++ b/src/forward/message.rs
@@ -81,13 +81,17 @@
     /// Data centre of the VM.
     pub data_centre: DataCentre,
     /// CPU quota of the VM, in thousandths of a core.
-    #[serde(default)]
-    pub share: Millicores,
+    #[serde(default, rename = "share")]
+    pub cpu_quota: Millicores,
 }
 
 impl PeerInfo {
     /// Returns the information on a VM with these settings, whose links are at `address`.
     pub fn of(settings: &Settings, address: SocketAddr) -> PeerInfo {
-        PeerInfo { address, data_centre: settings.data_centre.clone(), share: settings.share }
+        PeerInfo {
+            address,
+            data_centre: settings.data_centre.clone(),
+            cpu_quota: settings.cpu_quota,
+        }
     }
 }
--- a/src/forward/peer.rs
+++ b/src/forward/peer.rs
@@ -108,7 +108,7 @@
         let full_mesh = self.is_full_mesh();
         let (mut own, mut others) = (Vec::new(), HashMap::<DataCentre, Vec<Rank>>::new());
         for (name, Peer { info, .. }) in &self.known {
-            let rank = Rank::new(info.share, name.clone());
+            let rank = Rank::new(info.cpu_quota, name.clone());
             if full_mesh || info.data_centre == *data_centre {
                 own.push(rank);
             } else {
--- a/src/forward/rollout_steps.rs
+++ b/src/forward/rollout_steps.rs
@@ -56,7 +56,7 @@
         for service in open {
             broadcast_counts(&vm, &service);
             // Writes wait until the store has recovered.
-            if vm.is_store_lost() {
+            if vm.is_store_unavailable() {
                 continue;
             }
             if retries.get(&service).is_some_and(|retry| vm.now() < retry.not_before) {
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -1,4 +1,4 @@
-//! Trial of a rollout: counts the failed and slow answers of the old and the new version of a
+//! Canary analysis of a rollout (its trial): counts the failed and slow answers of the old and the new version of a
 //! service while the rollout runs, and compares them to find a new version that is worse.
 
 use std::collections::HashMap;
@@ -121,7 +121,7 @@
 /// answers of that route during a trial, but all VMs together see enough.
 pub type TotalsByRoute = HashMap<String, Totals>;
 
-/// Trial of a new version of one service.
+/// Canary analysis of a new version of one service against the old one.
 #[derive(Default)]
 pub struct RolloutTrial {
     /// The new version that is compared with the old one; `None` before the first rollout.
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns true if the server is in an allowed region.
-    fn allows(&self, vm: &Vm, server: &Server) -> bool {
+    fn allows_region(&self, vm: &Vm, server: &Server) -> bool {
         let region = vm.settings.regions.get(&server.replica.data_centre);
         self.regions.iter().flatten().all(|regions| regions.allows(region))
     }
@@ -138,7 +138,7 @@
     let backing_off = fleet.backing_off(criteria.service, now).filter(|(one, _)| {
         let replica = &one.replica;
         versions.contains(&replica.version)
-            && criteria.allows(vm, one)
+            && criteria.allows_region(vm, one)
             && !criteria.has_tried(replica)
     });
     let left = backing_off.map(|(_, left)| left).min()?;
@@ -154,7 +154,7 @@
     let allowed = fleet.eligible(criteria.service, now).filter(|one| {
         let replica = &one.replica;
         versions.contains(&replica.version)
-            && criteria.allows(vm, one)
+            && criteria.allows_region(vm, one)
             && !criteria.has_tried(replica)
     });
     let permits = allowed.filter_map(|one| Some((limiter.next_permit(one)?, &one.replica)));
@@ -208,25 +208,31 @@
     }
 }
 
-/// Selects the server for a request. Returns `None` if no server may receive the request now.
+/// Selects the server for a request. Returns `None` if no server may receive the request now, or
+/// if it should wait for a server of its version that will take requests again soon.
 pub fn select_server(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Placement> {
     let (versions, reason) = eligible_versions(vm, criteria.service, criteria.call, now);
     let found = select_among(vm, criteria, &versions, reason, now);
+    // The request waits for its version rather than go to another one.
     if found.is_none() && is_available_soon(vm, criteria, &versions, reason, now) {
         return None;
     }
-    // During a rollout one version serves all requests if only that one has servers.
     let running = matches!(
-        vm.rollouts.borrow().get(criteria.service).map(|one| one.phase),
+        vm.rollouts.borrow().get(criteria.service).map(|rollout| rollout.phase),
         Some(Some(Phase::Running { .. }))
     );
     match (found, versions) {
+        // While a rollout runs, requests for the new version go to the old one if the new version
+        // has no server for them. The old version's requests never go to the new one instead.
         (None, Versions::Only(version)) if running => {
             select_among(vm, criteria, &Versions::Except(version), Reason::NoServerOfVersion, now)
         }
+        // Without a rollout, the service's default version is preferred but not required.
         (None, Versions::Only(_)) if !vm.rollouts.borrow().contains_key(criteria.service) => {
             select_among(vm, criteria, &Versions::Any, Reason::NoServerOfVersion, now)
         }
+        // A server was found, or none of another version may serve the request: once a rollout has
+        // completed, the old version gets no more requests.
         (found, _) => found,
     }
 }
@@ -244,7 +250,7 @@
 ) -> bool {
     let fleet = vm.fleet.borrow();
     let is_eligible =
-        |one: &Server| versions.contains(&one.replica.version) && criteria.allows(vm, one);
+        |one: &Server| versions.contains(&one.replica.version) && criteria.allows_region(vm, one);
     let is_limited = |one: &Server| one.availability.rate_limit.rate(now).is_some();
     let mut backing_off = fleet.backing_off(criteria.service, now);
     let mut serving = fleet.eligible(criteria.service, now);
@@ -259,7 +265,7 @@
 pub fn retry_after(vm: &Vm, criteria: &Criteria, now: Moment) -> Option<Span> {
     let fleet = vm.fleet.borrow();
     let limiter = rate_limit::limiter(vm, criteria.service, now);
-    let is_eligible = |one: &&Server| criteria.allows(vm, one);
+    let is_eligible = |one: &&Server| criteria.allows_region(vm, one);
     let serving = || fleet.eligible(criteria.service, now).filter(is_eligible);
     if serving().any(|one| limiter.rate_limit(one).is_none()) {
         return None;
@@ -282,7 +288,7 @@
     let limiter = rate_limit::limiter(vm, criteria.service, now);
     let of_version = || {
         let allowed = |one: &&Server| versions.contains(&one.replica.version);
-        let within = |one: &&Server| criteria.allows(vm, one);
+        let within = |one: &&Server| criteria.allows_region(vm, one);
         fleet
             .eligible(criteria.service, now)
             .filter(allowed)
--- a/src/forward/server.rs
+++ b/src/forward/server.rs
@@ -35,7 +35,7 @@
 
 /// One incarnation of a backend server (a lifetime of its process), with what this VM knows of it.
 pub struct Server {
-    /// The server's entry in the store.
+    /// The server's entry in the store, which describes this incarnation.
     pub replica: Replica,
     /// Estimate of the requests that are running or queued at the server.
     pub load: Load,
@@ -59,8 +59,8 @@
     cold_until: Option<Moment>,
     /// Since when the server may have become cold although its entry does not show that yet.
     possibly_cold_since: Option<Moment>,
-    /// True if the server's entry disappeared during an outage of the store.
-    lapsed: bool,
+    /// True if the server's entry in the store disappeared during an outage of the store.
+    entry_expired: bool,
 }
 
 impl Server {
@@ -77,7 +77,7 @@
             pool: Pool::default(),
             backlog: Backlog::default(),
             prefixes: HashMap::new(),
-            lapsed: false,
+            entry_expired: false,
         }
     }
 
@@ -146,7 +146,7 @@
                 let is_changed = server.replica != replica;
                 server.availability.apply_entry(replica.ready, now);
                 server.replica = replica;
-                server.lapsed = false;
+                server.entry_expired = false;
                 if is_changed {
                     server.update_cold_until(now);
                 }
@@ -178,7 +178,7 @@
         let (is_accepted, is_disputed) =
             match (self.servers.get_mut(&replica.id), self.removed.get(&replica.id)) {
                 (Some(server), _) if is_same(&server.replica) => {
-                    server.lapsed = false;
+                    server.entry_expired = false;
                     let is_accepted = server.replica == *replica || !replica.ready;
                     (is_accepted, !is_accepted && server.availability.is_draining())
                 }
@@ -224,15 +224,15 @@
         if !in_outage {
             self.move_to_removed(id, now);
         } else if let Some(server) = self.servers.get_mut(id) {
-            server.lapsed = true;
+            server.entry_expired = true;
         }
     }
 
     /// Removes servers whose entries expired in an outage of the store and did not come back, and
     /// returns their ids. Called when the store has been reachable for long enough.
     pub fn expire(&mut self, now: Moment) -> Vec<Id> {
-        let lapsed = self.servers.iter().filter(|(_, server)| server.lapsed);
-        let gone: Vec<Id> = lapsed.map(|(id, _)| id.clone()).collect();
+        let expired = self.servers.iter().filter(|(_, server)| server.entry_expired);
+        let gone: Vec<Id> = expired.map(|(id, _)| id.clone()).collect();
         for id in &gone {
             self.move_to_removed(id, now);
         }
--- a/src/forward/settings.rs
+++ b/src/forward/settings.rs
@@ -17,7 +17,7 @@
     /// IP address of the VM.
     pub ip: IpAddr,
     /// CPU quota, in thousandths of a core; larger VMs do more of the work for others.
-    pub share: Millicores,
+    pub cpu_quota: Millicores,
     /// Listen address for callers.
     pub callers: SocketAddr,
     /// Listen address for the readiness checks of the balancer.
--- a/src/forward/vm.rs
+++ b/src/forward/vm.rs
@@ -229,7 +229,7 @@
 
     /// Returns the rank of this VM, which decides with the ranks of the others who reads the store.
     pub fn rank(&self) -> Rank {
-        Rank::new(self.settings.share, self.settings.vm.clone())
+        Rank::new(self.settings.cpu_quota, self.settings.vm.clone())
     }
 
     /// Returns true if this VM reads the store itself, whether or not others follow it.
@@ -315,7 +315,7 @@
 
     /// Returns the state of the store that this VM reports to its followers.
     pub fn store_state(&self, now: Moment) -> Reachability {
-        if self.is_store_lost() || self.store_suspect.get() || self.store_untested.get() {
+        if self.is_store_unavailable() || self.store_suspect.get() || self.store_untested.get() {
             return Reachability::Down;
         }
         let age = self.store_recovered_at.get().map(|at| now.since(at));
@@ -324,7 +324,7 @@
     }
 
     /// Returns true if this VM, or the one that it follows, found the store unreachable.
-    pub fn is_store_lost(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         self.store_lost.get() || self.upstream_store_lost.get()
     }
 
--- a/src/vm/duty/rollout.rs
+++ b/src/vm/duty/rollout.rs
@@ -183,7 +183,7 @@
         // The ratings and the step itself take time to reach all VMs.
         rating_lag: Span(lag.0 + Span::millis(1500).0),
         time_since_rating: date.since(state.rated_at),
-        declared_bad_share: 1.0 - declared,
+        declared_poor_share: 1.0 - declared,
     }
 }
 
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -48,7 +48,7 @@
         group_position: place,
         has_other_groups: !firsts.is_empty(),
         has_source: next.is_some(),
-        is_store_lost: history.is_store_reported_lost(own, groups[at].iter(), now),
+        is_store_unavailable: history.is_store_reported_unavailable(own, groups[at].iter(), now),
         has_snapshot: true,
         is_starting: false,
         is_overdue: false,
@@ -116,14 +116,14 @@
         group_position: GroupPosition::Behind,
         has_other_groups: true,
         has_source: true,
-        is_store_lost: false,
+        is_store_unavailable: false,
         has_snapshot: true,
         is_starting: false,
         is_overdue: true,
     };
     assert!(should_read_store(&behind), "draining servers must not get work beyond the bound");
     assert!(
-        !should_read_store(&FollowerState { is_store_lost: true, ..behind }),
+        !should_read_store(&FollowerState { is_store_unavailable: true, ..behind }),
         "the VMs that try the store report the result"
     );
     let young = FollowerState {
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -525,7 +525,7 @@
         data_centre: "here".parse().unwrap(),
         regions: HashMap::new(),
         ip: "127.0.0.1".parse().unwrap(),
-        share: Millicores(250),
+        cpu_quota: Millicores(250),
         callers: address,
         readiness: address,
         links: None,
