--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -30,24 +30,9 @@
 /// response to the present request.
 const MAX_STALE_RESPONSES: u32 = 2;
 
-/// Why an attempt got no response although its connection did not break.
-#[derive(Clone, Copy, PartialEq)]
-enum NoResponse {
-    /// The attempt's deadline passed.
-    TimedOut,
-    /// A later incarnation of the server started, so that the request is lost.
-    ServerRestarted,
-}
-
-impl std::fmt::Display for NoResponse {
-    /// Writes the end of a sentence that begins with "no response" or "no connection".
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            NoResponse::TimedOut => "in time",
-            NoResponse::ServerRestarted => "before the server restarted",
-        })
-    }
-}
+/// Ends the reason of an attempt whose server restarted before it responded. Such a request is lost
+/// with its server, unlike one whose deadline passed.
+const BEFORE_RESTART: &str = "before the server restarted";
 
 /// The result of an attempt.
 pub struct Outcome {
@@ -126,10 +111,10 @@
     let left = until.since(vm.now()).duration();
     let exchange = exchange(job, replica, model, last_event_id, &pending, open, &mut sent);
     let outcome = tokio::select! {
-        ended = tokio::time::timeout(left, exchange) => ended.map_err(|_| NoResponse::TimedOut),
-        () = restarted.notified() => Err(NoResponse::ServerRestarted),
+        ended = tokio::time::timeout(left, exchange) => ended.map_err(|_| "in time"),
+        () = restarted.notified() => Err(BEFORE_RESTART),
     };
-    let is_lost = outcome.as_ref().is_err_and(|reason| *reason == NoResponse::ServerRestarted);
+    let is_lost = outcome.as_ref().is_err_and(|reason| *reason == BEFORE_RESTART);
     let outcome = match outcome {
         Ok(outcome) => outcome,
         Err(reason) if sent => {
