--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -185,7 +185,8 @@
         self.vm.metrics.requests.with_label_values(&[workspace, outcome]).inc();
     }
 
-    /// Advances the state chart of the request; a metric counts events it does not allow.
+    /// Advances the state machine of the request (`charts/request.toml`); a metric counts events
+    /// that it does not allow.
     fn record_event(&mut self, event: &str) {
         if self.lifecycle.apply(event).is_err() {
             self.vm.metrics.invalid_transitions.inc();
