--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -100,7 +100,7 @@
     engines: EngineClient,
     job: Job,
     output: mpsc::Sender<Output>,
-    /// State chart of the request, which checks the order of its events.
+    /// State machine of the request, which checks the order of its events.
     lifecycle: Machine,
     /// Lines of the decision trace so far.
     trace_steps: Vec<String>,
--- a/src/peer/gossip/mod.rs
+++ b/src/peer/gossip/mod.rs
@@ -339,7 +339,7 @@
         }
     }
 
-    /// Applies an event of the chart `vm` to the state of a VM.
+    /// Applies an event of the state machine `vm` (`charts/vm.toml`) to the state of a VM.
     fn apply_event(&mut self, vm: &Vm, event: &str, now: Moment) {
         let Some(known) = self.known.get(vm) else {
             return;
--- a/src/peer/member.rs
+++ b/src/peer/member.rs
@@ -6,7 +6,8 @@
 
 use crate::unit::{DataCentre, Incarnation, Vm};
 
-/// The state in which other VMs see a VM; the states of the chart `vm`.
+/// The state in which other VMs see a VM; the states of the state machine
+/// `charts/vm.toml`.
 ///
 /// Of two records with the same incarnation and number of refutations, the one with the later
 /// variant wins.
@@ -23,7 +24,7 @@
 }
 
 impl State {
-    /// Returns the name of the state in the chart `vm`.
+    /// Returns the name of the state in the state machine `vm`.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
