--- a/src/entry/dispatch/mod.rs
+++ b/src/entry/dispatch/mod.rs
@@ -100,7 +100,7 @@
     engines: EngineClient,
     job: Job,
     output: mpsc::Sender<Output>,
-    /// State chart of the request, which checks the order of its events.
+    /// State machine of the request, which checks the order of its events.
     lifecycle: Machine,
     /// Lines of the decision trace so far.
     trace_steps: Vec<String>,
@@ -185,7 +185,8 @@
         self.vm.metrics.requests.with_label_values(&[workspace, outcome]).inc();
     }
 
-    /// Advances the state chart of the request; a metric counts events it does not allow.
+    /// Advances the state machine of the request (`charts/request.toml`); a metric counts events
+    /// that it does not allow.
     fn record_event(&mut self, event: &str) {
         if self.lifecycle.apply(event).is_err() {
             self.vm.metrics.invalid_transitions.inc();
