--- a/src/decide/cascade/mod.rs
+++ b/src/decide/cascade/mod.rs
@@ -183,16 +183,16 @@
             break;
         }
     }
-    let share = mixing_share(&estimates, rungs, target, low, high);
+    let weight = mixing_weight(&estimates, rungs, target, low, high);
     let mixed = |kind| {
-        rule_at_price(kind, rungs, low).interpolate(&rule_at_price(kind, rungs, high), share)
+        rule_at_price(kind, rungs, low).interpolate(&rule_at_price(kind, rungs, high), weight)
     };
     estimates.iter().map(mixed).collect()
 }
 
 /// Returns the weight, from 0 to 1, of the rules at the price `high` in a mixture with those at the
 /// price `low` that just meets the target.
-fn mixing_share(estimates: &[Estimate], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
+fn mixing_weight(estimates: &[Estimate], rungs: &Rungs, target: f64, low: f64, high: f64) -> f64 {
     let sure = |price| {
         let (quality, error) = expected_quality(estimates, rungs, price);
         quality - CAUTION_ERRORS * error - QUALITY_SLACK
@@ -217,9 +217,9 @@
         point < self.keep_probability[bin]
     }
 
-    /// Returns the mixture of two rules, with the weight `share` for `other`.
-    fn interpolate(&self, other: &Rule, share: f64) -> Rule {
-        let interpolate = |a: f64, b: f64| a + (b - a) * share;
+    /// Returns the mixture of two rules, with `weight` for `other`.
+    fn interpolate(&self, other: &Rule, weight: f64) -> Rule {
+        let interpolate = |a: f64, b: f64| a + (b - a) * weight;
         let mut keep = [0.0; CONFIDENCE_BINS];
         for (i, keep) in keep.iter_mut().enumerate() {
             *keep = interpolate(self.keep_probability[i], other.keep_probability[i]);
--- a/src/decide/reader.rs
+++ b/src/decide/reader.rs
@@ -41,19 +41,19 @@
 const MAX_SOURCES: usize = 3;
 
 /// Backoff after a source did not answer a poll. It doubles with each consecutive timeout, up to
-/// [`MAX_SILENT_BACKOFF`].
-const SILENT_BACKOFF: Span = Span::secs(2);
+/// [`MAX_NO_RESPONSE_BACKOFF`].
+const NO_RESPONSE_BACKOFF: Span = Span::secs(2);
 
 /// Maximum backoff after a source did not answer several polls in a row.
-const MAX_SILENT_BACKOFF: Span = Span::secs(30);
+const MAX_NO_RESPONSE_BACKOFF: Span = Span::secs(30);
 
 /// Backoff after a source answered that it has no update; short, since the source may have one
 /// soon.
 const DECLINED_BACKOFF: Span = Span::millis(1500);
 
 /// Time after the end of the backoff from a source for which the source's report that the store is
-/// lost stays valid.
-const STORE_LOST_GRACE: Span = Span::secs(1);
+/// unavailable stays valid.
+const STORE_UNAVAILABLE_GRACE: Span = Span::secs(1);
 
 /// Backoff after a source that has just started did not have a full snapshot yet.
 const NOT_READY_BACKOFF: Span = Span::millis(80);
@@ -130,7 +130,7 @@
     Silent(u32),
     /// The source had no update.
     Declined,
-    /// The source reported that the store is lost.
+    /// The source reported that the store is unavailable.
     StoreLost,
 }
 
@@ -158,20 +158,20 @@
         self.set_backoff(vm, BackoffReason::Declined, now + DECLINED_BACKOFF);
     }
 
-    /// Backs off from a source that reported the store as lost.
-    pub fn on_store_lost(&mut self, vm: &Vm, now: Moment) {
+    /// Backs off from a source that reported the store as unavailable.
+    pub fn on_store_unavailable(&mut self, vm: &Vm, now: Moment) {
         self.set_backoff(vm, BackoffReason::StoreLost, now + DECLINED_BACKOFF);
     }
 
-    /// Clears the backoff of all sources that declined or reported a lost store. Called when the
-    /// store answers again.
+    /// Clears the backoff of all sources that declined or reported the store as unavailable. Called
+    /// when the store answers again.
     pub fn clear_declined(&mut self) {
         self.backoffs.retain(|_, backoff| matches!(backoff.reason, BackoffReason::Silent(_)));
     }
 
-    /// Returns true if the last answer of any source of the VM `own` was that the store is lost. A
-    /// source that only has no update is no sign of a lost store: during an outage the first VM of
-    /// a group may stop or stall, and the VMs of lower rank must keep waiting.
+    /// Returns true if the last answer of any source of the VM `own` was that the store is
+    /// unavailable. A source that only has no update is no sign of that: during an outage the first
+    /// VM of a group may stop or stall, and the VMs of lower rank must keep waiting.
     pub fn is_store_reported_unavailable<'a>(
         &'a self,
         own: &'a Rank,
@@ -181,7 +181,7 @@
         let reports_lost = |rank: &&Rank| {
             let backoff = self.backoffs.get(&rank.vm);
             backoff.is_some_and(|one| {
-                one.reason == BackoffReason::StoreLost && now < one.until + STORE_LOST_GRACE
+                one.reason == BackoffReason::StoreLost && now < one.until + STORE_UNAVAILABLE_GRACE
             })
         };
         self.responsive_sources(own, group, now).iter().any(reports_lost)
@@ -199,7 +199,8 @@
             Some(Backoff { reason: BackoffReason::Silent(timeouts), .. }) => *timeouts,
             _ => 0,
         };
-        let doubled = Span(SILENT_BACKOFF.0 << timeouts_before.min(8)).min(MAX_SILENT_BACKOFF);
+        let doubled =
+            Span(NO_RESPONSE_BACKOFF.0 << timeouts_before.min(8)).min(MAX_NO_RESPONSE_BACKOFF);
         self.set_backoff(vm, BackoffReason::Silent(timeouts_before + 1), now + doubled);
     }
 
@@ -305,7 +306,7 @@
     pub has_other_groups: bool,
     /// True if there is a source to poll next.
     pub has_source: bool,
-    /// True if a source reported the store as lost and none has an update.
+    /// True if a source reported the store as unavailable and none has an update.
     pub is_store_unavailable: bool,
     /// True if the VM has received a snapshot before.
     pub has_snapshot: bool,
@@ -318,7 +319,7 @@
 /// Returns true if a VM that got no update from its sources reads the store itself.
 pub fn should_read_store(state: &FollowerState) -> bool {
     if state.is_store_unavailable {
-        return should_try_lost_store(state);
+        return should_try_unavailable_store(state);
     }
     if state.is_overdue {
         return true;
@@ -334,12 +335,12 @@
     }
 }
 
-/// Returns true if a VM tries to read a store that a source reported as lost. The first VM of a
-/// group always does, and in a fleet of one group also the two of next rank: a store that refuses a
-/// third of the VMs and serves the others refuses three given VMs at once on one day in twenty. VMs
-/// whose data is too old try too, except, in a fleet of several groups, those with three or more
-/// VMs of higher rank.
-fn should_try_lost_store(state: &FollowerState) -> bool {
+/// Returns true if a VM tries to read a store that a source reported as unavailable. The first VM
+/// of a group always does, and in a fleet of one group also the two of next rank: a store that
+/// refuses a third of the VMs and serves the others refuses three given VMs at once on one day in
+/// twenty. VMs whose data is too old try too, except, in a fleet of several groups, those with
+/// three or more VMs of higher rank.
+fn should_try_unavailable_store(state: &FollowerState) -> bool {
     match state.group_position {
         GroupPosition::First => true,
         GroupPosition::Next => !state.has_other_groups || state.is_overdue,
--- a/src/experiment/reading/simulation.rs
+++ b/src/experiment/reading/simulation.rs
@@ -307,7 +307,7 @@
         node.synced_at = node.synced_at.max(Some(synced_at));
         node.origin = (reader, hops + 1);
         if lost {
-            node.sources.on_store_lost(&name, now);
+            node.sources.on_store_unavailable(&name, now);
             node.store_lost_since = node.store_lost_since.or(Some(now));
             node.store_lost = true;
         } else {
--- a/src/forward/apply.rs
+++ b/src/forward/apply.rs
@@ -176,6 +176,7 @@
     match kind {
         Kind::Vms => membership::remove_entry(vm, name),
         Kind::Evacuations => withdraw_evacuation(vm, name, source),
+        // Only servers get here: the other two kinds have returned above.
         Kind::Servers | Kind::Config | Kind::Rollouts => {
             let [from, era, as_of] = source.fields();
             let fields =
@@ -196,6 +197,7 @@
 /// deferred rollouts.
 pub fn accept_restored(vm: &Vm) {
     let Some(restore) = vm.recent_restore.send_replace(None) else { return };
+    // If no position of the new era was read, the state counts as of the start of the era.
     let as_of = restore.first_position.unwrap_or(Position::new(vm.era.newest(), 0));
     for kind in [Kind::Evacuations, Kind::Vms] {
         let read = vm.feed.borrow().freshness(kind);
--- a/src/forward/follower.rs
+++ b/src/forward/follower.rs
@@ -271,7 +271,7 @@
         if is_lost {
             // Another VM may reach the store. This one is still polled, to learn when the store is
             // back.
-            self.source_history.on_store_lost(from, vm.now());
+            self.source_history.on_store_unavailable(from, vm.now());
             let lost_since = *self.store_lost_since.get_or_insert(vm.now());
             if *vm.role.borrow() == Role::Joins
                 && vm.now().since(lost_since) < STORE_LOSS_CONFIRMED_AFTER
@@ -387,7 +387,8 @@
 }
 
 /// Returns the source of an update's objects of a kind: they reflect the position at which the
-/// sender's state of that kind was last read.
+/// sender's state of that kind was last read. If the sender did not report it, the default position
+/// is used.
 fn update_source<'a>(from: &'a Name, update: &Update, kind: Kind) -> Source<'a> {
     let as_of = update.staleness_of(kind).map(|staleness| staleness.position).unwrap_or_default();
     Source { reader: Some(from), as_of }
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -41,7 +41,8 @@
     from: Name,
     /// The sender's cursor in the feed of the recipient.
     cursor: Cursor,
-    /// The sender's counts of running rollouts that the recipient has not received yet.
+    /// The sender's answer counts of the trials of running rollouts, if the recipient has not
+    /// received them yet.
     counts: Vec<Observations>,
     /// Request contents that the sender has quarantined, since servers crashed under them.
     quarantined: Vec<poison::QuarantinedContent>,
@@ -132,12 +133,12 @@
     let proof_age = vm.proof_age(now);
     let verdicts = rollout_counts::verdicts(vm);
     let store = reachability(vm, check_ages(vm, proof_age))?;
-    let held = poison::quarantined(vm);
+    let quarantined = poison::quarantined(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
     let restore = Notice::of(vm, now);
-    let status = Status { origin: origin(vm), store, proof, restore, verdicts, quarantined: held };
+    let status = Status { origin: origin(vm), store, proof, restore, verdicts, quarantined };
     Ok(vm.feed.borrow().update_since(cursor, status, now))
 }
 
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -96,7 +96,7 @@
 }
 
 /// Polls the first VM of the group for [`FIRST_VM_GRACE`]. Returns true if the first VM has proved
-/// the configuration meanwhile, so that this VM follows it.
+/// the configuration meanwhile, so that this VM follows it; false at once if this VM is the first.
 async fn first_vm_took_over(vm: &Vm) -> bool {
     if vm.first_in_group_since.get().is_some() {
         return false;
--- a/src/forward/restore.rs
+++ b/src/forward/restore.rs
@@ -73,11 +73,11 @@
         })
     }
 
-    /// Returns the restore, dated by the time `asked` at which the update was requested, so that
-    /// the restore can't look more recent than it was.
-    pub fn to_restore(&self, asked: Moment) -> Restore {
+    /// Returns the restore, dated by the time at which the update was requested, so that the
+    /// restore can't look more recent than it was.
+    pub fn to_restore(&self, requested_at: Moment) -> Restore {
         Restore {
-            noticed_at: Moment(asked.0.saturating_sub(self.age.0)),
+            noticed_at: Moment(requested_at.0.saturating_sub(self.age.0)),
             first_position: Some(self.first_position),
         }
     }
--- a/src/forward/rollout_trial.rs
+++ b/src/forward/rollout_trial.rs
@@ -1,5 +1,6 @@
-//! Canary analysis of a rollout (its trial): counts the failed and slow answers of the old and the new version of a
-//! service while the rollout runs, and compares them to find a new version that is worse.
+//! Canary analysis of a rollout (its trial): counts the failed and slow answers of the old and the
+//! new version of a service while the rollout runs, and compares them to find a new version that is
+//! worse.
 
 use std::collections::HashMap;
 
@@ -176,9 +177,9 @@
         let reported = sample.reported_slow_levels;
         let totals = self.own.entry(sample.route.to_owned()).or_default();
         let slow = totals.slow.iter_mut().enumerate();
-        let slow = slow.map(|(at, trial)| (trial, at >= reported && at < level));
-        for (trial, bad) in slow.chain([(&mut totals.failures, sample.failed)]) {
-            let count = if is_new { &mut trial.new } else { &mut trial.old };
+        let slow = slow.map(|(at, comparison)| (comparison, at >= reported && at < level));
+        for (comparison, bad) in slow.chain([(&mut totals.failures, sample.failed)]) {
+            let count = if is_new { &mut comparison.new } else { &mut comparison.old };
             *count = count.plus(Count::of(u64::from(reported == 0), u64::from(bad)));
         }
         self.found_bad = self.found_bad || (is_new && self.evidence() > canary::ROLLBACK_EVIDENCE);
--- a/src/forward/selection/mod.rs
+++ b/src/forward/selection/mod.rs
@@ -296,13 +296,13 @@
             .filter(|one| limiter.allows(one))
     };
     let is_available = |one: &&Server| one.availability.unavailable_reason(now).is_none();
-    let in_trial_set =
+    // While a rollout runs, only some servers of the new version take part; `None` if all do.
+    let trial_servers =
         rollout_servers(vm, criteria.service, versions, of_version().filter(is_available));
     let max_open = max_open_per_server(vm, criteria.service, now);
     let untried = |one: &&Server| !criteria.has_tried(&one.replica) && one.load.open() < max_open;
-    let in_trial = |one: &&Server| {
-        in_trial_set.as_ref().is_none_or(|in_trial_set| in_trial_set.contains(&one.replica.id))
-    };
+    let in_trial =
+        |one: &&Server| trial_servers.as_ref().is_none_or(|ids| ids.contains(&one.replica.id));
     let mut servers: Vec<&Server> =
         of_version().filter(untried).filter(is_available).filter(in_trial).collect();
     // A retry stays on its version, even if only servers outside the trial are left.
--- a/src/forward/selection/version.rs
+++ b/src/forward/selection/version.rs
@@ -34,7 +34,7 @@
 /// Why a request goes to a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reason {
-    /// No rollout is in progress.
+    /// No rollout is running: there is none, or it has not begun, has completed or was rolled back.
     Settled,
     /// This VM has judged the new version bad.
     NewVersionBad,
@@ -81,6 +81,7 @@
     let rollouts = vm.rollouts.borrow();
     let Some(rollout) = rollouts.get(service) else {
         let usual = vm.fleet.borrow().default_version(service).cloned();
+        // Without a default version, any version may serve.
         return (usual.map_or(Versions::Any, Versions::Only), Reason::Settled);
     };
     let old = Versions::Except(rollout.version.clone());
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -253,7 +253,7 @@
     let now = Moment(1_000_000);
     let mut asked = SourceHistory::default();
     asked.on_timeout(&group[0].vm, now);
-    asked.on_store_lost(&group[1].vm, now);
+    asked.on_store_unavailable(&group[1].vm, now);
     assert_eq!(asked.next_source(&own, group.iter(), now), None);
     asked.clear_declined();
     assert_eq!(asked.next_source(&own, group.iter(), now), Some(&group[1].vm));
--- a/tests/reading.rs
+++ b/tests/reading.rs
@@ -84,7 +84,7 @@
 #[test]
 fn while_the_store_is_lost_the_first_of_each_data_centre_tries() {
     for vms in [60, 300, 1000] {
-        let tried = readers(vms, |history, vm| history.on_store_lost(vm, Moment(0)));
+        let tried = readers(vms, |history, vm| history.on_store_unavailable(vm, Moment(0)));
         assert_eq!(tried, DATA_CENTRES, "of {vms}");
     }
 }
