--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -172,7 +172,8 @@
 }
 
 /// Returns the first share of the new version, small enough that it gets few requests before the
-/// first ratings arrive. `rate` is in requests per second, `lag` the rating lag.
+/// first ratings arrive. `rate` is in requests per second, `lag` the rating lag. Without any
+/// requests, returns the policy's default.
 pub fn first_share(policy: &Policy, rate: f64, lag: Span) -> TrafficShare {
     if rate <= 0.0 {
         return policy.default_first_share;
@@ -202,6 +203,7 @@
         if inputs.time_at_share >= inputs.rating_lag {
             return Action::Shrink(back, format!("{signal} make harm likely but do not prove it"));
         }
+        // Not all ratings of answers at the present share have arrived yet.
         return Action::Stay;
     }
     let is_silent = inputs.time_since_rating.as_secs()
--- a/src/forward/feed.rs
+++ b/src/forward/feed.rs
@@ -159,6 +159,8 @@
 struct ChangeRecord {
     kind: Kind,
     name: String,
+    /// True if the object was removed because its entry was missing during or just after an outage
+    /// of the store, in which it may only have expired.
     lapsed: bool,
 }
 
@@ -224,7 +226,8 @@
         }
     }
 
-    /// Returns the update for a follower at `cursor`.
+    /// Returns the update for a follower at `cursor`. It has all objects if the cursor belongs to
+    /// another epoch, or if some changes since then are no longer kept.
     pub fn update_since(&self, cursor: Cursor, status: Status, now: Moment) -> Update {
         let behind = self.cursor.sequence.checked_sub(cursor.sequence).filter(|behind| {
             cursor.epoch == self.cursor.epoch && *behind <= self.changes.len() as u64
--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -58,19 +58,19 @@
     NoAnswer,
 }
 
-/// Requests the changes since `cursor` from the VM at `to`, and sends it the counts `seen` of
-/// running rollouts. Waits for the response for the time `within`.
+/// Requests the changes since `cursor` from the VM at `to`, and sends it the answer `counts`
+/// of the trials of running rollouts. Waits for the response for the time `within`.
 pub async fn request_updates(
     vm: &Vm,
     to: SocketAddr,
     cursor: Cursor,
-    seen: &[Observations],
+    counts: &[Observations],
     within: Span,
 ) -> Response {
     let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
     let from = vm.settings.vm.clone();
-    let (seen, held) = (seen.to_vec(), poison::quarantined(vm));
-    let request = encode(&Request { from, cursor, counts: seen, quarantined: held });
+    let (counts, quarantined) = (counts.to_vec(), poison::quarantined(vm));
+    let request = encode(&Request { from, cursor, counts, quarantined });
     let answer = tokio::time::timeout(within.duration(), links.call(to, request)).await;
     match answer.ok().flatten().and_then(|bytes| decode::<Result<Update, Decline>>(&bytes)) {
         Some(Ok(update)) => Response::Update(Box::new(update)),
@@ -82,15 +82,13 @@
 /// Returns the encoded answer to a request for updates: an update, or the reason why this VM
 /// serves none.
 pub fn respond(vm: &Rc<Vm>, request: &[u8]) -> Vec<u8> {
-    let Some(Request { from, cursor, counts: seen, quarantined: held }) =
-        decode::<Request>(request)
-    else {
+    let Some(Request { from, cursor, counts, quarantined }) = decode::<Request>(request) else {
         vm.log("invalid poll request", &[("bytes", request.len().into())]);
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
     peer::on_contact(vm, &from);
-    rollout_counts::merge_counts(vm, seen);
-    poison::on_quarantine_list(vm, from.as_str(), &held, vm.now());
+    rollout_counts::merge_counts(vm, counts);
+    poison::on_quarantine_list(vm, from.as_str(), &quarantined, vm.now());
     let update = update(vm, cursor);
     log_decline(vm, update.as_ref().err().copied());
     encode(&update)
--- a/src/forward/proof.rs
+++ b/src/forward/proof.rs
@@ -52,8 +52,8 @@
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Renews the proof before the last one expires, and on request, one read at a time, until the
-/// process ends. While the store is lost, probes it with backoff instead. A VM that follows another
-/// also gets proofs with that VM's updates.
+/// process ends. While the store is unavailable, probes it with backoff instead. A VM that follows
+/// another also gets proofs with that VM's updates.
 pub async fn run(vm: Rc<Vm>) {
     let mut store = vm.store_client();
     let mut backoff = Backoff::default();
