--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -94,7 +94,7 @@
 impl DriftDetector {
     /// Records a rating of an answer that was expected to pass with probability `pass_probability`.
     /// Returns true and resets the detector if the ratings show that answers have become worse,
-    /// with a false-alarm probability of at most [`ALARM_CHANCE`].
+    /// with a false-alarm probability of at most `ALARM_CHANCE`.
     pub fn record(&mut self, pass_probability: f64, pass: bool) -> bool {
         let kept = 1.0 - 1.0 / WINDOW_RATINGS;
         self.observed.all = self.observed.all * kept + 1.0;
--- a/src/forward/store_watch.rs
+++ b/src/forward/store_watch.rs
@@ -144,9 +144,9 @@
 }
 
 /// Waits until the store can be called. A VM that became a reader because others report the store
-/// as unavailable first waits for a proof, which shows if the store is down. While it is down, waits
-/// for its recovery; a VM that is not the first of its group then gives the first time to serve
-/// updates.
+/// as unavailable first waits for a proof, which shows if the store is down. While it is down,
+/// waits for its recovery; a VM that is not the first of its group then gives the first time to
+/// serve updates.
 async fn wait_for_store(vm: &Vm, recoveries: &mut tokio::sync::watch::Receiver<u64>) {
     if vm.store_untested.get() {
         let _ =
