--- a/src/forward/poll.rs
+++ b/src/forward/poll.rs
@@ -41,7 +41,8 @@
     from: Name,
     /// The sender's cursor in the feed of the recipient.
     cursor: Cursor,
-    /// The sender's counts of running rollouts that the recipient has not received yet.
+    /// The sender's answer counts of the trials of running rollouts, if the recipient has not
+    /// received them yet.
     counts: Vec<Observations>,
     /// Request contents that the sender has quarantined, since servers crashed under them.
     quarantined: Vec<poison::QuarantinedContent>,
@@ -57,19 +58,19 @@
     NoAnswer,
 }
 
-/// Requests the changes since `cursor` from the VM at `to`, and sends it the counts `seen` of
-/// running rollouts. Waits for the response for the time `within`.
+/// Requests the changes since `cursor` from the VM at `to`, and sends it the answer `counts`
+/// of the trials of running rollouts. Waits for the response for the time `within`.
 pub async fn request_updates(
     vm: &Vm,
     to: SocketAddr,
     cursor: Cursor,
-    seen: &[Observations],
+    counts: &[Observations],
     within: Span,
 ) -> Response {
     let Some(links) = vm.peers.borrow().links() else { return Response::NoAnswer };
     let from = vm.settings.vm.clone();
-    let (seen, held) = (seen.to_vec(), poison::quarantined(vm));
-    let request = encode(&Request { from, cursor, counts: seen, quarantined: held });
+    let (counts, quarantined) = (counts.to_vec(), poison::quarantined(vm));
+    let request = encode(&Request { from, cursor, counts, quarantined });
     let answer = tokio::time::timeout(within.duration(), links.call(to, request)).await;
     match answer.ok().flatten().and_then(|bytes| decode::<Result<Update, Decline>>(&bytes)) {
         Some(Ok(update)) => Response::Update(Box::new(update)),
@@ -81,15 +82,13 @@
 /// Returns the encoded answer to a request for updates: an update, or the reason why this VM
 /// serves none.
 pub fn respond(vm: &Rc<Vm>, request: &[u8]) -> Vec<u8> {
-    let Some(Request { from, cursor, counts: seen, quarantined: held }) =
-        decode::<Request>(request)
-    else {
+    let Some(Request { from, cursor, counts, quarantined }) = decode::<Request>(request) else {
         vm.log("invalid poll request", &[("bytes", request.len().into())]);
         return encode(&Err::<Update, Decline>(Decline::Unreadable));
     };
     peer::on_contact(vm, &from);
-    rollout_counts::merge_counts(vm, seen);
-    poison::on_quarantine_list(vm, from.as_str(), &held, vm.now());
+    rollout_counts::merge_counts(vm, counts);
+    poison::on_quarantine_list(vm, from.as_str(), &quarantined, vm.now());
     let update = update(vm, cursor);
     log_decline(vm, update.as_ref().err().copied());
     encode(&update)
@@ -132,12 +131,12 @@
     let proof_age = vm.proof_age(now);
     let verdicts = rollout_counts::verdicts(vm);
     let store = reachability(vm, check_ages(vm, proof_age))?;
-    let held = poison::quarantined(vm);
+    let quarantined = poison::quarantined(vm);
     let configuration = vm.routes().map(|table| table.revision);
     let proof = proof_age.zip(configuration);
     let proof = proof.map(|(age, configuration)| Proof { age, configuration });
     let restore = Notice::of(vm, now);
-    let status = Status { origin: origin(vm), store, proof, restore, verdicts, quarantined: held };
+    let status = Status { origin: origin(vm), store, proof, restore, verdicts, quarantined };
     Ok(vm.feed.borrow().update_since(cursor, status, now))
 }
 
