--- a/src/decide/cascade/rating.rs
+++ b/src/decide/cascade/rating.rs
@@ -101,8 +101,7 @@
         self.observed.bad = self.observed.bad * kept + f64::from(u8::from(!pass));
         self.expected_bad = self.expected_bad * kept + (1.0 - pass_probability);
         let usual = (self.expected_bad / self.observed.all).clamp(0.01, 0.99);
-        // The share of bad ratings must exceed the expected one by more than 0.01, which tolerates
-        // that much error in the estimates.
+        // The share of bad ratings must exceed the expected one by more than 0.01.
         let alarm = evidence(self.observed, usual + 0.01) >= (1.0 / ALARM_CHANCE).ln();
         if alarm {
             *self = DriftDetector::default();
--- a/src/experiment/replica.rs
+++ b/src/experiment/replica.rs
@@ -304,8 +304,7 @@
     let (mut hits, mut shared) = (0.0, 0.0);
     let warm_up_requests = (requests.len() as f64 * WARM_UP_SHARE) as usize;
     for (i, request) in requests.iter().enumerate() {
-        // The run starts one second before the first request, so that the first load reports, of
-        // idle replicas, can be delivered before.
+        // The run starts one second before the first request.
         let arrived_at = micros(request.at) + 1_000_000;
         run.expire(&mut ends, arrived_at);
         run.report(arrived_at);
